--- a/edge/ask.go
+++ b/edge/ask.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// ask asks the leader of an endpoint's data centre to load an adapter, and waits for it.
+// ask requests an adapter load from the leader of the endpoint's data centre, and waits for the result.
 func (p *peers) ask(ctx context.Context, m member.Member, w forward.Wanted) (forward.Placed, error) {
 	ctx, cancel := context.WithTimeout(ctx, max(w.Most, w.Wait, 0)+askSlack)
 	defer cancel()
@@ -47,8 +47,8 @@
 	}, nil
 }
 
-// cancelWhenGone ends a call to a box as soon as the box is believed dead: a frozen
-// one would keep its callers until their time is up.
+// cancelWhenGone cancels a call to a box as soon as the box is no longer considered serving. Otherwise a frozen
+// box would hold its callers until their timeout.
 func (p *peers) cancelWhenGone(ctx context.Context, cancel context.CancelFunc, name string) {
 	for ctx.Err() == nil {
 		changed := p.table.Changed()
@@ -63,7 +63,7 @@
 	}
 }
 
-// wanted reads an ask of another box.
+// wanted converts an AskRequest of another box.
 func wanted(q *wire.AskRequest, e *topology.Endpoint) forward.Wanted {
 	return forward.Wanted{
 		Request:  q.GetRequest(),
@@ -83,7 +83,8 @@
 	}
 }
 
-// placer asks the leader of the endpoint's data centre.
+// placer implements forward.Placer: it forwards requests to the leader of the endpoint's data centre, or to the local
+// loader if this box is in charge of the endpoint.
 type placer struct{ node *Node }
 
 // Want implements forward.Placer.
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	tellCall  = 400 * time.Millisecond // for a leader's answer, which takes a millisecond in a data centre
-	tellAgain = 100 * time.Millisecond // between two tries to tell a leader
-	// tellFor is how long a leader that does not answer is told anew: one that died has a successor
-	// by then, and one that is cut off hears what its own data centre sees.
+	tellCall  = 400 * time.Millisecond // a leader in the same data centre answers within a millisecond
+	tellAgain = 100 * time.Millisecond // between two attempts to notify a leader
+	// tellFor is how long a message is retried to leaders that do not answer. By then a leader that died has
+	// been replaced, and one behind a network partition receives the reports of its own data centre.
 	tellFor = 8 * time.Second
-	// mostMessages bounds what waits to be told, and what one message may hold: endpoints that end together.
+	// mostMessages bounds the pending messages and the entries of one request, since many endpoints may end together.
 	mostMessages = 1024
 )
 
-// outbox is what the leaders of all data centres must hear of endpoints from this box: each leader
-// decides by it, and tells its data centre by a fact, so what one leader knew is lost with it alone.
+// outbox holds this box's observations of endpoints until the leaders of all data centres have received them. Each
+// leader acts on them and publishes a fact in its own data centre, so no observation is lost when one leader crashes.
 type outbox struct {
 	node *Node
-	wake chan struct{} // holds one when there is something to tell
+	wake chan struct{} // signals that a message is pending
 
 	mu       sync.Mutex
-	messages []*message // that some leaders have not been told
+	messages []*message // not yet delivered to every leader
 }
 
-// message is one thing that this box saw of an endpoint.
+// message is one observation of an endpoint by this box.
 type message struct {
-	end     *wire.EndpointEnd // it ended under requests; nil: it did not
-	leaving string            // it said that it leaves; empty: it did not
-	until   time.Time         // it is told as long
-	told    map[string]bool   // boxes that were told; of run alone
+	end     *wire.EndpointEnd // the endpoint ended while it ran requests; nil: it did not
+	leaving string            // ID of an endpoint that announced draining; empty: none did
+	until   time.Time         // when retries stop
+	told    map[string]bool   // by box, whether it received the message; only used by run
 }
 
 func newOutbox(n *Node) *outbox { return &outbox{node: n, wake: make(chan struct{}, 1)} }
 
-// add has leaders told something; it tells whether there was room for it.
+// add queues a message for all leaders. It returns false if the queue is full.
 func (o *outbox) add(n *message, now time.Time) bool {
 	n.until, n.told = now.Add(tellFor), make(map[string]bool)
 	o.mu.Lock()
@@ -55,12 +55,12 @@
 	o.messages = append(o.messages, n)
 	select {
 	case o.wake <- struct{}{}:
-	default: // it will tell anyway
+	default: // a wake-up is already pending
 	}
 	return true
 }
 
-// run tells leaders, and has what is over forgotten, until ctx ends.
+// run delivers messages and removes expired state until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
 	t := teller{
 		Wake:   o.wake,
@@ -76,13 +76,13 @@
 	o.node.departures.forgetGone()
 }
 
-// toldMessages is what a leader was told; nothing where it did not answer.
+// toldMessages lists the messages that a leader received; none if it did not answer.
 type toldMessages struct {
 	leader   string
 	messages []*message
 }
 
-// tell tells each leader what it has not been told. It returns whether all were.
+// tell sends each leader the messages that it has not received. It returns whether all messages are delivered or expired.
 func (o *outbox) tell(ctx context.Context, now time.Time) bool {
 	all, leaders := o.waiting(), o.leaders()
 	answers := make(chan toldMessages, len(leaders))
@@ -104,14 +104,14 @@
 	return o.drop(leaders, now)
 }
 
-// waiting returns what some leaders have not been told.
+// waiting returns the messages that some leaders have not received.
 func (o *outbox) waiting() []*message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.messages)
 }
 
-// leaders returns the boxes that lead data centres, but for this one.
+// leaders returns the leaders of all data centres, without this box.
 func (o *outbox) leaders() []member.Member {
 	var list []member.Member
 	seen := map[string]bool{"": true, o.node.peers.box: true}
@@ -124,7 +124,7 @@
 	return list
 }
 
-// tellOne tells one leader.
+// tellOne sends messages to one leader.
 func (o *outbox) tellOne(ctx context.Context, m member.Member, untold []*message) toldMessages {
 	call, cancel := context.WithTimeout(ctx, tellCall)
 	defer cancel()
@@ -139,16 +139,16 @@
 	}
 	_, err := wire.NewPeerClient(o.node.peers.dialer.Conn(m.Address())).Ended(call, r)
 	if status.Code(err) == codes.Unimplemented {
-		return toldMessages{leader: m.Name(), messages: untold} // of an older version: it hears of no endpoints
+		return toldMessages{leader: m.Name(), messages: untold} // an older version without this method: it can't be notified
 	}
 	if err != nil {
-		o.node.Log.Info("Leader was not told of endpoints that ended or leave", "leader", m.Name(), "err", err.Error())
+		o.node.Log.Info("Failed to notify leader of endpoints that ended or are draining", "leader", m.Name(), "err", err.Error())
 		return toldMessages{}
 	}
 	return toldMessages{leader: m.Name(), messages: untold}
 }
 
-// drop forgets what every leader was told, or what is too old. It returns whether nothing is left.
+// drop removes messages that every leader has received and those that have expired. It returns whether none is left.
 func (o *outbox) drop(leaders []member.Member, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// peerServer answers the heartbeats of other boxes.
+// peerServer implements the Peer service: heartbeats and notifications from other boxes.
 type peerServer struct {
 	wire.UnimplementedPeerServer
 
@@ -34,7 +34,7 @@
 	return &wire.EndedReply{}, nil
 }
 
-// shareServer answers what other boxes ask of a leader.
+// shareServer implements the Share service: streams of facts, and the calls of other boxes to a leader.
 type shareServer struct {
 	wire.UnimplementedShareServer
 
@@ -50,7 +50,7 @@
 func (s shareServer) Ask(ctx context.Context, q *wire.AskRequest) (*wire.AskReply, error) {
 	e := s.node.view.Endpoint(q.GetEndpoint())
 	if e == nil {
-		return nil, status.Error(codes.NotFound, "edge: the endpoint is not known here")
+		return nil, status.Error(codes.NotFound, "edge: unknown endpoint")
 	}
 	p, err := s.node.loader.Want(ctx, wanted(q, e))
 	if err != nil {
@@ -112,7 +112,7 @@
 	return s.node.limits.hearAll(q, now), nil
 }
 
-// use counts what a box told, and answers what a load costs here.
+// use records the usage that a box reported, and returns the current cost of a load.
 func (n *Node) use(q *wire.UseRequest) *wire.UseReply {
 	now := clock.Now()
 	var uses []placement.Use
--- a/edge/tell.go
+++ b/edge/tell.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// teller tells other boxes what this one learnt. Set the exported fields before Run.
+// teller sends updates to other boxes, and retries those that did not answer. Set the exported fields before Run.
 type teller struct {
-	Wake   <-chan struct{}                // holds one when there is something to tell
-	Tell   func(ctx context.Context) bool // returns whether all were told
-	Again  time.Duration                  // after which those that did not answer are told anew
-	Expire func()                         // forgets what is over, now and then
+	Wake   <-chan struct{}                // signals that an update is pending
+	Tell   func(ctx context.Context) bool // sends pending updates; reports whether all recipients got them
+	Again  time.Duration                  // delay before a retry to the recipients that failed
+	Expire func()                         // removes expired state; called periodically
 }
 
-// Run tells until ctx ends.
+// Run sends updates until ctx ends.
 func (t teller) Run(ctx context.Context) error {
 	expire := time.NewTicker(expirePause)
 	defer expire.Stop()
-	var again <-chan time.Time // nil: all were told
+	var again <-chan time.Time // nil: no retry is due
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
