--- a/edge/connections.go
+++ b/edge/connections.go
@@ -10,33 +10,32 @@
 	"time"
 )
 
-// callerPart is which part of the box's descriptors connections of callers may take before
-// those that rest longest are closed. Callers leave connections at rest for up to 90 s, and a
-// box without descriptors takes no new one, though it says that it is ready. The other half
-// has a connection to an endpoint for each of the requests that may be held, a quarter, and as
-// many that rest.
+// callerPart is the divisor that gives the share of the box's file descriptors that callers' connections may use before
+// the longest idle ones are closed. Callers keep idle connections for up to 90 s, and a box that has run out of
+// descriptors accepts no connection, though it reports that it is ready. The other half is for endpoints: a quarter for
+// the connections of requests in flight, and a quarter for idle ones.
 const callerPart = 2
 
-// mostAsking is the same for each of the two servers that the platform and the operators ask:
-// some connections each, so that one that opens a new one for each question costs no more.
+// mostAsking is the connection limit of the readiness server and of the metrics server. A client that opens a new
+// connection for each request stays within it, since the oldest idle ones are closed.
 const mostAsking = 64
 
-// connections bounds the connections at rest of one server. All of them are taken; one in
-// use is never closed.
+// connections closes idle connections of one server while too many are open. It never rejects a new connection and
+// never closes an active one.
 type connections struct {
-	most int // that are open before some at rest are closed
+	most int // open connections above which idle ones are closed
 
 	mu   sync.Mutex
 	open int
-	rest *list.List                 // of net.Conn, the longest at rest first
-	at   map[net.Conn]*list.Element // in rest; a connection in use is missing
+	rest *list.List                 // of net.Conn; the longest idle first
+	at   map[net.Conn]*list.Element // elements of rest; active connections have none
 }
 
 func newConnections(most int) *connections {
 	return &connections{most: most, rest: list.New(), at: make(map[net.Conn]*list.Element)}
 }
 
-// changed is a http.Server's ConnState.
+// changed is the ConnState hook of an http.Server.
 func (c *connections) changed(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,9 +54,9 @@
 	}
 }
 
-// closeLongestLocked closes the connection at rest longest where too many are open. Its
-// server is told by a read that ends: where a request has just come, the request bounds its
-// reads anew and is answered.
+// closeLongestLocked closes the longest idle connection if too many are open. It does so by a read deadline in the
+// past, which ends the server's pending read. If a request has just arrived, the server sets a new read deadline and
+// answers it.
 func (c *connections) closeLongestLocked() {
 	e := c.rest.Front()
 	if c.open <= c.most || e == nil {
@@ -65,5 +64,5 @@
 	}
 	conn := c.rest.Remove(e).(net.Conn)
 	delete(c.at, conn)
-	_ = conn.SetReadDeadline(time.Unix(1, 0)) // it fails only where the connection is closed already
+	_ = conn.SetReadDeadline(time.Unix(1, 0)) // fails only if the connection is already closed
 }
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc"
 )
 
-// serveHTTP serves until ctx ends, then closes connections as they rest, at most
-// for so long. Requests that are held even then end with forward.ErrEnding just before.
+// serveHTTP serves until ctx ends, then shuts down gracefully: connections are closed once they are idle, the others
+// after the given time. Requests still in flight are cancelled with forward.ErrEnding shortly before that.
 func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, most time.Duration) error {
 	base, endRequests := context.WithCancelCause(context.Background())
 	defer endRequests(nil)
@@ -23,7 +23,7 @@
 	go func() { served <- s.Serve(l) }()
 	select {
 	case err := <-served:
-		return errors.Wrap(err, "edge: serve")
+		return errors.Wrap(err, "edge: serve HTTP")
 	case <-ctx.Done():
 	}
 	end, cancel := context.WithTimeout(context.Background(), most)
@@ -33,12 +33,12 @@
 	err := s.Shutdown(end)
 	<-served
 	if err != nil {
-		return errors.Wrap(s.Close(), "edge: close")
+		return errors.Wrap(s.Close(), "edge: close HTTP server")
 	}
 	return nil
 }
 
-// servePeers serves other boxes until ctx ends.
+// servePeers serves the gRPC calls of other boxes until ctx ends.
 func servePeers(ctx context.Context, s *grpc.Server, l net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
@@ -51,7 +51,7 @@
 	}
 }
 
-// listeners are the sockets of a box.
+// listeners are the listening sockets of a box.
 type listeners struct{ callers, ready, peers, metrics net.Listener }
 
 func (n *Node) listen() (listeners, error) {
@@ -67,14 +67,15 @@
 	} {
 		opened, err := net.Listen("tcp", p.address)
 		if err != nil {
-			return l, errors.Wrapf(err, "edge: address for %s", p.name)
+			return l, errors.Wrapf(err, "edge: listen on the address for %s", p.name)
 		}
 		*p.into = opened
 	}
 	return l, nil
 }
 
-// httpTask serves one handler; it closes connections that rest where more than so many are open.
+// httpTask returns a task that serves a handler. Idle connections are closed while more than open are open; most bounds
+// the shutdown.
 func httpTask(h http.Handler, l net.Listener, most time.Duration, open int) task {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ConnState: newConnections(open).changed}
 	return func(ctx context.Context) error { return serveHTTP(ctx, s, l, most) }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -10,8 +10,7 @@
 	"cairnwick.example/member"
 )
 
-// variables returns what the box publishes of itself; docs/OPERATIONS.md says what
-// each means.
+// variables returns the metrics of the box. docs/OPERATIONS.md describes each of them.
 func (n *Node) variables() *expvar.Map {
 	stats := n.gateway.Stats
 	m := new(expvar.Map).Init()
@@ -66,13 +65,13 @@
 	return ok && m.Name() == n.peers.box
 }
 
-// metrics serves the variables as one JSON object.
+// metrics serves the metrics as one JSON object, and pprof profiles if enabled.
 func (n *Node) metrics() http.Handler {
 	vars := n.variables()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write([]byte(vars.String())) // the reader may be gone
+		_, _ = w.Write([]byte(vars.String())) // fails only if the client has disconnected
 	})
 	if n.Profile {
 		mux.HandleFunc("GET /debug/pprof/", pprof.Index)
--- a/edge/node.go
+++ b/edge/node.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Node is one box. Set the exported fields before Run.
+// Node is the gateway process of one box. Set the exported fields before Run.
 type Node struct {
 	Settings Settings
 	Source   Source
@@ -31,10 +31,10 @@
 	Protocol forward.Protocol
 	Control  placement.Control
 	Log      logr.Logger
-	Lines    *logging.Bounded // what Log writes to
-	Profile  bool             // whether the metrics address serves profiles of the process
+	Lines    *logging.Bounded // the output of Log
+	Profile  bool             // whether the metrics address also serves pprof profiles
 
-	current  atomic.Pointer[Settings] // in force; replaced by Reload
+	current  atomic.Pointer[Settings] // replaced by Reload
 	view     *topology.View
 	items    *share.Table
 	state    *state
@@ -58,16 +58,16 @@
 	calls       calls
 	ignored     ignored
 	checkpoints checkpoints
-	away        atomic.Bool   // whether the source does not answer
+	away        atomic.Bool   // whether the source is unavailable
 	listed      atomic.Uint64 // the Revision of the last list of endpoints
 }
 
 const (
-	memoryPart = 0.7 // of the box's memory that the garbage collector aims below
-	heldPart   = 4   // descriptors for one held request: its caller's, the endpoint's, spare
+	memoryPart = 0.7 // fraction of the box's memory that is the garbage collector's soft limit
+	heldPart   = 4   // file descriptors per request in flight: the caller's, the endpoint's, and spare ones
 )
 
-// build makes the parts and ties them together.
+// build creates the components and connects them.
 func (n *Node) build() {
 	s := n.Settings
 	n.current.Store(&n.Settings)
@@ -128,11 +128,11 @@
 	}
 }
 
-// Reload brings new settings into force: seeds, bounds and limits. The name and the
-// addresses of a box stay those that it started with.
+// Reload applies new settings: seeds, bounds and limits. The box keeps the name and the addresses that it started
+// with.
 func (n *Node) Reload(s Settings) {
 	n.current.Store(&s)
-	n.Log.Info("Settings are in force", "seeds", len(s.Seeds))
+	n.Log.Info("Settings reloaded", "seeds", len(s.Seeds))
 }
 
 func (n *Node) buildPeers() *peers {
@@ -169,7 +169,7 @@
 	return p
 }
 
-// noExtras adds nothing to heartbeats: facts travel by streams.
+// noExtras adds nothing to heartbeats: facts are sent over streams.
 type noExtras struct{}
 
 // Fill implements member.Extras.
@@ -178,18 +178,18 @@
 // Heard implements member.Extras.
 func (noExtras) Heard(*wire.Heartbeat, string) {}
 
-// owns reports whether this box gives orders to an endpoint.
+// owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
 	return n.peers.leads(e.DataCentre(), n.current.Load().Bounds.Lease, now)
 }
 
-// HearNotice takes in what an endpoint says of itself in an answer to an order or a report. Call it only
-// while Run serves.
+// HearNotice processes what an endpoint announces about itself, draining or a back-off, in the response to a command
+// or a status query. Call it only while Run serves.
 func (n *Node) HearNotice(endpoint string, said forward.Notice) { n.gateway.HearNotice(endpoint, said) }
 
-// room returns what an endpoint takes, for the one that decides where adapters are loaded. One that asked this
-// box for a back-off is as good as one that gets all that it takes: what it asks of one box it likely asks of
-// others, and a request that needs an adapter there would be turned away.
+// room returns an endpoint's remaining rate limit, which the loader uses to decide where to load adapters. An endpoint
+// that asked this box for a back-off counts as saturated: it likely asks other boxes for one too, and would reject
+// requests for the adapter.
 func (n *Node) room(endpoint string, now time.Time) ratelimit.Room {
 	r := n.limits.room(endpoint, now)
 	if !r.Limited && n.gateway.BackoffLeft(endpoint, now) > 0 {
@@ -198,10 +198,10 @@
 	return r
 }
 
-// task is something that runs until its context ends.
+// task runs until its context ends.
 type task func(context.Context) error
 
-// Run serves until ctx ends, then leaves in order.
+// Run serves until ctx ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(float64(n.Settings.Limits.MemoryMB) * memoryPart * (1 << 20)))
 	n.build()
@@ -218,7 +218,7 @@
 	server := daemon.NewServer(insecure.NewCredentials(), n.messages)
 	wire.RegisterPeerServer(server, peerServer{node: n})
 	wire.RegisterShareServer(server, shareServer{node: n})
-	held := n.Settings.Bounds.Grace - noticeFor - endMargin // what is held when the end begins has so long
+	held := n.Settings.Bounds.Grace - noticeFor - endMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
 		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.borrow, n.outbox.run, n.limits.run,
@@ -230,7 +230,7 @@
 	}
 	err = n.runAll(ctx, inner, end, tasks)
 	n.peers.dialer.Close()
-	n.Log.Info("Box ends")
+	n.Log.Info("Box stopped")
 	return err
 }
 
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -14,30 +14,30 @@
 	"github.com/go-logr/logr"
 )
 
-// roleBox is the role under which boxes are members.
+// roleBox is the member role of boxes.
 const roleBox = "edge"
 
 const (
-	heartbeat  = 300 * time.Millisecond // a dead neighbour is suspected after one and a half
-	suspectFor = 900 * time.Millisecond // and dead after three more
-	forgetDead = 10 * time.Minute       // the dead are looked for so long, in case a cut heals
-	freshFor   = 2 * time.Second        // how long an exchange would confirm the view; no box asks
-	pauseLimit = time.Second            // a longer gap between two beats is a pause of this process
-	neighbours = 2                      // the next ones on the ring, to which heartbeats go
-	peerDial   = 400 * time.Millisecond // a box that is dark drops the opening packet; the next try may meet it up
-	silentFor  = 550 * time.Millisecond // just below two heartbeats in a row without a byte: the connection may be silent for good while new ones work; what is lost once comes again after 200 ms
-	settleFor  = 700 * time.Millisecond // after the start, for the view to become whole: the first second's beats are quick
-	metFor     = 300 * time.Millisecond // the same after the first other box was met
-	aloneFor   = 2 * time.Second        // after the start, where no other box was met: the seeds may be late
-	askSlack   = 300 * time.Millisecond // on top of what a request can wait
-	lookPause  = 100 * time.Millisecond // between two looks at who leads
-	usePause   = 500 * time.Millisecond // between two whole reports of use
-	// changePause is how long a change of use waits for others: a leader must know what is
-	// in use before it empties a slot, and calls cost processor time.
+	heartbeat  = 300 * time.Millisecond // interval and timeout; a dead neighbour is suspected after 1.5 intervals
+	suspectFor = 900 * time.Millisecond // after it a suspected member is considered dead: three more intervals
+	forgetDead = 10 * time.Minute       // how long dead members are still probed, in case a network partition heals
+	freshFor   = 2 * time.Second        // how long a heartbeat exchange confirms the view; unused by boxes
+	pauseLimit = time.Second            // a longer gap between two heartbeats counts as a pause of this process
+	neighbours = 2                      // number of ring successors that get heartbeats
+	peerDial   = 400 * time.Millisecond // an unreachable box drops the SYN; the next attempt may find it up
+	silentFor  = 550 * time.Millisecond // just below two heartbeat intervals without a byte: a stalled connection may never recover while new ones work; a single lost packet is retransmitted after 200 ms
+	settleFor  = 700 * time.Millisecond // after start-up, until the membership view is complete: heartbeats of the first second are more frequent
+	metFor     = 300 * time.Millisecond // the same after the first contact with another box
+	aloneFor   = 2 * time.Second        // the same after start-up without contact to any other box: the seeds may start later
+	askSlack   = 300 * time.Millisecond // added to a request's wait time for the timeout of its call
+	lookPause  = 100 * time.Millisecond // between two checks of which boxes lead
+	usePause   = 500 * time.Millisecond // between two full usage reports
+	// changePause is how long usage changes are batched. A leader must know which adapters are in use before it
+	// evicts one from a slot, but each call costs processor time.
 	changePause = 20 * time.Millisecond
 )
 
-// peers is this box among the others.
+// peers holds this box's view of the other boxes, and its connections to them.
 type peers struct {
 	box     string
 	centre  string
@@ -48,16 +48,16 @@
 	log     logr.Logger
 	started time.Time
 	reads   func() bool          // whether this box reads the source of the configuration
-	seeds   func() []string      // other boxes that should be there, at their addresses
-	behind  func() time.Duration // how far this box may be behind that source
-	known   *checkpoints         // of the source, by this box
+	seeds   func() []string      // addresses of other boxes that should exist, by the settings
+	behind  func() time.Duration // maximum staleness of this box relative to that source
+	known   *checkpoints         // up to which this box knows the source
 
 	clusterViews clusterViews
 
 	mu       sync.Mutex
-	met      time.Time               // when another box was first met
+	met      time.Time               // first contact with another box; zero: none yet
 	leaders  map[string]leadership   // by data centre
-	statuses map[string]leaderStatus // by box that is followed
+	statuses map[string]leaderStatus // by followed box
 }
 
 // leaderStatus is what a followed box sent of how far the source was read.
@@ -68,21 +68,20 @@
 	first    Revision  // checkpoint of endpoints in the first status of the stream; zero: none yet, or an older version's
 }
 
-// isFresh reports whether a status still counts at now.
+// isFresh reports whether a status is still recent enough at now.
 func (w leaderStatus) isFresh(now time.Time, behind time.Duration) bool {
 	return now.Sub(w.readAt) < statusTime(behind) && now.Sub(w.received) < share.SilentAfter
 }
 
-// leadership is who leads a data centre, and since when.
+// leadership is the current leader of a data centre, and when it may start to issue commands to endpoints.
 type leadership struct {
 	name   string
-	before string    // who led before; empty: not known
-	from   time.Time // when it may give orders
+	before string    // previous leader; empty: not known
+	from   time.Time // when it may issue commands
 }
 
-// leads reports whether this box leads a data centre, and from when on it may give
-// orders there. A new leader waits for the lease of the one before, unless that
-// one is known to have ended.
+// leads reports whether this box leads a data centre, and from when on it may issue commands to the endpoints
+// there. A new leader waits until the lease of the previous one has expired, unless that one no longer serves.
 func (p *peers) leads(centre string, lease time.Duration, now time.Time) (bool, time.Time) {
 	m, ok := p.clusterView().leader(centre)
 	if !ok {
@@ -110,8 +109,8 @@
 	return m.Name() == p.box, from
 }
 
-// settledLocked is when this box's first view of the others can be trusted. One that
-// claimed endpoints before it had met anybody would take them from their owners.
+// settledLocked returns from when on this box's initial view of the others can be trusted. A box that claimed
+// endpoints before it had contact with any other would take them from their owners.
 func (p *peers) settledLocked(now time.Time) time.Time {
 	if p.met.IsZero() && len(p.table.All()) > 1 {
 		p.met = now
@@ -126,23 +125,22 @@
 	return settled
 }
 
-// settled is when this box's first view of the others can be trusted.
+// settled returns from when on this box's initial view of the others can be trusted.
 func (p *peers) settled(now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.settledLocked(now)
 }
 
-// works reports whether a box is believed to serve.
+// works reports whether a box is considered serving.
 func (p *peers) works(name string) bool {
 	m, ok := p.table.Find(name)
 	return ok && m.Serving()
 }
 
-// budgetBoxes returns how many boxes share what all may send again; zero as long as the
-// first view of the others is not whole, and where this box should know others and does not.
-// Boxes that fell silent count too: on the sides of a cut, shares by those that answer alone would add
-// up to the whole on each side.
+// budgetBoxes returns how many boxes share the retry budget; zero until the initial view of the others is complete,
+// and while this box has seeds but no contact to any other box. Unreachable boxes count too: otherwise each side of a
+// network partition would spend the whole budget.
 func (p *peers) budgetBoxes(now time.Time) int {
 	p.mu.Lock()
 	settled, met := p.settledLocked(now), !p.met.IsZero()
@@ -153,8 +151,7 @@
 	return max(p.clusterView().boxes, 1)
 }
 
-// near reports whether the box at an IP number is of the own data centre; known is false for one
-// that is not known.
+// near reports whether the box with an IP address is in this data centre; known is false for an unknown address.
 func (p *peers) near(ip string) (near, known bool) {
 	for _, m := range p.table.All() {
 		if host, _, err := net.SplitHostPort(m.Address()); err == nil && host == ip {
@@ -164,7 +161,7 @@
 	return false, false
 }
 
-// lost lists boxes that are believed dead: a cut that heals is noticed there.
+// lost returns the addresses of dead boxes. They are still probed, to detect when a network partition heals.
 func (p *peers) lost() []string {
 	var list []string
 	for _, m := range p.table.All() {
@@ -175,7 +172,7 @@
 	return list
 }
 
-// otherSeeds returns the seeds that are not this box, in a random order.
+// otherSeeds returns the seeds other than this box, in random order.
 func otherSeeds(seeds []string, self string) []string {
 	var list []string
 	for _, s := range seeds {
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package edge makes one process of an entry box: it answers callers, shares what
-// it knows with the other boxes, and gives orders to endpoints when it leads its
-// data centre.
+// Package edge implements the gateway process of a box: it serves callers, shares its state with the other boxes, and
+// issues commands to endpoints while it leads its data centre.
 package edge
 
 import (
@@ -13,13 +12,13 @@
 	"cairnwick.example/placement"
 )
 
-// Settings say who a box is, where it listens, and what it must keep to.
+// Settings are the identity of a box, its listen addresses and its limits.
 type Settings struct {
 	Box        string
 	DataCentre string
-	Number     uint32 // that no other box has; its low bits go into fences
+	Number     uint32 // unique per box; its low bits are part of fencing tokens
 	Callers    string // IP:port for callers
-	Ready      string // IP:port for the balancer's questions
+	Ready      string // IP:port for the load balancer's readiness checks
 	Peers      string // IP:port for other boxes
 	Metrics    string // IP:port for metrics; empty: a free port
 	Seeds      []string
@@ -28,33 +27,33 @@
 	Budget     forward.BudgetLimits
 	Rate       placement.RateLimits
 
-	DataCentres int           // that there are; zero: as many as have boxes
-	Quota       access.Bounds // that organisations' quotas are kept to
+	DataCentres int           // how many exist; zero: count those that have boxes
+	Quota       access.Bounds // how closely quotas of organisations are enforced
 }
 
-// Limits are what the box may use.
+// Limits are the resources that the box may use.
 type Limits struct {
 	MemoryMB    int
 	Descriptors int
-	Cores       float64 // of a processor; zero: not known
+	Cores       float64 // processor cores, possibly a fraction; zero: not known
 }
 
-// Bounds are the times that the box must keep.
+// Bounds are the time limits that the box must meet.
 type Bounds struct {
-	Grace time.Duration // from the request to stop until the process is killed
-	Lease time.Duration // a refused owner keeps away from an endpoint so long
-	Drain time.Duration // an endpoint that leaves gets no requests after it
-	Apply time.Duration // a configuration is in force after it
-	Lapse time.Duration // entries of endpoints may lapse where the source is away for so long
+	Grace time.Duration // from the stop signal until the process is killed
+	Lease time.Duration // how long an owner whose command was rejected stays away from the endpoint
+	Drain time.Duration // after it a draining endpoint gets no new requests
+	Apply time.Duration // after it a published configuration is in force
+	Lapse time.Duration // after it, endpoint registrations may have expired during an outage of the source
 
-	StrictKeys bool          // a key that was taken away ends everywhere within Revocation; else where the source is heard
-	Revocation time.Duration // with StrictKeys: a configuration that is older may not say who calls
+	StrictKeys bool          // whether a revoked key stops working on all boxes within Revocation; otherwise only on those that can reach the source
+	Revocation time.Duration // with StrictKeys: the maximum age of a configuration that authenticates callers
 }
 
-// defaultBehind is how far a box may be behind its source where no bound is set.
+// defaultBehind is the maximum staleness if no bound is set.
 const defaultBehind = 2 * time.Second
 
-// Behind returns how far the box may be behind what the source has published.
+// Behind returns the maximum staleness of the box relative to what the source has published.
 func (b Bounds) Behind() time.Duration {
 	switch {
 	case b.Drain > 0 && b.Apply > 0:
--- a/edge/traffic.go
+++ b/edge/traffic.go
@@ -12,30 +12,30 @@
 	"cairnwick.example/wire"
 )
 
-// What messages between boxes are for, as they are counted.
+// Kinds of messages between boxes, as labels of their counts.
 const (
-	kindHeartbeat = "heartbeat"      // with some news of members
+	kindHeartbeat = "heartbeat"      // with changes of some members
 	kindWholeView = "whole_view"     // a heartbeat with every member
-	kindFollow    = "follow"         // asks for a stream of facts
-	kindBeat      = "beat"           // of a stream that has nothing new
-	kindConfig    = "facts_config"   // the configuration, with whatever else came at the time
-	kindEndpoints = "facts_endpoint" // lives of endpoints, with what they hold
-	kindSlots     = "facts_slots"    // what endpoints hold, alone
-	kindVersions  = "facts_version"  // versions of adapters alone
-	kindUse       = "use_change"     // changes of use
-	kindWholeUse  = "use_whole"      // all of a box's use
-	kindLevel     = "level"          // the answer to either
-	kindAsk       = "ask"            // for a load, and the answer
-	kindResign    = "resign"         // and the answer
-	kindSettle    = "settle"         // draws from quotas, and the answer
-	kindLend      = "lend"           // moves a part of the quotas between data centres, and the answer
-	kindEnded     = "ended"          // endpoints that ended while they ran requests, and the answer
-	kindTake      = "take"           // of the requests that an endpoint takes which names a limit
-	kindLimits    = "limits"         // what endpoints say of their limits
-	kindUnknown   = "other"          // of a newer version
+	kindFollow    = "follow"         // subscribes to a stream of facts
+	kindBeat      = "beat"           // keep-alive of a stream without new facts
+	kindConfig    = "facts_config"   // the configuration, with any other facts sent along
+	kindEndpoints = "facts_endpoint" // endpoints, with their slots
+	kindSlots     = "facts_slots"    // slots of endpoints only
+	kindVersions  = "facts_version"  // adapter versions only
+	kindUse       = "use_change"     // changes of usage
+	kindWholeUse  = "use_whole"      // full usage of a box
+	kindLevel     = "level"          // the reply to either, with the cost of a load
+	kindAsk       = "ask"            // request for an adapter load, and the reply
+	kindResign    = "resign"         // handover of an endpoint, and the reply
+	kindSettle    = "settle"         // draws from quotas, and the reply
+	kindLend      = "lend"           // transfers quota units between data centres, and the reply
+	kindEnded     = "ended"          // endpoints that ended while they ran requests or are draining, and the reply
+	kindTake      = "take"           // draws from the rate limit of an endpoint, and the reply
+	kindLimits    = "limits"         // rate limits that endpoints announced, and the reply
+	kindUnknown   = "other"          // message of a newer version
 )
 
-// messageKind names what a message is for.
+// messageKind returns the kind of a message.
 func (n *Node) messageKind(_ string, message any) string {
 	switch m := message.(type) {
 	case *wire.Heartbeat:
@@ -72,7 +72,7 @@
 	return kindUnknown
 }
 
-// factsKind names a message of facts by the largest kind among them.
+// factsKind returns the kind of a message of facts: that of its most significant fact.
 func (n *Node) factsKind(items []*wire.Item) string {
 	if len(items) == 0 {
 		return kindBeat
@@ -93,16 +93,16 @@
 	return kind
 }
 
-// Why the source is called, as the calls are counted.
+// Reasons of calls to the source, as labels of their counts.
 const (
-	readFirst       = "first_list"   // of a box that has just started
-	readLeads       = "leads"        // others rely on it
-	readNotTold     = "not_told"     // the word of the box that is followed is missing or too old
-	readForgotten   = "forgotten"    // a list, since the source forgot its history
-	readAfterOutage = "after_outage" // a list, since endpoints may have lapsed in an outage
+	readFirst       = "first_list"   // the first list after start-up
+	readLeads       = "leads"        // this box leads, and others rely on its reads
+	readNotTold     = "not_told"     // the status of the followed box is missing or too old
+	readForgotten   = "forgotten"    // a list, since the source no longer has the change history
+	readAfterOutage = "after_outage" // a list, since endpoint registrations may have expired during an outage
 )
 
-// calls counts the calls to the source by their reason.
+// calls counts calls to the source by reason.
 type calls struct {
 	mu       sync.Mutex
 	byReason map[string]int64
@@ -123,27 +123,27 @@
 	return maps.Clone(c.byReason)
 }
 
-// trafficPause is between two lines about messages: a day's course shows in them, and a line
-// of some 2 KB costs nothing beside what it counts.
+// trafficPause is the interval of the log lines with message counts. It is short enough to show changes in the course of
+// a day, and a line of some 2 KB is negligible beside the traffic that it counts.
 const trafficPause = 10 * time.Second
 
-// logTraffic logs, at the level of debugging, what passed so far, until ctx ends.
+// logTraffic logs the cumulative counts of messages at debug level, until ctx ends.
 func (n *Node) logTraffic(ctx context.Context) error {
 	for {
 		sleep(ctx, trafficPause)
 		if ctx.Err() != nil {
 			return nil
 		}
-		n.Log.V(1).Info("Messages were counted", "messages", n.messages.Counts(),
+		n.Log.V(1).Info("Message counts", "messages", n.messages.Counts(),
 			"source_calls", n.calls.counts(), "processor_ms", processorTime().Milliseconds(), "leads", n.leads())
 	}
 }
 
-// processorTime returns how much processor time this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0 // a system without it: the figure is missing, nothing else
+		return 0 // not supported here: only this figure is missing
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
