--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -14,45 +14,43 @@
 )
 
 const (
-	// takeoverAfter is how long a data centre's boxes must all be dead before a box
-	// elsewhere leads it: boxes start again in a few seconds, and what is cut off for
-	// longer than a link takes to be mended is rare.
+	// takeoverAfter is how long all boxes of a data centre must be dead before a box elsewhere leads it. Boxes restart
+	// within a few seconds, and network partitions rarely last longer.
 	takeoverAfter = 20 * time.Second
 
-	// leaderPart: a leader works for the whole data centre, so a box that may use less
-	// than this part of the strongest one's processor does not lead.
+	// leaderPart limits leadership to boxes whose CPU capacity is at least the strongest one's divided by it, since a
+	// leader works for the whole data centre.
 	leaderPart = 2
 
-	// followersMost is how many boxes of its data centre one box tells everything: the
-	// others follow those, so that what a box sends does not grow with the data centre.
+	// followersMost is how many boxes of its data centre one box sends all facts to. The others follow those, so that
+	// the traffic of a box does not grow with the size of the data centre.
 	followersMost = 6
 
-	// clusterViewFor is how long a clusterView holds while no member changes: only takeovers
-	// depend on the time.
+	// clusterViewFor is how long a clusterView is valid while no member changes. Only takeovers depend on the time.
 	clusterViewFor = time.Second
 )
 
-// clusterView is what follows from one version of the view of members. It never changes.
+// clusterView is derived from one version of the member table: leaders, and the box to follow. It is immutable.
 type clusterView struct {
 	version uint64
 	until   time.Time
-	boxes   int                      // that are known: who fell silent may serve on the other side of a cut, who leaves still holds requests
-	centres []string                 // that have a serving box, sorted
-	silent  map[string]bool          // data centres without a serving box, of which some fell silent lately or all did
-	leaders map[string]member.Member // of the data centres that have a known box
-	other   member.Member            // the oldest strong box of all: leads where no box is known, and where all have left
-	found   bool                     // there is one
+	boxes   int                      // known ones: an unreachable box may serve on the other side of a network partition, and one that shuts down still has requests in flight
+	centres []string                 // data centres with a serving box, sorted
+	silent  map[string]bool          // data centres without a serving box, where one died less than takeoverAfter ago or all are dead
+	leaders map[string]member.Member // by data centre with a known box; the zero Member: none
+	other   member.Member            // the oldest box of sufficient capacity anywhere: leads data centres without a known box, and, in time, those without a serving box
+	found   bool                     // whether other is set
 	above   member.Member            // the box that this one follows
-	steps   int                      // from this box to the leader of its data centre; zero: it leads
+	steps   int                      // hops from this box to the leader of its data centre; zero: it leads
 }
 
-// clusterViews keeps the clusterView of the present view.
+// clusterViews caches the latest clusterView.
 type clusterViews struct {
 	mu     sync.Mutex
 	latest *clusterView
 }
 
-// clusterView returns what follows from the members as they are seen now.
+// clusterView returns the clusterView of the current members.
 func (p *peers) clusterView() *clusterView {
 	now := clock.Now()
 	version := p.table.Version()
@@ -90,11 +88,11 @@
 	return o
 }
 
-// addCentre finds the leader of a data centre: the oldest of the strong boxes that serve
-// there, or, where all have left, of all boxes. Where some only fell silent lately the data
-// centre is more often cut off than without boxes, so others wait before they lead it.
+// addCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the oldest
+// one anywhere if no box serves there. If one of them died recently, a network partition is more likely than a
+// data centre without boxes, so no box elsewhere leads it until takeoverAfter has passed.
 func (o *clusterView) addCentre(centre string, list []member.Member, now time.Time) {
-	var died time.Time // when the latest one of them did
+	var died time.Time // when the last one of them died
 	dead := 0
 	var serving []member.Member
 	for _, m := range list {
@@ -122,11 +120,10 @@
 		o.leaders[centre] = o.other
 		return
 	}
-	o.leaders[centre] = member.Member{} // nobody
+	o.leaders[centre] = member.Member{} // none
 }
 
-// oldestStrong returns the oldest of the boxes that have a good part of the strongest
-// one's processor.
+// oldestStrong returns the oldest box whose capacity is at least the strongest one's divided by leaderPart.
 func oldestStrong(list []member.Member) (best member.Member, ok bool) {
 	most := 0
 	for _, m := range list {
@@ -147,13 +144,12 @@
 	return a.Name() < b.Name()
 }
 
-// follow finds the box that this one follows. The boxes of a data centre follow each other in
-// steps: the leader first, strong ones before weak ones, old ones before young ones. A box that
-// is not in its own view follows the leader.
+// follow determines the box that this one follows. The boxes of a data centre form a tree below the leader, filled level
+// by level: boxes of higher capacity first, then older ones. A box that is missing from its own view follows the leader.
 //
-// Who changes the box that it follows must learn what it may have missed, so few others may be
-// moved by one that comes or goes. When each took its place in a list of all, a restart moved
-// 5.8 of 39 boxes in the mean; now it moves 3.3, most of them where the leader restarts.
+// A box that changes the one that it follows must fetch what it may have missed, so a box that starts or stops should
+// move few others. When the position in a sorted list decided, a restart moved 5.8 of 39 boxes on average; now it moves
+// 3.3, most of them when the leader restarts.
 func (o *clusterView) follow(box, centre string, serving []member.Member) {
 	leader, ok := o.leader(centre)
 	if !ok || leader.Name() == box {
@@ -170,7 +166,7 @@
 	if i < followersMost {
 		return
 	}
-	begin, end := 0, followersMost // of the boxes that are so many steps from the leader
+	begin, end := 0, followersMost // range in others of the boxes that are this many hops from the leader
 	for i >= end {
 		o.steps++
 		begin, end = end, end+followersMost*(end-begin)
@@ -179,8 +175,8 @@
 	o.above = followed(others[begin:i+1], others[aboveFrom:begin])
 }
 
-// followed returns whom the last of the boxes follows. They choose in turn, each the first in
-// an order of its own that has not enough followers yet.
+// followed returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of above, the
+// first one that has fewer than followersMost followers.
 func followed(boxes, above []member.Member) member.Member {
 	names := make([]string, len(above))
 	for i, m := range above {
@@ -196,7 +192,7 @@
 	return above[slices.Index(names, chosen)]
 }
 
-// leader returns the box that leads a data centre; false for none.
+// leader returns the box that leads a data centre; false if there is none.
 func (o *clusterView) leader(centre string) (member.Member, bool) {
 	if m, known := o.leaders[centre]; known {
 		return m, m.Name() != ""
@@ -204,7 +200,7 @@
 	return o.other, o.found
 }
 
-// ledBy returns the data centres with a known box that a box leads, sorted.
+// ledBy returns the data centres that a box leads, sorted; only those with a known box.
 func (o *clusterView) ledBy(box string) []string {
 	var list []string
 	for c, m := range o.leaders {
@@ -216,8 +212,7 @@
 	return list
 }
 
-// parent returns the box that this one follows and how many steps the leader is away;
-// false where this box leads.
+// parent returns the box that this one follows, and the number of hops to the leader; false if this box leads.
 func (o *clusterView) parent() (m member.Member, steps int, ok bool) {
 	return o.above, o.steps, o.steps > 0
 }
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// drawnFor is how long a box counts as one that draws here: three settlements may be lost.
+	// drawnFor is how long a box counts as drawing after its last settlement: three of them may be lost.
 	drawnFor = 1100 * time.Millisecond
-	// lendCall is for the answer of another data centre's leader.
+	// lendCall is the timeout of a call to the leader of another data centre.
 	lendCall = 400 * time.Millisecond
-	// lendAgain is between two questions of a pool that lacks units, and lendRest after one that
-	// brought none.
+	// lendAgain is the pause between two loan requests while the pool lacks units; lendRest is the pause after a
+	// request that brought none.
 	lendAgain = 40 * time.Millisecond
 	lendRest  = 250 * time.Millisecond
 )
 
-// drawn is which boxes draw from this box's pool.
+// drawn tracks which boxes draw from this box's pool.
 type drawn struct {
 	mu    sync.Mutex
-	boxes map[string]time.Time // when each did last
+	boxes map[string]time.Time // time of the last draw, by box
 }
 
-// note notes that a box draws at now, and returns how many do.
+// note records a draw by a box, and returns how many boxes draw.
 func (d *drawn) note(box string, now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,8 +56,8 @@
 	return len(d.boxes)
 }
 
-// share is the part of each quota that this box hands out to so many boxes. Boxes that fell silent
-// are known: they may draw elsewhere.
+// share returns the fraction of each quota that this box hands out, given how many boxes draw from it. Unreachable
+// boxes count as known ones of the data centre, since they may draw from another pool.
 func (s *spending) share(boxes int, now time.Time) float64 {
 	centres := s.node.current.Load().DataCentres
 	if centres == 0 {
@@ -73,18 +73,17 @@
 	return access.Share(boxes, known, centres)
 }
 
-// mayDraw tells whether a box may still serve callers: one that left in order has ended when its
-// time is over.
+// mayDraw reports whether a box may still serve callers. One that shuts down has stopped after its grace period.
 func (s *spending) mayDraw(m member.Member, now time.Time) bool {
 	return m.State() != member.Leaving || now.Sub(m.Since()) < s.node.current.Load().Bounds.Grace
 }
 
-// leads tells whether this box counts for its data centre.
+// leads reports whether this box manages the quota pool of its data centre.
 func (s *spending) leads(now time.Time) bool {
 	return s.node.countsCallers() && s.node.leads() && !now.Before(s.node.peers.settled(now))
 }
 
-// answer hands out what a box asks, and says how recent the configuration is.
+// answer handles a settlement: it grants units to a box, and returns how recent the configuration is.
 func (s *spending) answer(q *wire.SettleRequest, now time.Time) *wire.SettleReply {
 	a := &wire.SettleReply{}
 	if ago, ok := s.node.vouched.ago(now); ok {
@@ -102,8 +101,7 @@
 	return a
 }
 
-// open begins to fill the pool for each quota of a configuration that is new here, or since this
-// box leads.
+// open starts to fill the pool for each quota when the configuration is new here or this box has become the leader.
 func (s *spending) open(share float64, now time.Time) {
 	version := s.node.configVersion()
 	if s.opened.Swap(version) == version {
@@ -120,19 +118,19 @@
 	}
 }
 
-// freshFleet is the age of a leader below which all boxes of its data centre have just started, since
-// the oldest leads: nobody has counted since this one started.
+// freshFleet is the age of a leader below which all boxes of its data centre have just started, since the oldest
+// leads. No other box has handed out units since this one started, so the pool fills from that time.
 const freshFleet = 3 * time.Second
 
-// close forgets what this box counted: another one leads.
+// close discards the pool after another box has become the leader.
 func (s *spending) close() {
 	if s.opened.Swap(0) != 0 {
 		s.pool.Clear()
 	}
 }
 
-// allow hands out what a box asks of one quota. What has no limit here, since this box has heard
-// of another configuration, is granted.
+// allow handles a box's demand from one quota. A demand from an organisation without a limit in this box's configuration,
+// which may be another version than the caller's, is granted in full.
 func (s *spending) allow(d *wire.Demand, share float64, now time.Time) *wire.Allowance {
 	o := s.node.view.Config().Callers().Named(d.GetOrganisation())
 	if o == nil || !o.Quota().Limits() {
@@ -155,7 +153,7 @@
 	return &wire.Allowance{Organisation: a.Organisation, Paid: int64(a.Paid), Granted: int32(a.Granted), WaitMicros: a.Wait.Microseconds()}
 }
 
-// lack has others asked for units that the pool lacks, and logs it now and then.
+// lack triggers a loan request for the units that the pool lacks, and logs the shortage at a limited rate.
 func (s *spending) lack(a access.Allowance, share float64, now time.Time) {
 	select {
 	case s.short <- struct{}{}:
@@ -167,7 +165,7 @@
 	}
 }
 
-// borrow asks the other data centres for units while this box's pool lacks some, until ctx ends.
+// borrow requests units from the other data centres while this box's pool lacks some, until ctx ends.
 func (s *spending) borrow(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
@@ -184,8 +182,7 @@
 	return nil
 }
 
-// borrowOnce asks each other leader for its part of what is lacking; it tells whether anything
-// was lent.
+// borrowOnce requests an equal part of the missing units from each other leader. It reports whether any were lent.
 func (s *spending) borrowOnce(ctx context.Context) bool {
 	v := s.node.peers.clusterView()
 	var others []member.Member
@@ -213,24 +210,24 @@
 		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, lendRest)
 	}
 	if len(lent) > 0 {
-		s.hurry() // this box's own requests may wait for them
+		s.hurry() // requests held by this box may wait for the units
 	}
 	return len(lent) > 0
 }
 
-// askLoan asks one leader. What it lent and could not tell is lost: never counted twice.
+// askLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent twice.
 func (s *spending) askLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
 	ctx, cancel := context.WithTimeout(ctx, lendCall)
 	defer cancel()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Lend(ctx, q)
 	if err != nil {
-		s.node.Log.V(1).Info("Leader of another data centre lends nothing", "leader", m.Name(), "err", err.Error())
+		s.node.Log.V(1).Info("Loan request to the leader of another data centre failed", "leader", m.Name(), "err", err.Error())
 		return nil
 	}
 	return a
 }
 
-// lend answers another data centre's leader.
+// lend handles a loan request of another data centre's leader.
 func (s *spending) lend(q *wire.LendRequest, now time.Time) *wire.LendReply {
 	a := &wire.LendReply{}
 	if !s.leads(now) {
