--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -62,7 +62,7 @@
 
 // run delivers messages and removes expired state until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
-	t := teller{
+	t := notifier{
 		Wake:   o.wake,
 		Tell:   func(ctx context.Context) bool { return o.tell(ctx, time.Now()) },
 		Again:  tellAgain,
--- a/edge/tell.go
+++ b/edge/tell.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// teller sends updates to other boxes, and retries those that did not answer. Set the exported fields before Run.
-type teller struct {
+// notifier sends updates to other boxes, and retries those that did not answer. Set the exported fields before Run.
+type notifier struct {
 	Wake   <-chan struct{}                // signals that an update is pending
 	Tell   func(ctx context.Context) bool // sends pending updates; reports whether all recipients got them
 	Again  time.Duration                  // delay before a retry to the recipients that failed
@@ -16,7 +16,7 @@
 }
 
 // Run sends updates until ctx ends.
-func (t teller) Run(ctx context.Context) error {
+func (t notifier) Run(ctx context.Context) error {
 	expire := time.NewTicker(expirePause)
 	defer expire.Stop()
 	var again <-chan time.Time // nil: no retry is due
