--- a/edge/limits_tell.go
+++ b/edge/limits_tell.go
@@ -18,7 +18,7 @@
 // run tells leaders what endpoints said of their limits, and forgets endpoints that are gone, until
 // ctx ends.
 func (s *limits) run(ctx context.Context) error {
-	return notifier{Wake: s.wake, Tell: s.tell, Again: leaderAgain, Expire: s.forgetGone}.Run(ctx)
+	return notifier{Wake: s.wake, Send: s.tell, RetryDelay: leaderAgain, Expire: s.forgetGone}.Run(ctx)
 }
 
 // forgetGone forgets endpoints that this box does not know: a box that had not heard of their end
--- a/edge/tell.go
+++ b/edge/notifier.go
@@ -9,17 +9,17 @@
 
 // notifier sends updates to other boxes, and retries those that did not answer. Set the exported fields before Run.
 type notifier struct {
-	Wake   <-chan struct{}                // signals that an update is pending
-	Tell   func(ctx context.Context) bool // sends pending updates; reports whether all recipients got them
-	Again  time.Duration                  // delay before a retry to the recipients that failed
-	Expire func()                         // removes expired state; called periodically
+	Wake       <-chan struct{}                // signals that an update is pending
+	Send       func(ctx context.Context) bool // sends pending updates; reports whether all recipients got them
+	RetryDelay time.Duration                  // delay before a retry to the recipients that failed
+	Expire     func()                         // removes expired state; called periodically
 }
 
 // Run sends updates until ctx ends.
 func (t notifier) Run(ctx context.Context) error {
 	expire := time.NewTicker(expirePause)
 	defer expire.Stop()
-	var again <-chan time.Time // nil: no retry is due
+	var retry <-chan time.Time // nil: no retry is due
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -28,11 +28,11 @@
 			t.Expire()
 			continue
 		case <-t.Wake:
-		case <-again:
+		case <-retry:
 		}
-		again = nil
-		if !t.Tell(ctx) {
-			again = time.After(t.Again)
+		retry = nil
+		if !t.Send(ctx) {
+			retry = time.After(t.RetryDelay)
 		}
 	}
 	return nil
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -63,10 +63,10 @@
 // run delivers messages and removes expired state until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
 	t := notifier{
-		Wake:   o.wake,
-		Tell:   func(ctx context.Context) bool { return o.tell(ctx, time.Now()) },
-		Again:  tellAgain,
-		Expire: o.expire,
+		Wake:       o.wake,
+		Send:       func(ctx context.Context) bool { return o.tell(ctx, time.Now()) },
+		RetryDelay: tellAgain,
+		Expire:     o.expire,
 	}
 	return t.Run(ctx)
 }
