--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -52,7 +52,7 @@
 		Lines:    lines,
 		Profile:  c.Profile,
 	}
-	control.Notice = n.HearNotice
+	control.Notice = n.HandleNotice
 	reloaded := make(chan struct{})
 	go func() {
 		reload(ctx, n, hangups)
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -69,7 +69,7 @@
 }
 
 // behind returns how far this box may be behind the source.
-func (n *Node) behind() time.Duration { return n.current.Load().Bounds.Behind() }
+func (n *Node) behind() time.Duration { return n.current.Load().Bounds.MaxStaleness() }
 
 // reads reports whether this box reads the source by itself.
 func (n *Node) reads() bool {
--- a/edge/freshness_test.go
+++ b/edge/freshness_test.go
@@ -48,6 +48,6 @@
 		{Bounds{Apply: 3 * time.Second}, 3 * time.Second},
 		{Bounds{}, defaultMaxStaleness},
 	} {
-		quicktest.New(t).Assert(k.bounds.Behind(), quicktest.Equals, k.behind)
+		quicktest.New(t).Assert(k.bounds.MaxStaleness(), quicktest.Equals, k.behind)
 	}
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -183,9 +183,11 @@
 	return n.peers.leads(e.DataCentre(), n.current.Load().Bounds.Lease, now)
 }
 
-// HearNotice processes what an endpoint announces about itself, draining or a back-off, in the response to a command
+// HandleNotice processes what an endpoint announces about itself, draining or a back-off, in the response to a command
 // or a status query. Call it only while Run serves.
-func (n *Node) HearNotice(endpoint string, said forward.Notice) { n.gateway.HearNotice(endpoint, said) }
+func (n *Node) HandleNotice(endpoint string, said forward.Notice) {
+	n.gateway.HearNotice(endpoint, said)
+}
 
 // room returns an endpoint's remaining rate limit, which the loader uses to decide where to load adapters. An endpoint
 // that asked this box for a back-off counts as saturated: it likely asks other boxes for one too, and would reject
@@ -270,7 +272,7 @@
 		ages:       n.sourceAges,
 		behind:     n.behind,
 		away:       &n.sourceUnavailable,
-		lapse:      func() time.Duration { return n.current.Load().Bounds.Lapse },
+		lapse:      func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
 		report:     func(w readOutcome) { n.noteRead(c, w) },
 		listed:     func(revision Revision) { n.noteListed(c, revision) },
 		counted:    n.sourceCalls.count,
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -160,7 +160,7 @@
 	n.build()
 	now := clock.Now()
 	c.Check(n.room("e1", now).Limited, quicktest.IsFalse)
-	n.HearNotice("e1", forward.Notice{Backoff: time.Minute})
+	n.HandleNotice("e1", forward.Notice{Backoff: time.Minute})
 	c.Check(n.room("e1", now), quicktest.Equals, ratelimit.Room{Limited: true})
 	c.Check(n.room("e2", now).Limited, quicktest.IsFalse)
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -48,7 +48,7 @@
 // count counts an end of an endpoint, and tells all boxes of the requests that it puts into
 // quarantine. A leader brings nothing more to the endpoint until its entry has lapsed.
 func (q quarantined) count(endpoint string, contents []quarantine.Content, now time.Time) {
-	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.Lapse))
+	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.RegistrationTTL))
 	for _, c := range q.node.state.tracker.Note(endpoint, contents, now) {
 		q.node.items.Merge(&wire.Item{
 			Key:        quarantinePrefix + c.String(),
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -40,11 +40,11 @@
 
 // Bounds are the time limits that the box must meet.
 type Bounds struct {
-	Grace time.Duration // from the stop signal until the process is killed
-	Lease time.Duration // how long an owner whose command was rejected stays away from the endpoint
-	Drain time.Duration // after it a draining endpoint gets no new requests
-	Apply time.Duration // after it a published configuration is in force
-	Lapse time.Duration // after it, endpoint registrations may have expired during an outage of the source
+	Grace           time.Duration // from the stop signal until the process is killed
+	Lease           time.Duration // how long an owner whose command was rejected stays away from the endpoint
+	Drain           time.Duration // after it a draining endpoint gets no new requests
+	Apply           time.Duration // after it a published configuration is in force
+	RegistrationTTL time.Duration // after it, endpoint registrations may have expired during an outage of the source
 
 	StrictKeys bool          // whether a revoked key stops working on all boxes within Revocation; otherwise only on those that can reach the source
 	Revocation time.Duration // with StrictKeys: the maximum age of a configuration that authenticates callers
@@ -53,8 +53,8 @@
 // defaultMaxStaleness is the maximum staleness if no bound is set.
 const defaultMaxStaleness = 2 * time.Second
 
-// Behind returns the maximum staleness of the box relative to what the source has published.
-func (b Bounds) Behind() time.Duration {
+// MaxStaleness returns the maximum staleness of the box relative to what the source has published.
+func (b Bounds) MaxStaleness() time.Duration {
 	switch {
 	case b.Drain > 0 && b.Apply > 0:
 		return min(b.Drain, b.Apply)
