--- a/edge/connections_test.go
+++ b/edge/connections_test.go
@@ -45,7 +45,7 @@
 
 // Guards against running out of file descriptors: callers kept so many idle connections open that the box accepted no new
 // ones, though it reported that it was ready.
-func TestConnectionsAtRestMakeRoomForNewOnes(t *testing.T) {
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	const most, more = 4, 3
 	c := quicktest.New(t)
 	used := make(chan struct{})
--- a/edge/ended_test.go
+++ b/edge/ended_test.go
@@ -201,7 +201,7 @@
 // the same content under a new ID at any box. No box recorded by content which requests had crashed endpoints, or notified
 // the others, so each sent it to the next endpoint. 20 to 24 endpoints ended by one request, 14 to 17 of them after the
 // third. The evidence was one path, of millions, in the errors of interrupted requests with 14 IDs at seven boxes.
-func TestARequestUnderWhichThreeEndpointsEndedReachesNoOtherByAnyBox(t *testing.T) {
+func TestRequestThatCrashedThreeEndpointsReachesNoOther(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
 	const boxes, copies, allowed = 4, 12, 3
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -60,7 +60,7 @@
 // of draining from the store alone and did not read it from responses, so until then they sent requests there, the leader
 // of the data centre ordered adapter loads, and no box logged that the endpoint was draining. Without the fix 55 requests
 // are late in this test.
-func TestAnEndpointThatLeavesByItsAnswersGetsNothingNew(t *testing.T) {
+func TestEndpointThatAnnouncesDrainingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
 	const boxes = 4
@@ -73,7 +73,7 @@
 }
 
 // One box learns from a response that an endpoint is draining; all boxes must treat it as draining, also one that starts later.
-func TestAllBoxesHearThatAnEndpointLeaves(t *testing.T) {
+func TestAllBoxesLearnThatAnEndpointDrains(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
 	s := newNeedy(c, 2)
@@ -119,7 +119,7 @@
 
 // An endpoint announced draining in a response. A later version of its entry in the store that still says that it serves
 // must not revert that.
-func TestTheSourceDoesNotTakeBackThatAnEndpointLeaves(t *testing.T) {
+func TestTheSourceDoesNotRevertDraining(t *testing.T) {
 	c := quicktest.New(t)
 	n := newNode(c, "box-1")
 	n.Decoder = serviceDecoder{}
@@ -139,7 +139,7 @@
 // next ones went there as well, since an endpoint that runs no requests of the box looks the least loaded. Four such
 // endpoints got 14 to 59 requests a second each while they rejected all, after 6 to 20 before. Without the fix this test
 // sees 16 requests in one back-off, and 45 of 400 rejected.
-func TestAnEndpointThatAsksForABackOffIsLeftAlone(t *testing.T) {
+func TestBackOffOfAnEndpointIsRespected(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
 	const boxes = 4
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -128,7 +128,7 @@
 // than their checkpoint; a follower that began to read the source would have started from that revision too. Three runs
 // of the users' load test showed 27 to 36 such requests each, and none before boxes ignored facts older than their
 // checkpoint.
-func TestWhoIsFollowedForALittleVouchesForNoEndpoints(t *testing.T) {
+func TestPartialStreamDoesNotAdvanceTheEndpointCheckpoint(t *testing.T) {
 	c := quicktest.New(t)
 	for _, everything := range []bool{false, true} {
 		p := peersOf(box("a", "dc", 1, 400), box("b", "other", 2, 400))
@@ -149,7 +149,7 @@
 
 // Guards against needless reads of the source: a box that began to follow another one read it although nothing had
 // changed since the updates of the box that it followed before.
-func TestABoxThatMissesNothingReliesOnTheNextOneAtOnce(t *testing.T) {
+func TestUpToDateBoxReliesOnItsNewUpstreamAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
@@ -163,7 +163,7 @@
 
 // Guards against endpoints without requests: when all boxes of a data centre had shut down for a moment, one after the
 // other, it counted as partitioned, and its endpoints got no requests until a box was back.
-func TestADataCentreWhoseBoxesLeaveIsNotCutOff(t *testing.T) {
+func TestDataCentreWhoseBoxesShutDownIsNotPartitioned(t *testing.T) {
 	c := quicktest.New(t)
 	far := box("f", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), far)
@@ -179,7 +179,7 @@
 
 // Guards against a takeover during a network partition: as soon as it healed, both sides claimed each other's endpoints,
 // and no adapters were loaded there until the leases had expired.
-func TestADataCentreThatFellSilentIsNotLedFromElsewhereAtOnce(t *testing.T) {
+func TestUnreachableDataCentreIsNotLedFromElsewhereAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
 	p.table.Gone("f", time.Now())
@@ -197,7 +197,7 @@
 
 // Guards against claims of a box without contact to any other: it claimed every endpoint 0.7 s after its start, and the
 // other boxes, whose commands were then rejected, stayed away from the endpoints.
-func TestABoxThatHasHeardOfNobodyWaitsBeforeItLeads(t *testing.T) {
+func TestBoxWithoutContactsWaitsBeforeItLeads(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 1, 400))
 	mine, from := p.leads("dc", time.Second, time.Now())
@@ -210,7 +210,7 @@
 	c.Assert(from.Equal(late.Add(firstContactDelay)), quicktest.IsTrue)
 }
 
-func TestTheFirstViewsDoNotCostALease(t *testing.T) {
+func TestLeaderOfTheInitialViewDoesNotDelayItsSuccessor(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	_, _ = p.leads("dc", time.Second, p.started)                       // b, by the first view
@@ -221,7 +221,7 @@
 }
 
 // Guards against two boxes with different views that alternate as the owner of an endpoint.
-func TestANewLeaderWaitsForTheLeaseOfOneThatServes(t *testing.T) {
+func TestNewLeaderWaitsForTheLeaseOfAServingPredecessor(t *testing.T) {
 	c := quicktest.New(t)
 	for _, k := range []struct {
 		name  string
@@ -251,7 +251,7 @@
 // and 2 s later the others become unreachable. Since not all were dead, the data centre counted as one whose boxes had
 // shut down. 140 boxes elsewhere chose another leader for it at once, as the "Data centre has a leader" lines of 151 boxes
 // showed, and its endpoints got no adapter loads until after the lease had expired.
-func TestADataCentreThatIsCutOffWhileABoxLeavesIsNotLedFromElsewhere(t *testing.T) {
+func TestDataCentreThatIsPartitionedWhileABoxShutsDownIsNotLedFromElsewhere(t *testing.T) {
 	c := quicktest.New(t)
 	left := box("g", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400), left)
