--- a/edge/node.go
+++ b/edge/node.go
@@ -58,7 +58,7 @@
 	sourceCalls       sourceCalls
 	ignored           ignored
 	checkpoints       checkpoints
-	sourceUnavailable atomic.Bool   // whether the source is unavailable
+	sourceUnavailable atomic.Bool
 	listedRevision    atomic.Uint64 // the Revision of the last list of endpoints
 }
 
