--- a/edge/ask.go
+++ b/edge/ask.go
@@ -89,7 +89,7 @@
 // Want implements forward.Placer.
 func (p placer) Want(ctx context.Context, w forward.Wanted) (forward.Placed, error) {
 	m, ok := p.node.peers.clusterView().leader(w.Endpoint.DataCentre())
-	if !ok || m.Name() == p.node.peers.box || p.node.loader.Keeps(w.Endpoint.ID()) {
+	if !ok || m.Name() == p.node.peers.box || p.node.loader.OrdersWhileLeaving(w.Endpoint.ID()) {
 		return p.node.loader.Want(ctx, w)
 	}
 	return p.node.peers.ask(ctx, m, w)
--- a/edge/node.go
+++ b/edge/node.go
@@ -100,8 +100,8 @@
 		Leaders:     func() int { return len(n.peers.clusterView().centres) },
 		Owns:        n.owns,
 		AskToResign: n.peers.takeOver,
-		Room:        n.room,
-		Reads:       func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
+		Headroom:    n.room,
+		PrefillTime: func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
--- a/edge/node_test.go
+++ b/edge/node_test.go
@@ -56,8 +56,8 @@
 type noControl struct{}
 
 // Report implements placement.Control.
-func (noControl) Report(context.Context, *topology.Endpoint) (placement.Holding, error) {
-	return placement.Holding{}, errors.New("no endpoints here")
+func (noControl) Report(context.Context, *topology.Endpoint) (placement.Inventory, error) {
+	return placement.Inventory{}, errors.New("no endpoints here")
 }
 
 // Order implements placement.Control.
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -119,18 +119,18 @@
 	for _, u := range q.GetUsage() {
 		a := topology.ParseAdapter(u.GetAdapter())
 		if u.GetFar() > 0 {
-			n.loader.Far(n.Settings.DataCentre, a, int(u.GetFar()), now)
+			n.loader.RecordRemoteRequests(n.Settings.DataCentre, a, int(u.GetFar()), now)
 			continue
 		}
 		uses = append(uses, placement.Use{
-			Endpoint: u.GetEndpoint(),
-			Adapter:  a,
-			Begun:    int(u.GetCount()),
-			Running:  int(u.GetRunning()),
-			Reading:  int(u.GetReading()),
+			Endpoint:      u.GetEndpoint(),
+			Adapter:       a,
+			Started:       int(u.GetCount()),
+			Running:       int(u.GetRunning()),
+			PrefillTokens: int(u.GetReading()),
 		})
 	}
-	n.loader.Used(q.GetBox(), uses, q.GetPart(), now)
-	cost, known := n.loader.Level(now)
+	n.loader.RecordUsage(q.GetBox(), uses, q.GetPart(), now)
+	cost, known := n.loader.MinLoadCost(now)
 	return &wire.UseReply{LevelMicros: cost.Microseconds(), LevelKnown: known}
 }
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -69,7 +69,7 @@
 		return ""
 	}
 	id, term := rest[:cut], placement.Term(i.GetVersion())
-	s.fences.Hear(term)
+	s.fences.Observe(term)
 	s.slots.mu.Lock()
 	defer s.slots.mu.Unlock()
 	if s.slots.heard == nil {
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -34,7 +34,7 @@
 		changed := n.peers.table.Changed()
 		if led := n.peers.clusterView().ledBy(n.peers.box); !slices.Equal(led, before) {
 			before = led
-			n.loader.Look()
+			n.loader.RefreshOwnership()
 		}
 		select {
 		case <-ctx.Done():
@@ -61,7 +61,7 @@
 			handed = r.handover
 		}
 		if r.failed {
-			wait = max(wait, clock.Until(r.box.Since().Add(placement.KeepMost+keepMargin)))
+			wait = max(wait, clock.Until(r.box.Since().Add(placement.HandoverTimeout+keepMargin)))
 		}
 	}
 	return handed, wait
@@ -75,7 +75,7 @@
 	var list []member.Member
 	for _, m := range p.table.All() {
 		gives := m.DataCentre() == centre || m.Name() == before
-		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.KeepMost+keepMargin {
+		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.HandoverTimeout+keepMargin {
 			list = append(list, m)
 		}
 	}
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -73,7 +73,7 @@
 }
 
 // Report implements placement.Control.
-func (o controlOf) Report(context.Context, *topology.Endpoint) (placement.Holding, error) {
+func (o controlOf) Report(context.Context, *topology.Endpoint) (placement.Inventory, error) {
 	h := o.endpoint
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,7 +82,7 @@
 	for a, v := range h.ready {
 		ready[a] = v
 	}
-	return placement.Holding{Models: []string{"m"}, Ready: ready}, nil
+	return placement.Inventory{Models: []string{"m"}, Ready: ready}, nil
 }
 
 // Order implements placement.Control.
@@ -184,10 +184,10 @@
 	c.Assert(p.leaversOf("dc", now), quicktest.HasLen, 0)
 	leave(p, first, now)
 	leave(p, far, now)
-	list := p.leaversOf("dc", now.Add(placement.KeepMost))
+	list := p.leaversOf("dc", now.Add(placement.HandoverTimeout))
 	c.Assert(list, quicktest.HasLen, 1)
 	c.Assert(list[0].Name(), quicktest.Equals, "first")
-	c.Assert(p.leaversOf("dc", now.Add(placement.KeepMost+keepMargin)), quicktest.HasLen, 0)
+	c.Assert(p.leaversOf("dc", now.Add(placement.HandoverTimeout+keepMargin)), quicktest.HasLen, 0)
 	p.leaders = map[string]leadership{"dc": {name: "second", before: "far"}} // as no box of dc had served
 	c.Assert(p.leaversOf("dc", now), quicktest.HasLen, 2)
 }
@@ -208,7 +208,7 @@
 	leave(p, first, heard)
 	h, wait = p.takeOver(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
-	c.Assert(wait > placement.KeepMost, quicktest.IsTrue)
+	c.Assert(wait > placement.HandoverTimeout, quicktest.IsTrue)
 }
 
 // The next leader claimed its endpoints only at its next look at what it owns; boxes that had
--- a/placement/claim.go
+++ b/placement/claim.go
@@ -11,7 +11,7 @@
 )
 
 // claimPause is between two tries to learn what an endpoint holds.
-const claimPause = 300 * time.Millisecond
+const claimRetryInterval = 300 * time.Millisecond
 
 // claim raises the fence at an endpoint, learns what it holds, and then owns it. The
 // fence comes first: from then on the endpoint refuses the owner before, who may not
@@ -19,20 +19,20 @@
 // report may be some time old, so it is read that much later. Where the owner before leaves
 // and says what the endpoint holds, no report is needed: that owner had the highest fence when
 // it was asked, and who raised one since gives no order before its report is new enough.
-func (l *Loader) claim(o *owned) func(context.Context) {
+func (l *Loader) claim(o *ownedEndpoint) func(context.Context) {
 	return func(ctx context.Context) {
 		asked := clock.Now()
-		handed := l.takeOver(ctx, o)
-		for ctx.Err() == nil && l.stillClaiming(o) {
-			e, fence, raised := l.raise(ctx, o)
+		handed := l.requestHandover(ctx, o)
+		for ctx.Err() == nil && l.isClaiming(o) {
+			e, fence, raised := l.raiseFence(ctx, o)
 			if !raised {
-				if !sleep(ctx, claimPause) {
+				if !sleep(ctx, claimRetryInterval) {
 					return
 				}
 				continue
 			}
 			if handed.Resigned && clock.Since(asked) < reportLag {
-				l.own(ctx, o, fence, handed.Holding, true)
+				l.takeOwnership(ctx, o, fence, handed.Inventory, true)
 				return
 			}
 			if !sleep(ctx, reportLag) {
@@ -42,11 +42,11 @@
 			h, err := l.Control.Report(call, e)
 			cancel()
 			if err == nil {
-				l.own(ctx, o, fence, h, false)
+				l.takeOwnership(ctx, o, fence, h, false)
 				return
 			}
 			l.Log.Info("Endpoint gives no report", "endpoint", e.ID(), "err", err.Error())
-			if !sleep(ctx, claimPause) {
+			if !sleep(ctx, claimRetryInterval) {
 				return
 			}
 		}
@@ -56,7 +56,7 @@
 // takeOver asks the owner before for an endpoint that this box has not owned. An owner that
 // does not answer may still give orders, and a fence would make it take turns with this box,
 // so that takes as long as it may.
-func (l *Loader) takeOver(ctx context.Context, o *owned) Handover {
+func (l *Loader) requestHandover(ctx context.Context, o *ownedEndpoint) Handover {
 	l.mu.Lock()
 	e, first := o.endpoint, o.claims == 0
 	l.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 	h, wait := l.AskToResign(ctx, e)
 	if h.Resigned {
-		l.Fences.Hear(term(h.Fence))
+		l.Fences.Observe(term(h.Fence))
 		return h
 	}
 	if wait > 0 {
@@ -78,9 +78,9 @@
 // raise shows an endpoint a new fence by an order that changes nothing: to load a base
 // model that it holds. One that holds none has nothing that the owner before could
 // order it to add to, and is claimed without.
-func (l *Loader) raise(ctx context.Context, o *owned) (e *topology.Endpoint, fence uint64, raised bool) {
+func (l *Loader) raiseFence(ctx context.Context, o *ownedEndpoint) (e *topology.Endpoint, fence uint64, raised bool) {
 	l.mu.Lock()
-	e, past, refused := o.endpoint, o.fence, o.refused
+	e, past, refused := o.endpoint, o.fence, o.refusals
 	l.mu.Unlock()
 	fence = l.Fences.Next(time.Now(), past, refused)
 	if len(e.Models()) == 0 {
@@ -94,21 +94,21 @@
 	case err != nil:
 		l.Log.Info("Endpoint does not answer its new owner", "endpoint", e.ID(), "err", err.Error())
 	case out == Fenced:
-		l.outbid(o, e, fence)
-	case out == Done || out == Begun:
+		l.handleClaimRefused(o, e, fence)
+	case out == Done || out == Accepted:
 		return e, fence, true
 	}
 	return e, 0, false
 }
 
-func (l *Loader) stillClaiming(o *owned) bool {
+func (l *Loader) isClaiming(o *ownedEndpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.owned[o.endpoint.ID()] == o && o.phase == claiming
 }
 
 // own begins to give orders to an endpoint that holds h, by its report or as handed over.
-func (l *Loader) own(ctx context.Context, o *owned, fence uint64, h Holding, handed bool) {
+func (l *Loader) takeOwnership(ctx context.Context, o *ownedEndpoint, fence uint64, h Inventory, handed bool) {
 	now := clock.Now()
 	l.mu.Lock()
 	if l.owned[o.endpoint.ID()] != o || o.phase != claiming {
@@ -116,59 +116,59 @@
 		return
 	}
 	o.fence = fence
-	o.phase, o.since, o.orders = owning, now, 0
-	o.handed, o.unsure = handed, false
+	o.phase, o.since, o.loadsInFlight = owning, now, 0
+	o.handedOver, o.stateUncertain = handed, false
 	o.claims++
 	claim := o.claims
 	o.slots = make(map[topology.Adapter]*slot)
-	o.models, o.fetching = make(map[string]bool), false
+	o.models, o.loadingModel = make(map[string]bool), false
 	for _, m := range h.Models {
 		o.models[m] = true
 	}
 	for a, v := range h.Ready {
-		o.slots[a] = &slot{version: v, ready: true, used: now}
+		o.slots[a] = &slot{version: v, ready: true, lastUsed: now}
 	}
 	var pending []topology.Adapter
 	for a, v := range h.Pending {
 		if o.slots[a] != nil {
 			continue
 		}
-		o.slots[a] = &slot{version: v, begun: now, expected: l.cold, done: make(chan struct{}), used: now}
-		o.orders++
+		o.slots[a] = &slot{version: v, loadBegan: now, expectedLoadTime: l.coldLoadTime, done: make(chan struct{}), lastUsed: now}
+		o.loadsInFlight++
 		pending = append(pending, a)
 	}
 	l.publishLocked(o)
-	l.shareLocked()
+	l.updateRateShareLocked()
 	l.Log.Info("Endpoint is owned", "endpoint", o.endpoint.ID(), "fence", o.fence, "handed_over", handed,
 		"models", len(h.Models), "ready", len(h.Ready), "pending", len(pending))
 	l.mu.Unlock()
 	ended := make(chan struct{})
 	for _, a := range pending {
 		go func() {
-			l.finish(ctx, o, claim, a)
+			l.runLoad(ctx, o, claim, a)
 			ended <- struct{}{}
 		}()
 	}
 	for range pending {
 		<-ended
 	}
-	l.nudge()
+	l.wakeUp()
 }
 
 // outbid handles a refusal of the fence by which an endpoint was to be claimed. The
 // first may only mean that the clock here is behind the last owner's, who may have ended
 // long ago: it is tried once more at once, with a fence far above. From the second on
 // another box claims it too, and this one keeps away.
-func (l *Loader) outbid(o *owned, e *topology.Endpoint, fence uint64) {
+func (l *Loader) handleClaimRefused(o *ownedEndpoint, e *topology.Endpoint, fence uint64) {
 	l.mu.Lock()
 	o.fence = fence
-	first := o.refused == 0
+	first := o.refusals == 0
 	if first {
-		o.refused = 1
+		o.refusals = 1
 	}
 	l.mu.Unlock()
 	if !first {
-		l.yield(o, claiming, fence)
+		l.yieldOwnership(o, claiming, fence)
 		return
 	}
 	l.Log.Info("Endpoint has seen a higher fence and is claimed with one far above", "endpoint", e.ID(), "fence", fence)
@@ -176,7 +176,7 @@
 
 // yield gives an endpoint up, in the phase in which it refused the fence: another owner
 // has a higher one.
-func (l *Loader) yield(o *owned, in phase, fence uint64) {
+func (l *Loader) yieldOwnership(o *ownedEndpoint, in phase, fence uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.phase != in {
@@ -184,25 +184,25 @@
 	}
 	l.Log.Info("Endpoint has seen a higher fence and is given up", "endpoint", o.endpoint.ID(), "fence", fence)
 	o.phase, o.since = yielded, clock.Now()
-	o.refused++
-	l.forgetLocked(o)
+	o.refusals++
+	l.resetStateLocked(o)
 }
 
 // youngPause is how long a box keeps away from an endpoint that refused it soon after its
 // start: after a start of many their views differ for a moment, and a refusal says little.
-const youngPause = 400 * time.Millisecond
+const startupClaimBackoff = 400 * time.Millisecond
 
 // keepAwayLocked is how long this box keeps away from an endpoint that refused it: longer
 // than the lease, so that two boxes that both think they own it do not take turns.
-func (l *Loader) keepAwayLocked(o *owned) time.Duration {
-	if o.since.Sub(l.begun) < l.Lease() {
-		return youngPause
+func (l *Loader) claimBackoffLocked(o *ownedEndpoint) time.Duration {
+	if o.since.Sub(l.startedAt) < l.Lease() {
+		return startupClaimBackoff
 	}
 	return l.Lease() * 5 / 4
 }
 
 // relearn learns anew what an endpoint holds, after an order without an answer.
-func (l *Loader) relearn(o *owned, claim int, why string) {
+func (l *Loader) requestReclaim(o *ownedEndpoint, claim int, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.phase != owning || o.claims != claim {
@@ -210,19 +210,19 @@
 	}
 	l.Log.Info("Endpoint is asked anew what it holds", "endpoint", o.endpoint.ID(), "cause", why)
 	o.phase, o.since = claiming, clock.Now()
-	l.forgetLocked(o)
-	o.reclaim = true
+	l.resetStateLocked(o)
+	o.needsReclaim = true
 }
 
 // reclaimLocked begins the claims that relearn asked for. A box that leaves claims nothing.
-func (l *Loader) reclaimLocked() []func(context.Context) {
-	if !l.left.IsZero() {
+func (l *Loader) startReclaimsLocked() []func(context.Context) {
+	if !l.leavingSince.IsZero() {
 		return nil
 	}
 	var tasks []func(context.Context)
 	for _, o := range l.owned {
-		if o.reclaim {
-			o.reclaim = false
+		if o.needsReclaim {
+			o.needsReclaim = false
 			tasks = append(tasks, l.claim(o))
 		}
 	}
--- a/placement/counts.go
+++ b/placement/counts.go
@@ -17,11 +17,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := Counts{
-		Wanted:   len(l.wants),
-		UnderWay: l.pace.underWay,
-		Pace:     l.pace.limit,
-		ColdMS:   l.cold.Milliseconds(),
-		WarmMS:   l.warm.Milliseconds(),
+		Wanted:   len(l.pendingLoads),
+		UnderWay: l.loadLimiter.inFlight,
+		Pace:     l.loadLimiter.limit,
+		ColdMS:   l.coldLoadTime.Milliseconds(),
+		WarmMS:   l.warmLoadTime.Milliseconds(),
 	}
 	for _, o := range l.owned {
 		if o.phase == owning {
--- a/placement/ended.go
+++ b/placement/ended.go
@@ -15,16 +15,16 @@
 	if o == nil {
 		return
 	}
-	if until.After(o.goneUntil) {
-		o.goneUntil = until
+	if until.After(o.endedUntil) {
+		o.endedUntil = until
 	}
-	l.endWantsLocked(endpoint) // who waits for a load there is looked at again
+	l.cancelPendingLoadsLocked(endpoint) // who waits for a load there is looked at again
 	for _, s := range o.slots {
-		s.end()
+		s.notifyWaiters()
 	}
 }
 
 // serves tells whether an endpoint can take requests and loads at now, as far as is known.
-func (o *owned) serves(now time.Time) bool {
-	return o.phase == owning && !o.endpoint.Draining() && !now.Before(o.goneUntil)
+func (o *ownedEndpoint) isAvailable(now time.Time) bool {
+	return o.phase == owning && !o.endpoint.Draining() && !now.Before(o.endedUntil)
 }
--- a/placement/ended_test.go
+++ b/placement/ended_test.go
@@ -13,11 +13,11 @@
 )
 
 // addEndpoint adds an endpoint of the same data centre, behind the same fake one.
-func (b *bench) addEndpoint(id string) {
+func (b *fixture) addEndpoint(id string) {
 	b.loader.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: id, Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{model}}))
 }
 
-func (b *bench) awaitBoth() {
+func (b *fixture) awaitBothOwned() {
 	for {
 		b.loader.mu.Lock()
 		owns := 0
@@ -35,14 +35,14 @@
 }
 
 // holdingFirst returns a loader of two endpoints, of which the first one alone holds the first adapter.
-func holdingFirst(t *testing.T) (*quicktest.C, *bench) {
+func newFixtureWithHolder(t *testing.T) (*quicktest.C, *fixture) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Equals, "e1")
 	b.addEndpoint("e2")
-	b.awaitBoth()
+	b.awaitBothOwned()
 	return c, b
 }
 
@@ -55,7 +55,7 @@
 //
 // The evidence: ten lines of one request with one endpoint, "not reached: connection refused".
 func TestAnEndpointThatEndedIsNotNamedAgain(t *testing.T) {
-	c, b := holdingFirst(t)
+	c, b := newFixtureWithHolder(t)
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
 	for range 2 {
 		p, err := b.want(adapter(1), 5*time.Second)
@@ -68,7 +68,7 @@
 // Where no endpoint of the data centre is left, those elsewhere are asked at once.
 func TestWhereTheLastEndpointEndedOthersAreAsked(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
@@ -80,7 +80,7 @@
 // A box may be wrong, and an entry that lapsed may come back.
 func TestAnEndpointIsUsedAgainWhereItsEntryStays(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.loader.Ended("e1", time.Now().Add(100*time.Millisecond))
 	time.Sleep(100 * time.Millisecond)
 	p, err := b.want(adapter(1), 5*time.Second)
@@ -94,7 +94,7 @@
 // The evidence: of 668 attempts that were turned away, 89 went to an endpoint that had turned the same request
 // away before.
 func TestARequestIsNotBroughtToAnEndpointThatItAvoids(t *testing.T) {
-	c, b := holdingFirst(t)
+	c, b := newFixtureWithHolder(t)
 	other := b.loader.View.Endpoint("e2")
 	w := forward.Wanted{Endpoint: other, Adapter: adapter(1), Wait: 5 * time.Second, Most: 5 * time.Second, Avoid: []string{"e1"}}
 	for range 2 { // it is loaded, and then held there
@@ -112,16 +112,16 @@
 // A load that others wait for at an endpoint which a request avoids does not serve it.
 func TestARequestDoesNotWaitForALoadWhereItCannotGo(t *testing.T) {
 	c := quicktest.New(t)
-	b := prepare(4)
+	b := newFixture(4)
 	b.addEndpoint("e2")
 	b.start(t)
-	b.awaitBoth()
+	b.awaitBothOwned()
 	now := time.Now()
 	b.loader.mu.Lock()
 	defer b.loader.mu.Unlock()
-	b.loader.wants[wantKey{endpoint: "e1", adapter: adapter(1)}] = &want{done: make(chan struct{})}
+	b.loader.pendingLoads[placementKey{endpoint: "e1", adapter: adapter(1)}] = &pendingLoad{done: make(chan struct{})}
 	w := &waiter{Wanted: forward.Wanted{Adapter: adapter(1)}}
-	c.Assert(b.loader.wantedAtLocked(w, "dc", now), quicktest.Equals, b.loader.owned["e1"])
+	c.Assert(b.loader.pendingEndpointLocked(w, "dc", now), quicktest.Equals, b.loader.owned["e1"])
 	w.Avoid = []string{"e1"}
-	c.Assert(b.loader.wantedAtLocked(w, "dc", now), quicktest.IsNil)
+	c.Assert(b.loader.pendingEndpointLocked(w, "dc", now), quicktest.IsNil)
 }
--- a/placement/explore_test.go
+++ b/placement/explore_test.go
@@ -12,14 +12,14 @@
 )
 
 // end is what one way led to.
-type end struct {
+type pathResult struct {
 	key    string
 	fault  string
 	events []string
 }
 
 // playAll plays a way in a bubble of its own; false: it could not be played again.
-func playAll(t *testing.T, losses, restarts int, way []string) (e end, ok bool) {
+func replay(t *testing.T, losses, restarts int, way []string) (e pathResult, ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newModelWorld(losses, restarts)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -27,15 +27,15 @@
 		for _, b := range w.boxes {
 			go func() { ended <- b.loader.Run(ctx) }()
 		}
-		time.Sleep(2 * ownPause)
+		time.Sleep(2 * ownershipInterval)
 		synctest.Wait()
 		ok = true
 		for _, name := range way {
-			if ok = w.play(name); !ok {
+			if ok = w.apply(name); !ok {
 				break
 			}
 		}
-		e = end{key: w.key(), fault: w.endpoint.fault, events: w.events()}
+		e = pathResult{key: w.key(), fault: w.endpoint.fault, events: w.events()}
 		cancel()
 		for range w.boxes {
 			<-ended
@@ -46,7 +46,7 @@
 
 // explore visits every state up to the depth, the nearest first.
 func explore(t *testing.T, losses, restarts int, from []string, depth int) (fault string, states, at int) {
-	first, ok := playAll(t, losses, restarts, from)
+	first, ok := replay(t, losses, restarts, from)
 	if !ok {
 		return "the beginning can't be played", 0, 0
 	}
@@ -61,7 +61,7 @@
 		for _, s := range level {
 			for _, name := range s.events {
 				way := append(slices.Clone(s.way), name)
-				e, ok := playAll(t, losses, restarts, way)
+				e, ok := replay(t, losses, restarts, way)
 				switch {
 				case !ok || seen[e.key]:
 				case e.fault != "":
--- a/placement/fence.go
+++ b/placement/fence.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	boxBits       = 22 // of a fence name the box, so that no two boxes share a fence
-	termBits      = 31 // seconds until 2038 and later: a fence stays below 2^53, as JSON numbers must
-	publishedBits = 24 // of a publication's version count the publications under one fence; its term is above them
+	boxBits         = 22 // of a fence name the box, so that no two boxes share a fence
+	termBits        = 31 // seconds until 2038 and later: a fence stays below 2^53, as JSON numbers must
+	publicationBits = 24 // of a publication's version count the publications under one fence; its term is above them
 
 	// refusedTerms is how far a refused box raises its term, times more each time: an
 	// owner whose clock was ahead by an hour is passed after three refusals.
-	refusedTerms = 16
+	termRaiseFactor = 16
 	// refusedMost is up to how many refusals it is times more. Two boxes that think that they
 	// own an endpoint refuse each other as long as a cut lasts, every lease and a quarter; with
 	// 18 hours of terms each time they last for five hours of that.
-	refusedMost = 4
-	mostTerm    = 1<<termBits - 1
+	maxTermRaises = 4
+	maxTerm       = 1<<termBits - 1
 )
 
 // Fences makes the fences of one box. A fence is a term and the box; terms follow
@@ -31,15 +31,15 @@
 
 	mu      sync.Mutex
 	highest uint64 // term heard of, or used and given up
-	own     uint64 // term in use; zero: none
+	current uint64 // term in use; zero: none
 }
 
 // Hear notes the term of a fence that another box used. One that no box makes is none: with
 // the last there is, nobody could raise a fence any more.
-func (f *Fences) Hear(heard uint64) {
+func (f *Fences) Observe(heard uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if heard < mostTerm {
+	if heard < maxTerm {
 		f.highest = max(f.highest, heard)
 	}
 }
@@ -52,26 +52,26 @@
 	least := f.highest + 1
 	if past != 0 {
 		raise := uint64(1)
-		for range min(refusals, refusedMost) {
-			raise *= refusedTerms
+		for range min(refusals, maxTermRaises) {
+			raise *= termRaiseFactor
 		}
 		least = max(least, term(past)+raise)
 	}
-	if f.own < least {
-		f.own = min(max(uint64(max(now.Unix(), 0)), least), mostTerm)
+	if f.current < least {
+		f.current = min(max(uint64(max(now.Unix(), 0)), least), maxTerm)
 	}
-	return f.own<<boxBits | uint64(f.Box)&(1<<boxBits-1)
+	return f.current<<boxBits | uint64(f.Box)&(1<<boxBits-1)
 }
 
 // GiveUp makes the next fence a new one: orders under the last may still be on their way.
-func (f *Fences) GiveUp() {
+func (f *Fences) Advance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.highest = max(f.highest, f.own)
+	f.highest = max(f.highest, f.current)
 }
 
 // term returns the part of a fence that rises.
 func term(fence uint64) uint64 { return fence >> boxBits }
 
 // Term returns the part of a publication's version that rises with each owner.
-func Term(version uint64) uint64 { return version >> publishedBits }
+func Term(version uint64) uint64 { return version >> publicationBits }
--- a/placement/fence_test.go
+++ b/placement/fence_test.go
@@ -31,6 +31,6 @@
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	f := &Fences{Box: 1}
-	f.Hear(Term(math.MaxUint64))
+	f.Observe(Term(math.MaxUint64))
 	c.Assert(term(f.Next(now, 0, 0)), quicktest.Equals, uint64(now.Unix()))
 }
--- a/placement/room_test.go
+++ b/placement/headroom_test.go
@@ -13,8 +13,8 @@
 )
 
 // crowd makes endpoints name limits and take no more; it is set before the loader runs.
-func (b *bench) crowd(endpoints map[string]time.Duration) {
-	b.loader.Room = func(id string, _ time.Time) ratelimit.Room {
+func (b *fixture) limitEndpoints(endpoints map[string]time.Duration) {
+	b.loader.Headroom = func(id string, _ time.Time) ratelimit.Room {
 		wait, limited := endpoints[id]
 		return ratelimit.Room{Limited: limited, Wait: wait, Spare: !limited}
 	}
@@ -22,11 +22,11 @@
 
 func TestNothingMoreIsLoadedAtAnEndpointThatNamesALimit(t *testing.T) {
 	c := quicktest.New(t)
-	b := prepare(4)
-	b.crowd(map[string]time.Duration{"e1": 0})
+	b := newFixture(4)
+	b.limitEndpoints(map[string]time.Duration{"e1": 0})
 	b.addEndpoint("e2")
 	b.start(t)
-	b.awaitBoth()
+	b.awaitBothOwned()
 	for i := range slotCount {
 		p, err := b.want(adapter(i), 5*time.Second) // its home is e1
 		c.Assert(err, quicktest.IsNil)
@@ -37,12 +37,12 @@
 // Requests that the holder has no room for get a copy elsewhere; while it has room it is named.
 func TestAnAdapterIsLoadedElsewhereWhileItsHolderHasNoRoom(t *testing.T) {
 	c := quicktest.New(t)
-	b := prepare(4)
+	b := newFixture(4)
 	room := map[string]time.Duration{}
-	b.crowd(room)
+	b.limitEndpoints(room)
 	b.addEndpoint("e2")
 	b.start(t)
-	b.awaitBoth()
+	b.awaitBothOwned()
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
 	held := p.Endpoint
@@ -55,7 +55,7 @@
 	w := forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(2), Wait: 5 * time.Second, Most: 5 * time.Second, Elsewhere: true}
 	b.loader.mu.Lock()
 	o := b.loader.owned[held]
-	o.slots[w.Adapter] = &slot{ready: true, version: 1, used: time.Now(), given: time.Now()}
+	o.slots[w.Adapter] = &slot{ready: true, version: 1, lastUsed: time.Now(), lastAnnounced: time.Now()}
 	b.loader.mu.Unlock()
 	p, err = b.loader.Want(context.Background(), w) // it has room, and had none for this request
 	c.Assert(err, quicktest.IsNil)
@@ -72,11 +72,11 @@
 // Where all endpoints name limits adapters are loaded as ever: boxes ask for room before they send.
 func TestWhereAllEndpointsNameLimitsAdaptersAreLoaded(t *testing.T) {
 	c := quicktest.New(t)
-	b := prepare(4)
-	b.crowd(map[string]time.Duration{"e1": time.Second, "e2": time.Second})
+	b := newFixture(4)
+	b.limitEndpoints(map[string]time.Duration{"e1": time.Second, "e2": time.Second})
 	b.addEndpoint("e2")
 	b.start(t)
-	b.awaitBoth()
+	b.awaitBothOwned()
 	for range 2 {
 		p, err := b.want(adapter(1), 5*time.Second)
 		c.Assert(err, quicktest.IsNil)
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -35,65 +35,65 @@
 	Leaders func() int
 	// Reads returns how long an endpoint takes to read so many tokens of prompts, as it
 	// was seen lately.
-	Reads func(tokens int) time.Duration
+	PrefillTime func(tokens int) time.Duration
 	// AskToResign asks the boxes that leave and may have given an endpoint its orders to resign
 	// from it. Where none did and one did not answer, that one may give orders for so long.
 	// Nobody leaves: nothing, at once.
 	AskToResign func(ctx context.Context, e *topology.Endpoint) (Handover, time.Duration)
 	// Room returns what an endpoint takes that may name a limit; nil: none does.
-	Room func(endpoint string, now time.Time) ratelimit.Room
+	Headroom func(endpoint string, now time.Time) ratelimit.Room
 	// Lease is how long two boxes that both think that they own an endpoint must not take
 	// turns; a refused one keeps away for somewhat longer.
 	Lease func() time.Duration
 
-	mu         sync.Mutex
-	owned      map[string]*owned // by endpoint
-	wants      map[wantKey]*want
-	rates      map[topology.Adapter]*policy.Popularity
-	bucket     bucket            // of loads of base models
-	pace       pace              // of loads of adapters
-	runs       runs              // requests under way, as boxes tell
-	rests      policy.Popularity // adapters that came to rest
-	worth      map[int]float64   // by priority, smoothed over the requests that asked
-	cold       time.Duration     // smoothed time of a load from the store
-	warm       time.Duration     // smoothed time of a load from an endpoint's memory
-	memory     int               // adapters that an endpoint's memory keeps, as learnt from loads
-	level      time.Duration     // what a load costs here at least, as of levelAt
-	levelKnown bool
-	levelAt    time.Time
-	looked     time.Time // when what is owned was last looked at
-	due        time.Time // when the first of the endpoints that wait may be claimed; zero: none waits
-	queue      []rank    // of the loads from the store that are wanted, the first one first, as of the last look
-	wake       chan struct{}
-	begun      time.Time // when this box began to look at what it owns
-	left       time.Time // when this box began to leave; zero: it has not
-	init       sync.Once
+	mu                 sync.Mutex
+	owned              map[string]*ownedEndpoint // by endpoint
+	pendingLoads       map[placementKey]*pendingLoad
+	requestRates       map[topology.Adapter]*policy.Popularity
+	modelLoadBucket    tokenBucket       // of loads of base models
+	loadLimiter        loadLimiter       // of loads of adapters
+	inFlight           inFlightTable     // requests under way, as boxes tell
+	idleTransitions    policy.Popularity // adapters that came to rest
+	meanWorth          map[int]float64   // by priority, smoothed over the requests that asked
+	coldLoadTime       time.Duration     // smoothed time of a load from the store
+	warmLoadTime       time.Duration     // smoothed time of a load from an endpoint's memory
+	cacheSize          int               // adapters that an endpoint's memory keeps, as learnt from loads
+	minLoadCost        time.Duration     // what a load costs here at least, as of levelAt
+	minLoadCostKnown   bool
+	minLoadCostAt      time.Time
+	ownershipCheckedAt time.Time // when what is owned was last looked at
+	nextClaimAt        time.Time // when the first of the endpoints that wait may be claimed; zero: none waits
+	queue              []rank    // of the loads from the store that are wanted, the first one first, as of the last look
+	wake               chan struct{}
+	startedAt          time.Time // when this box began to look at what it owns
+	leavingSince       time.Time // when this box began to leave; zero: it has not
+	initOnce           sync.Once
 }
 
 // Init makes the loader ready for calls before Run.
 func (l *Loader) Init() {
-	l.init.Do(func() {
-		l.owned = make(map[string]*owned)
-		l.wants = make(map[wantKey]*want)
-		l.rates = make(map[topology.Adapter]*policy.Popularity)
-		l.bucket = bucket{limits: l.Limits()}
-		l.cold, l.warm = coldLoad, warmLoad
-		l.memory = memoryFirst
-		l.pace = newPace()
-		l.worth = make(map[int]float64)
-		l.runs = newRuns()
+	l.initOnce.Do(func() {
+		l.owned = make(map[string]*ownedEndpoint)
+		l.pendingLoads = make(map[placementKey]*pendingLoad)
+		l.requestRates = make(map[topology.Adapter]*policy.Popularity)
+		l.modelLoadBucket = tokenBucket{limits: l.Limits()}
+		l.coldLoadTime, l.warmLoadTime = initialColdLoadTime, initialWarmLoadTime
+		l.cacheSize = initialCacheSize
+		l.loadLimiter = newLoadLimiter()
+		l.meanWorth = make(map[int]float64)
+		l.inFlight = newInFlightTable()
 		l.wake = make(chan struct{}, 1)
-		if l.Room == nil {
-			l.Room = noLimits
+		if l.Headroom == nil {
+			l.Headroom = noLimits
 		}
 	})
 }
 
 const (
-	ownPause   = 100 * time.Millisecond // between two looks at what is owned
-	queuePause = 25 * time.Millisecond  // between two looks at the queue while it is not empty
-	stepPause  = 5 * time.Millisecond   // at least between two steps: what comes meanwhile is looked at together
-	stepPart   = 10                     // times as long as a step took is the next one's pause: a long queue must not take the whole processor
+	ownershipInterval = 100 * time.Millisecond // between two looks at what is owned
+	queueInterval     = 25 * time.Millisecond  // between two looks at the queue while it is not empty
+	minStepInterval   = 5 * time.Millisecond   // at least between two steps: what comes meanwhile is looked at together
+	stepPauseFactor   = 10                     // times as long as a step took is the next one's pause: a long queue must not take the whole processor
 )
 
 // Run claims and drops endpoints as the view changes and starts loads, until ctx
@@ -110,7 +110,7 @@
 		}()
 	}
 	var nextStep time.Time // not before it
-	next := time.NewTimer(ownPause)
+	next := time.NewTimer(ownershipInterval)
 	defer next.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -125,8 +125,8 @@
 		for _, task := range l.step(begun) {
 			spawn(task)
 		}
-		nextStep = clock.Now().Add(max(stepPause, stepPart*clock.Since(begun)))
-		next.Reset(l.pause())
+		nextStep = clock.Now().Add(max(minStepInterval, stepPauseFactor*clock.Since(begun)))
+		next.Reset(l.nextStepDelay())
 	}
 	for range running {
 		<-ended
@@ -135,31 +135,31 @@
 }
 
 // Look makes Run look soon at what this box owns.
-func (l *Loader) Look() {
+func (l *Loader) RefreshOwnership() {
 	l.Init()
 	l.mu.Lock()
-	l.looked = time.Time{}
+	l.ownershipCheckedAt = time.Time{}
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeUp()
 }
 
 // nudge makes Run look at the queue soon.
-func (l *Loader) nudge() {
+func (l *Loader) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default: // it will look anyway
 	}
 }
 
-func (l *Loader) pause() time.Duration {
+func (l *Loader) nextStepDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pause := ownPause
+	pause := ownershipInterval
 	if len(l.queue) > 0 {
-		pause = queuePause
+		pause = queueInterval
 	}
-	if !l.due.IsZero() {
-		pause = min(pause, max(clock.Until(l.due), 0))
+	if !l.nextClaimAt.IsZero() {
+		pause = min(pause, max(clock.Until(l.nextClaimAt), 0))
 	}
 	return pause
 }
@@ -169,23 +169,23 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var tasks []func(context.Context)
-	if now.Sub(l.looked) >= ownPause || (!l.due.IsZero() && !now.Before(l.due)) {
-		l.looked = now
-		l.runs.forget(now)
-		if l.left.IsZero() {
-			tasks = l.ownLocked(now)
+	if now.Sub(l.ownershipCheckedAt) >= ownershipInterval || (!l.nextClaimAt.IsZero() && !now.Before(l.nextClaimAt)) {
+		l.ownershipCheckedAt = now
+		l.inFlight.expire(now)
+		if l.leavingSince.IsZero() {
+			tasks = l.updateOwnershipLocked(now)
 		} else {
-			l.keepLocked(now)
+			l.pruneWhileLeavingLocked(now)
 		}
-		l.shareLocked()
+		l.updateRateShareLocked()
 	}
-	tasks = append(tasks, l.reclaimLocked()...)
-	tasks = append(tasks, l.modelsLocked(now)...)
+	tasks = append(tasks, l.startReclaimsLocked()...)
+	tasks = append(tasks, l.startModelLoadsLocked(now)...)
 	return append(tasks, l.startLoadsLocked(now)...)
 }
 
 // engine returns what an endpoint's service can do; nil when it runs no models.
-func (l *Loader) engine(e *topology.Endpoint) *topology.EngineSpec {
+func (l *Loader) engineSpec(e *topology.Endpoint) *topology.EngineSpec {
 	c := l.View.Config()
 	if c == nil {
 		return nil
@@ -198,10 +198,10 @@
 }
 
 // shareLocked sets this box's share of the store's rate by the endpoints owned.
-func (l *Loader) shareLocked() {
+func (l *Loader) updateRateShareLocked() {
 	all, mine, whole := 0, 0, 0.0
 	for _, e := range l.View.All() {
-		g := l.engine(e)
+		g := l.engineSpec(e)
 		if g == nil {
 			continue
 		}
@@ -211,38 +211,38 @@
 			mine++
 		}
 	}
-	l.bucket.limits = l.Limits()
-	l.bucket.share(whole, float64(mine)/float64(max(all, 1)), l.Leaders())
+	l.modelLoadBucket.limits = l.Limits()
+	l.modelLoadBucket.setShare(whole, float64(mine)/float64(max(all, 1)), l.Leaders())
 }
 
-func (l *Loader) countLocked(a topology.Adapter, n float64, now time.Time) {
-	r := l.rates[a]
+func (l *Loader) countRequestsLocked(a topology.Adapter, n float64, now time.Time) {
+	r := l.requestRates[a]
 	if r == nil {
 		r = &policy.Popularity{}
-		l.rates[a] = r
+		l.requestRates[a] = r
 	}
-	r.Add(n, now, halfLife)
+	r.Add(n, now, requestRateHalfLife)
 }
 
 // rateLocked returns requests a second for an adapter.
-func (l *Loader) rateLocked(a topology.Adapter, now time.Time) float64 {
-	r := l.rates[a]
+func (l *Loader) requestRateLocked(a topology.Adapter, now time.Time) float64 {
+	r := l.requestRates[a]
 	if r == nil {
 		return 0
 	}
-	return r.Rate(now, halfLife)
+	return r.Rate(now, requestRateHalfLife)
 }
 
 // publishLocked tells all boxes what an endpoint holds.
-func (l *Loader) publishLocked(o *owned) {
+func (l *Loader) publishLocked(o *ownedEndpoint) {
 	held := make(map[topology.Adapter]topology.Held, len(o.slots))
 	for a, s := range o.slots {
-		if !s.leaving {
+		if !s.evicting {
 			held[a] = topology.Held{Version: s.version, Ready: s.ready}
 		}
 	}
-	o.published++
-	l.Publish(o.endpoint.ID(), term(o.fence)<<publishedBits|o.published, held)
+	o.publications++
+	l.Publish(o.endpoint.ID(), term(o.fence)<<publicationBits|o.publications, held)
 }
 
 var _ forward.Placer = (*Loader)(nil)
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -22,26 +22,26 @@
 
 // fakeEndpoint is one endpoint that keeps count of what it was ordered to hold.
 type fakeEndpoint struct {
-	mu       sync.Mutex
-	slots    map[topology.Adapter]bool // true: ready
-	inUse    map[topology.Adapter]bool // unloading waits for these
-	leaving  map[topology.Adapter]bool // they are unloaded once they are not in use
-	overfull bool                      // it was ordered to load more than its slots
-	loads    []topology.Adapter
-	loadTime time.Duration
-	fence    uint64 // the highest seen
-	claimed  bool   // a fence was seen before the first report
-	reported bool
+	mu         sync.Mutex
+	slots      map[topology.Adapter]bool // true: ready
+	inUse      map[topology.Adapter]bool // unloading waits for these
+	leaving    map[topology.Adapter]bool // they are unloaded once they are not in use
+	overfilled bool                      // it was ordered to load more than its slots
+	loads      []topology.Adapter
+	loadTime   time.Duration
+	fence      uint64 // the highest seen
+	claimed    bool   // a fence was seen before the first report
+	reported   bool
 }
 
 // Report implements Control.
-func (f *fakeEndpoint) Report(context.Context, *topology.Endpoint) (Holding, error) {
+func (f *fakeEndpoint) Report(context.Context, *topology.Endpoint) (Inventory, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.reported {
 		f.reported, f.claimed = true, f.fence > 0
 	}
-	h := Holding{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
+	h := Inventory{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
 	for a, ready := range f.slots {
 		if ready {
 			h.Ready[a] = 1
@@ -66,7 +66,7 @@
 	if o.Unload {
 		if f.inUse[o.Adapter] {
 			f.leaving[o.Adapter] = true
-			return Begun, nil
+			return Accepted, nil
 		}
 		delete(f.leaving, o.Adapter)
 		delete(f.slots, o.Adapter)
@@ -79,10 +79,10 @@
 		if ready {
 			return Done, nil
 		}
-		return Begun, nil
+		return Accepted, nil
 	}
 	if len(f.slots) >= slotCount {
-		f.overfull = true
+		f.overfilled = true
 	}
 	f.slots[o.Adapter] = false
 	f.loads = append(f.loads, o.Adapter)
@@ -93,7 +93,7 @@
 			f.slots[o.Adapter] = true
 		}
 	})
-	return Begun, nil
+	return Accepted, nil
 }
 
 func (f *fakeEndpoint) hold(a topology.Adapter, used bool) {
@@ -103,7 +103,7 @@
 }
 
 // bench is a loader that owns one fake endpoint.
-type bench struct {
+type fixture struct {
 	loader   *Loader
 	endpoint *topology.Endpoint
 	fake     *fakeEndpoint
@@ -113,15 +113,15 @@
 	return topology.Adapter{Model: model, Name: fmt.Sprintf("x%d", n)}
 }
 
-func newBench(t *testing.T, atOnce float64) *bench {
-	b := prepare(atOnce)
+func newOwningFixture(t *testing.T, atOnce float64) *fixture {
+	b := newFixture(atOnce)
 	b.start(t)
 	b.awaitOwned()
 	return b
 }
 
 // prepare returns a loader that does not run yet.
-func prepare(atOnce float64) *bench {
+func newFixture(atOnce float64) *fixture {
 	v := topology.NewView()
 	engine := &topology.EngineSpec{Models: []topology.ModelSpec{{Name: model}}, AdapterSlots: slotCount, LoadsPerSec: 10}
 	v.SetConfig(topology.NewConfig(1, nil, []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "llm", Engine: engine})}, topology.Limits{}))
@@ -137,17 +137,17 @@
 		Fences:      &Fences{Box: 1},
 		Lease:       func() time.Duration { return 100 * time.Millisecond },
 		Leaders:     func() int { return 1 },
-		Reads:       func(tokens int) time.Duration { return time.Duration(tokens) * 25 * time.Microsecond },
+		PrefillTime: func(tokens int) time.Duration { return time.Duration(tokens) * 25 * time.Microsecond },
 		Owns:        func(*topology.Endpoint, time.Time) (bool, time.Time) { return true, time.Time{} },
 		AskToResign: func(context.Context, *topology.Endpoint) (Handover, time.Duration) { return Handover{}, 0 },
 		Publish:     func(_ string, _ uint64, held map[topology.Adapter]topology.Held) { v.SetHeld("e1", held) },
 	}
 	l.Init()
-	l.pace.limit = atOnce
-	return &bench{loader: l, endpoint: e, fake: fake}
+	l.loadLimiter.limit = atOnce
+	return &fixture{loader: l, endpoint: e, fake: fake}
 }
 
-func (b *bench) start(t *testing.T) {
+func (b *fixture) start(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- b.loader.Run(ctx) }()
@@ -157,7 +157,7 @@
 	})
 }
 
-func (b *bench) awaitOwned() {
+func (b *fixture) awaitOwned() {
 	for {
 		b.loader.mu.Lock()
 		o := b.loader.owned["e1"]
@@ -170,18 +170,18 @@
 	}
 }
 
-func (b *bench) want(a topology.Adapter, wait time.Duration) (forward.Placed, error) {
+func (b *fixture) want(a topology.Adapter, wait time.Duration) (forward.Placed, error) {
 	return b.loader.Want(context.Background(), forward.Wanted{Endpoint: b.endpoint, Adapter: a, Wait: wait, Most: wait})
 }
 
 // patient is a request for an adapter that can wait for long.
-func (b *bench) patient(i int) forward.Wanted {
+func (b *fixture) patientRequest(i int) forward.Wanted {
 	return forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(i), Version: 1, Wait: 10 * time.Second, Most: 10 * time.Second}
 }
 
 func TestAnAdapterThatIsWantedIsLoaded(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Ready, quicktest.IsTrue)
@@ -191,20 +191,20 @@
 // again while its slot counted for two: the endpoint got one load too many.
 func TestAnAdapterThatIsLeavingIsNotLoadedOverItself(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	for i := 1; i <= slotCount; i++ {
 		_, err := b.want(adapter(i), 5*time.Second)
 		c.Assert(err, quicktest.IsNil)
 		b.fake.hold(adapter(i), true)
 	}
-	time.Sleep(4 * tellFor) // so that they may be evicted
+	time.Sleep(4 * usageSettleTime) // so that they may be evicted
 	done := make(chan struct{})
 	for _, i := range []int{3, 1, 2, 4} { // one evicts an adapter in use, which is then wanted again
 		go func() {
 			_, _ = b.want(adapter(i), 2*time.Second) // may be refused
 			done <- struct{}{}
 		}()
-		time.Sleep(3 * queuePause)
+		time.Sleep(3 * queueInterval)
 	}
 	for i := 1; i <= slotCount; i++ {
 		b.fake.hold(adapter(i), false)
@@ -214,12 +214,12 @@
 	}
 	b.fake.mu.Lock()
 	defer b.fake.mu.Unlock()
-	c.Assert(b.fake.overfull, quicktest.IsFalse)
+	c.Assert(b.fake.overfilled, quicktest.IsFalse)
 }
 
 func TestTheAdapterThatMoreAskedForInVainGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 1)
+	b := newOwningFixture(t, 1)
 	b.fake.loadTime = 300 * time.Millisecond
 	_, _ = b.want(adapter(1), 0) // is under way while the others ask
 	c.Assert(b.eventuallyLoads(adapter(1)), quicktest.IsTrue)
@@ -233,7 +233,7 @@
 	c.Assert(b.fake.loads, quicktest.DeepEquals, []topology.Adapter{adapter(1), adapter(11), adapter(10)})
 }
 
-func (b *bench) eventuallyLoads(a topology.Adapter) bool {
+func (b *fixture) eventuallyLoads(a topology.Adapter) bool {
 	for range 500 {
 		b.fake.mu.Lock()
 		_, ok := b.fake.slots[a]
@@ -248,7 +248,7 @@
 
 func TestAnEndpointWithoutABaseModelGetsOne(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
 	b.loader.owned["e1"].models = make(map[string]bool)
 	b.loader.mu.Unlock()
@@ -261,12 +261,12 @@
 	f := &Fences{Box: 7}
 	first := f.Next(now, 0, 0)
 	c.Assert(f.Next(now, first, 0) > first, quicktest.IsTrue)
-	f.Hear(term(first) + 5000) // of an owner whose clock is ahead
+	f.Observe(term(first) + 5000) // of an owner whose clock is ahead
 	c.Assert(term(f.Next(now, 0, 0)), quicktest.Equals, term(first)+5001)
 	c.Assert(f.Next(now, 0, 0) < 1<<53, quicktest.IsTrue)
 	c.Assert(f.Next(now, 0, 0)&(1<<boxBits-1), quicktest.Equals, uint64(7))
 	given := f.Next(now, 0, 0)
-	f.GiveUp()
+	f.Advance()
 	c.Assert(f.Next(now, 0, 0) > given, quicktest.IsTrue)
 }
 
@@ -281,7 +281,7 @@
 		c.Assert(f.Next(now, 0, 0), quicktest.Equals, first)
 	}
 	for range 20 { // and refused together
-		c.Assert(term(f.Next(now, first, 1)), quicktest.Equals, term(first)+refusedTerms)
+		c.Assert(term(f.Next(now, first, 1)), quicktest.Equals, term(first)+termRaiseFactor)
 	}
 }
 
@@ -290,7 +290,7 @@
 func TestAnEndpointThatRefusesTheFirstFenceIsClaimedAgainAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	ahead := (&Fences{Box: 2}).Next(time.Now().Add(30*time.Second), 0, 0)
-	b := prepare(4)
+	b := newFixture(4)
 	b.fake.fence = ahead
 	b.loader.Lease = func() time.Duration { return time.Hour }
 	b.start(t)
@@ -304,7 +304,7 @@
 // loop span from the end of its wait until the load began.
 func TestAReturnedCallerThatIsNotServedIsRefusedAtTheEndOfItsWait(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 0) // nothing is loaded
+	b := newOwningFixture(t, 0) // nothing is loaded
 	refused := make(chan forward.Placed, 1)
 	go func() {
 		p, _ := b.loader.Want(context.Background(), forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(9), Most: 50 * time.Millisecond, Returned: true})
@@ -321,9 +321,9 @@
 // A load that took long made the next one be asked after late, which so took long too.
 func TestOneSlowLoadDoesNotMakeTheNextOnesSlow(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
-	b.loader.cold, b.loader.pace.fastest = 5*time.Second, 20*time.Millisecond
+	b.loader.coldLoadTime, b.loader.loadLimiter.fastest = 5*time.Second, 20*time.Millisecond
 	b.loader.mu.Unlock()
 	begun := time.Now()
 	p, err := b.want(adapter(1), 20*time.Second)
@@ -336,7 +336,7 @@
 // new owner had read the report, and the endpoint got one more than it has slots.
 func TestTheFenceIsRaisedBeforeTheReportIsRead(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.fake.mu.Lock()
 	claimed, fence := b.fake.claimed, b.fake.fence
 	b.fake.mu.Unlock()
--- a/placement/model.go
+++ b/placement/model.go
@@ -12,32 +12,32 @@
 
 // modelMost is after how long a base model that was ordered counts as lost: weights
 // take seconds.
-const modelMost = 30 * time.Second
+const modelLoadTimeout = 30 * time.Second
 
 // modelsLocked gives endpoints that hold no base model, as after a restart, the one
 // that the fewest endpoints hold. Base models count for the store's rate.
-func (l *Loader) modelsLocked(now time.Time) []func(context.Context) {
+func (l *Loader) startModelLoadsLocked(now time.Time) []func(context.Context) {
 	var tasks []func(context.Context)
 	for _, o := range l.owned {
-		if o.phase != owning || o.fetching || len(o.models) > 0 || o.endpoint.Draining() {
+		if o.phase != owning || o.loadingModel || len(o.models) > 0 || o.endpoint.Draining() {
 			continue
 		}
 		m := l.rarestModel(o)
-		if m == "" || !l.bucket.take(now) {
+		if m == "" || !l.modelLoadBucket.take(now) {
 			continue
 		}
-		o.fetching = true
+		o.loadingModel = true
 		claim := o.claims
 		l.Log.Info("Base model is ordered", "model", m, "endpoint", o.endpoint.ID(), "fence", o.fence)
-		tasks = append(tasks, func(ctx context.Context) { l.fetchModel(ctx, o, claim, m) })
+		tasks = append(tasks, func(ctx context.Context) { l.loadModel(ctx, o, claim, m) })
 	}
 	return tasks
 }
 
 // rarestModel returns the base model that fits and that the fewest endpoints hold;
 // empty when none fits.
-func (l *Loader) rarestModel(o *owned) string {
-	g := l.engine(o.endpoint)
+func (l *Loader) rarestModel(o *ownedEndpoint) string {
+	g := l.engineSpec(o.endpoint)
 	if g == nil {
 		return ""
 	}
@@ -60,33 +60,33 @@
 }
 
 // fetchModel orders a base model and repeats the order until the endpoint holds it.
-func (l *Loader) fetchModel(ctx context.Context, o *owned, claim int, model string) {
+func (l *Loader) loadModel(ctx context.Context, o *ownedEndpoint, claim int, model string) {
 	begun := clock.Now()
-	for clock.Since(begun) < modelMost {
-		out, err := l.order(ctx, o, claim, Order{Adapter: topology.Adapter{Model: model}})
+	for clock.Since(begun) < modelLoadTimeout {
+		out, err := l.sendOrder(ctx, o, claim, Order{Adapter: topology.Adapter{Model: model}})
 		if err != nil {
 			return
 		}
 		if out == Done {
-			l.modelLoaded(o, claim, model, clock.Since(begun))
+			l.finishModelLoad(o, claim, model, clock.Since(begun))
 			return
 		}
-		if out != Begun && out != Busy {
+		if out != Accepted && out != Busy {
 			break
 		}
-		if !sleep(ctx, askMost) {
+		if !sleep(ctx, maxPollInterval) {
 			return
 		}
 	}
-	l.relearn(o, claim, "a base model was not loaded")
+	l.requestReclaim(o, claim, "a base model was not loaded")
 }
 
-func (l *Loader) modelLoaded(o *owned, claim int, model string, took time.Duration) {
+func (l *Loader) finishModelLoad(o *ownedEndpoint, claim int, model string, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.claims != claim {
 		return
 	}
-	o.models[model], o.fetching = true, false
+	o.models[model], o.loadingModel = true, false
 	l.Log.Info("Base model is loaded", "model", model, "endpoint", o.endpoint.ID(), "took_ms", took.Milliseconds())
 }
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -36,7 +36,7 @@
 
 type modelAnswer struct {
 	outcome Outcome
-	holding Holding
+	holding Inventory
 	err     error
 }
 
@@ -67,17 +67,17 @@
 	case held && ready:
 		return Done
 	case held:
-		return Begun
+		return Accepted
 	}
 	if len(e.slots) >= slotCount {
 		e.fault = "a load goes over a full endpoint"
 	}
 	e.slots[o.Adapter] = false
-	return Begun
+	return Accepted
 }
 
-func (e *modelEndpoint) report() Holding {
-	h := Holding{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
+func (e *modelEndpoint) report() Inventory {
+	h := Inventory{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
 	for a, ready := range e.past {
 		if ready {
 			h.Ready[a] = 1
@@ -90,7 +90,7 @@
 
 // modelBox is one loader with its calls.
 type modelBox struct {
-	*bench
+	*fixture
 
 	world *modelWorld
 	calls []*modelCall // under way, oldest first
@@ -99,7 +99,7 @@
 }
 
 // Report implements Control.
-func (b *modelBox) Report(ctx context.Context, _ *topology.Endpoint) (Holding, error) {
+func (b *modelBox) Report(ctx context.Context, _ *topology.Endpoint) (Inventory, error) {
 	a := b.call(ctx, &modelCall{report: true})
 	return a.holding, a.err
 }
@@ -123,7 +123,7 @@
 	b.world.mu.Lock()
 	defer b.world.mu.Unlock()
 	b.drop(c)
-	b.world.late(c)
+	b.world.keepLateLocked(c)
 	return modelAnswer{err: ctx.Err()}
 }
 
@@ -133,19 +133,19 @@
 
 // modelWorld is two boxes and an endpoint, at the end of one way.
 type modelWorld struct {
-	mu       sync.Mutex
-	endpoint modelEndpoint
-	boxes    [2]*modelBox
-	lateOnes []Order // whose callers have given them up
-	losses   int     // answers and orders that may yet be lost
-	restarts int     // of the endpoint, that may yet be
+	mu         sync.Mutex
+	endpoint   modelEndpoint
+	boxes      [2]*modelBox
+	lateOrders []Order // whose callers have given them up
+	losses     int     // answers and orders that may yet be lost
+	restarts   int     // of the endpoint, that may yet be
 }
 
 // late keeps an order that may still arrive. Guarded by mu.
-func (w *modelWorld) late(c *modelCall) {
+func (w *modelWorld) keepLateLocked(c *modelCall) {
 	if !c.report && !c.gone {
 		c.gone = true
-		w.lateOnes = append(w.lateOnes, c.order)
+		w.lateOrders = append(w.lateOrders, c.order)
 	}
 }
 
@@ -154,7 +154,7 @@
 	w.endpoint.slots = make(map[topology.Adapter]bool)
 	w.endpoint.past = make(map[topology.Adapter]bool)
 	for i := range w.boxes {
-		b := &modelBox{bench: prepare(4), world: w, leads: i == 0}
+		b := &modelBox{fixture: newFixture(4), world: w, leads: i == 0}
 		w.boxes[i] = b
 		l := b.loader
 		l.Box, l.Control, l.Log = fmt.Sprintf("box%d", i), b, logr.Discard()
@@ -185,7 +185,7 @@
 			list = append(list, fmt.Sprintf("lose %d", i), fmt.Sprintf("late %d", i))
 		}
 	}
-	if len(w.lateOnes) > 0 {
+	if len(w.lateOrders) > 0 {
 		list = append(list, "arrive 0")
 	}
 	if w.restarts > 0 {
@@ -196,7 +196,7 @@
 
 // play lets one thing happen, and waits until all goroutines wait again; false: it can't
 // happen, since a map was walked another way this time.
-func (w *modelWorld) play(name string) bool {
+func (w *modelWorld) apply(name string) bool {
 	if !slices.Contains(w.events(), name) {
 		return false
 	}
@@ -222,21 +222,21 @@
 		return true
 	}
 	w.mu.Lock()
-	w.happen(what, b)
+	w.applyLocked(what, b)
 	w.mu.Unlock()
 	synctest.Wait()
 	return true
 }
 
 // happen is what happens to a call or to the endpoint. Guarded by mu.
-func (w *modelWorld) happen(what string, b *modelBox) {
+func (w *modelWorld) applyLocked(what string, b *modelBox) {
 	e := &w.endpoint
 	switch what {
 	case "lead":
 		b.leads = !b.leads
 	case "arrive":
-		e.take(w.lateOnes[0])
-		w.lateOnes = w.lateOnes[1:]
+		e.take(w.lateOrders[0])
+		w.lateOrders = w.lateOrders[1:]
 	case "restart": // of its process under the same name, which remembers nothing
 		w.restarts--
 		e.fence, e.highest = 0, 0
@@ -249,7 +249,7 @@
 		switch {
 		case what == "late":
 			w.losses--
-			w.late(c)
+			w.keepLateLocked(c)
 			a.err = errModelLost
 		case c.report:
 			a.holding = e.report()
@@ -277,14 +277,14 @@
 		}
 		b.loader.mu.Unlock()
 	}
-	for _, o := range w.lateOnes {
+	for _, o := range w.lateOrders {
 		fences = append(fences, o.Fence)
 	}
 	slices.Sort(fences)
 	rank := func(f uint64) int { return slices.Index(fences, f) }
 	order := func(o Order) string { return fmt.Sprint(o.Unload, o.Adapter, rank(o.Fence)) }
 	fmt.Fprint(&k, w.losses, w.restarts, rank(w.endpoint.fence), w.endpoint.slots, w.endpoint.past)
-	for _, o := range w.lateOnes {
+	for _, o := range w.lateOrders {
 		fmt.Fprint(&k, "late", order(o))
 	}
 	for _, b := range w.boxes {
@@ -294,10 +294,10 @@
 		}
 		b.loader.mu.Lock()
 		if o := b.loader.owned["e1"]; o != nil {
-			fmt.Fprint(&k, ";", o.phase, time.Since(o.since)/modelTick, rank(o.fence), o.refused, o.orders, len(b.loader.wants))
+			fmt.Fprint(&k, ";", o.phase, time.Since(o.since)/modelTick, rank(o.fence), o.refusals, o.loadsInFlight, len(b.loader.pendingLoads))
 			names := make([]string, 0, len(o.slots))
 			for a, s := range o.slots {
-				names = append(names, fmt.Sprint(a, s.ready, s.leaving, s.unloading))
+				names = append(names, fmt.Sprint(a, s.ready, s.evicting, s.unloading))
 			}
 			slices.Sort(names)
 			fmt.Fprint(&k, names)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,7 +19,7 @@
 )
 
 // Holding is what an endpoint reports of itself, some hundred ms late.
-type Holding struct {
+type Inventory struct {
 	Sequence uint64 // orders that it has taken
 	Models   []string
 	Ready    map[topology.Adapter]int64
@@ -40,12 +40,12 @@
 
 // The outcomes.
 const (
-	Done      Outcome = iota + 1 // it holds, or no longer holds, the adapter
-	Begun                        // it carries the order out
-	Busy                         // another order is under way
-	Fenced                       // it has seen a higher fence
-	Gone                         // another life or service has the address
-	Unwelcome                    // the order makes no sense to it
+	Done        Outcome = iota + 1 // it holds, or no longer holds, the adapter
+	Accepted                       // it carries the order out
+	Busy                           // another order is under way
+	Fenced                         // it has seen a higher fence
+	Misdirected                    // another life or service has the address
+	Rejected                       // the order makes no sense to it
 )
 
 // String names the outcome.
@@ -56,22 +56,22 @@
 // Control gives orders to endpoints. An error says that no answer came; the order
 // may have been taken.
 type Control interface {
-	Report(ctx context.Context, e *topology.Endpoint) (Holding, error)
+	Report(ctx context.Context, e *topology.Endpoint) (Inventory, error)
 	Order(ctx context.Context, e *topology.Endpoint, o Order) (Outcome, error)
 }
 
 const (
-	loadsAtOnce = 4                      // adapters on their way to one endpoint
-	memoryFirst = 90                     // adapters that an endpoint's memory keeps besides its slots, until loads tell
-	memoryLeast = 8                      // the fewest that are expected of it: one slow load must not end all use of it
-	coldLoad    = 250 * time.Millisecond // first guess of a load from the store
-	warmLoad    = 40 * time.Millisecond  // first guess of a load from the endpoint's memory
-	warmLook    = 30 * time.Millisecond  // after which a load is first asked after: one from memory is done
-	askAgain    = 15 * time.Millisecond  // between two questions whether a load is done
-	askMost     = 100 * time.Millisecond // the same when it takes longer than expected
-	loadMost    = 4 * time.Second        // after which a load counts as lost
-	callTimeout = time.Second            // of one order or report
-	reportLag   = 400 * time.Millisecond // a report may be so old
-	halfLife    = 6 * time.Second        // of the rate of requests
-	promiseLate = 60 * time.Millisecond  // added to the time that a refused caller is told
+	maxConcurrentLoads  = 4                      // adapters on their way to one endpoint
+	initialCacheSize    = 90                     // adapters that an endpoint's memory keeps besides its slots, until loads tell
+	minCacheSize        = 8                      // the fewest that are expected of it: one slow load must not end all use of it
+	initialColdLoadTime = 250 * time.Millisecond // first guess of a load from the store
+	initialWarmLoadTime = 40 * time.Millisecond  // first guess of a load from the endpoint's memory
+	firstPollDelay      = 30 * time.Millisecond  // after which a load is first asked after: one from memory is done
+	pollInterval        = 15 * time.Millisecond  // between two questions whether a load is done
+	maxPollInterval     = 100 * time.Millisecond // the same when it takes longer than expected
+	loadTimeout         = 4 * time.Second        // after which a load counts as lost
+	callTimeout         = time.Second            // of one order or report
+	reportLag           = 400 * time.Millisecond // a report may be so old
+	requestRateHalfLife = 6 * time.Second        // of the rate of requests
+	retryMargin         = 60 * time.Millisecond  // added to the time that a refused caller is told
 )
--- a/placement/rank.go
+++ b/placement/rank.go
@@ -9,9 +9,9 @@
 )
 
 // ranked is a load that is wanted, with its rank now.
-type ranked struct {
-	key  wantKey
-	want *want
+type rankedLoad struct {
+	key  placementKey
+	load *pendingLoad
 	rank rank
 }
 
@@ -30,46 +30,46 @@
 }
 
 // rankLocked returns the rank of a load that is wanted at an endpoint.
-func (l *Loader) rankLocked(k wantKey, w *want, now time.Time) rank {
-	load := l.cold
+func (l *Loader) rankLocked(k placementKey, w *pendingLoad, now time.Time) rank {
+	load := l.coldLoadTime
 	if l.isWarmLocked(l.owned[k.endpoint], k.adapter) {
-		load = l.warm
+		load = l.warmLoadTime
 	}
-	return rank{timely: w.waiting > 0 && !now.Add(load).After(w.inTime), score: w.score(now)}
+	return rank{timely: w.waiting > 0 && !now.Add(load).After(w.deadline), score: w.score(now)}
 }
 
 // rankedLocked returns the loads that are wanted now, the most wanted first, and
 // forgets those that nobody asked for in a long time. Scores fade with time, and
 // thousands of loads may be remembered, so each is ranked once.
-func (l *Loader) rankedLocked(now time.Time) []ranked {
-	var list []ranked
-	for k, w := range l.wants {
-		if w.worthwhile(now) {
-			list = append(list, ranked{key: k, want: w, rank: l.rankLocked(k, w, now)})
-		} else if now.Sub(w.last) > demandLife {
-			delete(l.wants, k)
-			w.end()
+func (l *Loader) rankPendingLocked(now time.Time) []rankedLoad {
+	var list []rankedLoad
+	for k, w := range l.pendingLoads {
+		if w.isWorthwhile(now) {
+			list = append(list, rankedLoad{key: k, load: w, rank: l.rankLocked(k, w, now)})
+		} else if now.Sub(w.lastRequested) > demandRetention {
+			delete(l.pendingLoads, k)
+			w.notifyWaiters()
 		}
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
+	slices.SortFunc(list, func(a, b rankedLoad) int {
 		switch {
 		case a.rank.before(b.rank):
 			return -1
 		case b.rank.before(a.rank):
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.want.far, a.want.far), b.want.last.Compare(a.want.last))
+		return cmp.Or(cmp.Compare(b.load.remoteRequests, a.load.remoteRequests), b.load.lastRequested.Compare(a.load.lastRequested))
 	})
 	l.queue = l.queue[:0]
 	for _, o := range l.owned {
-		o.queued = 0
+		o.queuedLoads = 0
 	}
 	for _, r := range list {
-		if o := l.owned[r.key.endpoint]; o != nil && !r.want.spare(now) {
-			r.want.before = o.queued
-			o.queued++
+		if o := l.owned[r.key.endpoint]; o != nil && !r.load.isCopyOnly(now) {
+			r.load.queuedAhead = o.queuedLoads
+			o.queuedLoads++
 		}
-		if !r.want.spare(now) && !l.isWarmLocked(l.owned[r.key.endpoint], r.key.adapter) {
+		if !r.load.isCopyOnly(now) && !l.isWarmLocked(l.owned[r.key.endpoint], r.key.adapter) {
 			l.queue = append(l.queue, r.rank)
 		}
 	}
--- a/placement/rate.go
+++ b/placement/rate.go
@@ -16,38 +16,38 @@
 
 // overshootPart of what a window may hold beyond the rate is used all the time, the
 // rest by bursts.
-const overshootPart = 0.7
+const sustainedShare = 0.7
 
 // burstPart keeps the bursts of all leaders together below what a window may hold.
-const burstPart = 0.7
+const burstShare = 0.7
 
 // bucket is one leader's share of the store's rate. Each leader may load at its
 // fair share, so that nobody needs to agree with anybody; what the bursts of all
 // add up to stays within the overshoot.
-type bucket struct {
-	limits RateLimits
-	rate   float64 // loads a second
-	burst  float64
-	tokens float64
-	at     time.Time
+type tokenBucket struct {
+	limits     RateLimits
+	rate       float64 // loads a second
+	burst      float64
+	tokens     float64
+	refilledAt time.Time
 }
 
 // share sets the rate of the store and which part of it is this leader's.
-func (b *bucket) share(rate, part float64, leaders int) {
+func (b *tokenBucket) setShare(rate, part float64, leaders int) {
 	slack := rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1) + b.limits.Extra
-	b.rate = rate * part * (1 + (b.limits.Overshoot-1)*overshootPart)
-	b.burst = max(1, (slack-rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1)*overshootPart)*burstPart/float64(max(leaders, 1)))
+	b.rate = rate * part * (1 + (b.limits.Overshoot-1)*sustainedShare)
+	b.burst = max(1, (slack-rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1)*sustainedShare)*burstShare/float64(max(leaders, 1)))
 }
 
-func (b *bucket) refill(now time.Time) {
-	if !b.at.IsZero() {
-		b.tokens = min(b.burst, b.tokens+now.Sub(b.at).Seconds()*b.rate)
+func (b *tokenBucket) refill(now time.Time) {
+	if !b.refilledAt.IsZero() {
+		b.tokens = min(b.burst, b.tokens+now.Sub(b.refilledAt).Seconds()*b.rate)
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
 // take takes one load at now.
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
 		return false
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -33,11 +33,11 @@
 }
 
 // Report implements Control.
-func (f *sharedEndpoint) Report(context.Context, *topology.Endpoint) (Holding, error) {
+func (f *sharedEndpoint) Report(context.Context, *topology.Endpoint) (Inventory, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reports++
-	h := Holding{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
+	h := Inventory{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
 	for a, ready := range f.slots {
 		if ready {
 			h.Ready[a] = 1
@@ -81,7 +81,7 @@
 	case o.Adapter.Name == "":
 		return Done, nil, false
 	case o.Unload && f.inUse[o.Adapter]:
-		return Begun, nil, false
+		return Accepted, nil, false
 	case o.Unload:
 		delete(f.slots, o.Adapter)
 		return Done, nil, false
@@ -92,7 +92,7 @@
 	}
 	f.slots[o.Adapter] = known // a repeated order finds it ready
 	f.most = max(f.most, len(f.slots))
-	return Begun, f.answer, f.mute
+	return Accepted, f.answer, f.mute
 }
 
 func (f *sharedEndpoint) count() (reports, most int, holders []string) {
@@ -109,8 +109,8 @@
 }
 
 // boxAt returns a loader of a box of its own at an endpoint, after the box before.
-func boxAt(f *sharedEndpoint, name string, number uint32, before *Loader) *bench {
-	b := prepare(4)
+func newSharedFixture(f *sharedEndpoint, name string, number uint32, before *Loader) *fixture {
+	b := newFixture(4)
 	b.loader.Box, b.loader.Control = name, f
 	b.loader.Fences = &Fences{Box: number}
 	if before != nil {
@@ -122,8 +122,8 @@
 }
 
 // leaver returns a box that owns an endpoint, has loaded an adapter there and begins to leave.
-func leaver(t *testing.T, c *quicktest.C, f *sharedEndpoint) *bench {
-	b := boxAt(f, "first", 9, nil)
+func newLeavingLoader(t *testing.T, c *quicktest.C, f *sharedEndpoint) *fixture {
+	b := newSharedFixture(f, "first", 9, nil)
 	b.start(t)
 	b.awaitOwned()
 	c.Assert(b.loads(1), quicktest.IsTrue)
@@ -132,8 +132,8 @@
 }
 
 // loads tells whether an adapter is loaded for a request that can wait.
-func (b *bench) loads(i int) bool {
-	p, err := b.loader.Want(context.Background(), b.patient(i))
+func (b *fixture) loads(i int) bool {
+	p, err := b.loader.Want(context.Background(), b.patientRequest(i))
 	return err == nil && p.Ready
 }
 
@@ -143,20 +143,20 @@
 func TestALeaderThatLeavesGoesOnUntilTheNextOneTakesOver(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
-	first := leaver(t, c, f)
-	time.Sleep(2 * ownPause) // it has looked again at what it owns
+	first := newLeavingLoader(t, c, f)
+	time.Sleep(2 * ownershipInterval) // it has looked again at what it owns
 	c.Assert(first.loads(2), quicktest.IsTrue)
 	reports, _, _ := f.count()
-	second := boxAt(f, "second", 1, first.loader) // of two terms alike its fence is the lower one
+	second := newSharedFixture(f, "second", 1, first.loader) // of two terms alike its fence is the lower one
 	second.start(t)
 	second.awaitOwned()
 	after, _, _ := f.count()
 	c.Assert(after, quicktest.Equals, reports) // what the endpoint holds was told
 	c.Assert(second.loader.View.Holders(adapter(1)), quicktest.HasLen, 1)
-	p, err := first.loader.Want(context.Background(), first.patient(3))
+	p, err := first.loader.Want(context.Background(), first.patientRequest(3))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Settling, quicktest.IsTrue)
-	time.Sleep(2 * ownPause)
+	time.Sleep(2 * ownershipInterval)
 	_, most, holders := f.count()
 	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"}) // no turns
 	c.Assert(most <= slotCount, quicktest.IsTrue)
@@ -164,7 +164,7 @@
 
 func TestOnlyABoxThatLeavesResigns(t *testing.T) {
 	c := quicktest.New(t)
-	b := boxAt(newSharedEndpoint(), "first", 9, nil)
+	b := newSharedFixture(newSharedEndpoint(), "first", 9, nil)
 	b.start(t)
 	b.awaitOwned()
 	c.Assert(b.loader.Resign(context.Background(), "e1").Resigned, quicktest.IsFalse)
@@ -180,11 +180,11 @@
 func TestABoxThatResignsWaitsForItsOrders(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
-	first := leaver(t, c, f)
+	first := newLeavingLoader(t, c, f)
 	f.mu.Lock()
 	f.answer = make(chan struct{})
 	f.mu.Unlock()
-	go func() { _, _ = first.loader.Want(context.Background(), first.patient(2)) }() // it is told nothing more
+	go func() { _, _ = first.loader.Want(context.Background(), first.patientRequest(2)) }() // it is told nothing more
 	c.Assert(first.eventually(func() bool { return f.holds(adapter(2)) }), quicktest.IsTrue)
 	handed := make(chan Handover, 1)
 	go func() { handed <- first.loader.Resign(context.Background(), "e1") }()
@@ -200,7 +200,7 @@
 	c.Assert(h.Pending, quicktest.DeepEquals, map[topology.Adapter]int64{adapter(2): 1})
 }
 
-func (b *bench) eventually(is func() bool) bool {
+func (b *fixture) eventually(is func() bool) bool {
 	for range 500 {
 		if is() {
 			return true
@@ -214,9 +214,9 @@
 func TestWhatIsNotCertainIsNotHandedOver(t *testing.T) {
 	for _, k := range []struct {
 		name string
-		do   func(f *sharedEndpoint, first *bench)
+		do   func(f *sharedEndpoint, first *fixture)
 	}{
-		{"an order gets no answer", func(f *sharedEndpoint, first *bench) {
+		{"an order gets no answer", func(f *sharedEndpoint, first *fixture) {
 			f.mu.Lock()
 			f.mute = true
 			f.mu.Unlock()
@@ -224,35 +224,35 @@
 			o := first.loader.owned["e1"]
 			claim := o.claims
 			first.loader.mu.Unlock()
-			e, fence, _ := first.loader.callBegins(o, claim)
+			e, fence, _ := first.loader.beginOrder(o, claim)
 			d := Order{Adapter: adapter(2), Fence: fence, Holder: "first"}
 			out, err := f.Order(context.Background(), e, d)
-			first.loader.callEnded(o, claim, d, out, err)
+			first.loader.endOrder(o, claim, d, out, err)
 		}},
-		{"another box has claimed it", func(f *sharedEndpoint, _ *bench) {
+		{"another box has claimed it", func(f *sharedEndpoint, _ *fixture) {
 			f.mu.Lock()
 			f.fence += 1 << boxBits
 			f.mu.Unlock()
 		}},
-		{"an adapter is unloaded when its runs end", func(_ *sharedEndpoint, first *bench) {
+		{"an adapter is unloaded when its runs end", func(_ *sharedEndpoint, first *fixture) {
 			first.loader.mu.Lock()
 			defer first.loader.mu.Unlock()
 			s := first.loader.owned["e1"].slots[adapter(1)]
-			s.leaving, s.unloading = true, true
+			s.evicting, s.unloading = true, true
 		}},
-		{"a base model is on its way", func(_ *sharedEndpoint, first *bench) {
+		{"a base model is on its way", func(_ *sharedEndpoint, first *fixture) {
 			first.loader.mu.Lock()
 			defer first.loader.mu.Unlock()
-			first.loader.owned["e1"].fetching = true
+			first.loader.owned["e1"].loadingModel = true
 		}},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			c := quicktest.New(t)
 			f := newSharedEndpoint()
-			first := leaver(t, c, f)
+			first := newLeavingLoader(t, c, f)
 			k.do(f, first)
 			c.Assert(first.loader.Resign(context.Background(), "e1"), quicktest.DeepEquals, Handover{})
-			p, err := first.loader.Want(context.Background(), first.patient(3)) // nor does it order any more
+			p, err := first.loader.Want(context.Background(), first.patientRequest(3)) // nor does it order any more
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(p.Settling, quicktest.IsTrue)
 		})
@@ -265,10 +265,10 @@
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	f.slots[adapter(7)] = true // loaded by a third box meanwhile
-	b := boxAt(f, "second", 1, nil)
+	b := newSharedFixture(f, "second", 1, nil)
 	b.loader.AskToResign = func(context.Context, *topology.Endpoint) (Handover, time.Duration) {
 		time.Sleep(reportLag)
-		return Handover{Resigned: true, Fence: 1, Holding: Holding{Models: []string{model}}}, 0
+		return Handover{Resigned: true, Fence: 1, Inventory: Inventory{Models: []string{model}}}, 0
 	}
 	b.start(t)
 	b.awaitOwned()
@@ -282,16 +282,16 @@
 func TestAnOwnerThatDoesNotAnswerHasStoppedBeforeItsEndpointIsClaimed(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
-	first := leaver(t, c, f)
+	first := newLeavingLoader(t, c, f)
 	left := time.Now()
-	second := boxAt(f, "second", 1, nil)
+	second := newSharedFixture(f, "second", 1, nil)
 	second.loader.AskToResign = func(context.Context, *topology.Endpoint) (Handover, time.Duration) {
-		return Handover{}, time.Until(left.Add(KeepMost + 2*ownPause))
+		return Handover{}, time.Until(left.Add(HandoverTimeout + 2*ownershipInterval))
 	}
 	second.start(t)
-	for i := 2; first.loader.Keeps("e1"); i++ {
+	for i := 2; first.loader.OrdersWhileLeaving("e1"); i++ {
 		_, _ = first.loader.Want(context.Background(), forward.Wanted{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused, once its endpoint is full
-		time.Sleep(ownPause / 4)
+		time.Sleep(ownershipInterval / 4)
 	}
 	second.awaitOwned()
 	c.Assert(second.loads(1), quicktest.IsTrue)
@@ -302,23 +302,23 @@
 // Slots were emptied under requests whose boxes had not told the new owner of them yet.
 func TestAfterAHandoverNoSlotIsEmptiedBeforeTheBoxesWereHeard(t *testing.T) {
 	c := quicktest.New(t)
-	b := newBench(t, 4)
+	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
 	defer b.loader.mu.Unlock()
 	o, now := b.loader.owned["e1"], time.Now()
 	s := &slot{ready: true}
-	o.since = now.Add(-heardAfter)
-	c.Assert(b.loader.restsLocked(o, adapter(1), s, now), quicktest.IsTrue)
-	o.handed = true // it did not wait for a report
-	c.Assert(b.loader.restsLocked(o, adapter(1), s, now), quicktest.IsFalse)
-	c.Assert(b.loader.restsLocked(o, adapter(1), s, now.Add(reportLag)), quicktest.IsTrue)
+	o.since = now.Add(-usageSyncTime)
+	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now), quicktest.IsTrue)
+	o.handedOver = true // it did not wait for a report
+	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now), quicktest.IsFalse)
+	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now.Add(reportLag)), quicktest.IsTrue)
 }
 
 // An endpoint that holds no base model, as after its restart, was not asked for: the owner
 // that left went on fetching the model while the next one ordered too.
 func TestAnEndpointWithoutABaseModelIsAskedForToo(t *testing.T) {
 	c := quicktest.New(t)
-	b := prepare(4)
+	b := newFixture(4)
 	b.loader.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "llm", DataCentre: "dc", Slots: 8}))
 	asked := make(chan string, 1)
 	b.loader.AskToResign = func(_ context.Context, e *topology.Endpoint) (Handover, time.Duration) {
@@ -343,20 +343,20 @@
 func TestABoxThatLeavesStopsInTimeWithoutALook(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
-	first := leaver(t, c, f)
+	first := newLeavingLoader(t, c, f)
 	l := first.loader
 	l.mu.Lock()
 	o := l.owned["e1"]
 	claim := o.claims
 	l.mu.Unlock()
-	_, _, owns := l.callBegins(o, claim)
+	_, _, owns := l.beginOrder(o, claim)
 	c.Assert(owns, quicktest.IsTrue)
-	l.callEnded(o, claim, Order{}, Done, nil)
+	l.endOrder(o, claim, Order{}, Done, nil)
 	l.mu.Lock()
-	l.left = l.left.Add(-KeepMost)
+	l.leavingSince = l.leavingSince.Add(-HandoverTimeout)
 	o.phase, l.owned["e1"] = owning, o // as before the look
 	l.mu.Unlock()
-	_, _, owns = l.callBegins(o, claim)
+	_, _, owns = l.beginOrder(o, claim)
 	c.Assert(owns, quicktest.IsFalse)
 	c.Assert(l.Resign(context.Background(), "e1").Resigned, quicktest.IsFalse)
 }
--- a/placement/site.go
+++ b/placement/site.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	turnoverHalf  = 2 * time.Second        // half-life of the rate at which slots come to rest
-	turnoverLeast = 0.2                    // of an endpoint's slots a second, where none came to rest lately: runs take up to some five seconds
-	busyMost      = 10 * time.Second       // the longest wait that is expected of a full endpoint
-	busyLeast     = 100 * time.Millisecond // the shortest
+	idleRateHalfLife = 2 * time.Second        // half-life of the rate at which slots come to rest
+	minIdleRate      = 0.2                    // of an endpoint's slots a second, where none came to rest lately: runs take up to some five seconds
+	maxSlotWait      = 10 * time.Second       // the longest wait that is expected of a full endpoint
+	minSlotWait      = 100 * time.Millisecond // the shortest
 )
 
 // siteLocked returns where an adapter is loaded: the endpoint of the usual one's data centre
 // at which it costs the least, of those that take more requests where there are any, and of none that is
 // to be avoided but the usual one. Only endpoints that this box owns count.
-func (l *Loader) siteLocked(a topology.Adapter, usual *owned, avoid []string, now time.Time) *owned {
-	best, least := usual, l.siteRankLocked(usual, a, true, now)
+func (l *Loader) chooseEndpointLocked(a topology.Adapter, usual *ownedEndpoint, avoid []string, now time.Time) *ownedEndpoint {
+	best, least := usual, l.endpointRankLocked(usual, a, true, now)
 	for id, o := range l.owned {
-		if o == usual || slices.Contains(avoid, id) || !o.serves(now) || !o.models[a.Model] || o.endpoint.DataCentre() != usual.endpoint.DataCentre() {
+		if o == usual || slices.Contains(avoid, id) || !o.isAvailable(now) || !o.models[a.Model] || o.endpoint.DataCentre() != usual.endpoint.DataCentre() {
 			continue
 		}
-		if r := l.siteRankLocked(o, a, false, now); r.before(least) {
+		if r := l.endpointRankLocked(o, a, false, now); r.before(least) {
 			best, least = o, r
 		}
 	}
@@ -34,33 +34,33 @@
 }
 
 // siteRank orders endpoints where an adapter may be loaded.
-type siteRank struct {
-	gone  bool // it ended, or leaves
-	taken bool // it names a limit, and gets all that it takes
-	cost  time.Duration
+type endpointRank struct {
+	unavailable bool // it ended, or leaves
+	saturated   bool // it names a limit, and gets all that it takes
+	cost        time.Duration
 }
 
 // before tells whether an endpoint of this rank goes before one of another.
-func (r siteRank) before(o siteRank) bool {
+func (r endpointRank) before(o endpointRank) bool {
 	switch {
-	case r.gone != o.gone:
-		return o.gone
-	case r.taken != o.taken:
-		return o.taken
+	case r.unavailable != o.unavailable:
+		return o.unavailable
+	case r.saturated != o.saturated:
+		return o.saturated
 	}
 	return r.cost < o.cost
 }
 
-func (l *Loader) siteRankLocked(o *owned, a topology.Adapter, usual bool, now time.Time) siteRank {
-	return siteRank{gone: !o.serves(now), taken: l.isTaken(o.endpoint.ID(), now), cost: l.factsLocked(o, a, usual, now).Cost()}
+func (l *Loader) endpointRankLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) endpointRank {
+	return endpointRank{unavailable: !o.isAvailable(now), saturated: l.isSaturated(o.endpoint.ID(), now), cost: l.siteFactsLocked(o, a, usual, now).Cost()}
 }
 
 // wantedAtLocked returns the endpoint of a data centre where a load that serves a request waits already;
 // nil for none.
-func (l *Loader) wantedAtLocked(w *waiter, centre string, now time.Time) *owned {
+func (l *Loader) pendingEndpointLocked(w *waiter, centre string, now time.Time) *ownedEndpoint {
 	for id, o := range l.owned {
-		q := l.wants[wantKey{endpoint: id, adapter: w.Adapter}]
-		if q != nil && !q.copies && !w.avoids(id) && o.serves(now) && o.endpoint.DataCentre() == centre {
+		q := l.pendingLoads[placementKey{endpoint: id, adapter: w.Adapter}]
+		if q != nil && !q.isCopy && !w.avoids(id) && o.isAvailable(now) && o.endpoint.DataCentre() == centre {
 			return o
 		}
 	}
@@ -68,33 +68,33 @@
 }
 
 // factsLocked is what is known of an endpoint where an adapter may be loaded.
-func (l *Loader) factsLocked(o *owned, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
+func (l *Loader) siteFactsLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
 	f := policy.SiteFacts{
-		Empty:   l.emptyInLocked(o, o.queued, now),
-		Load:    l.warm,
-		Read:    l.readsLocked(o, now),
-		Taken:   l.takenLocked(o, now),
+		Empty:   l.freeSlotDelayLocked(o, o.queuedLoads, now),
+		Load:    l.warmLoadTime,
+		Read:    l.prefillDelayLocked(o, now),
+		Taken:   l.slotUtilisationLocked(o, now),
 		Fetched: !l.isWarmLocked(o, a),
 		Usual:   usual,
 	}
 	if f.Fetched {
-		f.Load = l.cold
+		f.Load = l.coldLoadTime
 	}
-	if o.orders >= loadsAtOnce {
-		f.Load += l.cold / loadsAtOnce
+	if o.loadsInFlight >= maxConcurrentLoads {
+		f.Load += l.coldLoadTime / maxConcurrentLoads
 	}
 	return f
 }
 
 // takenLocked is which part of an endpoint's slots is in use, being filled or wanted.
-func (l *Loader) takenLocked(o *owned, now time.Time) float64 {
-	g := l.engine(o.endpoint)
+func (l *Loader) slotUtilisationLocked(o *ownedEndpoint, now time.Time) float64 {
+	g := l.engineSpec(o.endpoint)
 	if g == nil {
 		return 1
 	}
-	taken := o.queued
+	taken := o.queuedLoads
 	for a, s := range o.slots {
-		if !s.ready || !l.restsLocked(o, a, s, now) {
+		if !s.ready || !l.isIdleLocked(o, a, s, now) {
 			taken++
 		}
 	}
@@ -103,47 +103,47 @@
 
 // levelFor is how long a level is good for: it changes with each load and each prompt, and
 // boxes ask for it with each report of use.
-const levelFor = 20 * time.Millisecond
+const loadCostMaxAge = 20 * time.Millisecond
 
 // Level returns what a load from the store costs now at the cheapest endpoint of this box;
 // false where it owns none.
-func (l *Loader) Level(now time.Time) (cost time.Duration, known bool) {
+func (l *Loader) MinLoadCost(now time.Time) (cost time.Duration, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.levelAt) < levelFor {
-		return l.level, l.levelKnown
+	if now.Sub(l.minLoadCostAt) < loadCostMaxAge {
+		return l.minLoadCost, l.minLoadCostKnown
 	}
 	for _, o := range l.owned {
 		if o.phase != owning || o.endpoint.Draining() || len(o.models) == 0 {
 			continue
 		}
-		if c := l.factsLocked(o, topology.Adapter{}, false, now).Cost(); !known || c < cost {
+		if c := l.siteFactsLocked(o, topology.Adapter{}, false, now).Cost(); !known || c < cost {
 			cost, known = c, true
 		}
 	}
-	l.level, l.levelKnown, l.levelAt = cost, known, now
+	l.minLoadCost, l.minLoadCostKnown, l.minLoadCostAt = cost, known, now
 	return cost, known
 }
 
 // heldLocked returns the endpoint of a data centre where the adapter is ready in the version
 // that a request needs, the one that reads the least, or, where none is, one where it is
 // being loaded.
-func (l *Loader) heldLocked(asked *owned, w *waiter, denied *owned, now time.Time) (o *owned, s *slot) {
+func (l *Loader) findHolderLocked(asked *ownedEndpoint, w *waiter, denied *ownedEndpoint, now time.Time) (o *ownedEndpoint, s *slot) {
 	a, centre := w.Adapter, asked.endpoint.DataCentre()
 	for id, p := range l.owned {
 		t := p.slots[a]
-		if t == nil || p == denied || w.avoids(id) || !p.serves(now) || p.endpoint.DataCentre() != centre {
+		if t == nil || p == denied || w.avoids(id) || !p.isAvailable(now) || p.endpoint.DataCentre() != centre {
 			continue
 		}
-		if (w.Elsewhere && l.isTaken(id, now) || l.isCrowded(p, now)) && l.hasOthersLocked(a, centre, now) {
+		if (w.Elsewhere && l.isSaturated(id, now) || l.isThrottled(p, now)) && l.hasAlternativeLocked(a, centre, now) {
 			continue // a copy elsewhere serves those that it has no room for
 		}
-		serves := t.ready && t.version >= w.Version && !(t.leaving && (t.unloading || t.outdated))
+		serves := t.ready && t.version >= w.Version && !(t.evicting && (t.unloading || t.outdated))
 		loads := !t.ready && t.done != nil
 		switch {
 		case !serves && !loads:
 			continue
-		case s == nil, serves && !s.ready, serves == s.ready && l.runs.reading(id) < l.runs.reading(o.endpoint.ID()):
+		case s == nil, serves && !s.ready, serves == s.ready && l.inFlight.prefillTokens(id) < l.inFlight.prefillTokens(o.endpoint.ID()):
 			o, s = p, t
 		}
 	}
@@ -152,8 +152,8 @@
 
 // busyLocked is how long it takes until a slot of an endpoint whose slots are all in use
 // is free, with so many loads before, by how fast slots come to rest lately.
-func (l *Loader) busyLocked(o *owned, before int, now time.Time) time.Duration {
-	rate := max(l.rests.Rate(now, turnoverHalf)/float64(max(len(l.owned), 1)), turnoverLeast*float64(len(o.slots)))
+func (l *Loader) slotWaitLocked(o *ownedEndpoint, before int, now time.Time) time.Duration {
+	rate := max(l.idleTransitions.Rate(now, idleRateHalfLife)/float64(max(len(l.owned), 1)), minIdleRate*float64(len(o.slots)))
 	wait := time.Duration(float64(before+1) / rate * float64(time.Second))
-	return min(max(wait, busyLeast), busyMost)
+	return min(max(wait, minSlotWait), maxSlotWait)
 }
