--- a/cmd/cairnctl/request_test.go
+++ b/cmd/cairnctl/request_test.go
@@ -20,7 +20,7 @@
 const slowLoadLog = `{"time":"2026-05-01T10:00:00Z","msg":"Load begins","box":"lead","adapter":"m/a1","endpoint":"e1"}
 {"time":"2026-05-01T10:00:03Z","msg":"Request failed","box":"b1","request":"r1","adapter":"m/a1","reason":"adapter_not_loaded","cause":"it is being loaded"}
 {"time":"2026-05-01T10:00:06Z","msg":"Adapter is loaded","box":"lead","adapter":"m/a1","endpoint":"e1","took_ms":6000}
-{"time":"2026-05-01T10:00:50Z","msg":"Adapter leaves its slot","box":"lead","adapter":"m/a1","endpoint":"e1"}
+{"time":"2026-05-01T10:00:50Z","msg":"Adapter eviction begins","box":"lead","adapter":"m/a1","endpoint":"e1"}
 {"time":"2026-05-01T10:00:59Z","msg":"Load begins","box":"lead","adapter":"m/a1","endpoint":"e1"}
 {"time":"2026-05-01T10:01:00Z","msg":"Adapter is loaded","box":"lead","adapter":"m/a1","endpoint":"e1","took_ms":1000}
 `
@@ -91,7 +91,7 @@
 func TestAnAnswerAboutAnAdapterIsNoFailure(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
-	text := `{"time":"2026-05-01T10:00:00Z","level":"DEBUG","msg":"Adapter was asked for","request":"r1","ready":false,"reason":"it is being loaded"}
+	text := `{"time":"2026-05-01T10:00:00Z","level":"DEBUG","msg":"Adapter requested","request":"r1","ready":false,"reason":"it is being loaded"}
 {"time":"2026-05-01T10:00:01Z","msg":"Request failed","request":"r1","reason":"adapter_not_loaded","cause":"it is being loaded"}
 `
 	c.Assert((&storyCommand{}).tell(strings.NewReader(text), &out, &errs), quicktest.Equals, exitDone)
--- a/placement/claim.go
+++ b/placement/claim.go
@@ -10,15 +10,16 @@
 	"cairnwick.example/topology"
 )
 
-// claimPause is between two tries to learn what an endpoint holds.
+// claimRetryInterval is the pause after a failed attempt to claim an endpoint.
 const claimRetryInterval = 300 * time.Millisecond
 
-// claim raises the fence at an endpoint, learns what it holds, and then owns it. The
-// fence comes first: from then on the endpoint refuses the owner before, who may not
-// know yet, so that no order comes between the report and the first order here. The
-// report may be some time old, so it is read that much later. Where the owner before leaves
-// and says what the endpoint holds, no report is needed: that owner had the highest fence when
-// it was asked, and who raised one since gives no order before its report is new enough.
+// claim raises the fence at an endpoint, learns what it holds, and then owns it. The fence
+// comes first: from then on the endpoint refuses orders of the previous owner, who may not know
+// of its replacement, so none is carried out between the report and this box's first order.
+// A report may be up to reportLag old, so it is read that much later. When the previous owner is
+// leaving and hands over what the endpoint holds, no report is needed: that owner had the highest
+// fence when it was asked, and a box that has raised one since gives no order before its
+// own report is recent enough.
 func (l *Loader) claim(o *ownedEndpoint) func(context.Context) {
 	return func(ctx context.Context) {
 		asked := clock.Now()
@@ -45,7 +46,7 @@
 				l.takeOwnership(ctx, o, fence, h, false)
 				return
 			}
-			l.Log.Info("Endpoint gives no report", "endpoint", e.ID(), "err", err.Error())
+			l.Log.Info("Endpoint report failed; retrying claim", "endpoint", e.ID(), "err", err.Error())
 			if !sleep(ctx, claimRetryInterval) {
 				return
 			}
@@ -53,9 +54,9 @@
 	}
 }
 
-// takeOver asks the owner before for an endpoint that this box has not owned. An owner that
-// does not answer may still give orders, and a fence would make it take turns with this box,
-// so that takes as long as it may.
+// requestHandover asks the previous owner to hand over an endpoint that this box has not owned.
+// An owner that is leaving and does not answer may still give orders, and raising the fence
+// would make the two boxes alternate; so this waits until that owner must have stopped.
 func (l *Loader) requestHandover(ctx context.Context, o *ownedEndpoint) Handover {
 	l.mu.Lock()
 	e, first := o.endpoint, o.claims == 0
@@ -69,15 +70,15 @@
 		return h
 	}
 	if wait > 0 {
-		l.Log.Info("Endpoint's owner leaves and does not answer", "endpoint", e.ID(), "wait_ms", wait.Milliseconds())
+		l.Log.Info("Leaving owner did not answer; waiting until its orders have ended", "endpoint", e.ID(), "wait_ms", wait.Milliseconds())
 		sleep(ctx, wait)
 	}
 	return Handover{}
 }
 
-// raise shows an endpoint a new fence by an order that changes nothing: to load a base
-// model that it holds. One that holds none has nothing that the owner before could
-// order it to add to, and is claimed without.
+// raiseFence shows an endpoint a new fence with an order that changes nothing: to load a base
+// model that it holds. An endpoint without a base model can't load adapters for the previous
+// owner, and is claimed without such an order.
 func (l *Loader) raiseFence(ctx context.Context, o *ownedEndpoint) (e *topology.Endpoint, fence uint64, raised bool) {
 	l.mu.Lock()
 	e, past, refused := o.endpoint, o.fence, o.refusals
@@ -92,7 +93,7 @@
 	out, err := l.Control.Order(call, e, d)
 	switch {
 	case err != nil:
-		l.Log.Info("Endpoint does not answer its new owner", "endpoint", e.ID(), "err", err.Error())
+		l.Log.Info("Claim failed: endpoint did not answer", "endpoint", e.ID(), "err", err.Error())
 	case out == Fenced:
 		l.handleClaimRefused(o, e, fence)
 	case out == Done || out == Accepted:
@@ -107,7 +108,8 @@
 	return l.owned[o.endpoint.ID()] == o && o.phase == claiming
 }
 
-// own begins to give orders to an endpoint that holds h, by its report or as handed over.
+// takeOwnership starts giving orders to an endpoint that holds h, according to its report or
+// the handover.
 func (l *Loader) takeOwnership(ctx context.Context, o *ownedEndpoint, fence uint64, h Inventory, handed bool) {
 	now := clock.Now()
 	l.mu.Lock()
@@ -155,10 +157,10 @@
 	l.wakeUp()
 }
 
-// outbid handles a refusal of the fence by which an endpoint was to be claimed. The
-// first may only mean that the clock here is behind the last owner's, who may have ended
-// long ago: it is tried once more at once, with a fence far above. From the second on
-// another box claims it too, and this one keeps away.
+// handleClaimRefused handles an endpoint's refusal of the fence of a claim. The first refusal
+// may only mean that the clock here is behind the clock of an earlier owner that may be long
+// gone: the claim is retried at once with a much higher fence. After the second one another
+// box is assumed to claim the endpoint too, and this box backs off.
 func (l *Loader) handleClaimRefused(o *ownedEndpoint, e *topology.Endpoint, fence uint64) {
 	l.mu.Lock()
 	o.fence = fence
@@ -171,10 +173,10 @@
 		l.yieldOwnership(o, claiming, fence)
 		return
 	}
-	l.Log.Info("Endpoint has seen a higher fence and is claimed with one far above", "endpoint", e.ID(), "fence", fence)
+	l.Log.Info("Claim refused: endpoint has seen a higher fence; retrying with a much higher one", "endpoint", e.ID(), "fence", fence)
 }
 
-// yield gives an endpoint up, in the phase in which it refused the fence: another owner
+// yieldOwnership gives up an endpoint that refused the fence in the given phase: another owner
 // has a higher one.
 func (l *Loader) yieldOwnership(o *ownedEndpoint, in phase, fence uint64) {
 	l.mu.Lock()
@@ -182,18 +184,18 @@
 	if o.phase != in {
 		return
 	}
-	l.Log.Info("Endpoint has seen a higher fence and is given up", "endpoint", o.endpoint.ID(), "fence", fence)
+	l.Log.Info("Ownership yielded: endpoint has seen a higher fence", "endpoint", o.endpoint.ID(), "fence", fence)
 	o.phase, o.since = yielded, clock.Now()
 	o.refusals++
 	l.resetStateLocked(o)
 }
 
-// youngPause is how long a box keeps away from an endpoint that refused it soon after its
-// start: after a start of many their views differ for a moment, and a refusal says little.
+// startupClaimBackoff is the back-off after a refusal soon after this box started: when many
+// boxes start together their cluster views differ briefly, and a refusal says little.
 const startupClaimBackoff = 400 * time.Millisecond
 
-// keepAwayLocked is how long this box keeps away from an endpoint that refused it: longer
-// than the lease, so that two boxes that both think they own it do not take turns.
+// claimBackoffLocked returns how long this box backs off from an endpoint that refused it:
+// longer than the lease, so that two boxes that both consider themselves owner do not alternate.
 func (l *Loader) claimBackoffLocked(o *ownedEndpoint) time.Duration {
 	if o.since.Sub(l.startedAt) < l.Lease() {
 		return startupClaimBackoff
@@ -201,20 +203,21 @@
 	return l.Lease() * 5 / 4
 }
 
-// relearn learns anew what an endpoint holds, after an order without an answer.
+// requestReclaim starts a new claim of an endpoint after an order with unknown result.
 func (l *Loader) requestReclaim(o *ownedEndpoint, claim int, why string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.phase != owning || o.claims != claim {
 		return
 	}
-	l.Log.Info("Endpoint is asked anew what it holds", "endpoint", o.endpoint.ID(), "cause", why)
+	l.Log.Info("Endpoint state is uncertain; claiming it again", "endpoint", o.endpoint.ID(), "cause", why)
 	o.phase, o.since = claiming, clock.Now()
 	l.resetStateLocked(o)
 	o.needsReclaim = true
 }
 
-// reclaimLocked begins the claims that relearn asked for. A box that leaves claims nothing.
+// startReclaimsLocked returns the claims that requestReclaim asked for. A leaving box claims
+// nothing.
 func (l *Loader) startReclaimsLocked() []func(context.Context) {
 	if !l.leavingSince.IsZero() {
 		return nil
@@ -229,6 +232,7 @@
 	return tasks
 }
 
+// sleep returns false when ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/placement/copies.go
+++ b/placement/copies.go
@@ -9,8 +9,8 @@
 	"cairnwick.example/topology"
 )
 
-// Far notes requests of a data centre's callers that went to another one: an adapter
-// that is hot there is worth a copy of its own, which also lasts through a cut.
+// RecordRemoteRequests counts requests from a data centre that another one served: a popular
+// adapter is worth a local copy, which also remains available during a network partition.
 func (l *Loader) RecordRemoteRequests(centre string, a topology.Adapter, count int, now time.Time) {
 	ranked := l.copyCandidates(centre, a, now)
 	if len(ranked) == 0 || len(l.holdersIn(centre, a)) > 0 {
@@ -19,8 +19,8 @@
 	l.requestCopy(ranked[0], a, now, func(w *pendingLoad) { w.remoteRequests += float64(count) })
 }
 
-// copyMore asks for as many copies of an adapter as its requests would fill, and for one
-// more than there are in any case.
+// requestCopies requests as many copies of an adapter as its requests would occupy endpoints,
+// and at least one more than there are.
 func (l *Loader) requestCopies(f hotAdapter, now time.Time) {
 	more := max(f.copies-len(l.holdersIn(f.centre, f.adapter)), 1)
 	ranked := l.copyCandidates(f.centre, f.adapter, now)
@@ -29,15 +29,15 @@
 	}
 }
 
-// copyTo counts for a copy of an adapter at an endpoint.
+// requestCopy adds demand for a copy of an adapter at an endpoint.
 func (l *Loader) requestCopy(endpoint string, a topology.Adapter, now time.Time, count func(*pendingLoad)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requestCopyLocked(endpoint, a, now, count)
 }
 
-// copyAheadLocked asks for copies of an adapter that so many ask for before it is loaded
-// anywhere that they would fill more than its home.
+// requestCopiesForDemandLocked requests copies of an adapter that is not loaded anywhere yet
+// when its unserved requests would occupy more than one endpoint.
 func (l *Loader) requestCopiesForDemandLocked(o *ownedEndpoint, q *pendingLoad, a topology.Adapter, now time.Time) {
 	copies := int(float64(q.unservedRequests) / o.comfortableRequests())
 	for _, id := range l.copyCandidates(o.endpoint.DataCentre(), a, now) {
@@ -68,7 +68,7 @@
 	l.wakeUp()
 }
 
-// in returns the endpoints of a data centre that hold an adapter or will soon.
+// holdersIn returns the endpoints of a data centre that hold an adapter or are loading it.
 func (l *Loader) holdersIn(centre string, a topology.Adapter) []string {
 	var list []string
 	for _, e := range append(l.View.Holders(a), l.View.Loading(a)...) {
@@ -79,8 +79,8 @@
 	return list
 }
 
-// without returns the endpoints of a data centre that could hold an adapter and do not, without
-// those that get all that they take, by the adapter's rendezvous order.
+// copyCandidates returns the endpoints of a data centre that could hold an adapter and don't,
+// except saturated ones, in the adapter's rendezvous-hashing order.
 func (l *Loader) copyCandidates(centre string, a topology.Adapter, now time.Time) []string {
 	held := make(map[string]bool)
 	for _, id := range l.holdersIn(centre, a) {
--- a/placement/counts.go
+++ b/placement/counts.go
@@ -2,17 +2,17 @@
 
 package placement
 
-// Counts is how a loader stands now.
+// Counts is a snapshot of a loader's state for metrics.
 type Counts struct {
-	Owned    int     `json:"owned"`     // endpoints that this box gives orders to
-	Wanted   int     `json:"wanted"`    // adapters that requests asked for in vain
-	UnderWay int     `json:"under_way"` // loads from the weight store
-	Pace     float64 `json:"pace"`      // that may be under way at once
+	Owned    int     `json:"owned"`     // endpoints owned by this box
+	Wanted   int     `json:"wanted"`    // pending loads
+	UnderWay int     `json:"under_way"` // loads from the weight store in progress
+	Pace     float64 `json:"pace"`      // limit of concurrent loads from the weight store
 	ColdMS   int64   `json:"cold_ms"`   // smoothed time of a load from the weight store
-	WarmMS   int64   `json:"warm_ms"`   // smoothed time of a load from an endpoint's memory
+	WarmMS   int64   `json:"warm_ms"`   // smoothed time of a load from an endpoint's host memory
 }
 
-// Counts returns how the loader stands.
+// Counts returns a snapshot of the loader's state.
 func (l *Loader) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/placement/ended.go
+++ b/placement/ended.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// Ended hears that an endpoint ended, as a box found out that sent it requests. Its entry stays until
-// it lapses; until then no request is brought to it and nothing is loaded there. It guards against
-// naming it to each box that asks for an adapter that it held.
+// Ended marks an endpoint as ended after a box observed so while sending it requests. The
+// endpoint's entry remains until it expires; until then the endpoint gets no requests or loads.
+// Otherwise it would be named to every box that asks for an adapter that it held.
 func (l *Loader) Ended(endpoint string, until time.Time) {
 	l.Init()
 	l.mu.Lock()
@@ -18,13 +18,13 @@
 	if until.After(o.endedUntil) {
 		o.endedUntil = until
 	}
-	l.cancelPendingLoadsLocked(endpoint) // who waits for a load there is looked at again
+	l.cancelPendingLoadsLocked(endpoint) // re-evaluates the requests that wait for loads there
 	for _, s := range o.slots {
 		s.notifyWaiters()
 	}
 }
 
-// serves tells whether an endpoint can take requests and loads at now, as far as is known.
+// isAvailable reports whether an endpoint can take requests and loads, as far as is known.
 func (o *ownedEndpoint) isAvailable(now time.Time) bool {
 	return o.phase == owning && !o.endpoint.Draining() && !now.Before(o.endedUntil)
 }
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -10,45 +10,45 @@
 	"cairnwick.example/topology"
 )
 
-// An endpoint unloads an adapter that no request uses at once. For one in use it waits
-// until the runs have ended, and holds up all its other orders meanwhile, loads under way
-// too. Boxes tell soon what they begin to use and use no more, so a slot that
-// rests is emptied at once when a load needs it; a request that meets the unload on its way
-// is refused by the endpoint as not run, and its adapter comes back from memory. One in use
-// leaves only for a newer version of itself: the boxes are told not to use it any more, and
-// it is unloaded when none does.
+// An endpoint unloads an idle adapter at once. To unload one in use it waits until the
+// requests have ended, and blocks all its other orders meanwhile, including loads in
+// progress. Boxes report promptly which adapters they start and stop using, so an idle slot
+// is emptied at once when a load needs it. A request that arrives during the unload is
+// refused by the endpoint as not run, and its adapter is reloaded from host memory. An adapter
+// in use is evicted only for a newer version of itself: the boxes are told not to use it any
+// more, and it is unloaded when none does.
 
 const (
-	// tellFor is how long after an adapter in use began to leave every box has heard of it
-	// and told what it uses: the news and the answer take a few batches of changes.
+	// usageSettleTime is how long after the eviction of an adapter in use was announced every box
+	// has received that and reported its usage: both take a few batches of updates.
 	usageSettleTime = 250 * time.Millisecond
-	// restFor is how long an adapter must not have been used, and no box been told that it
-	// is ready, to count as resting. A box tells of what it begins within 20 ms and the way
-	// to the leader, but one whose share of the processor is used up stands still for a
-	// tenth of a second. With 60 ms a quarter of the unloads met a request, and 18 endpoints
-	// together stood still for 791 of 1,044 s.
+	// idleThreshold is how long an adapter must not have been used, nor been announced to a box
+	// as ready, to count as idle. A box reports usage within 20 ms plus the network delay, but one
+	// that has used up its processor share is suspended for 100 ms. With a threshold of 60 ms a
+	// quarter of the unloads met a request, and 18 endpoints together were blocked for 791 of
+	// 1,044 s.
 	idleThreshold = 250 * time.Millisecond
-	// heardAfter is how long after it began to own an endpoint a box has heard what all
-	// boxes use there: they tell a new leader within some 0.3 s of hearing of it, and it
-	// owns nothing before it has waited for a report of 0.4 s. Where that was not needed, it
-	// waits for so long here.
+	// usageSyncTime is how long after it began to own an endpoint a box has received all boxes'
+	// usage there: they report to a new leader within some 0.3 s of learning of it, and it owns
+	// nothing before it has waited reportLag for a report. After a handover it did not wait for a
+	// report, so reportLag is added.
 	usageSyncTime = 200 * time.Millisecond
-	// emptyNow is how long it takes to empty a slot that rests: the order and its answer.
+	// idleUnloadTime is how long it takes to unload an idle adapter: the order and its response.
 	idleUnloadTime = 10 * time.Millisecond
-	// tellAgain is between two looks whether an adapter that leaves is still in use.
+	// usagePollInterval is the interval between checks whether an adapter being evicted is still
+	// in use.
 	usagePollInterval = 50 * time.Millisecond
-	// aheadPart: one slot in so many is empty or being emptied at each endpoint though
-	// nothing is wanted there, so that the next loads need not wait. An endpoint with 16
-	// slots begins some four loads a second at the most, and a slot is empty after a
-	// quarter of a second.
+	// spareSlotDivisor is the reciprocal of the share of slots kept empty, or being emptied, at
+	// each endpoint so that the next loads need not wait. An endpoint with 16 slots begins at most
+	// some four loads a second, and emptying a slot takes a quarter of a second.
 	spareSlotDivisor = 8
-	// retiringMost are emptied at a time at one endpoint: as many as it loads at a time.
+	// maxConcurrentEvictions is per endpoint: as many as loads.
 	maxConcurrentEvictions = maxConcurrentLoads
 )
 
-// retireLocked empties slots that rest: as many as loads wait for, and some ahead. An
-// adapter in use stays, unless it is to be replaced by a newer version: it would still take
-// its slot until its runs end, and be asked for again meanwhile.
+// evictLocked evicts idle adapters: as many as there are loads waiting for a slot, and some
+// in advance. An adapter in use stays, unless a newer version is to replace it: until its
+// requests ended it would still occupy the slot, and it would be requested again meanwhile.
 func (l *Loader) evictLocked(waiting map[*ownedEndpoint]int, now time.Time) []func(context.Context) {
 	var tasks []func(context.Context)
 	for _, o := range l.owned {
@@ -75,7 +75,7 @@
 	return tasks
 }
 
-// shortLocked is how many slots more must be emptied at an endpoint.
+// evictionsNeededLocked returns how many more slots must be emptied at an endpoint.
 func (l *Loader) evictionsNeededLocked(o *ownedEndpoint, waiting int) int {
 	g := l.engineSpec(o.endpoint)
 	if g == nil {
@@ -92,8 +92,8 @@
 	return min(slots/spareSlotDivisor+waiting, maxConcurrentEvictions) - ahead
 }
 
-// stuckLocked counts the adapters that leave an endpoint and are still in use: their runs
-// may take seconds.
+// blockedEvictionsLocked counts the adapters being evicted that are still in use: their
+// requests may take seconds.
 func (l *Loader) blockedEvictionsLocked(o *ownedEndpoint) int {
 	n := 0
 	for a, s := range o.slots {
@@ -104,8 +104,8 @@
 	return n
 }
 
-// coldestLocked returns the adapter that leaves next: of those that rest, the one that is
-// asked for least.
+// leastRequestedIdleLocked returns the idle adapter with the lowest request rate, the next to
+// evict.
 func (l *Loader) leastRequestedIdleLocked(o *ownedEndpoint, now time.Time) (coldest topology.Adapter, ok bool) {
 	least := 0.0
 	for a, s := range o.slots {
@@ -120,25 +120,25 @@
 	return coldest, ok
 }
 
-// restsLocked tells whether no box uses an adapter, nor is about to. A new owner waits until
-// every box has told it what it uses.
+// isIdleLocked reports whether no box uses an adapter or is about to. A new owner treats none as
+// idle until every box has reported its usage.
 func (l *Loader) isIdleLocked(o *ownedEndpoint, a topology.Adapter, s *slot, now time.Time) bool {
-	heard := usageSyncTime
+	syncTime := usageSyncTime
 	if o.handedOver {
-		heard += reportLag
+		syncTime += reportLag
 	}
-	if now.Sub(o.since) < heard {
+	if now.Sub(o.since) < syncTime {
 		return false
 	}
 	return l.inFlight.adapterRequests(o.endpoint.ID(), a) == 0 && now.Sub(s.lastUsed) >= idleThreshold && now.Sub(s.lastAnnounced) >= idleThreshold
 }
 
-// retireOneLocked marks an adapter as leaving and returns the task that unloads it.
+// beginEvictionLocked marks an adapter as being evicted and returns the task that unloads it.
 func (l *Loader) beginEvictionLocked(o *ownedEndpoint, a topology.Adapter, now time.Time) func(context.Context) {
 	s := o.slots[a]
 	s.unloading = l.isIdleLocked(o, a, s, now)
 	s.evicting, s.evictionBegan = true, now
-	l.Log.Info("Adapter leaves its slot", "adapter", a.String(), "adapter_version", s.version, "endpoint", o.endpoint.ID(),
+	l.Log.Info("Adapter eviction begins", "adapter", a.String(), "adapter_version", s.version, "endpoint", o.endpoint.ID(),
 		"unused_ms", now.Sub(s.lastUsed).Milliseconds(), "a_second", l.requestRateLocked(a, now), "fence", o.fence)
 	claim := o.claims
 	if s.unloading {
@@ -147,7 +147,7 @@
 	return func(ctx context.Context) { l.evictWhenIdle(ctx, o, claim, a, now) }
 }
 
-// retire unloads an adapter that leaves since the time, when no box uses it any more.
+// evictWhenIdle unloads an adapter whose eviction began at since, when no box uses it any more.
 func (l *Loader) evictWhenIdle(ctx context.Context, o *ownedEndpoint, claim int, a topology.Adapter, since time.Time) {
 	for {
 		wait, leaves := l.evictionDelay(o, claim, a, since, clock.Now())
@@ -164,9 +164,9 @@
 	l.unload(ctx, o, claim, a)
 }
 
-// quietIn is how long it takes at least until an adapter that leaves may be unloaded; from
-// zero on it is. False: it was taken back, even if it leaves again since, or is no longer
-// this box's.
+// evictionDelay returns how long to wait before an adapter being evicted may be unloaded; when
+// it returns zero or less, the adapter counts as being unloaded. It returns false when this
+// eviction was cancelled, even if a later one has begun, or the claim has ended.
 func (l *Loader) evictionDelay(o *ownedEndpoint, claim int, a topology.Adapter, since, now time.Time) (wait time.Duration, leaves bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,8 +182,8 @@
 	return wait, true
 }
 
-// emptyInLocked is how long it takes until an endpoint has an empty slot for a load that
-// goes after so many others there.
+// freeSlotDelayLocked returns how long it takes until an endpoint has an empty slot for a load
+// that is queued behind the given number of others.
 func (l *Loader) freeSlotDelayLocked(o *ownedEndpoint, before int, now time.Time) time.Duration {
 	g := l.engineSpec(o.endpoint)
 	if g == nil || len(o.slots) < g.SlotsBeside(o.models) {
@@ -201,8 +201,8 @@
 	return least
 }
 
-// takeBackLocked lets an adapter stay that was to leave and is wanted again; false where
-// the endpoint was already ordered to unload it.
+// cancelEvictionLocked keeps an adapter that was being evicted and is needed again; it returns
+// false when the unload order may already have been sent or the version is outdated.
 func (l *Loader) cancelEvictionLocked(o *ownedEndpoint, a topology.Adapter) bool {
 	s := o.slots[a]
 	if s.unloading || s.outdated {
@@ -213,7 +213,7 @@
 	return true
 }
 
-// unload empties a slot. Only the endpoint's word that it is empty counts.
+// unload empties a slot. The slot counts as empty only when the endpoint confirms it.
 func (l *Loader) unload(ctx context.Context, o *ownedEndpoint, claim int, a topology.Adapter) {
 	begun := clock.Now()
 	until := begun.Add(loadTimeout)
@@ -233,10 +233,10 @@
 			return
 		}
 	}
-	l.requestReclaim(o, claim, "an unload did not end")
+	l.requestReclaim(o, claim, "unload timed out")
 }
 
-// unloaded follows an order that emptied a slot.
+// finishUnload records a completed unload.
 func (l *Loader) finishUnload(o *ownedEndpoint, claim int, a topology.Adapter, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,5 +244,5 @@
 		return
 	}
 	l.wakeUp()
-	l.Log.Info("Slot is empty", "adapter", a.String(), "endpoint", o.endpoint.ID(), "took_ms", took.Milliseconds(), "fence", o.fence)
+	l.Log.Info("Adapter is unloaded", "adapter", a.String(), "endpoint", o.endpoint.ID(), "took_ms", took.Milliseconds(), "fence", o.fence)
 }
--- a/placement/fence.go
+++ b/placement/fence.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	boxBits         = 22 // of a fence name the box, so that no two boxes share a fence
-	termBits        = 31 // seconds until 2038 and later: a fence stays below 2^53, as JSON numbers must
-	publicationBits = 24 // of a publication's version count the publications under one fence; its term is above them
+	boxBits         = 22 // low bits of a fence: the box, so that no two boxes use the same fence
+	termBits        = 31 // Unix seconds until 2038 and later; a fence stays below 2^53, the limit of integers in JSON numbers
+	publicationBits = 24 // low bits of a publication's version: the count of publications under one fence; the term is above them
 
-	// refusedTerms is how far a refused box raises its term, times more each time: an
-	// owner whose clock was ahead by an hour is passed after three refusals.
+	// termRaiseFactor is the base of how far a refused box raises its term; the exponent is the
+	// number of consecutive refusals. Three refusals pass an owner whose clock was an hour ahead.
 	termRaiseFactor = 16
-	// refusedMost is up to how many refusals it is times more. Two boxes that think that they
-	// own an endpoint refuse each other as long as a cut lasts, every lease and a quarter; with
-	// 18 hours of terms each time they last for five hours of that.
+	// maxTermRaises limits the exponent. During a network partition two boxes that both
+	// consider themselves owner refuse each other every 1.25 leases; with 18 hours of terms per
+	// refusal the terms last for five hours of partition.
 	maxTermRaises = 4
 	maxTerm       = 1<<termBits - 1
 )
 
-// Fences makes the fences of one box. A fence is a term and the box; terms follow
-// the time of day, so that a box that knows nothing yet is usually above all. For that
-// they must not run ahead of the clock, so a term serves every endpoint that is claimed
-// while it is the highest.
+// Fences generates the fences of one box. A fence consists of a term and the box number. Terms
+// follow the wall clock, so that a box without any state is usually above all earlier owners.
+// For that they must not run ahead of the clock, so all endpoints that are claimed while a
+// term is the highest use the same one.
 type Fences struct {
-	Box uint32 // low bits of a number that no other box has
+	Box uint32 // low bits of a number unique to the box
 
 	mu      sync.Mutex
-	highest uint64 // term heard of, or used and given up
+	highest uint64 // term observed, or used and abandoned
 	current uint64 // term in use; zero: none
 }
 
-// Hear notes the term of a fence that another box used. One that no box makes is none: with
-// the last there is, nobody could raise a fence any more.
+// Observe records the term of another box's fence. Terms that no box generates are ignored:
+// after the highest possible term nobody could raise a fence any more.
 func (f *Fences) Observe(heard uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,8 +44,8 @@
 	}
 }
 
-// Next returns a fence above every one known of. It is above past, the last fence that
-// this box used at the endpoint (zero: none), which was refused so many times in a row.
+// Next returns a fence above every known one. It is above past, the last fence that this box
+// used at the endpoint (zero: none), which was refused so many times in a row.
 func (f *Fences) Next(now time.Time, past uint64, refusals int) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,15 +63,15 @@
 	return f.current<<boxBits | uint64(f.Box)&(1<<boxBits-1)
 }
 
-// GiveUp makes the next fence a new one: orders under the last may still be on their way.
+// Advance makes the next fence a new one: orders with the last one may still be in transit.
 func (f *Fences) Advance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.highest = max(f.highest, f.current)
 }
 
-// term returns the part of a fence that rises.
+// term returns the part of a fence that increases.
 func term(fence uint64) uint64 { return fence >> boxBits }
 
-// Term returns the part of a publication's version that rises with each owner.
+// Term returns the term in a publication's version, which increases with each owner.
 func Term(version uint64) uint64 { return version >> publicationBits }
--- a/placement/headroom.go
+++ b/placement/headroom.go
@@ -9,25 +9,26 @@
 	"cairnwick.example/topology"
 )
 
-// noLimits is Room where endpoints name no limits.
+// noLimits is the default of Loader.Headroom: no endpoint announces a limit.
 func noLimits(string, time.Time) ratelimit.Room { return ratelimit.Room{Spare: true} }
 
-// isTaken tells whether an endpoint names a limit and gets all that it takes: no adapter is loaded there
-// where another one can be had, since each brings it requests. One that takes more than it gets is as
-// good as any: its slots are of use to adapters that few ask for.
+// isSaturated reports whether an endpoint announces a rate limit and receives all the requests
+// that it accepts. Adapters are loaded elsewhere where possible, since each adapter attracts
+// requests. An endpoint that accepts more than it receives is as good as any other: its slots
+// are useful for rarely requested adapters.
 func (l *Loader) isSaturated(endpoint string, now time.Time) bool {
 	r := l.Headroom(endpoint, now)
 	return r.Limited && !r.Spare
 }
 
-// isCrowded tells whether an endpoint takes no more requests just now.
+// isThrottled reports whether an endpoint currently accepts no more requests.
 func (l *Loader) isThrottled(o *ownedEndpoint, now time.Time) bool {
 	r := l.Headroom(o.endpoint.ID(), now)
 	return r.Limited && r.Wait > 0
 }
 
-// hasOthersLocked tells whether an adapter may be loaded in a data centre at an endpoint that takes more
-// requests.
+// hasAlternativeLocked reports whether a data centre has an endpoint that accepts more requests
+// and on which the adapter may be loaded.
 func (l *Loader) hasAlternativeLocked(a topology.Adapter, centre string, now time.Time) bool {
 	for id, o := range l.owned {
 		if o.isAvailable(now) && o.models[a.Model] && o.endpoint.DataCentre() == centre && !l.isSaturated(id, now) {
--- a/placement/inflight.go
+++ b/placement/inflight.go
@@ -8,21 +8,21 @@
 	"cairnwick.example/topology"
 )
 
-// runs counts the requests under way at endpoints, as the boxes tell. The sums are kept, so
-// that what one report costs does not grow with the number of boxes.
+// inFlightTable counts the requests in progress at endpoints, as reported by the boxes. Totals
+// are maintained incrementally, so the cost of a report does not grow with the number of boxes.
 type inFlightTable struct {
 	boxes     map[string]boxUsage
 	endpoints map[string]workload
-	adapters  map[placementKey]workload // by endpoint and adapter
+	adapters  map[placementKey]workload // per endpoint and adapter
 }
 
-// load is some requests under way.
+// workload is a number of requests in progress.
 type workload struct {
 	requests      int
-	prefillTokens int // tokens of their prompts that the endpoint has not read
+	prefillTokens int // tokens of their prompts that the endpoint has not processed
 }
 
-// boxRuns is what one box told last.
+// boxUsage is the latest usage reported by a box.
 type boxUsage struct {
 	receivedAt time.Time
 	adapters   map[placementKey]workload
@@ -32,24 +32,24 @@
 	return inFlightTable{boxes: make(map[string]boxUsage), endpoints: make(map[string]workload), adapters: make(map[placementKey]workload)}
 }
 
-// at returns how many requests all boxes have under way at an endpoint.
+// endpointRequests returns how many requests of all boxes are in progress at an endpoint.
 func (r *inFlightTable) endpointRequests(endpoint string) int { return r.endpoints[endpoint].requests }
 
-// reading returns how many tokens of their prompts an endpoint has not read.
+// prefillTokens returns how many tokens of their prompts an endpoint has not processed.
 func (r *inFlightTable) prefillTokens(endpoint string) int {
 	return r.endpoints[endpoint].prefillTokens
 }
 
-// of returns how many of them are with an adapter.
+// adapterRequests returns how many of them use an adapter.
 func (r *inFlightTable) adapterRequests(endpoint string, a topology.Adapter) int {
 	return r.adapters[placementKey{endpoint: endpoint, adapter: a}].requests
 }
 
-// told takes a report; one that is only a part says nothing of the rest. It returns how many
-// adapters came to rest at their endpoints by it.
-func (r *inFlightTable) update(box string, uses []Use, part bool, now time.Time) (rested int) {
+// update records a report; a partial one leaves the box's other entries unchanged. It returns
+// how many adapters became idle at their endpoints.
+func (r *inFlightTable) update(box string, uses []Use, partial bool, now time.Time) (idled int) {
 	b, known := r.boxes[box]
-	if !part || !known {
+	if !partial || !known {
 		r.removeBox(box)
 		b.adapters = make(map[placementKey]workload)
 	}
@@ -61,14 +61,14 @@
 		r.add(k, w.minus(b.adapters[k]))
 		b.adapters[k] = w
 		if ran && r.adapters[k].requests == 0 {
-			rested++
+			idled++
 		}
 	}
 	r.boxes[box] = b
-	return rested
+	return idled
 }
 
-// forget drops what boxes told that have said nothing for long.
+// expire drops the entries of boxes that have not reported for usageReportExpiry.
 func (r *inFlightTable) expire(now time.Time) {
 	for box, b := range r.boxes {
 		if now.Sub(b.receivedAt) >= usageReportExpiry {
--- a/placement/limiter.go
+++ b/placement/limiter.go
@@ -5,31 +5,31 @@
 import "time"
 
 const (
-	initialLoadLimit    = 4.0  // adapters that one leader fetches at once, to begin with
-	minLoadLimit        = 1.0  // so that a slow store is still asked
-	maxLoadLimit        = 64.0 // sixteen endpoints with all that may be on their way to each
-	slowStartIncrease   = 1.0  // added for each load until the first that was slowed down: the pace doubles in the time of one
-	additiveIncrease    = 0.5  // added for each load that was not slowed down, from then on
-	decreaseFactor      = 0.8  // of the pace that is kept after one that was
-	saturationThreshold = 0.33 // part of the limit that must be under way for it to rise: a burst finds room for three times as much
-	slowLoadFactor      = 1.5  // times the fastest load: the store is pressed
-	fastestLoadDecay    = 0.01 // part by which the fastest load is raised in the time of one, in case the store has changed
+	initialLoadLimit    = 4.0  // concurrent loads from the store that one leader starts with
+	minLoadLimit        = 1.0  // a slow store must still be probed
+	maxLoadLimit        = 64.0 // sixteen endpoints with maxConcurrentLoads each
+	slowStartIncrease   = 1.0  // added per load until the first slow one: the limit doubles per load time
+	additiveIncrease    = 0.5  // added per load after that, unless the load was slow
+	decreaseFactor      = 0.8  // applied to the limit after a slow load
+	saturationThreshold = 0.33 // part of the limit that must be in use for it to rise, so that a burst finds at most three times the tested concurrency
+	slowLoadFactor      = 1.5  // a load that takes this many times the fastest one is slow: the store is overloaded
+	fastestLoadDecay    = 0.01 // part by which the fastest load time rises per load time, in case the store has become slower
 )
 
-// pace is how many adapters one leader fetches from the weight store at once. Loads
-// become slower when many come at once; each leader finds by its own loads how many
-// that are, so that nobody needs to agree with anybody.
+// loadLimiter is an additive-increase, multiplicative-decrease limit of the concurrent loads
+// of one leader from the weight store. Loads become slower when many run at once; each leader
+// derives its limit from its own load times, so leaders need not coordinate.
 type loadLimiter struct {
 	limit           float64
-	fastest         time.Duration // of the loads from the store lately
-	pastSlowStart   bool          // a load was slowed down: the store's limit is near
-	fastestRaisedAt time.Time     // when fastest was raised last
+	fastest         time.Duration // of the recent loads from the store
+	pastSlowStart   bool          // a load was slow: the store's capacity is near
+	fastestRaisedAt time.Time     // when fastest was last raised
 	inFlight        int
-	reducedAt       time.Time // when the limit was cut last
-	saturatedAt     time.Time // when so many were under way last that the limit mattered
+	reducedAt       time.Time // when the limit was last reduced
+	saturatedAt     time.Time // when saturationThreshold was last reached
 }
 
-// quickest returns how long a load from the store takes that nothing slows.
+// fastestLoad returns the time of a load from an idle store.
 func (p *loadLimiter) fastestLoad() time.Duration {
 	if p.fastest == 0 {
 		return initialColdLoadTime
@@ -39,10 +39,10 @@
 
 func newLoadLimiter() loadLimiter { return loadLimiter{limit: initialLoadLimit} }
 
-// free tells whether one more load may begin.
+// hasPermit reports whether another load may begin.
 func (p *loadLimiter) hasPermit() bool { return float64(p.inFlight)+1 <= p.limit }
 
-// take begins one load at now, unless enough are under way.
+// acquire takes a permit for one load, if one is available.
 func (p *loadLimiter) acquire(now time.Time) bool {
 	if !p.hasPermit() {
 		return false
@@ -54,9 +54,9 @@
 	return true
 }
 
-// end notes that a load ended at now; took is zero when it did not succeed. The limit rises
-// only while it is used: one that had risen in a calm let a burst press the store. It is
-// cut once for all loads that were slowed together.
+// release returns a load's permit; took is zero when the load did not succeed. The limit rises
+// only while it is in use: a limit raised during idle periods let a burst overload the store. It
+// is reduced once for all loads that were slowed together.
 func (p *loadLimiter) release(took time.Duration, now time.Time) {
 	p.inFlight--
 	if took <= 0 {
@@ -86,7 +86,7 @@
 	p.limit = min(maxLoadLimit, p.limit+growth)
 }
 
-// wait returns how long so many loads before one keep it waiting, when each takes load.
+// queueDelay returns how long a load waits behind a number of others, when each takes load.
 func (p *loadLimiter) queueDelay(before int, load time.Duration) time.Duration {
 	over := float64(p.inFlight+before) + 1 - p.limit
 	if over <= 0 {
--- a/placement/load.go
+++ b/placement/load.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// wantLife is how long after the last request a load is still worth its while: a
-	// refused caller comes back within it.
+	// retryWindow is how long after the last request a load is still worthwhile: a refused
+	// caller retries within it.
 	retryWindow = 2 * time.Second
-	// demandHalfLife is after which a request that was not served counts half: popularity
-	// lasts some ten seconds before it shifts.
+	// demandHalfLife is the time after which an unserved request counts half: the popularity
+	// of adapters is stable for some ten seconds.
 	demandHalfLife = 20 * time.Second
-	// demandLife is how long requests that were not served are remembered.
+	// demandRetention is how long unserved requests are remembered.
 	demandRetention = time.Minute
 )
 
-// startLoadsLocked begins the queued loads that may begin now, the most wanted first.
+// startLoadsLocked begins the pending loads that may begin now, by descending rank.
 func (l *Loader) startLoadsLocked(now time.Time) []func(context.Context) {
 	var tasks []func(context.Context)
 	waiting := make(map[*ownedEndpoint]int)
@@ -58,8 +58,8 @@
 	return append(tasks, l.evictLocked(waiting, now)...)
 }
 
-// moveLocked moves a load that waits for a slot to where it costs less by now, and returns
-// the endpoint. Copies stay: they are for one endpoint.
+// relocateLocked moves a load that waits for a slot to the endpoint where it now costs least,
+// and returns that endpoint. Additional copies are not moved: they are meant for one endpoint.
 func (l *Loader) relocateLocked(w *pendingLoad, key placementKey, o *ownedEndpoint, now time.Time) *ownedEndpoint {
 	if w.isCopy || o.slots[key.adapter] != nil {
 		return o
@@ -74,14 +74,14 @@
 	return better
 }
 
-// farEnough is how many requests must have gone to another data centre for a copy
-// to be worth its load: a load is priced like the bytes of some ten requests between data
-// centres.
+// remoteCopyThreshold is the number of requests served by another data centre from which a
+// local copy is worth its load: a load is priced like the traffic of some ten requests between
+// data centres.
 const remoteCopyThreshold = 12
 
-// roomLocked tells whether an adapter may be loaded at an endpoint now: a slot is free, or
-// is the adapter's own. An older version of it that may be in use leaves first, since a
-// replacement would wait for its runs and hold up every other order there.
+// canLoadLocked reports whether an adapter may be loaded at an endpoint now: a slot is free, or
+// the adapter occupies one already. An older version that may be in use is evicted first, since
+// replacing it would wait for its requests to end and block all other orders at the endpoint.
 func (l *Loader) canLoadLocked(o *ownedEndpoint, a topology.Adapter, version int64) bool {
 	g := l.engineSpec(o.endpoint)
 	if g == nil || o.loadsInFlight >= maxConcurrentLoads || !o.models[a.Model] {
@@ -97,7 +97,7 @@
 	return !s.evicting && !s.outdated
 }
 
-// beginLocked takes the slot and returns the task that gives the orders.
+// beginLoadLocked reserves the slot and returns the task that sends the orders.
 func (l *Loader) beginLoadLocked(o *ownedEndpoint, a topology.Adapter, version int64, cold bool, now time.Time) func(context.Context) {
 	s := o.slots[a]
 	if s == nil {
@@ -120,9 +120,9 @@
 	return func(ctx context.Context) { l.runLoad(ctx, o, claim, a) }
 }
 
-// finish orders the load and repeats the order until the endpoint says that it
-// holds the adapter; a repeated order changes nothing at the endpoint. The load's time
-// counts from when the endpoint began it.
+// runLoad sends the load order and repeats it until the endpoint responds that the adapter
+// is loaded; orders are idempotent. The load time is measured from when the endpoint
+// accepted the order.
 func (l *Loader) runLoad(ctx context.Context, o *ownedEndpoint, claim int, a topology.Adapter) {
 	s, version, expected := l.slotOf(o, a)
 	if s == nil {
@@ -154,22 +154,23 @@
 			return
 		}
 	}
-	l.requestReclaim(o, claim, "a load did not end")
+	l.requestReclaim(o, claim, "load timed out")
 }
 
-// nextLook is when a load is asked after again that began so long ago: when it would be
-// done if it came from memory, just before the quickest from the store, and then often.
-// A smoothed time would follow its own question upwards.
-func (l *Loader) nextPollDelay(s *slot, ago, expected time.Duration) time.Duration {
+// nextPollDelay returns when to poll a load that began so long elapsed: when it would be done if
+// it came from host memory, shortly before the fastest load from the store would be, and at
+// short intervals from then on. The schedule does not depend on the smoothed load time, since
+// late polls would increase the measured times and so delay the next polls further.
+func (l *Loader) nextPollDelay(s *slot, elapsed, expected time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	quickest := l.loadLimiter.fastestLoad() * 9 / 10
 	switch {
-	case ago < firstPollDelay:
-		return firstPollDelay - ago
-	case s.holdsPermit && ago < quickest:
-		return quickest - ago
-	case ago > outlierFactor*expected:
+	case elapsed < firstPollDelay:
+		return firstPollDelay - elapsed
+	case s.holdsPermit && elapsed < quickest:
+		return quickest - elapsed
+	case elapsed > outlierFactor*expected:
 		return maxPollInterval
 	}
 	return pollInterval
@@ -185,10 +186,10 @@
 	return s, s.version, s.expectedLoadTime
 }
 
-// errLost says that the endpoint is no longer owned as it was when the task began.
-var errNotOwner = errors.New("placement: the endpoint is not owned any more")
+// errNotOwner means that the claim under which the task began has ended.
+var errNotOwner = errors.New("placement: endpoint is no longer owned under this claim")
 
-// order gives one order under the endpoint's fence, and handles refusals.
+// sendOrder sends an order with the endpoint's fence and handles failures and refusals.
 func (l *Loader) sendOrder(ctx context.Context, o *ownedEndpoint, claim int, d Order) (Outcome, error) {
 	e, fence, owns := l.beginOrder(o, claim)
 	if !owns {
@@ -201,16 +202,17 @@
 	l.endOrder(o, claim, d, out, err)
 	switch {
 	case err != nil:
-		l.requestReclaim(o, claim, "an order got no answer: "+err.Error())
+		l.requestReclaim(o, claim, "order got no response: "+err.Error())
 	case out == Fenced:
 		l.yieldOwnership(o, owning, d.Fence)
 	case out == Misdirected:
-		l.requestReclaim(o, claim, "another endpoint has the address")
+		l.requestReclaim(o, claim, "another instance or service has the address")
 	}
 	return out, err
 }
 
-// loaded notes that an adapter is ready; begun is zero when it was so already.
+// finishLoad marks an adapter as ready; begun is zero when the first response said that it
+// was loaded already.
 func (l *Loader) finishLoad(o *ownedEndpoint, a topology.Adapter, s *slot, begun, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,7 +223,7 @@
 		begun = now
 	}
 	l.recordLoadTimeLocked(s, now.Sub(begun), now)
-	s.ready, s.lastUsed, s.lastAnnounced = true, now, now // who waited for it is told now
+	s.ready, s.lastUsed, s.lastAnnounced = true, now, now // the waiting requests are answered now
 	o.loadsInFlight--
 	o.refusals = 0
 	s.notifyWaiters()
@@ -231,7 +233,7 @@
 		"took_ms", now.Sub(begun).Milliseconds(), "pace", l.loadLimiter.limit, "fence", o.fence)
 }
 
-// abandon ends a load that will not be.
+// abortLoad drops a load that the endpoint refused.
 func (l *Loader) abortLoad(o *ownedEndpoint, claim int, a topology.Adapter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,7 +241,7 @@
 	if s == nil || o.claims != claim {
 		return
 	}
-	l.Log.Info("Load is given up", "adapter", a.String(), "endpoint", o.endpoint.ID())
+	l.Log.Info("Load aborted: endpoint refused the order", "adapter", a.String(), "endpoint", o.endpoint.ID())
 	l.releasePermitLocked(s, 0, clock.Now())
 	s.notifyWaiters()
 	delete(o.slots, a)
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -15,62 +15,63 @@
 	"github.com/go-logr/logr"
 )
 
-// Loader decides for the endpoints that it owns. Set the exported fields before
+// Loader places adapters on the endpoints that it owns. Set the exported fields before
 // Run.
 type Loader struct {
 	Box     string
 	View    *topology.View
 	Control Control
-	Limits  func() RateLimits // of the weight store, by the settings in force
+	Limits  func() RateLimits // of the weight store, by the current settings
 	Log     logr.Logger
 
-	// Publish tells all boxes what an endpoint holds. Versions rise over all owners.
+	// Publish announces to all boxes what an endpoint holds. Versions increase across owners.
 	Publish func(endpoint string, version uint64, held map[topology.Adapter]topology.Held)
-	// Fences makes this box's fences.
+	// Fences generates this box's fences.
 	Fences *Fences
-	// Owns tells whether this box gives orders to the endpoint by its view of now, and
-	// from when on it may.
+	// Owns reports whether this box owns the endpoint by its cluster view at now, and from
+	// when on it may claim it.
 	Owns func(e *topology.Endpoint, now time.Time) (bool, time.Time)
-	// Leaders returns how many boxes give orders.
+	// Leaders returns the number of boxes that lead a data centre.
 	Leaders func() int
-	// Reads returns how long an endpoint takes to read so many tokens of prompts, as it
-	// was seen lately.
+	// PrefillTime returns how long an endpoint takes to prefill a number of prompt tokens, as
+	// measured recently.
 	PrefillTime func(tokens int) time.Duration
-	// AskToResign asks the boxes that leave and may have given an endpoint its orders to resign
-	// from it. Where none did and one did not answer, that one may give orders for so long.
-	// Nobody leaves: nothing, at once.
+	// AskToResign asks the leaving boxes that may own an endpoint to resign from it. When none
+	// did and one did not answer, that box may give orders for the returned duration. Without
+	// leaving boxes it returns zero values at once.
 	AskToResign func(ctx context.Context, e *topology.Endpoint) (Handover, time.Duration)
-	// Room returns what an endpoint takes that may name a limit; nil: none does.
+	// Headroom returns the remaining capacity of an endpoint that announces a rate limit; nil: no
+	// endpoint does.
 	Headroom func(endpoint string, now time.Time) ratelimit.Room
-	// Lease is how long two boxes that both think that they own an endpoint must not take
-	// turns; a refused one keeps away for somewhat longer.
+	// Lease is the ownership lease. A box whose claim was refused retries after somewhat longer,
+	// so that two boxes that both consider themselves owner do not alternate.
 	Lease func() time.Duration
 
 	mu                 sync.Mutex
 	owned              map[string]*ownedEndpoint // by endpoint
 	pendingLoads       map[placementKey]*pendingLoad
 	requestRates       map[topology.Adapter]*policy.Popularity
-	modelLoadBucket    tokenBucket       // of loads of base models
-	loadLimiter        loadLimiter       // of loads of adapters
-	inFlight           inFlightTable     // requests under way, as boxes tell
-	idleTransitions    policy.Popularity // adapters that came to rest
-	meanWorth          map[int]float64   // by priority, smoothed over the requests that asked
+	modelLoadBucket    tokenBucket       // limits loads of base models
+	loadLimiter        loadLimiter       // limits loads of adapters
+	inFlight           inFlightTable     // requests in progress, as reported by the boxes
+	idleTransitions    policy.Popularity // adapters that became idle
+	meanWorth          map[int]float64   // by priority, smoothed over recent requests
 	coldLoadTime       time.Duration     // smoothed time of a load from the store
-	warmLoadTime       time.Duration     // smoothed time of a load from an endpoint's memory
-	cacheSize          int               // adapters that an endpoint's memory keeps, as learnt from loads
-	minLoadCost        time.Duration     // what a load costs here at least, as of levelAt
+	warmLoadTime       time.Duration     // smoothed time of a load from an endpoint's host memory
+	cacheSize          int               // estimated number of adapters that an endpoint's host memory caches
+	minLoadCost        time.Duration     // cost of a load at the cheapest endpoint, as of minLoadCostAt
 	minLoadCostKnown   bool
 	minLoadCostAt      time.Time
-	ownershipCheckedAt time.Time // when what is owned was last looked at
-	nextClaimAt        time.Time // when the first of the endpoints that wait may be claimed; zero: none waits
-	queue              []rank    // of the loads from the store that are wanted, the first one first, as of the last look
+	ownershipCheckedAt time.Time
+	nextClaimAt        time.Time // when the next endpoint may be claimed; zero: no claim is scheduled
+	queue              []rank    // ranks of the pending loads from the store, highest first, as of the last ranking
 	wake               chan struct{}
-	startedAt          time.Time // when this box began to look at what it owns
-	leavingSince       time.Time // when this box began to leave; zero: it has not
+	startedAt          time.Time // time of the first ownership check
+	leavingSince       time.Time // zero: not leaving
 	initOnce           sync.Once
 }
 
-// Init makes the loader ready for calls before Run.
+// Init prepares the loader for calls before Run.
 func (l *Loader) Init() {
 	l.initOnce.Do(func() {
 		l.owned = make(map[string]*ownedEndpoint)
@@ -90,13 +91,13 @@
 }
 
 const (
-	ownershipInterval = 100 * time.Millisecond // between two looks at what is owned
-	queueInterval     = 25 * time.Millisecond  // between two looks at the queue while it is not empty
-	minStepInterval   = 5 * time.Millisecond   // at least between two steps: what comes meanwhile is looked at together
-	stepPauseFactor   = 10                     // times as long as a step took is the next one's pause: a long queue must not take the whole processor
+	ownershipInterval = 100 * time.Millisecond // between ownership checks
+	queueInterval     = 25 * time.Millisecond  // between steps while loads are queued
+	minStepInterval   = 5 * time.Millisecond   // between steps, so that events in between are handled together
+	stepPauseFactor   = 10                     // pause after a step, in multiples of its duration: a long queue must not take the whole processor
 )
 
-// Run claims and drops endpoints as the view changes and starts loads, until ctx
+// Run claims and drops endpoints as the cluster view changes and starts loads, until ctx
 // ends.
 func (l *Loader) Run(ctx context.Context) error {
 	l.Init()
@@ -109,7 +110,7 @@
 			ended <- struct{}{}
 		}()
 	}
-	var nextStep time.Time // not before it
+	var nextStep time.Time // earliest time of the next step
 	next := time.NewTimer(ownershipInterval)
 	defer next.Stop()
 	for ctx.Err() == nil {
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// Look makes Run look soon at what this box owns.
+// RefreshOwnership makes Run check soon which endpoints this box owns.
 func (l *Loader) RefreshOwnership() {
 	l.Init()
 	l.mu.Lock()
@@ -143,11 +144,11 @@
 	l.wakeUp()
 }
 
-// nudge makes Run look at the queue soon.
+// wakeUp makes Run start a step soon.
 func (l *Loader) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it will look anyway
+	default: // a wake-up is pending already
 	}
 }
 
@@ -164,7 +165,7 @@
 	return pause
 }
 
-// step returns what is to be done now.
+// step updates the state and returns the tasks to start.
 func (l *Loader) step(now time.Time) []func(context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -184,7 +185,7 @@
 	return append(tasks, l.startLoadsLocked(now)...)
 }
 
-// engine returns what an endpoint's service can do; nil when it runs no models.
+// engineSpec returns the engine of an endpoint's service; nil when it runs no models.
 func (l *Loader) engineSpec(e *topology.Endpoint) *topology.EngineSpec {
 	c := l.View.Config()
 	if c == nil {
@@ -197,7 +198,8 @@
 	return s.Engine()
 }
 
-// shareLocked sets this box's share of the store's rate by the endpoints owned.
+// updateRateShareLocked sets this box's share of the store's load rate in proportion to the
+// endpoints that it owns.
 func (l *Loader) updateRateShareLocked() {
 	all, mine, whole := 0, 0, 0.0
 	for _, e := range l.View.All() {
@@ -224,7 +226,7 @@
 	r.Add(n, now, requestRateHalfLife)
 }
 
-// rateLocked returns requests a second for an adapter.
+// requestRateLocked returns requests per second for an adapter.
 func (l *Loader) requestRateLocked(a topology.Adapter, now time.Time) float64 {
 	r := l.requestRates[a]
 	if r == nil {
@@ -233,7 +235,8 @@
 	return r.Rate(now, requestRateHalfLife)
 }
 
-// publishLocked tells all boxes what an endpoint holds.
+// publishLocked announces to all boxes what an endpoint holds; adapters being evicted are
+// left out.
 func (l *Loader) publishLocked(o *ownedEndpoint) {
 	held := make(map[topology.Adapter]topology.Held, len(o.slots))
 	for a, s := range o.slots {
--- a/placement/loadtime.go
+++ b/placement/loadtime.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	warmThresholdTenths = 6 // tenths of the quickest load from the store: what is quicker came from memory
-	loadTimeSmoothing   = 8 // weight of the past against one new load time
-	outlierFactor       = 2 // times the smoothed time that one load may count
+	warmThresholdTenths = 6 // tenths of the fastest load from the store: a load that took less came from host memory
+	loadTimeSmoothing   = 8 // weight of the past values against one new load time
+	outlierFactor       = 2 // one load counts for at most this many times the smoothed time
 )
 
-// timeLocked learns from how long a load took. One that was thought to come from the
-// store and was far quicker came from the endpoint's memory, which a new owner does
-// not know of; it says nothing of the store.
+// recordLoadTimeLocked updates the load-time estimates with a completed load. A load that
+// was expected from the store and took far less came from the endpoint's host memory, whose
+// contents a new owner does not know; it says nothing about the store.
 func (l *Loader) recordLoadTimeLocked(s *slot, took time.Duration, now time.Time) {
 	l.updateCacheSizeLocked(s, took)
 	if s.holdsPermit && took < l.loadLimiter.fastestLoad()*warmThresholdTenths/10 {
@@ -32,7 +32,8 @@
 	l.releasePermitLocked(s, took, now)
 }
 
-// isWarmLocked tells whether an endpoint's memory keeps an adapter that it held lately.
+// isWarmLocked reports whether an adapter that an endpoint held recently is expected to be in
+// its host memory.
 func (l *Loader) isWarmLocked(o *ownedEndpoint, a topology.Adapter) bool {
 	if o == nil {
 		return false
@@ -41,8 +42,8 @@
 	return known && since < l.cacheSize
 }
 
-// rememberLocked learns from how long a load took how many adapters an endpoint's memory
-// keeps: one that had left so many times ago was there still, or was not.
+// updateCacheSizeLocked estimates how many adapters an endpoint's host memory caches: the load
+// time shows whether an adapter was still cached after evictionsSince further evictions.
 func (l *Loader) updateCacheSizeLocked(s *slot, took time.Duration) {
 	if !s.heldBefore {
 		return
@@ -55,7 +56,7 @@
 	}
 }
 
-// unpaceLocked ends a load for the pace; took is zero when it did not succeed.
+// releasePermitLocked releases the load's permit; took is zero when the load did not succeed.
 func (l *Loader) releasePermitLocked(s *slot, took time.Duration, now time.Time) {
 	if s.holdsPermit {
 		s.holdsPermit = false
--- a/placement/model.go
+++ b/placement/model.go
@@ -10,12 +10,12 @@
 	"cairnwick.example/topology"
 )
 
-// modelMost is after how long a base model that was ordered counts as lost: weights
-// take seconds.
+// modelLoadTimeout is the time after which the load of a base model counts as lost: base models
+// take seconds to load.
 const modelLoadTimeout = 30 * time.Second
 
-// modelsLocked gives endpoints that hold no base model, as after a restart, the one
-// that the fewest endpoints hold. Base models count for the store's rate.
+// startModelLoadsLocked gives each endpoint without a base model, as after a restart, the one
+// that the fewest endpoints hold. Loads of base models count towards the store's rate.
 func (l *Loader) startModelLoadsLocked(now time.Time) []func(context.Context) {
 	var tasks []func(context.Context)
 	for _, o := range l.owned {
@@ -28,14 +28,14 @@
 		}
 		o.loadingModel = true
 		claim := o.claims
-		l.Log.Info("Base model is ordered", "model", m, "endpoint", o.endpoint.ID(), "fence", o.fence)
+		l.Log.Info("Base model load begins", "model", m, "endpoint", o.endpoint.ID(), "fence", o.fence)
 		tasks = append(tasks, func(ctx context.Context) { l.loadModel(ctx, o, claim, m) })
 	}
 	return tasks
 }
 
-// rarestModel returns the base model that fits and that the fewest endpoints hold;
-// empty when none fits.
+// rarestModel returns the base model that fits the endpoint's memory and that the fewest
+// endpoints hold; empty when none fits.
 func (l *Loader) rarestModel(o *ownedEndpoint) string {
 	g := l.engineSpec(o.endpoint)
 	if g == nil {
@@ -59,7 +59,7 @@
 	return best
 }
 
-// fetchModel orders a base model and repeats the order until the endpoint holds it.
+// loadModel orders a base model and repeats the order until the endpoint holds it.
 func (l *Loader) loadModel(ctx context.Context, o *ownedEndpoint, claim int, model string) {
 	begun := clock.Now()
 	for clock.Since(begun) < modelLoadTimeout {
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	l.requestReclaim(o, claim, "a base model was not loaded")
+	l.requestReclaim(o, claim, "base model load failed")
 }
 
 func (l *Loader) finishModelLoad(o *ownedEndpoint, claim int, model string, took time.Duration) {
--- a/placement/ownership.go
+++ b/placement/ownership.go
@@ -11,60 +11,60 @@
 	"cairnwick.example/topology"
 )
 
-// phase is how far an endpoint's owner is.
+// phase is the state of this box's ownership of an endpoint.
 type phase int
 
 const (
-	claiming phase = iota + 1 // what it holds is being learnt
-	owning
-	yielded  // another box owns it; wait before claiming it again
-	resigned // this box leaves, and has told the next owner what it holds
+	claiming phase = iota + 1 // learning what the endpoint holds
+	owning                    // giving orders
+	yielded                   // another box owns it; backing off before the next claim
+	resigned                  // this box is leaving and has handed the endpoint over
 )
 
-// owned is one endpoint that this box gives orders to. Guarded by Loader.mu.
+// ownedEndpoint is an endpoint that this box owns or is claiming. Guarded by Loader.mu.
 type ownedEndpoint struct {
 	endpoint        *topology.Endpoint
 	phase           phase
-	since           time.Time // of the phase
-	fence           uint64    // the last one that the endpoint was shown
-	refusals        int       // fences refused in a row
-	publications    uint64    // publications so far
+	since           time.Time // start of the phase
+	fence           uint64    // the last one shown to the endpoint
+	refusals        int       // consecutive refused fences
+	publications    uint64    // count of publications
 	slots           map[topology.Adapter]*slot
-	loadsInFlight   int               // loads on their way
-	announcedTokens policy.Popularity // tokens of prompts that boxes were told to send here and have not told of
-	waitingTokens   int               // tokens of prompts that wait for loads here
-	queuedLoads     int               // loads that wait for a slot here, as of the last look
-	needsReclaim    bool              // what it holds must be learnt anew
+	loadsInFlight   int               // loads in progress
+	announcedTokens policy.Popularity // prompt tokens that boxes were told to send here and have not reported yet
+	waitingTokens   int               // prompt tokens of requests that wait for loads here
+	queuedLoads     int               // loads that wait for a slot here, as of the last ranking
+	needsReclaim    bool              // a new claim is needed to learn what it holds
 	models          map[string]bool   // base models that it holds
-	loadingModel    bool              // a base model is on its way
-	claims          int               // how often this box learnt what it holds; tasks of earlier claims stop
-	handedOver      bool              // what it holds was told by the owner before, as of the last claim
-	ordersInFlight  int               // orders that it has not answered
-	ordersDone      chan struct{}     // closed when it has; nil: nobody waits
-	endedUntil      time.Time         // a box found that it ended: it is not used until then, by which its entry has lapsed
-	stateUncertain  bool              // an order got no answer since the last claim, or another owner's stands
+	loadingModel    bool              // a base model is being loaded
+	claims          int               // completed claims; tasks of earlier ones stop
+	handedOver      bool              // the last claim used a handover from the previous owner, without a report
+	ordersInFlight  int               // orders without a response yet
+	ordersDone      chan struct{}     // closed when ordersInFlight reaches zero; nil: nobody waits
+	endedUntil      time.Time         // a box observed that the endpoint ended; it is not used until then, when its entry has expired
+	stateUncertain  bool              // since the last claim an order got no response or another owner was noticed
 }
 
-// slot is one adapter that takes room at an endpoint.
+// slot is an adapter that occupies a slot of an endpoint.
 type slot struct {
 	version          int64
 	ready            bool
 	evicting         bool          // boxes are told not to use it; it will be unloaded
-	evictionBegan    time.Time     // with leaving: since when
-	unloading        bool          // with leaving: the endpoint was ordered to unload it
-	outdated         bool          // a newer version of it is wanted
-	holdsPermit      bool          // the load under way counts for the pace
-	done             chan struct{} // closed when the load under way ended, well or not
-	loadBegan        time.Time     // of the load
-	evictionsSince   int           // with remembered: how many adapters left the endpoint since this one did, before the load
-	heldBefore       bool          // it left the endpoint before
-	expectedLoadTime time.Duration // of the load
+	evictionBegan    time.Time     // set while evicting
+	unloading        bool          // set while evicting: the unload order may have been sent
+	outdated         bool          // a newer version is needed
+	holdsPermit      bool          // the load in progress holds a permit of the load limiter
+	done             chan struct{} // closed when the load in progress has ended, successfully or not
+	loadBegan        time.Time
+	evictionsSince   int  // with heldBefore: how many adapters were evicted from the endpoint between this one's eviction and its load
+	heldBefore       bool // the endpoint held it before
+	expectedLoadTime time.Duration
 	lastUsed         time.Time
-	lastAnnounced    time.Time // when a box was last told that it is ready, besides by what is published
+	lastAnnounced    time.Time // when a box was last told that it is ready, publications aside
 }
 
-// ownLocked follows the view: endpoints that are this box's are claimed, others
-// dropped.
+// updateOwnershipLocked follows the cluster view: it claims the endpoints that this box should
+// own and drops the others.
 func (l *Loader) updateOwnershipLocked(now time.Time) []func(context.Context) {
 	if l.startedAt.IsZero() {
 		l.startedAt = now
@@ -102,8 +102,8 @@
 	return tasks
 }
 
-// followLocked takes what is published of an endpoint. Those who wait for a load at
-// one that begins to leave are told, so that they go elsewhere.
+// updateEndpointLocked updates an endpoint to its published state. When it starts draining,
+// requests that wait for loads there are re-evaluated, so that they go elsewhere.
 func (l *Loader) updateEndpointLocked(o *ownedEndpoint, e *topology.Endpoint) {
 	leaves := e.Draining() && !o.endpoint.Draining()
 	o.endpoint = e
@@ -116,7 +116,7 @@
 	}
 }
 
-// dropLocked stops giving orders to an endpoint; those who wait are answered.
+// dropLocked stops giving orders to an endpoint; waiting requests are answered.
 func (l *Loader) dropLocked(o *ownedEndpoint) {
 	if o == nil {
 		return
@@ -127,7 +127,7 @@
 	l.Fences.Advance()
 }
 
-// forgetLocked ends every wait for an endpoint and forgets what it holds.
+// resetStateLocked ends every wait for an endpoint and discards what is known to be loaded.
 func (l *Loader) resetStateLocked(o *ownedEndpoint) {
 	l.cancelPendingLoadsLocked(o.endpoint.ID())
 	for _, s := range o.slots {
@@ -137,7 +137,7 @@
 	o.slots = make(map[topology.Adapter]*slot)
 }
 
-// endWantsLocked ends every wait for a load at an endpoint that has not begun.
+// cancelPendingLoadsLocked cancels the loads at an endpoint that have not begun.
 func (l *Loader) cancelPendingLoadsLocked(endpoint string) {
 	for k, w := range l.pendingLoads {
 		if k.endpoint == endpoint {
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -14,26 +14,26 @@
 	"cairnwick.example/topology"
 )
 
-// wantKey is an adapter that requests need at an endpoint.
+// placementKey identifies an adapter at an endpoint.
 type placementKey struct {
 	endpoint string
 	adapter  topology.Adapter
 }
 
-// want is an adapter that requests asked for and that is not loaded. Guarded by
+// pendingLoad is a load that requests asked for and that has not begun. Guarded by
 // Loader.mu.
 type pendingLoad struct {
 	version          int64
-	demand           policy.Popularity // requests that asked in vain, fading; a caller's return counts less
-	remoteRequests   float64           // requests that another data centre served: a copy would save their way
-	lastRequested    time.Time         // when it was asked for last
-	deadline         time.Time         // loaded by then, somebody who waited is answered in time
-	queuedAhead      int               // loads that wait for a slot of the endpoint and go first, as of the last look
-	waiting          int               // requests that are held for it
-	unservedRequests int               // requests that asked for it in vain
-	copiesRequested  int               // copies that were asked for because of them
-	isCopy           bool              // it is a copy, for this endpoint and no other
-	done             chan struct{}     // closed when the load has begun or will not
+	demand           policy.Popularity // requests that were not served, decaying; a retry counts less
+	remoteRequests   float64           // requests served by another data centre: a local copy would save that traffic
+	lastRequested    time.Time         // time of the last request for it
+	deadline         time.Time         // when loaded by then, at least one waiting request is answered in time
+	queuedAhead      int               // loads queued ahead of it for a slot of the endpoint, as of the last ranking
+	waiting          int               // requests that wait for it
+	unservedRequests int               // requests that asked for it and were not served
+	copiesRequested  int               // additional copies requested because of them
+	isCopy           bool              // it is an additional copy, for this endpoint only
+	done             chan struct{}     // closed when the load has begun or is cancelled
 	ended            bool
 }
 
@@ -44,25 +44,25 @@
 	}
 }
 
-// claimTime is how long it usually takes a new owner to learn what an endpoint
+// typicalClaimTime is how long a new owner usually takes to learn what an endpoint
 // holds.
 const typicalClaimTime = reportLag + 200*time.Millisecond
 
-// waiter is one request that needs an adapter.
+// waiter is a request that needs an adapter.
 type waiter struct {
 	forward.Wanted
 
 	requestedAt time.Time
-	counted     bool           // it was counted before
-	target      *ownedEndpoint // where it waits for a load; nil: nowhere
-	pending     *pendingLoad   // the load that it counts as waiting for; nil: none
+	counted     bool           // its demand has been counted
+	target      *ownedEndpoint // the endpoint at which it waits for a load; nil: none
+	pending     *pendingLoad   // the load in whose waiting count it is included; nil: none
 }
 
-// avoids tells whether an endpoint can't serve the request. Without it who asks for an adapter would be
-// brought back to the endpoint that holds it and has just turned the request away.
+// avoids reports whether an endpoint can't serve the request. Without this check a request
+// would be sent back to the endpoint that holds the adapter and has just refused it.
 func (w *waiter) avoids(endpoint string) bool { return slices.Contains(w.Avoid, endpoint) }
 
-// queued is how much of the wait passed before the load began.
+// queueTime returns the part of the wait that passed before the load began.
 func (w *waiter) queueTime(s *slot) time.Duration {
 	if !w.counted || s.loadBegan.Before(w.requestedAt) {
 		return 0
@@ -70,10 +70,10 @@
 	return s.loadBegan.Sub(w.requestedAt)
 }
 
-// Want implements forward.Placer for the endpoints of this box. A request waits as long as
-// its load is expected while that is of use to its caller. What is expected changes with
-// what else is wanted, so it is looked at again and again; as soon as it comes too late the
-// caller is told when to come back instead.
+// Want implements forward.Placer for the endpoints of this box. A request waits while its
+// load is expected to complete in time to be useful to the caller. The expectation changes with
+// the other pending loads, so it is re-evaluated periodically; when the load would come too
+// late, the caller is told when to retry instead.
 func (l *Loader) Want(ctx context.Context, w forward.Wanted) (forward.Placed, error) {
 	l.Init()
 	now := clock.Now()
@@ -81,7 +81,7 @@
 	for q := (&waiter{Wanted: w, requestedAt: now}); ; q.counted = true {
 		p, wait := l.tryPlace(q, clock.Now(), limit)
 		if wait == nil {
-			l.Log.V(1).Info("Adapter was asked for", "request", w.Request, "adapter", w.Adapter.String(),
+			l.Log.V(1).Info("Adapter requested", "request", w.Request, "adapter", w.Adapter.String(),
 				"endpoint", w.Endpoint.ID(), "ready", p.Ready, "reason", p.Reason, "retry_ms", p.Retry.Milliseconds())
 			return p, nil
 		}
@@ -99,11 +99,11 @@
 	}
 }
 
-// lookAgain is how soon a request that waits is looked at again. A caller that is refused
-// late loses more; a look costs some microseconds.
+// recheckInterval is how often a waiting request is re-evaluated. A late refusal costs
+// the caller more than the few microseconds that a re-evaluation takes.
 const recheckInterval = 100 * time.Millisecond
 
-// giveUp notes that a request waits no more.
+// cancelWait removes a request that no longer waits.
 func (l *Loader) cancelWait(w *waiter) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,8 +111,8 @@
 	w.leaveQueue()
 }
 
-// leave ends the wait for a load that has not begun: one for which nobody waits any more
-// goes behind the others.
+// leaveQueue ends the wait for a load that has not begun: a load without waiting requests
+// ranks lower.
 func (w *waiter) leaveQueue() {
 	if w.pending != nil {
 		w.pending.waiting--
@@ -120,7 +120,7 @@
 	}
 }
 
-// look answers a request now, or returns what to wait for.
+// tryPlace answers a request, or returns a channel to wait on.
 func (l *Loader) tryPlace(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +134,7 @@
 	return p, wait
 }
 
-// lookLocked answers a request, or returns what to wait for and the endpoint of the load.
+// tryPlaceLocked answers a request, or returns a channel to wait on and the endpoint of the load.
 func (l *Loader) tryPlaceLocked(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}, *ownedEndpoint) {
 	o := l.owned[w.Endpoint.ID()]
 	if o == nil || o.phase != owning {
@@ -163,14 +163,14 @@
 	} else if !w.Denied {
 		o = l.chooseEndpointLocked(w.Adapter, o, w.Avoid, now)
 	}
-	if !o.isAvailable(now) { // no other one of the data centre does: those elsewhere may
+	if !o.isAvailable(now) { // no endpoint of this data centre is available; one in another data centre may be
 		return forward.Placed{Settling: true, Retry: o.endedUntil.Sub(now), Reason: "the endpoint ended"}, nil, nil
 	}
 	answer, done := l.enqueueLocked(o, w, now, limit)
 	return answer, done, o
 }
 
-// settledInLocked is when this box will give an endpoint orders, as far as it is known.
+// settleDelayLocked estimates when this box will give orders to an endpoint.
 func (l *Loader) settleDelayLocked(e *topology.Endpoint, o *ownedEndpoint, now time.Time) time.Duration {
 	claims := now
 	switch {
@@ -184,14 +184,14 @@
 		claims = o.since
 	}
 	left := claims.Add(typicalClaimTime).Sub(now)
-	if left <= 0 { // it takes longer than usual
+	if left <= 0 { // the claim takes longer than usual
 		left = typicalClaimTime
 	}
 	return left + retryMargin
 }
 
-// await lets a request wait when that will be over by limit, and else says when to
-// come back.
+// waitOrRetry lets a request wait when the wait ends before limit, and otherwise returns
+// when to retry.
 func (l *Loader) waitOrRetry(left time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.Placed, <-chan struct{}) {
 	left = max(left, 0)
 	if now.Add(left).Before(limit) {
@@ -200,14 +200,14 @@
 	return forward.Placed{Retry: left + retryMargin, Reason: reason}, nil
 }
 
-// enqueueLocked notes that an adapter is wanted, and lets the request wait when the
-// load will be done by limit.
+// enqueueLocked records that an adapter is needed, and lets the request wait when the
+// load will complete before limit.
 func (l *Loader) enqueueLocked(o *ownedEndpoint, w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
 	key := placementKey{endpoint: o.endpoint.ID(), adapter: w.Adapter}
 	q := l.pendingLoads[key]
 	if q == nil {
 		if s := o.slots[w.Adapter]; s != nil && w.Denied {
-			s.ready = false // until the endpoint has said again that it holds it
+			s.ready = false // until the endpoint confirms again that it holds the adapter
 		}
 		q = &pendingLoad{done: make(chan struct{})}
 		l.pendingLoads[key] = q
@@ -240,26 +240,27 @@
 	return p, done
 }
 
-// aheadOfLocked is how long a load waits behind those that go first, by the last look at
-// the queue.
+// queueDelayLocked returns how long a load waits behind those ranked ahead of it, as of the
+// last ranking of the queue.
 func (l *Loader) queueDelayLocked(key placementKey, q *pendingLoad, now time.Time) time.Duration {
 	own := l.rankLocked(key, q, now)
 	n := sort.Search(len(l.queue), func(i int) bool { return !l.queue[i].before(own) })
 	return l.loadLimiter.queueDelay(n, l.coldLoadTime)
 }
 
+// Weights by which requests count towards the score of a pending load.
 const (
-	activeWeight        = 1.0 // requests that one who is there or comes back counts as besides
-	minUnattendedDemand = 1.6 // owed requests from which a load is made though nobody waits: more than one caller and its return
-	waitingWeight       = 1.0 // requests that one held request counts as besides: what was promised goes first
-	retryWeight         = 0.5 // part that the return of a refused caller counts for: the adapter is not wanted by more
-	minRequestWeight    = 0.7 // of the smallest request against a mean one: size orders what was asked for as often
-	maxRequestWeight    = 1.5 // of the largest
-	worthSmoothing      = 64  // requests over which the mean is smoothed
+	activeWeight        = 1.0 // added while a request waits or its caller may still retry
+	minUnattendedDemand = 1.6 // unmet demand from which a load begins although no request waits: more than one caller and its retry
+	waitingWeight       = 1.0 // added for each waiting request: it was promised the load
+	retryWeight         = 0.5 // share that a retry of a refused caller counts for: demand has not grown
+	minRequestWeight    = 0.7 // of the smallest request relative to a mean one: size orders adapters that are requested equally often
+	maxRequestWeight    = 1.5 // of the largest request
+	worthSmoothing      = 64  // requests over which the mean worth is smoothed
 )
 
-// askWeightLocked is how much a request counts that asked in vain: the more work it
-// stands for, against others as urgent, the more is lost with it.
+// requestWeightLocked returns how much an unserved request counts: more the more work it
+// represents compared to others of its priority.
 func (l *Loader) requestWeightLocked(w forward.Wanted) float64 {
 	if w.Worth <= 0 {
 		return 1
@@ -277,18 +278,17 @@
 	return weight
 }
 
-// spare tells whether the load would only be a copy: it goes behind all that nobody
-// serves.
+// isCopyOnly reports whether the load would only be an additional copy: it ranks behind all
+// loads with unmet demand.
 func (w *pendingLoad) isCopyOnly(now time.Time) bool {
 	return w.unmetDemand(now) == 0 && w.waiting == 0
 }
 
-// owed is how many requests asked in vain, those of long ago counting less.
+// unmetDemand returns the decayed number of requests that were not served.
 func (w *pendingLoad) unmetDemand(now time.Time) float64 { return w.demand.Count(now, demandHalfLife) }
 
-// score ranks the loads that are wanted: by how many requests asked in vain since
-// the adapter was last loaded, so that none is passed over for ever, and by who
-// would be served by it at once.
+// score ranks pending loads by the unmet demand since the adapter was last loaded, so that
+// none starves, and by the requests that the load would serve at once.
 func (w *pendingLoad) score(now time.Time) float64 {
 	score := w.unmetDemand(now) + waitingWeight*float64(w.waiting)
 	if w.isActive(now) {
@@ -297,13 +297,13 @@
 	return score
 }
 
-// live tells whether somebody is held for the load or may still come back for it.
+// isActive reports whether a request waits for the load or its caller may still retry.
 func (w *pendingLoad) isActive(now time.Time) bool {
 	return w.waiting > 0 || now.Sub(w.lastRequested) <= retryWindow
 }
 
-// worthwhile tells whether the load serves somebody soon: who asked just now, or,
-// where several asked before, the next one.
+// isWorthwhile reports whether the load will be used soon: by a recent request or, after
+// several unserved ones, by the next.
 func (w *pendingLoad) isWorthwhile(now time.Time) bool {
 	return w.isActive(now) || w.unmetDemand(now) >= minUnattendedDemand
 }
--- a/placement/prefill.go
+++ b/placement/prefill.go
@@ -4,17 +4,17 @@
 
 import "time"
 
-// promisedHalf is the half-life of the tokens of prompts that boxes were told where to
-// send and of which they have not told yet: they do within some 25 ms.
+// announcedHalfLife is the half-life of the prompt tokens that boxes were told to send to an
+// endpoint and have not reported yet: boxes report within some 25 ms.
 const announcedHalfLife = 25 * time.Millisecond
 
-// readsLocked is how long an endpoint takes to read the prompts that wait there, those on
-// their way and those that wait for loads there too.
+// prefillDelayLocked returns how long an endpoint takes to prefill the prompts that wait there,
+// including those in transit and those that wait for loads there.
 func (l *Loader) prefillDelayLocked(o *ownedEndpoint, now time.Time) time.Duration {
 	return l.PrefillTime(l.inFlight.prefillTokens(o.endpoint.ID()) + int(o.announcedTokens.Count(now, announcedHalfLife)) + o.waitingTokens)
 }
 
-// waitAtLocked notes where a request waits for a load; nil: nowhere.
+// setWaitTargetLocked records at which endpoint a request waits for a load; nil: none.
 func (l *Loader) setWaitTargetLocked(w *waiter, o *ownedEndpoint) {
 	if w.target != nil {
 		w.target.waitingTokens -= w.Tokens
--- a/placement/rank.go
+++ b/placement/rank.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ranked is a load that is wanted, with its rank now.
+// rankedLoad is a pending load with its current rank.
 type rankedLoad struct {
 	key  placementKey
 	load *pendingLoad
 	rank rank
 }
 
-// rank orders the loads that are wanted.
+// rank orders pending loads.
 type rank struct {
-	timely bool // begun now, it ends in time for somebody who waits: what is late already waits for those
+	timely bool // begun now, it completes in time for a waiting request; loads that are too late anyway rank lower
 	score  float64
 }
 
-// before tells whether a load goes before one of another rank.
+// before reports whether a load of this rank goes before one of rank o.
 func (r rank) before(o rank) bool {
 	if r.timely != o.timely {
 		return r.timely
@@ -29,7 +29,7 @@
 	return r.score > o.score
 }
 
-// rankLocked returns the rank of a load that is wanted at an endpoint.
+// rankLocked returns the rank of a pending load at an endpoint.
 func (l *Loader) rankLocked(k placementKey, w *pendingLoad, now time.Time) rank {
 	load := l.coldLoadTime
 	if l.isWarmLocked(l.owned[k.endpoint], k.adapter) {
@@ -38,9 +38,9 @@
 	return rank{timely: w.waiting > 0 && !now.Add(load).After(w.deadline), score: w.score(now)}
 }
 
-// rankedLocked returns the loads that are wanted now, the most wanted first, and
-// forgets those that nobody asked for in a long time. Scores fade with time, and
-// thousands of loads may be remembered, so each is ranked once.
+// rankPendingLocked returns the worthwhile pending loads by descending rank, and drops those
+// that were not requested for demandRetention. Scores decay with time and there may be thousands
+// of pending loads, so each is ranked only once per call.
 func (l *Loader) rankPendingLocked(now time.Time) []rankedLoad {
 	var list []rankedLoad
 	for k, w := range l.pendingLoads {
--- a/placement/rate.go
+++ b/placement/rate.go
@@ -4,35 +4,34 @@
 
 import "time"
 
-// RateLimits is what the weight store allows over all endpoints.
+// RateLimits is what the weight store allows in total.
 type RateLimits struct {
-	Window    time.Duration // loads are counted over it
-	Overshoot float64       // of the rate, that a window may hold
-	Extra     float64       // loads besides
+	Window    time.Duration // over which loads are counted
+	Overshoot float64       // loads allowed per window, in multiples of the rate
+	Extra     float64       // loads allowed per window in addition
 }
 
-// DefaultRateLimits is for stores that say nothing of their limits.
+// DefaultRateLimits applies when the settings name no limits.
 var DefaultRateLimits = RateLimits{Window: 5 * time.Second, Overshoot: 1.1, Extra: 3}
 
-// overshootPart of what a window may hold beyond the rate is used all the time, the
-// rest by bursts.
+// sustainedShare is the part of the permitted overshoot that is used continuously; the rest
+// is left for bursts.
 const sustainedShare = 0.7
 
-// burstPart keeps the bursts of all leaders together below what a window may hold.
+// burstShare keeps the total of all leaders' bursts below what a window allows.
 const burstShare = 0.7
 
-// bucket is one leader's share of the store's rate. Each leader may load at its
-// fair share, so that nobody needs to agree with anybody; what the bursts of all
-// add up to stays within the overshoot.
+// tokenBucket limits one leader to its share of the store's rate. Shares are proportional, so
+// leaders need not coordinate; the total of their bursts stays within the overshoot.
 type tokenBucket struct {
 	limits     RateLimits
-	rate       float64 // loads a second
+	rate       float64 // loads per second
 	burst      float64
 	tokens     float64
 	refilledAt time.Time
 }
 
-// share sets the rate of the store and which part of it is this leader's.
+// setShare sets the store's rate and this leader's part of it.
 func (b *tokenBucket) setShare(rate, part float64, leaders int) {
 	slack := rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1) + b.limits.Extra
 	b.rate = rate * part * (1 + (b.limits.Overshoot-1)*sustainedShare)
@@ -46,7 +45,7 @@
 	b.refilledAt = now
 }
 
-// take takes one load at now.
+// take takes a token for one load, if there is one.
 func (b *tokenBucket) take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
--- a/placement/resign.go
+++ b/placement/resign.go
@@ -10,26 +10,26 @@
 	"cairnwick.example/topology"
 )
 
-// A box that leaves goes on with its endpoints until the next owner of each asks it to
-// resign. It then gives no order there any more and tells what the endpoint holds, so that
-// the next owner need not wait until a report is new enough: between the last order of the
-// one and the first of the other lie a few calls.
-
-// KeepMost is how long a box that leaves gives orders at most: three times as long as the
-// news that it leaves takes to the next owner, by the time between two heartbeats. Where that
-// one can't ask, it waits for so long, so that the two do not take turns.
+// A leaving box keeps giving orders to its endpoints until the next owner of each asks it to
+// resign. It then stops and hands over what the endpoint holds, so that the next owner need
+// not wait for a recent report: between the last order of one owner and the first order of
+// the next there are only a few calls.
+
+// HandoverTimeout is how long a leaving box keeps giving orders at most: three times as long as
+// the announcement that it leaves takes to reach the next owner with the next heartbeats.
+// A next owner that can't ask it waits for as long, so that the two do not alternate.
 const HandoverTimeout = time.Second
 
-// Handover is what a box tells of an endpoint to which it gives no orders any more.
+// Handover is a leaving box's final state of an endpoint.
 type Handover struct {
 	Inventory
 
-	Resigned bool   // it gave the last orders and knows what the endpoint holds; else the rest is empty
+	Resigned bool   // the box has sent its last order and knows what the endpoint holds; when false, the other fields are empty
 	Fence    uint64 // of its orders
 }
 
-// Leave ends the claims of this box: it gives orders only to the endpoints that it owns,
-// until others ask for them, and for KeepMost at most.
+// Leave ends this box's claims: from now on it gives orders only to the endpoints that it owns,
+// until other boxes ask for them, and for HandoverTimeout at most.
 func (l *Loader) Leave(now time.Time) {
 	l.Init()
 	l.mu.Lock()
@@ -38,7 +38,8 @@
 	l.pruneWhileLeavingLocked(now)
 }
 
-// keepLocked drops what a box that leaves does not own, or has owned for long enough.
+// pruneWhileLeavingLocked drops the endpoints that a leaving box does not own, and all of them
+// after HandoverTimeout.
 func (l *Loader) pruneWhileLeavingLocked(now time.Time) {
 	for id, o := range l.owned {
 		e := l.View.Endpoint(id)
@@ -50,7 +51,7 @@
 	}
 }
 
-// Keeps tells whether this box leaves and still gives orders to an endpoint.
+// OrdersWhileLeaving reports whether this box is leaving and still gives orders to an endpoint.
 func (l *Loader) OrdersWhileLeaving(endpoint string) bool {
 	l.Init()
 	l.mu.Lock()
@@ -59,9 +60,9 @@
 	return !l.leavingSince.IsZero() && o != nil && o.phase == owning
 }
 
-// Resign ends this box's orders to an endpoint for good, when it leaves. Those under way are
-// answered first, and the endpoint must still know no higher fence: then nobody has given it
-// other orders.
+// Resign ends this box's orders to an endpoint for good when the box is leaving. It waits for
+// orders in progress, and then checks that the endpoint has seen no higher fence: if so, no
+// other box has given it orders.
 func (l *Loader) Resign(ctx context.Context, endpoint string) Handover {
 	l.Init()
 	o, e, answered := l.stopOrders(endpoint)
@@ -76,12 +77,12 @@
 			return l.buildHandover(o)
 		}
 	}
-	l.Log.Info("Endpoint is left without a word of what it holds", "endpoint", endpoint, "fence", o.fence)
+	l.Log.Info("Resigned from endpoint without handing over its state", "endpoint", endpoint, "fence", o.fence)
 	return Handover{}
 }
 
-// endOrders begins no more orders to an endpoint. The channel closes when those under way
-// are answered; without an endpoint there is nothing to resign from.
+// stopOrders begins no more orders to an endpoint. The channel is closed when those in progress
+// are answered. The returned endpoint is nil when this box gives it no orders.
 func (l *Loader) stopOrders(endpoint string) (*ownedEndpoint, *topology.Endpoint, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,8 +100,8 @@
 	return o, o.endpoint, answered
 }
 
-// isHighest tells whether an endpoint knows no fence above one of this box, by an order that
-// changes nothing.
+// hasHighestFence checks, with an order that changes nothing, that an endpoint has seen no fence
+// above the given one of this box.
 func (l *Loader) hasHighestFence(ctx context.Context, e *topology.Endpoint, fence uint64) bool {
 	models := e.Models()
 	if len(models) == 0 {
@@ -112,8 +113,8 @@
 	return err == nil && out == Done
 }
 
-// handOver tells what an endpoint holds, unless that is not certain: an order got no answer,
-// or the endpoint unloads an adapter when its runs have ended.
+// buildHandover returns what an endpoint holds, unless that is uncertain: an order got no
+// response, a base model is being loaded, or an adapter is to be unloaded when its requests end.
 func (l *Loader) buildHandover(o *ownedEndpoint) Handover {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +136,7 @@
 	if !h.Resigned {
 		return Handover{}
 	}
-	l.Log.Info("Endpoint is handed over", "endpoint", o.endpoint.ID(), "fence", o.fence, "ready", len(h.Ready), "pending", len(h.Pending))
+	l.Log.Info("Endpoint handed over", "endpoint", o.endpoint.ID(), "fence", o.fence, "ready", len(h.Ready), "pending", len(h.Pending))
 	return h
 }
 
@@ -145,14 +146,14 @@
 	l.resetStateLocked(o)
 }
 
-// ordersLocked tells whether this box gives orders at all. One that leaves looks at what it
-// owns only now and then, and must have stopped when the next owner has waited.
+// mayOrderLocked reports whether this box may give orders at all. Ownership is checked only
+// periodically, but a leaving box must have stopped when the next owner has waited for it.
 func (l *Loader) mayOrderLocked(now time.Time) bool {
 	return l.leavingSince.IsZero() || now.Sub(l.leavingSince) < HandoverTimeout
 }
 
-// callBegins notes that an order is on its way to an endpoint that is still owned under the
-// claim with the number; what the endpoint holds may have changed since any other.
+// beginOrder registers an order to an endpoint that is still owned under the given claim. Under
+// a later claim the task's knowledge of what the endpoint holds may be outdated.
 func (l *Loader) beginOrder(o *ownedEndpoint, claim int) (*topology.Endpoint, uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,9 +164,9 @@
 	return o.endpoint, o.fence, owns
 }
 
-// callEnded notes an order's end. Of an endpoint that did not answer, or follows another
-// owner, this box no longer knows what it holds; a slot that is empty is known at once, as
-// its task may come too late for the next owner.
+// endOrder records the end of an order. After a missing response, or a sign of another owner,
+// this box no longer knows what the endpoint holds. An emptied slot is recorded here because the
+// task that unloads it may continue too late for a handover.
 func (l *Loader) endOrder(o *ownedEndpoint, claim int, d Order, out Outcome, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/placement/site.go
+++ b/placement/site.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	idleRateHalfLife = 2 * time.Second        // half-life of the rate at which slots come to rest
-	minIdleRate      = 0.2                    // of an endpoint's slots a second, where none came to rest lately: runs take up to some five seconds
-	maxSlotWait      = 10 * time.Second       // the longest wait that is expected of a full endpoint
-	minSlotWait      = 100 * time.Millisecond // the shortest
+	idleRateHalfLife = 2 * time.Second        // half-life of the rate at which adapters become idle
+	minIdleRate      = 0.2                    // of an endpoint's slots per second, assumed when few became idle recently: requests take up to some five seconds
+	maxSlotWait      = 10 * time.Second       // upper bound of the expected wait at an endpoint without idle slots
+	minSlotWait      = 100 * time.Millisecond // lower bound
 )
 
-// siteLocked returns where an adapter is loaded: the endpoint of the usual one's data centre
-// at which it costs the least, of those that take more requests where there are any, and of none that is
-// to be avoided but the usual one. Only endpoints that this box owns count.
+// chooseEndpointLocked returns where to load an adapter: the endpoint with the least cost in the
+// data centre of the usual endpoint, preferring endpoints that accept more requests. Endpoints
+// in avoid are excluded, except the usual one, as are endpoints that this box does not own.
 func (l *Loader) chooseEndpointLocked(a topology.Adapter, usual *ownedEndpoint, avoid []string, now time.Time) *ownedEndpoint {
 	best, least := usual, l.endpointRankLocked(usual, a, true, now)
 	for id, o := range l.owned {
@@ -33,14 +33,14 @@
 	return best
 }
 
-// siteRank orders endpoints where an adapter may be loaded.
+// endpointRank orders endpoints on which an adapter may be loaded.
 type endpointRank struct {
-	unavailable bool // it ended, or leaves
-	saturated   bool // it names a limit, and gets all that it takes
+	unavailable bool // the endpoint ended or is draining
+	saturated   bool // it receives all the requests that its announced limit permits
 	cost        time.Duration
 }
 
-// before tells whether an endpoint of this rank goes before one of another.
+// before reports whether an endpoint of this rank is preferred to one of rank o.
 func (r endpointRank) before(o endpointRank) bool {
 	switch {
 	case r.unavailable != o.unavailable:
@@ -55,8 +55,8 @@
 	return endpointRank{unavailable: !o.isAvailable(now), saturated: l.isSaturated(o.endpoint.ID(), now), cost: l.siteFactsLocked(o, a, usual, now).Cost()}
 }
 
-// wantedAtLocked returns the endpoint of a data centre where a load that serves a request waits already;
-// nil for none.
+// pendingEndpointLocked returns the endpoint of a data centre with a pending load that would
+// serve a request; nil for none.
 func (l *Loader) pendingEndpointLocked(w *waiter, centre string, now time.Time) *ownedEndpoint {
 	for id, o := range l.owned {
 		q := l.pendingLoads[placementKey{endpoint: id, adapter: w.Adapter}]
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// factsLocked is what is known of an endpoint where an adapter may be loaded.
+// siteFactsLocked returns the inputs to the cost of loading an adapter on an endpoint.
 func (l *Loader) siteFactsLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
 	f := policy.SiteFacts{
 		Empty:   l.freeSlotDelayLocked(o, o.queuedLoads, now),
@@ -86,7 +86,8 @@
 	return f
 }
 
-// takenLocked is which part of an endpoint's slots is in use, being filled or wanted.
+// slotUtilisationLocked returns the part of an endpoint's slots that are in use, being filled or
+// needed by queued loads.
 func (l *Loader) slotUtilisationLocked(o *ownedEndpoint, now time.Time) float64 {
 	g := l.engineSpec(o.endpoint)
 	if g == nil {
@@ -101,12 +102,12 @@
 	return float64(taken) / float64(max(g.SlotsBeside(o.models), 1))
 }
 
-// levelFor is how long a level is good for: it changes with each load and each prompt, and
-// boxes ask for it with each report of use.
+// loadCostMaxAge is how long a computed load cost is reused: it changes with each load and prompt,
+// and boxes ask for it with each usage report.
 const loadCostMaxAge = 20 * time.Millisecond
 
-// Level returns what a load from the store costs now at the cheapest endpoint of this box;
-// false where it owns none.
+// MinLoadCost returns the current cost of a load from the store on the cheapest endpoint of this
+// box; false when it owns none.
 func (l *Loader) MinLoadCost(now time.Time) (cost time.Duration, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,8 +126,8 @@
 	return cost, known
 }
 
-// heldLocked returns the endpoint of a data centre where the adapter is ready in the version
-// that a request needs, the one that reads the least, or, where none is, one where it is
+// findHolderLocked returns the endpoint of a data centre that holds an adapter ready in the
+// version that a request needs, with the fewest prompt tokens to process, or else one where it is
 // being loaded.
 func (l *Loader) findHolderLocked(asked *ownedEndpoint, w *waiter, denied *ownedEndpoint, now time.Time) (o *ownedEndpoint, s *slot) {
 	a, centre := w.Adapter, asked.endpoint.DataCentre()
@@ -136,7 +137,7 @@
 			continue
 		}
 		if (w.Elsewhere && l.isSaturated(id, now) || l.isThrottled(p, now)) && l.hasAlternativeLocked(a, centre, now) {
-			continue // a copy elsewhere serves those that it has no room for
+			continue // a copy elsewhere serves the requests that exceed the limit
 		}
 		serves := t.ready && t.version >= w.Version && !(t.evicting && (t.unloading || t.outdated))
 		loads := !t.ready && t.done != nil
@@ -150,8 +151,9 @@
 	return o, s
 }
 
-// busyLocked is how long it takes until a slot of an endpoint whose slots are all in use
-// is free, with so many loads before, by how fast slots come to rest lately.
+// slotWaitLocked estimates, from the recent rate at which adapters become idle, how long a load
+// that is queued behind the given number of others waits for a slot of an endpoint whose slots
+// are all in use.
 func (l *Loader) slotWaitLocked(o *ownedEndpoint, before int, now time.Time) time.Duration {
 	rate := max(l.idleTransitions.Rate(now, idleRateHalfLife)/float64(max(len(l.owned), 1)), minIdleRate*float64(len(o.slots)))
 	wait := time.Duration(float64(before+1) / rate * float64(time.Second))
--- a/placement/usage.go
+++ b/placement/usage.go
@@ -9,26 +9,26 @@
 	"cairnwick.example/topology"
 )
 
-// Use is what one box tells of an adapter at an endpoint.
+// Use is a box's report on an adapter at an endpoint.
 type Use struct {
 	Endpoint      string
 	Adapter       topology.Adapter
-	Started       int // requests begun since the box told last
-	Running       int // requests under way
-	PrefillTokens int // tokens of their prompts that the endpoint has not read
+	Started       int // requests sent since the box's last report
+	Running       int // requests in progress
+	PrefillTokens int // tokens of their prompts that the endpoint has not processed
 }
 
 const (
-	usageReportExpiry  = 2 * time.Second // a box that says nothing for so long has nothing under way here
-	fullThreshold      = 0.6             // of an endpoint's slots in use: batches become slow, and the next burst queues
-	fullEndpointDemand = 1.0             // requests asked in vain that a full endpoint counts as for its hottest adapter, each time
+	usageReportExpiry  = 2 * time.Second // the reported requests of a box without a newer report for so long are dropped
+	fullThreshold      = 0.6             // requests in progress per request slot from which an endpoint is full: above it batches become slow, and the next burst queues
+	fullEndpointDemand = 1.0             // unserved requests that each full report of a full endpoint counts as for its busiest adapter
 )
 
-// Used takes what a box tells of the endpoints of this box. What tells only a part says
-// nothing of the rest.
-func (l *Loader) RecordUsage(box string, uses []Use, part bool, now time.Time) {
+// RecordUsage records a box's report on the endpoints of this box. A partial report leaves what
+// the box reported earlier on other adapters unchanged.
+func (l *Loader) RecordUsage(box string, uses []Use, partial bool, now time.Time) {
 	l.mu.Lock()
-	if n := l.inFlight.update(box, uses, part, now); n > 0 {
+	if n := l.inFlight.update(box, uses, partial, now); n > 0 {
 		l.idleTransitions.Add(float64(n), now, idleRateHalfLife)
 	}
 	endpoints := make(map[string]bool)
@@ -42,11 +42,11 @@
 		}
 	}
 	var full []hotAdapter
-	if !part { // changes come many times as often, and would ask for many times the copies
+	if !partial { // partial reports are many times as frequent and would request as many more copies
 		full = l.hotAdaptersLocked(endpoints)
 	}
 	if len(l.pendingLoads) > 0 {
-		l.wakeUp() // a slot may rest now
+		l.wakeUp() // a slot may be idle now
 	}
 	l.mu.Unlock()
 	for _, f := range full {
@@ -54,14 +54,14 @@
 	}
 }
 
-// pressure is an adapter that fills an endpoint.
+// hotAdapter is the busiest adapter of a full endpoint.
 type hotAdapter struct {
 	centre  string
 	adapter topology.Adapter
-	copies  int // that its requests under way in the data centre would fill
+	copies  int // endpoints that its requests in progress in the data centre would fill
 }
 
-// fullLocked returns the busiest adapter of each of the endpoints that is full.
+// hotAdaptersLocked returns the busiest adapter of each full endpoint among those given.
 func (l *Loader) hotAdaptersLocked(endpoints map[string]bool) []hotAdapter {
 	var full []hotAdapter
 	for id := range endpoints {
@@ -82,8 +82,8 @@
 	return full
 }
 
-// copiesLocked is how many endpoints like one the requests under way with an adapter in its
-// data centre would fill.
+// copiesNeededLocked returns how many endpoints of this size an adapter's requests in progress in
+// the data centre would fill.
 func (l *Loader) copiesNeededLocked(o *ownedEndpoint, a topology.Adapter) int {
 	n := 0
 	for id, p := range l.owned {
@@ -94,7 +94,7 @@
 	return int(math.Ceil(float64(n) / o.comfortableRequests()))
 }
 
-// comfortable is how many requests an endpoint runs at once before it counts as full.
+// comfortableRequests is the number of concurrent requests from which an endpoint counts as full.
 func (o *ownedEndpoint) comfortableRequests() float64 {
 	return fullThreshold * float64(o.endpoint.Slots())
 }
