--- a/placement/claim_test.go
+++ b/placement/claim_test.go
@@ -10,9 +10,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// After a start of all boxes a wrong leader took the endpoints for a moment; the right one
-// kept away from them for the lease.
-func TestABoxRefusedSoonAfterItsStartTriesAgainSoon(t *testing.T) {
+// When all boxes started together, the wrong one claimed the endpoints for a moment, and the
+// rightful leader backed off for the lease.
+func TestClaimBackoffIsShortAfterStart(t *testing.T) {
 	c := quicktest.New(t)
 	l := newFixture(4).loader
 	l.Lease = func() time.Duration { return 3 * time.Second }
@@ -22,17 +22,18 @@
 	c.Assert(l.claimBackoffLocked(&ownedEndpoint{since: now.Add(10 * time.Second)}) > 3*time.Second, quicktest.IsTrue)
 }
 
-// A new leader asked at the time after its look's from when on it leads; that came after the
-// look, so it claimed its endpoints a look later.
-func TestANewLeaderClaimsAtItsFirstLook(t *testing.T) {
+// A new leader asked for the start of its leadership at a time later than the step's, so the
+// start lay in the step's future and the endpoints were claimed a step late.
+func TestNewLeaderClaimsInItsFirstStep(t *testing.T) {
 	c := quicktest.New(t)
 	l := newFixture(4).loader
 	l.Owns = func(_ *topology.Endpoint, now time.Time) (bool, time.Time) { return true, now }
 	c.Assert(l.step(time.Now().Add(-time.Millisecond)), quicktest.HasLen, 1)
 }
 
-// After a start or a lease the endpoints were claimed at the next look at what is owned.
-func TestAnEndpointIsClaimedWhenItMayBe(t *testing.T) {
+// Endpoints were claimed only at the ownership check that followed the start of leadership or
+// the end of a lease.
+func TestEndpointIsClaimedAsSoonAsAllowed(t *testing.T) {
 	c := quicktest.New(t)
 	l := newFixture(4).loader
 	now := time.Now()
@@ -42,10 +43,10 @@
 	c.Assert(l.nextStepDelay() <= ownershipInterval/2, quicktest.IsTrue)
 	c.Assert(l.step(from.Add(-time.Millisecond)), quicktest.HasLen, 0)
 	c.Assert(l.step(from), quicktest.HasLen, 1)
-	c.Assert(l.nextStepDelay(), quicktest.Equals, ownershipInterval) // none waits
+	c.Assert(l.nextStepDelay(), quicktest.Equals, ownershipInterval) // no claim is scheduled
 	l = newFixture(4).loader
 	l.Owns = func(*topology.Endpoint, time.Time) (bool, time.Time) { return true, from }
 	c.Assert(l.step(now), quicktest.HasLen, 0)
 	l.Leave(now)
-	c.Assert(l.nextStepDelay(), quicktest.Equals, ownershipInterval) // a box that leaves claims nothing
+	c.Assert(l.nextStepDelay(), quicktest.Equals, ownershipInterval) // a leaving box claims nothing
 }
--- a/placement/copies_test.go
+++ b/placement/copies_test.go
@@ -11,7 +11,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestAnAdapterAtAFullEndpointGetsACopy(t *testing.T) {
+func TestAdapterOnFullEndpointIsCopied(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	_, err := b.want(adapter(1), 5*time.Second)
@@ -23,7 +23,7 @@
 	}
 	use := []Use{{Endpoint: "e1", Adapter: adapter(1), Started: 4, Running: 4}}
 	b.loader.RecordUsage("box-1", use, false, time.Now())
-	c.Assert(b.loader.pendingLoads, quicktest.HasLen, 0) // half full
+	c.Assert(b.loader.pendingLoads, quicktest.HasLen, 0) // the endpoint is half full
 	b.loader.RecordUsage("box-2", use, false, time.Now())
 	b.loader.mu.Lock()
 	defer b.loader.mu.Unlock()
@@ -31,8 +31,9 @@
 	c.Assert(copied, quicktest.IsTrue)
 }
 
-// A hot adapter got its copies one after the other, and its first seconds were lost.
-func TestAHotAdapterGetsAsManyCopiesAsItsRequestsFill(t *testing.T) {
+// The copies of a hot adapter were requested one after the other, and its requests of the first
+// seconds were not served.
+func TestHotAdapterGetsAsManyCopiesAsItsRequestsFill(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
@@ -44,12 +45,12 @@
 	l.owned["e1"].slots[adapter(1)] = &slot{ready: true}
 	l.View.SetHeld("e1", map[topology.Adapter]topology.Held{adapter(1): {Ready: true}})
 	l.RecordUsage("box", []Use{{Endpoint: "e1", Adapter: adapter(1), Running: 12}}, false, time.Now())
-	c.Assert(l.pendingLoads, quicktest.HasLen, 2) // 12 fill three endpoints that run five of eight in comfort
+	c.Assert(l.pendingLoads, quicktest.HasLen, 2) // 12 requests fill three endpoints, which each run five of at most eight before they count as full
 }
 
-// Each change of use that a box told of a full endpoint asked for copies, some 25 times as
-// often as before: a site of 90 endpoints made half as many loads again.
-func TestAChangeOfUseAsksForNoCopies(t *testing.T) {
+// Every partial usage report on a full endpoint requested copies, some 25 times as often as
+// full reports: a site of 90 endpoints made 50% more loads.
+func TestPartialUsageReportRequestsNoCopies(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	list["e1"].slots[adapter(1)] = &slot{ready: true}
@@ -60,7 +61,7 @@
 	c.Assert(l.pendingLoads, quicktest.HasLen, 1)
 }
 
-func TestAnAdapterThatManyAskForAtOnceIsLoadedAtSeveralEndpoints(t *testing.T) {
+func TestAdapterInHighDemandIsLoadedOnSeveralEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
@@ -69,13 +70,13 @@
 		l.View.SetEndpoint(e)
 		l.owned[id] = &ownedEndpoint{endpoint: e, phase: owning, slots: make(map[topology.Adapter]*slot), models: map[string]bool{model: true}}
 	}
-	for range 5 { // one more than an endpoint runs in comfort
+	for range 5 { // one more than fill an endpoint
 		_, _ = l.tryPlace(&waiter{Wanted: forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(1)}}, time.Now(), time.Now())
 	}
 	c.Assert(l.pendingLoads, quicktest.HasLen, 2)
 }
 
-func TestACopyForAnotherDataCentresWayComesOnlyAfterManyRequests(t *testing.T) {
+func TestRemoteRequestsCauseCopyOnlyAboveThreshold(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.RecordRemoteRequests("dc", adapter(1), 1, time.Now())
--- a/placement/ended_test.go
+++ b/placement/ended_test.go
@@ -12,7 +12,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// addEndpoint adds an endpoint of the same data centre, behind the same fake one.
+// addEndpoint adds an endpoint in the same data centre, backed by the same fake.
 func (b *fixture) addEndpoint(id string) {
 	b.loader.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: id, Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{model}}))
 }
@@ -34,7 +34,7 @@
 	}
 }
 
-// holdingFirst returns a loader of two endpoints, of which the first one alone holds the first adapter.
+// newFixtureWithHolder returns a loader of two endpoints of which only e1 holds adapter 1.
 func newFixtureWithHolder(t *testing.T) (*quicktest.C, *fixture) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
@@ -46,15 +46,11 @@
 	return c, b
 }
 
-// A stream that was cut off when its endpoint ended was brought to the same endpoint ten times within
-// 20 ms, took a retry from the budget each time, and was refused at last.
-//
-// The order of events: the box can't reach the endpoint and asks the leader for the adapter. The
-// leader names the endpoint that holds it, by its own word; it is the one that ended. Its entry
-// lapses after three heartbeats.
-//
-// The evidence: ten lines of one request with one endpoint, "not reached: connection refused".
-func TestAnEndpointThatEndedIsNotNamedAgain(t *testing.T) {
+// The leader kept naming an ended endpoint that held the adapter until its entry expired, three
+// heartbeats later. A box whose stream was cut off there was sent back ten times within 20 ms
+// ("not reached: connection refused"), used up a retry each time, and refused the request in
+// the end.
+func TestEndedEndpointIsNotOffered(t *testing.T) {
 	c, b := newFixtureWithHolder(t)
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
 	for range 2 {
@@ -65,8 +61,8 @@
 	}
 }
 
-// Where no endpoint of the data centre is left, those elsewhere are asked at once.
-func TestWhereTheLastEndpointEndedOthersAreAsked(t *testing.T) {
+// When no endpoint of the data centre is left, boxes must ask other data centres at once.
+func TestRequestGoesElsewhereWhenLastEndpointEnded(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
@@ -77,8 +73,8 @@
 	b.loader.Ended("unknown", time.Now().Add(time.Minute))
 }
 
-// A box may be wrong, and an entry that lapsed may come back.
-func TestAnEndpointIsUsedAgainWhereItsEntryStays(t *testing.T) {
+// A box may be wrong about an ended endpoint, and an expired entry may be renewed.
+func TestEndedEndpointIsUsedAgainAfterExpiry(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.Ended("e1", time.Now().Add(100*time.Millisecond))
@@ -88,29 +84,27 @@
 	c.Assert(p.Ready, quicktest.IsTrue)
 }
 
-// An endpoint that holds an adapter turned a request for it away. Asked where else it can go, its leader
-// named the same endpoint, four times within 30 ms.
-//
-// The evidence: of 668 attempts that were turned away, 89 went to an endpoint that had turned the same request
-// away before.
+// An endpoint refused a request for an adapter that it held, and its leader named the same
+// endpoint again, four times within 30 ms. Of 668 refused attempts, 89 went to an endpoint that
+// had refused the same request before.
 func TestARequestIsNotBroughtToAnEndpointThatItAvoids(t *testing.T) {
 	c, b := newFixtureWithHolder(t)
 	other := b.loader.View.Endpoint("e2")
 	w := forward.Wanted{Endpoint: other, Adapter: adapter(1), Wait: 5 * time.Second, Most: 5 * time.Second, Avoid: []string{"e1"}}
-	for range 2 { // it is loaded, and then held there
+	for range 2 { // the first request loads it there, the second finds it
 		p, err := b.loader.Want(context.Background(), w)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p.Ready, quicktest.IsTrue)
 		c.Assert(p.Endpoint, quicktest.Equals, "e2")
 	}
-	w.Adapter = adapter(2) // held nowhere: its load costs the same at both
+	w.Adapter = adapter(2) // not loaded: its load costs the same on both
 	p, err := b.loader.Want(context.Background(), w)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Equals, "e2")
 }
 
-// A load that others wait for at an endpoint which a request avoids does not serve it.
-func TestARequestDoesNotWaitForALoadWhereItCannotGo(t *testing.T) {
+// A pending load on an endpoint that a request avoids does not serve that request.
+func TestRequestDoesNotWaitForLoadOnAvoidedEndpoint(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	b.addEndpoint("e2")
--- a/placement/evict_test.go
+++ b/placement/evict_test.go
@@ -12,23 +12,23 @@
 	"github.com/frankban/quicktest"
 )
 
-// fill loads as many adapters as there are slots.
-func (b *fixture) fill(c *quicktest.C) {
+// fillSlots loads one adapter per slot and reports it as in use.
+func (b *fixture) fillSlots(c *quicktest.C) {
 	for i := 1; i <= slotCount; i++ {
 		p, err := b.want(adapter(i), 2*time.Second)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p.Ready, quicktest.IsTrue)
-		b.use(i, 1)
+		b.reportUse(i, 1)
 	}
 }
 
-// use tells the loader that requests for an adapter run at the endpoint.
-func (b *fixture) use(i, running int) {
+// reportUse reports requests in progress for an adapter.
+func (b *fixture) reportUse(i, running int) {
 	b.loader.RecordUsage(fmt.Sprintf("box-%d", i), []Use{{Endpoint: "e1", Adapter: adapter(i), Started: running, Running: running}}, false, time.Now())
 }
 
-// A box tells at once that it uses an adapter that is to leave, and says nothing of others.
-func TestAPartOfTheUseSaysNothingOfTheRest(t *testing.T) {
+// A box reports at once that it uses an adapter being evicted; such a report omits all others.
+func TestPartialUsageReportKeepsOtherEntries(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	now := time.Now()
@@ -44,14 +44,14 @@
 	b.loader.RecordUsage("box", uses[:1], false, now.Add(time.Second))
 	c.Assert(r.adapterRequests("e1", adapter(2)), quicktest.Equals, 0)
 	r.expire(now.Add(usageReportExpiry))
-	c.Assert(r.adapterRequests("e1", adapter(1)), quicktest.Equals, 2) // the other one has said nothing since
+	c.Assert(r.adapterRequests("e1", adapter(1)), quicktest.Equals, 2) // the other box has not reported since
 	r.expire(now.Add(time.Second + usageReportExpiry))
 	c.Assert(r.endpoints, quicktest.HasLen, 0)
 }
 
-// The wait for a slot was taken from how many loads began, which says nothing of how many
-// could have.
-func TestTheWaitForASlotFollowsHowFastSlotsComeToRest(t *testing.T) {
+// The wait for a slot was estimated from the rate of loads, which does not show how many could
+// have begun.
+func TestSlotWaitFollowsIdleRate(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
@@ -76,27 +76,27 @@
 	return b.fake.slots[adapter(i)]
 }
 
-// The endpoint was ordered to unload an adapter in use. It waited for the runs, and three
-// loads that it had begun before waited for 2.6 s with it.
-func TestAnAdapterIsNotUnloadedWhileBoxesUseIt(t *testing.T) {
+// The endpoint was ordered to unload an adapter in use. It waited for the requests to end, and
+// three earlier loads were blocked for 2.6 s.
+func TestAdapterInUseIsNotUnloaded(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
-	b.fill(c)
+	b.fillSlots(c)
 	wanted := make(chan bool, 1)
 	go func() {
 		p, _ := b.want(adapter(9), 10*time.Second)
 		wanted <- p.Ready
 	}()
-	for range 8 { // both are in use for longer than it takes to believe that they are not
+	for range 8 { // both stay in use for longer than usageSettleTime
 		time.Sleep(usageSettleTime / 2)
-		b.use(1, 1)
-		b.use(2, 1)
+		b.reportUse(1, 1)
+		b.reportUse(2, 1)
 		c.Assert(b.holds(1) && b.holds(2), quicktest.IsTrue)
 	}
 	c.Assert(<-wanted, quicktest.IsTrue)
 }
 
-func TestSomeSlotsAreEmptyAheadOfTheNextLoads(t *testing.T) {
+func TestSpareSlotsAreEmptiedInAdvance(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
@@ -110,17 +110,17 @@
 		o.slots[adapter(i)] = &slot{ready: true, lastUsed: now.Add(-idleThreshold)}
 		l.countRequestsLocked(adapter(i), float64(16-i), now)
 	}
-	o.slots[adapter(14)].lastAnnounced = now // to a box that has not told of its use yet
+	o.slots[adapter(14)].lastAnnounced = now // to a box that has not reported its use yet
 	c.Assert(l.evictLocked(nil, now), quicktest.HasLen, 1)
-	c.Assert(o.slots[adapter(13)].evicting, quicktest.IsTrue) // asked for least of the others
+	c.Assert(o.slots[adapter(13)].evicting, quicktest.IsTrue) // the least requested of the others
 	c.Assert(l.evictLocked(nil, now), quicktest.HasLen, 0)
 	c.Assert(l.evictLocked(map[*ownedEndpoint]int{o: 1}, now), quicktest.HasLen, 1)
 	c.Assert(l.evictLocked(map[*ownedEndpoint]int{o: 20}, now), quicktest.HasLen, maxConcurrentEvictions-3)
 }
 
-// Some thirty of a hundred slots held adapters that were to leave while requests ran on
-// them: no new request used them, and they were loaded once more elsewhere.
-func TestAdaptersInUseStay(t *testing.T) {
+// Some thirty of a hundred slots held adapters that were being evicted while in use: no new
+// request used them, and they were loaded again elsewhere.
+func TestAdaptersInUseAreNotEvicted(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1")
 	o := list["e1"]
@@ -140,15 +140,15 @@
 	c.Assert(o.slots[adapter(0)].evicting, quicktest.IsFalse)
 }
 
-// A slot that nobody used was emptied only 250 ms after its adapter began to leave, as long
-// as a load from the store takes.
-func TestASlotThatRestsIsEmptiedAtOnce(t *testing.T) {
+// An idle slot was emptied only 250 ms after the eviction began, which is as long as a load
+// from the store takes.
+func TestIdleAdapterIsUnloadedAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1")
 	o := list["e1"]
 	now := time.Now()
 	o.slots[adapter(1)] = &slot{ready: true, lastUsed: now.Add(-idleThreshold)}
-	o.slots[adapter(2)] = &slot{ready: true, lastUsed: now.Add(-idleThreshold), lastAnnounced: now} // a box was just told of it
+	o.slots[adapter(2)] = &slot{ready: true, lastUsed: now.Add(-idleThreshold), lastAnnounced: now} // just announced to a box
 	c.Assert(l.freeSlotDelayLocked(o, 0, now), quicktest.Equals, idleUnloadTime)
 	c.Assert(l.evictLocked(map[*ownedEndpoint]int{o: 1}, now), quicktest.HasLen, 1)
 	c.Assert(o.slots[adapter(1)].unloading, quicktest.IsTrue)
@@ -156,9 +156,9 @@
 	c.Assert(l.cancelEvictionLocked(o, adapter(1)), quicktest.IsFalse)
 }
 
-// A new owner unloaded adapters in use before the boxes had told it of them; the endpoint
-// held up its other orders for up to four seconds.
-func TestANewOwnerEmptiesNoSlotBeforeItHasHeardWhatIsInUse(t *testing.T) {
+// A new owner unloaded adapters in use before the boxes had reported them; the endpoint blocked
+// its other orders for up to four seconds.
+func TestNewOwnerEvictsNothingBeforeUsageIsReported(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
@@ -173,8 +173,8 @@
 	c.Assert(l.evictLocked(waiting, now.Add(usageSyncTime)), quicktest.HasLen, 1)
 }
 
-// An adapter left, was wanted again, and left once more; both times an unload followed, and
-// the second one emptied a slot that was being filled anew.
+// An eviction was cancelled and then begun again. Both evictions sent an unload, and the
+// second unload emptied a slot that was being filled again.
 func TestAnAdapterThatLeavesTwiceIsUnloadedOnce(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
@@ -182,12 +182,12 @@
 	now := time.Now()
 	o := &ownedEndpoint{endpoint: b.endpoint, phase: owning, slots: map[topology.Adapter]*slot{adapter(1): {ready: true}}}
 	l.owned["e1"] = o
-	b.use(1, 1)
+	b.reportUse(1, 1)
 	l.beginEvictionLocked(o, adapter(1), now)
 	c.Assert(l.cancelEvictionLocked(o, adapter(1)), quicktest.IsTrue)
 	later := now.Add(usageSettleTime / 2)
 	l.beginEvictionLocked(o, adapter(1), later)
-	b.use(1, 0)
+	b.reportUse(1, 0)
 	_, leaves := l.evictionDelay(o, 0, adapter(1), now, later.Add(usageSettleTime))
 	c.Assert(leaves, quicktest.IsFalse)
 	wait, leaves := l.evictionDelay(o, 0, adapter(1), later, later.Add(usageSettleTime))
@@ -195,14 +195,14 @@
 	c.Assert(wait <= 0, quicktest.IsTrue)
 }
 
-func TestAnAdapterThatIsWantedAgainBeforeItIsUnloadedStays(t *testing.T) {
+func TestEvictionIsCancelledWhenAdapterIsRequested(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
-	b.fill(c)
+	b.fillSlots(c)
 	l := b.loader
 	l.mu.Lock()
 	o := l.owned["e1"]
-	l.beginEvictionLocked(o, adapter(1), time.Now()) // it is in use: it will be unloaded when it is not
+	l.beginEvictionLocked(o, adapter(1), time.Now()) // in use, so it is not unloaded yet
 	c.Assert(o.slots[adapter(1)].unloading, quicktest.IsFalse)
 	l.mu.Unlock()
 	p, err := b.want(adapter(1), 10*time.Second)
@@ -214,12 +214,12 @@
 	c.Assert(b.holds(1), quicktest.IsTrue)
 }
 
-// A newer version of an adapter in use was loaded over the older one: the endpoint waited
-// for its runs, with all that it was ordered meanwhile.
-func TestANewVersionIsLoadedWhenTheOldOneIsNotInUse(t *testing.T) {
+// A newer version was loaded over one in use: the endpoint waited for its requests to end and
+// blocked all other orders meanwhile.
+func TestNewVersionIsLoadedWhenOldOneIsIdle(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
-	b.fill(c)
+	b.fillSlots(c)
 	ready := make(chan bool, 1)
 	go func() {
 		w := b.patientRequest(1)
@@ -229,7 +229,7 @@
 	}()
 	for range 6 {
 		time.Sleep(usageSettleTime / 2)
-		b.use(1, 1)
+		b.reportUse(1, 1)
 		c.Assert(b.holds(1), quicktest.IsTrue)
 	}
 	c.Assert(<-ready, quicktest.IsTrue)
--- a/placement/explore_test.go
+++ b/placement/explore_test.go
@@ -11,15 +11,16 @@
 	"time"
 )
 
-// end is what one way led to.
+// pathResult is the state at the end of a path of events.
 type pathResult struct {
 	key    string
 	fault  string
 	events []string
 }
 
-// playAll plays a way in a bubble of its own; false: it could not be played again.
-func replay(t *testing.T, losses, restarts int, way []string) (e pathResult, ok bool) {
+// replay applies a path of events in a synctest bubble of its own; it returns false when an
+// event is not possible this time.
+func replay(t *testing.T, losses, restarts int, trace []string) (e pathResult, ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newModelWorld(losses, restarts)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -30,7 +31,7 @@
 		time.Sleep(2 * ownershipInterval)
 		synctest.Wait()
 		ok = true
-		for _, name := range way {
+		for _, name := range trace {
 			if ok = w.apply(name); !ok {
 				break
 			}
@@ -44,14 +45,14 @@
 	return e, ok
 }
 
-// explore visits every state up to the depth, the nearest first.
+// explore visits every state up to the depth, breadth first.
 func explore(t *testing.T, losses, restarts int, from []string, depth int) (fault string, states, at int) {
 	first, ok := replay(t, losses, restarts, from)
 	if !ok {
-		return "the beginning can't be played", 0, 0
+		return "the initial path can't be replayed", 0, 0
 	}
 	type state struct {
-		way    []string
+		trace  []string
 		events []string
 	}
 	seen := map[string]bool{first.key: true}
@@ -60,15 +61,15 @@
 		var next []state
 		for _, s := range level {
 			for _, name := range s.events {
-				way := append(slices.Clone(s.way), name)
-				e, ok := replay(t, losses, restarts, way)
+				trace := append(slices.Clone(s.trace), name)
+				e, ok := replay(t, losses, restarts, trace)
 				switch {
 				case !ok || seen[e.key]:
 				case e.fault != "":
-					return e.fault + "\nby: " + strings.Join(way, ", "), len(seen), at
+					return e.fault + "\nby: " + strings.Join(trace, ", "), len(seen), at
 				default:
 					seen[e.key] = true
-					next = append(next, state{way, e.events})
+					next = append(next, state{trace, e.events})
 				}
 			}
 		}
@@ -77,33 +78,34 @@
 	return "", len(seen), depth
 }
 
-// ownedOnce is how the first box comes to own the endpoint, full how it fills it, taken how
-// the other one claims it while a load is on its way, late how an answer gets lost, and again
-// how the first box leads no more and leads again while its orders are on their way.
+// Paths of events. claimTrace: the first box claims the endpoint. fullTrace: it fills the
+// endpoint. takeoverTrace: the second box claims it while a load is in progress. lateTrace: an
+// order is delayed beyond its call. reclaimTrace: the first box loses and regains leadership
+// while its orders are in transit.
 var (
-	ownedOnce = []string{"take 0", "time", "take 0"}
-	full      = append(slices.Clone(ownedOnce), "want 0", "time", "take 0", "want 0", "time", "take 0", "take 0")
-	taken     = append(slices.Clone(ownedOnce), "want 0", "want 0", "lead 1", "time", "take 0")
-	late      = append(slices.Clone(ownedOnce), "want 0", "want 0", "time", "late 0")
-	again     = append(slices.Clone(ownedOnce), "want 0", "want 0", "time", "lead 0", "time", "time", "time", "lead 0", "time", "take 0", "time", "take 0")
+	claimTrace    = []string{"deliver 0", "time", "deliver 0"}
+	fullTrace     = append(slices.Clone(claimTrace), "request 0", "time", "deliver 0", "request 0", "time", "deliver 0", "deliver 0")
+	takeoverTrace = append(slices.Clone(claimTrace), "request 0", "request 0", "lead 1", "time", "deliver 0")
+	lateTrace     = append(slices.Clone(claimTrace), "request 0", "request 0", "time", "late 0")
+	reclaimTrace  = append(slices.Clone(claimTrace), "request 0", "request 0", "time", "lead 0", "time", "time", "time", "lead 0", "time", "deliver 0", "time", "deliver 0")
 )
 
-func TestOrdersInAllOrders(t *testing.T) {
+func TestOrderInterleavings(t *testing.T) {
 	for _, k := range []struct {
 		name             string
 		losses, restarts int
 		before           []string
 		depth            int
 	}{
-		{"from nothing", 1, 0, nil, 5},
-		{"from an endpoint that is owned", 1, 0, ownedOnce, 5},
-		{"from a full endpoint", 1, 0, full, 5},
-		{"with a load on its way while another box claims", 0, 0, taken, 5},
-		{"with two loads on their way while another box claims", 0, 0, append(slices.Clone(taken), "take 0"), 5},
-		{"with a load whose answer comes too late", 1, 0, late, 5},
-		{"with an old order on its way after what is held was learnt anew", 1, 0, append(slices.Clone(late), "take 0", "take 0", "time", "take 0"), 5},
-		{"with old orders on their way after a box owns again", 0, 0, again, 6},
-		{"with an endpoint that starts again", 0, 1, full, 5},
+		{"from an unclaimed endpoint", 1, 0, nil, 5},
+		{"from an owned endpoint", 1, 0, claimTrace, 5},
+		{"from a full endpoint", 1, 0, fullTrace, 5},
+		{"with a load in transit while another box claims", 0, 0, takeoverTrace, 5},
+		{"with two loads in transit while another box claims", 0, 0, append(slices.Clone(takeoverTrace), "deliver 0"), 5},
+		{"with a load whose response comes too late", 1, 0, lateTrace, 5},
+		{"with an old order in transit after a new claim", 1, 0, append(slices.Clone(lateTrace), "deliver 0", "deliver 0", "time", "deliver 0"), 5},
+		{"with old orders in transit after a box regains ownership", 0, 0, reclaimTrace, 6},
+		{"with an endpoint that restarts", 0, 1, fullTrace, 5},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
--- a/placement/fence_test.go
+++ b/placement/fence_test.go
@@ -10,10 +10,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// Found while the model of orders was written: a box that was refused eight times in a row, as
-// on the two sides of a long cut, raised its term by more than there are, and the term began
-// again at zero. The endpoint refused the box from then on.
-func TestAFenceRisesAfterAnyNumberOfRefusals(t *testing.T) {
+// A box that was refused eight times in a row, as during a long network partition, raised its
+// term beyond the largest one, and the term wrapped around to zero. From then on the endpoint
+// refused every order of the box.
+func TestFenceRisesAfterAnyNumberOfRefusals(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	f := &Fences{Box: 1}
@@ -26,8 +26,8 @@
 	}
 }
 
-// A publication with a version that no box makes would have done the same to all boxes.
-func TestATermThatNoBoxMakesIsNotHeard(t *testing.T) {
+// A publication with an invalid version would have overflowed the terms of all boxes.
+func TestInvalidTermIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	f := &Fences{Box: 1}
--- a/placement/headroom_test.go
+++ b/placement/headroom_test.go
@@ -12,7 +12,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// crowd makes endpoints name limits and take no more; it is set before the loader runs.
+// limitEndpoints gives endpoints rate limits without spare capacity; it must be called before
+// the loader runs.
 func (b *fixture) limitEndpoints(endpoints map[string]time.Duration) {
 	b.loader.Headroom = func(id string, _ time.Time) ratelimit.Room {
 		wait, limited := endpoints[id]
@@ -20,7 +21,7 @@
 	}
 }
 
-func TestNothingMoreIsLoadedAtAnEndpointThatNamesALimit(t *testing.T) {
+func TestSaturatedEndpointGetsNoLoads(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	b.limitEndpoints(map[string]time.Duration{"e1": 0})
@@ -28,14 +29,15 @@
 	b.start(t)
 	b.awaitBothOwned()
 	for i := range slotCount {
-		p, err := b.want(adapter(i), 5*time.Second) // its home is e1
+		p, err := b.want(adapter(i), 5*time.Second) // its usual endpoint is e1
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p.Endpoint, quicktest.Equals, "e2")
 	}
 }
 
-// Requests that the holder has no room for get a copy elsewhere; while it has room it is named.
-func TestAnAdapterIsLoadedElsewhereWhileItsHolderHasNoRoom(t *testing.T) {
+// Requests that exceed the holder's limit get a copy elsewhere; while the holder accepts
+// requests they are sent there.
+func TestAdapterIsCopiedWhileItsHolderHasNoHeadroom(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	room := map[string]time.Duration{}
@@ -57,7 +59,7 @@
 	o := b.loader.owned[held]
 	o.slots[w.Adapter] = &slot{ready: true, version: 1, lastUsed: time.Now(), lastAnnounced: time.Now()}
 	b.loader.mu.Unlock()
-	p, err = b.loader.Want(context.Background(), w) // it has room, and had none for this request
+	p, err = b.loader.Want(context.Background(), w) // the holder has headroom now, but had none for this request
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Not(quicktest.Equals), held)
 	b.loader.mu.Lock()
@@ -69,8 +71,9 @@
 	c.Assert(p.Endpoint, quicktest.Not(quicktest.Equals), held)
 }
 
-// Where all endpoints name limits adapters are loaded as ever: boxes ask for room before they send.
-func TestWhereAllEndpointsNameLimitsAdaptersAreLoaded(t *testing.T) {
+// When all endpoints announce limits, adapters are loaded as usual: boxes check the limit
+// before they send.
+func TestAdaptersAreLoadedWhenAllEndpointsAreLimited(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	b.limitEndpoints(map[string]time.Duration{"e1": time.Second, "e2": time.Second})
--- a/placement/limiter_test.go
+++ b/placement/limiter_test.go
@@ -9,8 +9,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// roundsOf returns what begins as many loads at once as the pace allows, which all take so
-// long.
+// newLoadRounds returns a function that begins as many loads at once as the limit allows, all
+// of the given duration.
 func newLoadRounds(p *loadLimiter) func(took time.Duration) {
 	now := time.Unix(100, 0)
 	return func(took time.Duration) {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestThePaceFallsWhenLoadsBecomeSlowAndRisesAgain(t *testing.T) {
+func TestLoadLimitFallsOnSlowLoadsAndRecovers(t *testing.T) {
 	c := quicktest.New(t)
 	p := newLoadLimiter()
 	load := newLoadRounds(&p)
@@ -43,8 +43,8 @@
 	c.Assert(p.limit > slow, quicktest.IsTrue)
 }
 
-// pacedLoads returns a loader and what makes it begin as many loads from the store as it
-// may, as far as it knows, which all take so long.
+// newColdLoads returns a loader and a function that begins as many loads, expected to come from
+// the store, as the limit allows, all of the given duration.
 func newColdLoads(*quicktest.C) (*Loader, func(took time.Duration)) {
 	l := &Loader{Limits: func() RateLimits { return DefaultRateLimits }}
 	l.Init()
@@ -61,9 +61,9 @@
 	}
 }
 
-// A new owner does not know what an endpoint's memory keeps: such loads, thought to come
-// from the store, made every real one look slow, and the pace fell to one.
-func TestALoadFromMemorySaysNothingOfTheStore(t *testing.T) {
+// A new owner does not know what an endpoint's host memory caches. Cached loads that were
+// counted as loads from the store made every real one look slow, and the limit fell to one.
+func TestWarmLoadDoesNotAffectLoadLimit(t *testing.T) {
 	c := quicktest.New(t)
 	l, load := newColdLoads(c)
 	load(260 * time.Millisecond)
@@ -74,9 +74,9 @@
 	c.Assert(l.loadLimiter.inFlight, quicktest.Equals, 0)
 }
 
-// A few slow loads raised the smoothed time so far that the next quick ones counted as
-// loads from memory, and the pace stayed where the slow ones had brought it.
-func TestThePaceRecoversAfterSlowLoads(t *testing.T) {
+// A few slow loads raised the smoothed time so far that the next fast ones were taken for
+// cached loads, and the limit did not recover.
+func TestLoadLimitRecoversAfterSlowLoads(t *testing.T) {
 	c := quicktest.New(t)
 	l, load := newColdLoads(c)
 	load(260 * time.Millisecond)
@@ -93,10 +93,10 @@
 func TestTheStoresRateIsSharedByOwnedEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	b := tokenBucket{limits: DefaultRateLimits}
-	b.setShare(10, 0.5, 3) // 5 a second by right, and most of the overshoot
+	b.setShare(10, 0.5, 3) // a share of 5 per second, and most of the overshoot
 	now := time.Unix(0, 0)
 	taken := 0
-	for range 1000 { // ten seconds
+	for range 1000 { // ten simulated seconds
 		now = now.Add(10 * time.Millisecond)
 		if b.take(now) {
 			taken++
@@ -105,29 +105,29 @@
 	c.Assert(taken >= 50 && taken <= 56, quicktest.IsTrue, quicktest.Commentf("%d", taken))
 }
 
-// An endpoint's memory was taken to keep ninety adapters where it kept fifty: loads that
+// An endpoint's host memory was assumed to cache ninety adapters and cached fifty: loads that
 // were promised in 40 ms took 250.
-func TestWhatAnEndpointsMemoryKeepsIsLearntFromLoads(t *testing.T) {
+func TestCacheSizeIsEstimatedFromLoadTimes(t *testing.T) {
 	c := quicktest.New(t)
 	l, load := newColdLoads(c)
 	load(260 * time.Millisecond)
 	c.Assert(l.cacheSize, quicktest.Equals, initialCacheSize)
 	now := time.Now()
-	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 60}, 250*time.Millisecond, now) // it was not there any more
+	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 60}, 250*time.Millisecond, now) // no longer cached
 	c.Assert(l.cacheSize, quicktest.Equals, 60)
 	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 40}, 30*time.Millisecond, now)
 	c.Assert(l.cacheSize, quicktest.Equals, 60)
-	l.recordLoadTimeLocked(&slot{evictionsSince: 2}, 250*time.Millisecond, now) // it had never been there
+	l.recordLoadTimeLocked(&slot{evictionsSince: 2}, 250*time.Millisecond, now) // never held
 	c.Assert(l.cacheSize, quicktest.Equals, 60)
-	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 70}, 30*time.Millisecond, now) // it was there after all
+	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 70}, 30*time.Millisecond, now) // still cached
 	c.Assert(l.cacheSize, quicktest.Equals, 71)
 	l.recordLoadTimeLocked(&slot{heldBefore: true, evictionsSince: 1}, time.Second, now)
 	c.Assert(l.cacheSize, quicktest.Equals, minCacheSize)
 }
 
-// Leaders began with four loads at a time and grew by one with every second load: after a
-// start, when nothing is loaded, a second was lost.
-func TestThePaceDoublesUntilTheFirstSlowLoad(t *testing.T) {
+// The limit started at four and grew by one with every second load: after a start, when nothing
+// is loaded, this delayed requests by a second.
+func TestLoadLimitDoublesUntilFirstSlowLoad(t *testing.T) {
 	c := quicktest.New(t)
 	p := newLoadLimiter()
 	round := newLoadRounds(&p)
@@ -141,9 +141,9 @@
 	c.Assert(p.limit < 2*slow, quicktest.IsTrue)
 }
 
-// In a calm the limit rose to forty though a few loads were under way; the next burst made
-// every load take 600 ms, and each of them cut the limit, down to one.
-func TestThePaceFollowsOnlyWhatItLimits(t *testing.T) {
+// With few loads in progress the limit rose to forty; the next burst made every load take 600 ms,
+// and each of those loads reduced the limit, down to one.
+func TestLoadLimitRisesOnlyWhileInUse(t *testing.T) {
 	c := quicktest.New(t)
 	p := newLoadLimiter()
 	now := time.Unix(100, 0)
--- a/placement/load.go
+++ b/placement/load.go
@@ -157,7 +157,7 @@
 	l.requestReclaim(o, claim, "load timed out")
 }
 
-// nextPollDelay returns when to poll a load that began so long elapsed: when it would be done if
+// nextPollDelay returns when to poll a load that was accepted elapsed ago: when it would be done if
 // it came from host memory, shortly before the fastest load from the store would be, and at
 // short intervals from then on. The schedule does not depend on the smoothed load time, since
 // late polls would increase the measured times and so delay the next polls further.
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -20,18 +20,18 @@
 	slotCount = 2
 )
 
-// fakeEndpoint is one endpoint that keeps count of what it was ordered to hold.
+// fakeEndpoint is an endpoint that records what it was ordered to hold.
 type fakeEndpoint struct {
-	mu         sync.Mutex
-	slots      map[topology.Adapter]bool // true: ready
-	inUse      map[topology.Adapter]bool // unloading waits for these
-	leaving    map[topology.Adapter]bool // they are unloaded once they are not in use
-	overfilled bool                      // it was ordered to load more than its slots
-	loads      []topology.Adapter
-	loadTime   time.Duration
-	fence      uint64 // the highest seen
-	claimed    bool   // a fence was seen before the first report
-	reported   bool
+	mu                 sync.Mutex
+	slots              map[topology.Adapter]bool // true: ready
+	inUse              map[topology.Adapter]bool // unloading waits for these
+	unloadPending      map[topology.Adapter]bool // unloaded once they are not in use
+	overfilled         bool                      // it was ordered to load more adapters than it has slots
+	loads              []topology.Adapter
+	loadTime           time.Duration
+	fence              uint64 // highest seen
+	fencedBeforeReport bool   // a fence was seen before the first report
+	reported           bool
 }
 
 // Report implements Control.
@@ -39,7 +39,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.reported {
-		f.reported, f.claimed = true, f.fence > 0
+		f.reported, f.fencedBeforeReport = true, f.fence > 0
 	}
 	h := Inventory{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
 	for a, ready := range f.slots {
@@ -61,18 +61,18 @@
 	}
 	f.fence = o.Fence
 	if o.Adapter.Name == "" && f.loads == nil && !f.reported {
-		return Done, nil // it holds the base model
+		return Done, nil // the base model is loaded
 	}
 	if o.Unload {
 		if f.inUse[o.Adapter] {
-			f.leaving[o.Adapter] = true
+			f.unloadPending[o.Adapter] = true
 			return Accepted, nil
 		}
-		delete(f.leaving, o.Adapter)
+		delete(f.unloadPending, o.Adapter)
 		delete(f.slots, o.Adapter)
 		return Done, nil
 	}
-	if f.leaving[o.Adapter] {
+	if f.unloadPending[o.Adapter] {
 		return Busy, nil
 	}
 	if ready, ok := f.slots[o.Adapter]; ok {
@@ -96,13 +96,13 @@
 	return Accepted, nil
 }
 
-func (f *fakeEndpoint) hold(a topology.Adapter, used bool) {
+func (f *fakeEndpoint) setInUse(a topology.Adapter, used bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inUse[a] = used
 }
 
-// bench is a loader that owns one fake endpoint.
+// fixture is a loader that owns one fake endpoint.
 type fixture struct {
 	loader   *Loader
 	endpoint *topology.Endpoint
@@ -120,14 +120,14 @@
 	return b
 }
 
-// prepare returns a loader that does not run yet.
+// newFixture returns a loader that is not running.
 func newFixture(atOnce float64) *fixture {
 	v := topology.NewView()
 	engine := &topology.EngineSpec{Models: []topology.ModelSpec{{Name: model}}, AdapterSlots: slotCount, LoadsPerSec: 10}
 	v.SetConfig(topology.NewConfig(1, nil, []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "llm", Engine: engine})}, topology.Limits{}))
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{model}})
 	v.SetEndpoint(e)
-	fake := &fakeEndpoint{slots: make(map[topology.Adapter]bool), inUse: make(map[topology.Adapter]bool), leaving: make(map[topology.Adapter]bool), loadTime: 20 * time.Millisecond}
+	fake := &fakeEndpoint{slots: make(map[topology.Adapter]bool), inUse: make(map[topology.Adapter]bool), unloadPending: make(map[topology.Adapter]bool), loadTime: 20 * time.Millisecond}
 	l := &Loader{
 		Box:         "box",
 		View:        v,
@@ -174,12 +174,12 @@
 	return b.loader.Want(context.Background(), forward.Wanted{Endpoint: b.endpoint, Adapter: a, Wait: wait, Most: wait})
 }
 
-// patient is a request for an adapter that can wait for long.
+// patientRequest returns a request for an adapter that can wait long.
 func (b *fixture) patientRequest(i int) forward.Wanted {
 	return forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(i), Version: 1, Wait: 10 * time.Second, Most: 10 * time.Second}
 }
 
-func TestAnAdapterThatIsWantedIsLoaded(t *testing.T) {
+func TestRequestedAdapterIsLoaded(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	p, err := b.want(adapter(1), 5*time.Second)
@@ -187,19 +187,19 @@
 	c.Assert(p.Ready, quicktest.IsTrue)
 }
 
-// An adapter that is being unloaded, because requests still run on it, was ordered
-// again while its slot counted for two: the endpoint got one load too many.
+// An adapter whose unload waited for its requests to end was loaded again while its slot was
+// counted as free: the endpoint got one load too many.
 func TestAnAdapterThatIsLeavingIsNotLoadedOverItself(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	for i := 1; i <= slotCount; i++ {
 		_, err := b.want(adapter(i), 5*time.Second)
 		c.Assert(err, quicktest.IsNil)
-		b.fake.hold(adapter(i), true)
+		b.fake.setInUse(adapter(i), true)
 	}
-	time.Sleep(4 * usageSettleTime) // so that they may be evicted
+	time.Sleep(4 * usageSettleTime) // so that they count as idle
 	done := make(chan struct{})
-	for _, i := range []int{3, 1, 2, 4} { // one evicts an adapter in use, which is then wanted again
+	for _, i := range []int{3, 1, 2, 4} { // one evicts an adapter in use, which is then requested again
 		go func() {
 			_, _ = b.want(adapter(i), 2*time.Second) // may be refused
 			done <- struct{}{}
@@ -207,7 +207,7 @@
 		time.Sleep(3 * queueInterval)
 	}
 	for i := 1; i <= slotCount; i++ {
-		b.fake.hold(adapter(i), false)
+		b.fake.setInUse(adapter(i), false)
 	}
 	for range 2 * slotCount {
 		<-done
@@ -217,11 +217,11 @@
 	c.Assert(b.fake.overfilled, quicktest.IsFalse)
 }
 
-func TestTheAdapterThatMoreAskedForInVainGoesFirst(t *testing.T) {
+func TestAdapterWithMoreUnservedRequestsIsLoadedFirst(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 1)
 	b.fake.loadTime = 300 * time.Millisecond
-	_, _ = b.want(adapter(1), 0) // is under way while the others ask
+	_, _ = b.want(adapter(1), 0) // in progress during the requests below
 	c.Assert(b.eventuallyLoads(adapter(1)), quicktest.IsTrue)
 	_, _ = b.want(adapter(10), 0)
 	for range 4 {
@@ -246,7 +246,7 @@
 	return false
 }
 
-func TestAnEndpointWithoutABaseModelGetsOne(t *testing.T) {
+func TestEndpointWithoutBaseModelGetsOne(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
@@ -261,7 +261,7 @@
 	f := &Fences{Box: 7}
 	first := f.Next(now, 0, 0)
 	c.Assert(f.Next(now, first, 0) > first, quicktest.IsTrue)
-	f.Observe(term(first) + 5000) // of an owner whose clock is ahead
+	f.Observe(term(first) + 5000) // from an owner whose clock is ahead
 	c.Assert(term(f.Next(now, 0, 0)), quicktest.Equals, term(first)+5001)
 	c.Assert(f.Next(now, 0, 0) < 1<<53, quicktest.IsTrue)
 	c.Assert(f.Next(now, 0, 0)&(1<<boxBits-1), quicktest.Equals, uint64(7))
@@ -270,8 +270,8 @@
 	c.Assert(f.Next(now, 0, 0) > given, quicktest.IsTrue)
 }
 
-// Each claim of each endpoint took a term of its own, so that terms ran ahead of the
-// clock by a minute; after a restart of every box the clock was refused as a fence.
+// Each claim of each endpoint used a new term, so terms ran ahead of the clock by a minute. After
+// a restart of all boxes, fences made from the clock were refused.
 func TestTermsDoNotRunAheadOfTheClock(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
@@ -285,8 +285,8 @@
 	}
 }
 
-// After a restart of every box the endpoints knew a fence of a box whose clock had been
-// ahead. The new owner kept away from them for the lease, though nobody owned them.
+// After a restart of all boxes the endpoints remembered the fence of a box whose clock had been
+// ahead. The new owner backed off for the lease, although nobody owned them.
 func TestAnEndpointThatRefusesTheFirstFenceIsClaimedAgainAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	ahead := (&Fences{Box: 2}).Next(time.Now().Add(30*time.Second), 0, 0)
@@ -300,9 +300,9 @@
 	c.Assert(b.fake.fence > ahead, quicktest.IsTrue)
 }
 
-// A caller that had come back was let wait from each moment on anew, so that the
-// loop span from the end of its wait until the load began.
-func TestAReturnedCallerThatIsNotServedIsRefusedAtTheEndOfItsWait(t *testing.T) {
+// The wait of a retry was restarted at each re-evaluation, so that from the end of the wait until
+// the load began the loop spun.
+func TestRetryIsRefusedAtTheEndOfItsWait(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 0) // nothing is loaded
 	refused := make(chan forward.Placed, 1)
@@ -314,12 +314,12 @@
 	case p := <-refused:
 		c.Assert(p.Ready, quicktest.IsFalse)
 	case <-time.After(20 * time.Second):
-		c.Fatal("no answer")
+		c.Fatal("no response within 20 s")
 	}
 }
 
-// A load that took long made the next one be asked after late, which so took long too.
-func TestOneSlowLoadDoesNotMakeTheNextOnesSlow(t *testing.T) {
+// After a slow load the next one was polled late, and so appeared to take long as well.
+func TestSlowLoadDoesNotDelayPollsOfTheNext(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
@@ -329,19 +329,19 @@
 	p, err := b.want(adapter(1), 20*time.Second)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Ready, quicktest.IsTrue)
-	c.Assert(time.Since(begun) < 3*time.Second, quicktest.IsTrue) // it would be four: no bound on speed, but on the rule
+	c.Assert(time.Since(begun) < 3*time.Second, quicktest.IsTrue) // late polls would take it to four seconds; the bound is on the polling, not on speed
 }
 
-// An owner that was slow and did not know that it was replaced ordered a load after the
-// new owner had read the report, and the endpoint got one more than it has slots.
+// A slow previous owner that did not know of its replacement ordered a load after the new owner
+// had read the report, and the endpoint got more loads than it has slots.
 func TestTheFenceIsRaisedBeforeTheReportIsRead(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.fake.mu.Lock()
-	claimed, fence := b.fake.claimed, b.fake.fence
+	claimed, fence := b.fake.fencedBeforeReport, b.fake.fence
 	b.fake.mu.Unlock()
 	c.Assert(claimed, quicktest.IsTrue)
 	out, err := b.fake.Order(context.Background(), b.endpoint, Order{Adapter: adapter(1), Fence: fence - 1})
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(out, quicktest.Equals, Fenced) // the owner before
+	c.Assert(out, quicktest.Equals, Fenced) // an order of the previous owner
 }
--- a/placement/model_test.go
+++ b/placement/model_test.go
@@ -17,45 +17,44 @@
 	"github.com/pkg/errors"
 )
 
-// This file drives two real loaders, with their goroutines, and one endpoint through all
-// orders of what can happen to their calls. Each way is played from its beginning in a
-// bubble of its own, where time stands still until every goroutine waits.
+// This file runs two real loaders, with their goroutines, and one endpoint through all
+// interleavings of what can happen to their calls. Each path is replayed from its beginning in
+// a synctest bubble of its own, where time advances only when every goroutine is blocked.
 
-// modelTick is how long time passes at once: after it a report tells what was so before.
+// modelTick is the step by which time advances: a report after it contains the state before it.
 const modelTick = reportLag
 
-var errModelLost = errors.New("no answer came")
+var errResponseLost = errors.New("response lost")
 
-// modelCall is a call that is on its way to the endpoint.
+// modelCall is a call in transit to the endpoint.
 type modelCall struct {
-	order  Order
-	report bool
-	gone   bool // its caller has given it up
-	answer chan modelAnswer
+	order     Order
+	report    bool
+	cancelled bool // its caller has stopped waiting
+	response  chan modelResponse
 }
 
-type modelAnswer struct {
+type modelResponse struct {
 	outcome Outcome
 	holding Inventory
 	err     error
 }
 
-// modelEndpoint checks fences, and keeps what a report will tell.
+// modelEndpoint checks fences and keeps the state that its reports contain.
 type modelEndpoint struct {
-	fence   uint64
-	highest uint64 // ever seen, restarts or not
-	slots   map[topology.Adapter]bool
-	past    map[topology.Adapter]bool // as of a tick ago
-	fault   string
+	fence    uint64
+	highest  uint64 // highest ever seen since the last restart
+	slots    map[topology.Adapter]bool
+	reported map[topology.Adapter]bool // state one tick ago
+	fault    string
 }
 
-// take carries an order out.
-func (e *modelEndpoint) take(o Order) Outcome {
+func (e *modelEndpoint) carryOut(o Order) Outcome {
 	if o.Fence < e.fence {
 		return Fenced
 	}
 	if o.Fence < e.highest {
-		e.fault = "an order is carried out under a fence lower than one that was shown"
+		e.fault = "order carried out with a fence lower than one seen before"
 	}
 	e.fence, e.highest = o.Fence, max(o.Fence, e.highest)
 	switch ready, held := e.slots[o.Adapter]; {
@@ -70,7 +69,7 @@
 		return Accepted
 	}
 	if len(e.slots) >= slotCount {
-		e.fault = "a load goes over a full endpoint"
+		e.fault = "load ordered on an endpoint without a free slot"
 	}
 	e.slots[o.Adapter] = false
 	return Accepted
@@ -78,7 +77,7 @@
 
 func (e *modelEndpoint) report() Inventory {
 	h := Inventory{Models: []string{model}, Ready: make(map[topology.Adapter]int64), Pending: make(map[topology.Adapter]int64)}
-	for a, ready := range e.past {
+	for a, ready := range e.reported {
 		if ready {
 			h.Ready[a] = 1
 		} else {
@@ -88,14 +87,14 @@
 	return h
 }
 
-// modelBox is one loader with its calls.
+// modelBox is a loader and its calls.
 type modelBox struct {
 	*fixture
 
-	world *modelWorld
-	calls []*modelCall // under way, oldest first
-	leads bool
-	wants int // adapters asked for so far
+	world     *modelWorld
+	calls     []*modelCall // in transit, oldest first
+	leads     bool
+	requested int // adapters requested so far
 }
 
 // Report implements Control.
@@ -110,13 +109,13 @@
 	return a.outcome, a.err
 }
 
-func (b *modelBox) call(ctx context.Context, c *modelCall) modelAnswer {
-	c.answer = make(chan modelAnswer, 1)
+func (b *modelBox) call(ctx context.Context, c *modelCall) modelResponse {
+	c.response = make(chan modelResponse, 1)
 	b.world.mu.Lock()
 	b.calls = append(b.calls, c)
 	b.world.mu.Unlock()
 	select {
-	case a := <-c.answer:
+	case a := <-c.response:
 		return a
 	case <-ctx.Done():
 	}
@@ -124,27 +123,27 @@
 	defer b.world.mu.Unlock()
 	b.drop(c)
 	b.world.keepLateLocked(c)
-	return modelAnswer{err: ctx.Err()}
+	return modelResponse{err: ctx.Err()}
 }
 
 func (b *modelBox) drop(c *modelCall) {
 	b.calls = slices.DeleteFunc(b.calls, func(d *modelCall) bool { return c == d })
 }
 
-// modelWorld is two boxes and an endpoint, at the end of one way.
+// modelWorld is two boxes and an endpoint.
 type modelWorld struct {
 	mu         sync.Mutex
 	endpoint   modelEndpoint
 	boxes      [2]*modelBox
-	lateOrders []Order // whose callers have given them up
-	losses     int     // answers and orders that may yet be lost
-	restarts   int     // of the endpoint, that may yet be
+	lateOrders []Order // orders in transit whose callers have stopped waiting
+	losses     int     // losses of orders or responses that may still occur
+	restarts   int     // restarts of the endpoint that may still occur
 }
 
-// late keeps an order that may still arrive. Guarded by mu.
+// keepLateLocked keeps an order that may still arrive after its caller has stopped waiting.
 func (w *modelWorld) keepLateLocked(c *modelCall) {
-	if !c.report && !c.gone {
-		c.gone = true
+	if !c.report && !c.cancelled {
+		c.cancelled = true
 		w.lateOrders = append(w.lateOrders, c.order)
 	}
 }
@@ -152,7 +151,7 @@
 func newModelWorld(losses, restarts int) *modelWorld {
 	w := &modelWorld{losses: losses, restarts: restarts}
 	w.endpoint.slots = make(map[topology.Adapter]bool)
-	w.endpoint.past = make(map[topology.Adapter]bool)
+	w.endpoint.reported = make(map[topology.Adapter]bool)
 	for i := range w.boxes {
 		b := &modelBox{fixture: newFixture(4), world: w, leads: i == 0}
 		w.boxes[i] = b
@@ -168,18 +167,18 @@
 	return w
 }
 
-// events are the names of what can happen now.
+// events returns the names of the events that are possible now.
 func (w *modelWorld) events() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := []string{"time"}
 	for i, b := range w.boxes {
 		list = append(list, fmt.Sprintf("lead %d", i))
-		if b.wants < 4 {
-			list = append(list, fmt.Sprintf("want %d", i))
+		if b.requested < 4 {
+			list = append(list, fmt.Sprintf("request %d", i))
 		}
 		if len(b.calls) > 0 {
-			list = append(list, fmt.Sprintf("take %d", i))
+			list = append(list, fmt.Sprintf("deliver %d", i))
 		}
 		if len(b.calls) > 0 && w.losses > 0 {
 			list = append(list, fmt.Sprintf("lose %d", i), fmt.Sprintf("late %d", i))
@@ -194,8 +193,8 @@
 	return list
 }
 
-// play lets one thing happen, and waits until all goroutines wait again; false: it can't
-// happen, since a map was walked another way this time.
+// apply applies an event, and waits until all goroutines are blocked again. It returns false
+// when the event is not possible, since a map was iterated in another order this time.
 func (w *modelWorld) apply(name string) bool {
 	if !slices.Contains(w.events(), name) {
 		return false
@@ -205,7 +204,7 @@
 	_, _ = fmt.Sscanf(name, "%s %d", &what, &i)
 	if what == "time" {
 		w.mu.Lock()
-		w.endpoint.past = maps.Clone(w.endpoint.slots)
+		w.endpoint.reported = maps.Clone(w.endpoint.slots)
 		for a := range w.endpoint.slots {
 			w.endpoint.slots[a] = true
 		}
@@ -215,9 +214,9 @@
 		return true
 	}
 	b := w.boxes[i]
-	if what == "want" {
-		b.wants++
-		_, _ = b.want(adapter(4*i+b.wants), 0) // refused, and wanted from then on
+	if what == "request" {
+		b.requested++
+		_, _ = b.want(adapter(4*i+b.requested), 0) // refused, which leaves a pending load
 		synctest.Wait()
 		return true
 	}
@@ -228,43 +227,43 @@
 	return true
 }
 
-// happen is what happens to a call or to the endpoint. Guarded by mu.
+// applyLocked applies an event to a call or to the endpoint.
 func (w *modelWorld) applyLocked(what string, b *modelBox) {
 	e := &w.endpoint
 	switch what {
 	case "lead":
 		b.leads = !b.leads
 	case "arrive":
-		e.take(w.lateOrders[0])
+		e.carryOut(w.lateOrders[0])
 		w.lateOrders = w.lateOrders[1:]
-	case "restart": // of its process under the same name, which remembers nothing
+	case "restart": // of the endpoint's process under the same name, without its state
 		w.restarts--
 		e.fence, e.highest = 0, 0
 		clear(e.slots)
-		e.past = make(map[topology.Adapter]bool)
+		e.reported = make(map[topology.Adapter]bool)
 	default:
 		c := b.calls[0]
 		b.drop(c)
-		var a modelAnswer
+		var a modelResponse
 		switch {
 		case what == "late":
 			w.losses--
 			w.keepLateLocked(c)
-			a.err = errModelLost
+			a.err = errResponseLost
 		case c.report:
 			a.holding = e.report()
 		default:
-			a.outcome = e.take(c.order)
+			a.outcome = e.carryOut(c.order)
 		}
 		if what == "lose" {
 			w.losses--
-			a = modelAnswer{err: errModelLost}
+			a = modelResponse{err: errResponseLost}
 		}
-		c.answer <- a
+		c.response <- a
 	}
 }
 
-// key names the state.
+// key identifies the state.
 func (w *modelWorld) key() string {
 	var k strings.Builder
 	w.mu.Lock()
@@ -283,12 +282,12 @@
 	slices.Sort(fences)
 	rank := func(f uint64) int { return slices.Index(fences, f) }
 	order := func(o Order) string { return fmt.Sprint(o.Unload, o.Adapter, rank(o.Fence)) }
-	fmt.Fprint(&k, w.losses, w.restarts, rank(w.endpoint.fence), w.endpoint.slots, w.endpoint.past)
+	fmt.Fprint(&k, w.losses, w.restarts, rank(w.endpoint.fence), w.endpoint.slots, w.endpoint.reported)
 	for _, o := range w.lateOrders {
 		fmt.Fprint(&k, "late", order(o))
 	}
 	for _, b := range w.boxes {
-		fmt.Fprint(&k, "|", b.leads, b.wants)
+		fmt.Fprint(&k, "|", b.leads, b.requested)
 		for _, c := range b.calls {
 			fmt.Fprint(&k, c.report, order(c.order))
 		}
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// queueOf returns a loader with so many loads that are wanted and cannot begin.
+// newQueue returns a loader with a number of pending loads that cannot begin.
 func newQueue(count int) (*fixture, time.Time) {
 	b := newFixture(4)
 	now := time.Now()
@@ -23,9 +23,9 @@
 	return b, now
 }
 
-// What a request waits for was counted over every load that is wanted, for each request,
-// and a leader with some thousand of them stood still for a second.
-func TestTheWaitIsTakenFromTheLastLookAtTheQueue(t *testing.T) {
+// The queue delay of each request was computed over all pending loads, and a leader with some
+// thousand of them was blocked for a second.
+func TestQueueDelayUsesLastRanking(t *testing.T) {
 	c := quicktest.New(t)
 	b, now := newQueue(20)
 	l := b.loader
@@ -36,27 +36,27 @@
 	c.Assert(l.queueDelayLocked(last, l.pendingLoads[last], now) >= 4*l.coldLoadTime, quicktest.IsTrue)
 }
 
-// A request that was late already took the slot of one that could still be in time.
+// A load that was already too late took the slot of one that could still be in time.
 func TestALoadThatIsInTimeForSomebodyGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
 	b, now := newQueue(3)
 	l := b.loader
-	timely := placementKey{endpoint: "e1", adapter: adapter(0)} // the fewest asked for it
+	timely := placementKey{endpoint: "e1", adapter: adapter(0)} // it has the fewest requests
 	l.pendingLoads[timely].waiting, l.pendingLoads[timely].deadline = 1, now.Add(2*l.coldLoadTime)
 	c.Assert(l.rankPendingLocked(now)[0].key, quicktest.Equals, timely)
 	c.Assert(l.rankPendingLocked(now.Add(2 * l.coldLoadTime))[0].key, quicktest.Not(quicktest.Equals), timely)
 }
 
-// Loads were made for requests that had been refused or given up long before, and took slots
+// Loads were made for requests that had been refused or cancelled long before, and took slots
 // from others.
-func TestALoadForWhichNobodyWaitsAnyMoreDoesNotCountAsWaitedFor(t *testing.T) {
+func TestCancelledWaitIsNotCounted(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1")
 	now := time.Now()
 	fillWithBusyAdapters(l, list["e1"], 10, now)
 	gone, refused, stays := patientWaiter(list["e1"], 1), patientWaiter(list["e1"], 1), patientWaiter(list["e1"], 1)
 	for _, w := range []*waiter{gone, refused, stays} {
-		for range 2 { // looked at again, each counts once
+		for range 2 { // evaluated twice, each counts once
 			_, wait := l.tryPlace(w, now, now.Add(time.Minute))
 			c.Assert(wait, quicktest.IsNotNil)
 			w.counted = true
@@ -65,14 +65,14 @@
 	q := l.pendingLoads[placementKey{endpoint: "e1", adapter: adapter(1)}]
 	c.Assert(q.waiting, quicktest.Equals, 3)
 	l.cancelWait(gone)
-	_, wait := l.tryPlace(refused, now, now) // it comes too late for this one
+	_, wait := l.tryPlace(refused, now, now) // too late for this one
 	c.Assert(wait, quicktest.IsNil)
 	c.Assert(q.waiting, quicktest.Equals, 1)
 	l.cancelWait(stays)
 	c.Assert(q.waiting, quicktest.Equals, 0)
 }
 
-func TestWhatIsOwnedIsNotLookedAtAtEachStep(t *testing.T) {
+func TestOwnershipIsNotCheckedInEachStep(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	looks := 0
@@ -85,7 +85,7 @@
 	c.Assert(looks, quicktest.Equals, 1)
 }
 
-// BenchmarkStep shows what one look at a long queue costs.
+// BenchmarkStep measures one step with a long queue.
 func BenchmarkStep(b *testing.B) {
 	q, now := newQueue(3000)
 	for b.Loop() {
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -15,17 +15,17 @@
 	"github.com/pkg/errors"
 )
 
-// sharedEndpoint is an endpoint that several boxes order. It holds its base model.
+// sharedEndpoint is an endpoint with a base model that several boxes send orders to.
 type sharedEndpoint struct {
-	mu      sync.Mutex
-	slots   map[topology.Adapter]bool // true: ready
-	inUse   map[topology.Adapter]bool // unloading waits for these
-	holders []string                  // boxes in the order in which their orders came, refused ones too
-	fence   uint64                    // the highest seen
-	reports int
-	most    int           // adapters that it was ordered to hold at once
-	answer  chan struct{} // an order to load is answered once it can be read; nil: at once
-	mute    bool          // orders to load are taken and not answered
+	mu            sync.Mutex
+	slots         map[topology.Adapter]bool // true: ready
+	inUse         map[topology.Adapter]bool // unloading waits for these
+	holders       []string                  // boxes in the order of their orders, including refused ones
+	fence         uint64                    // highest seen
+	reports       int
+	maxHeld       int           // most adapters that it was ordered to hold at once
+	respond       chan struct{} // load orders are answered once it can be read; nil: at once
+	dropResponses bool          // load orders are carried out and not answered
 }
 
 func newSharedEndpoint() *sharedEndpoint {
@@ -50,12 +50,12 @@
 
 // Order implements Control.
 func (f *sharedEndpoint) Order(ctx context.Context, _ *topology.Endpoint, o Order) (Outcome, error) {
-	out, answer, mute := f.take(o)
+	out, answer, mute := f.carryOut(o)
 	if o.Adapter.Name == "" || out == Fenced {
 		return out, nil
 	}
 	if mute {
-		return 0, errors.New("no answer")
+		return 0, errors.New("no response")
 	}
 	if answer != nil {
 		select {
@@ -67,7 +67,7 @@
 	return out, nil
 }
 
-func (f *sharedEndpoint) take(o Order) (out Outcome, answer <-chan struct{}, mute bool) {
+func (f *sharedEndpoint) carryOut(o Order) (out Outcome, answer <-chan struct{}, mute bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n := len(f.holders); n == 0 || f.holders[n-1] != o.Holder {
@@ -88,17 +88,17 @@
 	}
 	ready, known := f.slots[o.Adapter]
 	if ready {
-		return Done, f.answer, f.mute
+		return Done, f.respond, f.dropResponses
 	}
-	f.slots[o.Adapter] = known // a repeated order finds it ready
-	f.most = max(f.most, len(f.slots))
-	return Accepted, f.answer, f.mute
+	f.slots[o.Adapter] = known // a repeated order finds the adapter ready
+	f.maxHeld = max(f.maxHeld, len(f.slots))
+	return Accepted, f.respond, f.dropResponses
 }
 
 func (f *sharedEndpoint) count() (reports, most int, holders []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.reports, f.most, slices.Clone(f.holders)
+	return f.reports, f.maxHeld, slices.Clone(f.holders)
 }
 
 func (f *sharedEndpoint) holds(a topology.Adapter) bool {
@@ -108,7 +108,8 @@
 	return ok
 }
 
-// boxAt returns a loader of a box of its own at an endpoint, after the box before.
+// newSharedFixture returns a loader of a box of its own that shares an endpoint, and requests
+// handovers from the previous box's loader.
 func newSharedFixture(f *sharedEndpoint, name string, number uint32, before *Loader) *fixture {
 	b := newFixture(4)
 	b.loader.Box, b.loader.Control = name, f
@@ -121,7 +122,8 @@
 	return b
 }
 
-// leaver returns a box that owns an endpoint, has loaded an adapter there and begins to leave.
+// newLeavingLoader returns a box that owns an endpoint, has loaded an adapter there and has begun
+// to leave.
 func newLeavingLoader(t *testing.T, c *quicktest.C, f *sharedEndpoint) *fixture {
 	b := newSharedFixture(f, "first", 9, nil)
 	b.start(t)
@@ -131,38 +133,37 @@
 	return b
 }
 
-// loads tells whether an adapter is loaded for a request that can wait.
+// loads reports whether an adapter gets loaded for a request that can wait.
 func (b *fixture) loads(i int) bool {
 	p, err := b.loader.Want(context.Background(), b.patientRequest(i))
 	return err == nil && p.Ready
 }
 
-// A leader that was told to stop gave its endpoints up at once, and the next one loaded
-// nothing before it had heard of it, raised its fence and waited 0.4 s for a report that was
-// new enough.
+// A stopping leader gave up its endpoints at once. The next one loaded nothing until it had
+// learned of this, raised its fence and waited 0.4 s for a recent report.
 func TestALeaderThatLeavesGoesOnUntilTheNextOneTakesOver(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
-	time.Sleep(2 * ownershipInterval) // it has looked again at what it owns
+	time.Sleep(2 * ownershipInterval) // it has checked its ownership again
 	c.Assert(first.loads(2), quicktest.IsTrue)
 	reports, _, _ := f.count()
-	second := newSharedFixture(f, "second", 1, first.loader) // of two terms alike its fence is the lower one
+	second := newSharedFixture(f, "second", 1, first.loader) // with equal terms its fence is the lower one
 	second.start(t)
 	second.awaitOwned()
 	after, _, _ := f.count()
-	c.Assert(after, quicktest.Equals, reports) // what the endpoint holds was told
+	c.Assert(after, quicktest.Equals, reports) // the handover made a report unnecessary
 	c.Assert(second.loader.View.Holders(adapter(1)), quicktest.HasLen, 1)
 	p, err := first.loader.Want(context.Background(), first.patientRequest(3))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Settling, quicktest.IsTrue)
 	time.Sleep(2 * ownershipInterval)
 	_, most, holders := f.count()
-	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"}) // no turns
+	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"}) // the boxes did not alternate
 	c.Assert(most <= slotCount, quicktest.IsTrue)
 }
 
-func TestOnlyABoxThatLeavesResigns(t *testing.T) {
+func TestOnlyLeavingBoxResigns(t *testing.T) {
 	c := quicktest.New(t)
 	b := newSharedFixture(newSharedEndpoint(), "first", 9, nil)
 	b.start(t)
@@ -172,28 +173,27 @@
 	b.loader.Leave(time.Now())
 	c.Assert(b.loader.Resign(context.Background(), "e2").Resigned, quicktest.IsFalse)
 	c.Assert(b.loader.Resign(context.Background(), "e1").Resigned, quicktest.IsTrue)
-	c.Assert(b.loader.Resign(context.Background(), "e1").Resigned, quicktest.IsFalse) // one owner at most comes after it
+	c.Assert(b.loader.Resign(context.Background(), "e1").Resigned, quicktest.IsFalse) // at most one owner takes over from it
 }
 
-// An order that was under way when the endpoint was handed over would come after the first
-// one of the next owner.
+// An order in transit during the handover would arrive after the first order of the next owner.
 func TestABoxThatResignsWaitsForItsOrders(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
 	f.mu.Lock()
-	f.answer = make(chan struct{})
+	f.respond = make(chan struct{})
 	f.mu.Unlock()
-	go func() { _, _ = first.loader.Want(context.Background(), first.patientRequest(2)) }() // it is told nothing more
+	go func() { _, _ = first.loader.Want(context.Background(), first.patientRequest(2)) }() // its result is not needed
 	c.Assert(first.eventually(func() bool { return f.holds(adapter(2)) }), quicktest.IsTrue)
 	handed := make(chan Handover, 1)
 	go func() { handed <- first.loader.Resign(context.Background(), "e1") }()
 	select {
 	case <-handed:
-		c.Fatal("handed over with an order under way")
+		c.Fatal("handed over with an order in transit")
 	case <-time.After(50 * time.Millisecond):
 	}
-	close(f.answer)
+	close(f.respond)
 	h := <-handed
 	c.Assert(h.Resigned, quicktest.IsTrue)
 	c.Assert(h.Ready, quicktest.DeepEquals, map[topology.Adapter]int64{adapter(1): 1})
@@ -210,15 +210,15 @@
 	return false
 }
 
-// What the next owner were told would be wrong, and it would order more than there are slots.
+// With a wrong handover the next owner would order more loads than there are slots.
 func TestWhatIsNotCertainIsNotHandedOver(t *testing.T) {
 	for _, k := range []struct {
 		name string
 		do   func(f *sharedEndpoint, first *fixture)
 	}{
-		{"an order gets no answer", func(f *sharedEndpoint, first *fixture) {
+		{"an order gets no response", func(f *sharedEndpoint, first *fixture) {
 			f.mu.Lock()
-			f.mute = true
+			f.dropResponses = true
 			f.mu.Unlock()
 			first.loader.mu.Lock()
 			o := first.loader.owned["e1"]
@@ -234,13 +234,13 @@
 			f.fence += 1 << boxBits
 			f.mu.Unlock()
 		}},
-		{"an adapter is unloaded when its runs end", func(_ *sharedEndpoint, first *fixture) {
+		{"an adapter is unloaded when its requests end", func(_ *sharedEndpoint, first *fixture) {
 			first.loader.mu.Lock()
 			defer first.loader.mu.Unlock()
 			s := first.loader.owned["e1"].slots[adapter(1)]
 			s.evicting, s.unloading = true, true
 		}},
-		{"a base model is on its way", func(_ *sharedEndpoint, first *fixture) {
+		{"a base model is being loaded", func(_ *sharedEndpoint, first *fixture) {
 			first.loader.mu.Lock()
 			defer first.loader.mu.Unlock()
 			first.loader.owned["e1"].loadingModel = true
@@ -252,19 +252,19 @@
 			first := newLeavingLoader(t, c, f)
 			k.do(f, first)
 			c.Assert(first.loader.Resign(context.Background(), "e1"), quicktest.DeepEquals, Handover{})
-			p, err := first.loader.Want(context.Background(), first.patientRequest(3)) // nor does it order any more
+			p, err := first.loader.Want(context.Background(), first.patientRequest(3)) // it gives no more orders either
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(p.Settling, quicktest.IsTrue)
 		})
 	}
 }
 
-// Who raised a fence after the owner before was asked may order as soon as its report is new
-// enough.
+// A box that raised a fence after the previous owner was asked may give orders as soon as its
+// report is recent enough, so a late handover may be outdated.
 func TestAHandoverThatCameLateIsNotBelieved(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
-	f.slots[adapter(7)] = true // loaded by a third box meanwhile
+	f.slots[adapter(7)] = true // loaded by a third box in the meantime
 	b := newSharedFixture(f, "second", 1, nil)
 	b.loader.AskToResign = func(context.Context, *topology.Endpoint) (Handover, time.Duration) {
 		time.Sleep(reportLag)
@@ -277,8 +277,8 @@
 	c.Assert(b.loader.View.Holders(adapter(7)), quicktest.HasLen, 1)
 }
 
-// An owner that leaves and can't be asked goes on; a fence would make it take turns with the
-// next one.
+// A leaving owner that can't be asked keeps giving orders; raising the fence meanwhile would make
+// it alternate with the next owner.
 func TestAnOwnerThatDoesNotAnswerHasStoppedBeforeItsEndpointIsClaimed(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
@@ -290,7 +290,7 @@
 	}
 	second.start(t)
 	for i := 2; first.loader.OrdersWhileLeaving("e1"); i++ {
-		_, _ = first.loader.Want(context.Background(), forward.Wanted{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused, once its endpoint is full
+		_, _ = first.loader.Want(context.Background(), forward.Wanted{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused once its endpoint is full
 		time.Sleep(ownershipInterval / 4)
 	}
 	second.awaitOwned()
@@ -299,8 +299,9 @@
 	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"})
 }
 
-// Slots were emptied under requests whose boxes had not told the new owner of them yet.
-func TestAfterAHandoverNoSlotIsEmptiedBeforeTheBoxesWereHeard(t *testing.T) {
+// Slots were emptied while in use because the boxes had not reported their usage to the new owner
+// yet.
+func TestNoEvictionBetweenHandoverAndUsageReports(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.loader.mu.Lock()
@@ -309,14 +310,14 @@
 	s := &slot{ready: true}
 	o.since = now.Add(-usageSyncTime)
 	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now), quicktest.IsTrue)
-	o.handedOver = true // it did not wait for a report
+	o.handedOver = true // the owner did not wait for a report
 	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now), quicktest.IsFalse)
 	c.Assert(b.loader.isIdleLocked(o, adapter(1), s, now.Add(reportLag)), quicktest.IsTrue)
 }
 
-// An endpoint that holds no base model, as after its restart, was not asked for: the owner
-// that left went on fetching the model while the next one ordered too.
-func TestAnEndpointWithoutABaseModelIsAskedForToo(t *testing.T) {
+// No handover was requested for an endpoint without a base model, as after its restart: the
+// leaving owner continued to load the model while the next one sent orders too.
+func TestHandoverIsRequestedForEndpointWithoutBaseModel(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	b.loader.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "llm", DataCentre: "dc", Slots: 8}))
@@ -324,7 +325,7 @@
 	b.loader.AskToResign = func(_ context.Context, e *topology.Endpoint) (Handover, time.Duration) {
 		select {
 		case asked <- e.ID():
-		default: // once is enough
+		default: // asked before
 		}
 		return Handover{}, 0
 	}
@@ -334,13 +335,13 @@
 	case id := <-asked:
 		c.Assert(id, quicktest.Equals, "e1")
 	default:
-		c.Fatal("nobody was asked")
+		c.Fatal("no handover was requested")
 	}
 }
 
-// A box that leaves looked late at what it owns, since its queue was long, and went on with
-// its orders while the next owner, which had waited for it, gave its own.
-func TestABoxThatLeavesStopsInTimeWithoutALook(t *testing.T) {
+// With a long queue a leaving box checked its ownership late, and kept sending orders while the
+// next owner, which had waited for it to stop, sent its own.
+func TestLeavingBoxStopsInTimeWithoutOwnershipCheck(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
@@ -354,7 +355,7 @@
 	l.endOrder(o, claim, Order{}, Done, nil)
 	l.mu.Lock()
 	l.leavingSince = l.leavingSince.Add(-HandoverTimeout)
-	o.phase, l.owned["e1"] = owning, o // as before the look
+	o.phase, l.owned["e1"] = owning, o // as before the ownership check
 	l.mu.Unlock()
 	_, _, owns = l.beginOrder(o, claim)
 	c.Assert(owns, quicktest.IsFalse)
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -11,8 +11,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// owningSome returns a loader, not running, that owns endpoints with the IDs and a place for
-// two adapters each.
+// newIdleLoader returns a loader, not running, that owns endpoints with the given IDs and slots
+// for two adapters each.
 func newIdleLoader(ids ...string) (*Loader, map[string]*ownedEndpoint) {
 	l := newFixture(4).loader
 	list := make(map[string]*ownedEndpoint)
@@ -25,7 +25,7 @@
 	return l, list
 }
 
-// occupy fills an endpoint with adapters that are in use.
+// fillWithBusyAdapters fills an endpoint with adapters in use.
 func fillWithBusyAdapters(l *Loader, o *ownedEndpoint, first int, now time.Time) {
 	var uses []Use
 	for i := range slotCount {
@@ -35,14 +35,14 @@
 	l.RecordUsage("box-"+o.endpoint.ID(), uses, false, now)
 }
 
-// asked is a request for an adapter that asks at endpoint e1 and can wait for long.
+// patientWaiter returns a request for an adapter that asks at an endpoint and can wait long.
 func patientWaiter(o *ownedEndpoint, i int) *waiter {
 	return &waiter{Wanted: forward.Wanted{Endpoint: o.endpoint, Adapter: adapter(i), Wait: time.Minute, Most: time.Minute}}
 }
 
-// A request waited at its adapter's usual endpoint, where every slot was in use, while
-// another endpoint had empty ones.
-func TestALoadGoesWhereASlotIsEmpty(t *testing.T) {
+// A request waited at its adapter's usual endpoint, where every slot was in use, although another
+// endpoint had empty slots.
+func TestLoadGoesToEndpointWithEmptySlot(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
@@ -54,7 +54,7 @@
 	c.Assert(l.pendingLoads, quicktest.HasLen, 1)
 }
 
-func TestAnAdapterGoesBackWhereMemoryHasIt(t *testing.T) {
+func TestAdapterIsLoadedWhereItIsCached(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
@@ -64,7 +64,7 @@
 	c.Assert(l.pendingLoads[placementKey{endpoint: "e2", adapter: adapter(1)}], quicktest.IsNotNil)
 }
 
-func TestALoadThatWaitsMovesWhereASlotComesToRest(t *testing.T) {
+func TestPendingLoadMovesToEndpointWithIdleSlot(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
@@ -73,14 +73,14 @@
 	_, _ = l.tryPlace(patientWaiter(list["e1"], 1), now, now.Add(time.Minute))
 	c.Assert(l.pendingLoads[placementKey{endpoint: "e1", adapter: adapter(1)}], quicktest.IsNotNil)
 	later := now.Add(time.Second)
-	l.RecordUsage("box-e2", nil, false, later) // nothing is in use there any more
+	l.RecordUsage("box-e2", nil, false, later) // no longer in use
 	l.RecordUsage("box-e1", []Use{{Endpoint: "e1", Adapter: adapter(10), Running: 1}, {Endpoint: "e1", Adapter: adapter(11), Running: 1}}, false, later)
 	l.startLoadsLocked(later)
 	c.Assert(l.pendingLoads[placementKey{endpoint: "e2", adapter: adapter(1)}], quicktest.IsNotNil)
 }
 
-// The request asks at the usual endpoint; the adapter is elsewhere by now.
-func TestARequestIsToldWhereItsAdapterIs(t *testing.T) {
+// The request asks at the usual endpoint, but the adapter is loaded elsewhere.
+func TestRequestIsSentToHolder(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	list["e2"].slots[adapter(1)] = &slot{ready: true, version: 3}
@@ -89,9 +89,8 @@
 	c.Assert(p, quicktest.Equals, forward.Placed{Ready: true, Endpoint: "e2", Version: 3})
 }
 
-// Two long prompts waited for loads at one endpoint, and were read there one behind the
-// other.
-func TestPromptsThatWaitForLoadsAreSpread(t *testing.T) {
+// Two long prompts waited for loads on the same endpoint, and were prefilled one after the other.
+func TestWaitingPromptsAreSpread(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
@@ -107,7 +106,7 @@
 	c.Assert([]int{list["e1"].waitingTokens, list["e2"].waitingTokens}, quicktest.DeepEquals, []int{0, 9000})
 }
 
-func TestALevelIsTheCostAtTheCheapestEndpoint(t *testing.T) {
+func TestMinLoadCostIsCostOnCheapestEndpoint(t *testing.T) {
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
