--- a/placement/claim.go
+++ b/placement/claim.go
@@ -81,9 +81,9 @@
 // owner, and is claimed without such an order.
 func (l *Loader) raiseFence(ctx context.Context, o *ownedEndpoint) (e *topology.Endpoint, fence uint64, raised bool) {
 	l.mu.Lock()
-	e, past, refused := o.endpoint, o.fence, o.refusals
+	e, previous, refusals := o.endpoint, o.fence, o.refusals
 	l.mu.Unlock()
-	fence = l.Fences.Next(time.Now(), past, refused)
+	fence = l.Fences.Next(time.Now(), previous, refusals)
 	if len(e.Models()) == 0 {
 		return e, fence, true
 	}
@@ -110,7 +110,7 @@
 
 // takeOwnership starts giving orders to an endpoint that holds h, according to its report or
 // the handover.
-func (l *Loader) takeOwnership(ctx context.Context, o *ownedEndpoint, fence uint64, h Inventory, handed bool) {
+func (l *Loader) takeOwnership(ctx context.Context, o *ownedEndpoint, fence uint64, h Inventory, handedOver bool) {
 	now := clock.Now()
 	l.mu.Lock()
 	if l.owned[o.endpoint.ID()] != o || o.phase != claiming {
@@ -119,7 +119,7 @@
 	}
 	o.fence = fence
 	o.phase, o.since, o.loadsInFlight = owning, now, 0
-	o.handedOver, o.stateUncertain = handed, false
+	o.handedOver, o.stateUncertain = handedOver, false
 	o.claims++
 	claim := o.claims
 	o.slots = make(map[topology.Adapter]*slot)
@@ -141,7 +141,7 @@
 	}
 	l.publishLocked(o)
 	l.updateRateShareLocked()
-	l.Log.Info("Endpoint is owned", "endpoint", o.endpoint.ID(), "fence", o.fence, "handed_over", handed,
+	l.Log.Info("Endpoint is owned", "endpoint", o.endpoint.ID(), "fence", o.fence, "handed_over", handedOver,
 		"models", len(h.Models), "ready", len(h.Ready), "pending", len(pending))
 	l.mu.Unlock()
 	ended := make(chan struct{})
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -106,18 +106,18 @@
 
 // leastRequestedIdleLocked returns the idle adapter with the lowest request rate, the next to
 // evict.
-func (l *Loader) leastRequestedIdleLocked(o *ownedEndpoint, now time.Time) (coldest topology.Adapter, ok bool) {
-	least := 0.0
+func (l *Loader) leastRequestedIdleLocked(o *ownedEndpoint, now time.Time) (best topology.Adapter, ok bool) {
+	lowest := 0.0
 	for a, s := range o.slots {
 		if !s.ready || s.evicting || !l.isIdleLocked(o, a, s, now) {
 			continue
 		}
 		r := l.requestRateLocked(a, now)
-		if !ok || r < least || (r == least && s.lastUsed.Before(o.slots[coldest].lastUsed)) {
-			coldest, least, ok = a, r, true
+		if !ok || r < lowest || (r == lowest && s.lastUsed.Before(o.slots[best].lastUsed)) {
+			best, lowest, ok = a, r, true
 		}
 	}
-	return coldest, ok
+	return best, ok
 }
 
 // isIdleLocked reports whether no box uses an adapter or is about to. A new owner treats none as
@@ -184,21 +184,21 @@
 
 // freeSlotDelayLocked returns how long it takes until an endpoint has an empty slot for a load
 // that is queued behind the given number of others.
-func (l *Loader) freeSlotDelayLocked(o *ownedEndpoint, before int, now time.Time) time.Duration {
+func (l *Loader) freeSlotDelayLocked(o *ownedEndpoint, ahead int, now time.Time) time.Duration {
 	g := l.engineSpec(o.endpoint)
 	if g == nil || len(o.slots) < g.SlotsBeside(o.models) {
 		return 0
 	}
-	least := l.slotWaitLocked(o, before, now)
+	shortest := l.slotWaitLocked(o, ahead, now)
 	for a, s := range o.slots {
 		switch {
 		case s.unloading || (s.ready && !s.evicting && l.isIdleLocked(o, a, s, now)):
 			return idleUnloadTime
 		case s.evicting:
-			least = min(least, max(usageSettleTime-now.Sub(s.evictionBegan), 0))
+			shortest = min(shortest, max(usageSettleTime-now.Sub(s.evictionBegan), 0))
 		}
 	}
-	return least
+	return shortest
 }
 
 // cancelEvictionLocked keeps an adapter that was being evicted and is needed again; it returns
--- a/placement/fence.go
+++ b/placement/fence.go
@@ -36,29 +36,29 @@
 
 // Observe records the term of another box's fence. Terms that no box generates are ignored:
 // after the highest possible term nobody could raise a fence any more.
-func (f *Fences) Observe(heard uint64) {
+func (f *Fences) Observe(observed uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if heard < maxTerm {
-		f.highest = max(f.highest, heard)
+	if observed < maxTerm {
+		f.highest = max(f.highest, observed)
 	}
 }
 
-// Next returns a fence above every known one. It is above past, the last fence that this box
+// Next returns a fence above every known one. It is above previous, the last fence that this box
 // used at the endpoint (zero: none), which was refused so many times in a row.
-func (f *Fences) Next(now time.Time, past uint64, refusals int) uint64 {
+func (f *Fences) Next(now time.Time, previous uint64, refusals int) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	least := f.highest + 1
-	if past != 0 {
+	lowest := f.highest + 1
+	if previous != 0 {
 		raise := uint64(1)
 		for range min(refusals, maxTermRaises) {
 			raise *= termRaiseFactor
 		}
-		least = max(least, term(past)+raise)
+		lowest = max(lowest, term(previous)+raise)
 	}
-	if f.current < least {
-		f.current = min(max(uint64(max(now.Unix(), 0)), least), maxTerm)
+	if f.current < lowest {
+		f.current = min(max(uint64(max(now.Unix(), 0)), lowest), maxTerm)
 	}
 	return f.current<<boxBits | uint64(f.Box)&(1<<boxBits-1)
 }
--- a/placement/limiter.go
+++ b/placement/limiter.go
@@ -87,10 +87,10 @@
 }
 
 // queueDelay returns how long a load waits behind a number of others, when each takes load.
-func (p *loadLimiter) queueDelay(before int, load time.Duration) time.Duration {
-	over := float64(p.inFlight+before) + 1 - p.limit
-	if over <= 0 {
+func (p *loadLimiter) queueDelay(ahead int, load time.Duration) time.Duration {
+	excess := float64(p.inFlight+ahead) + 1 - p.limit
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(over / p.limit * float64(load))
+	return time.Duration(excess / p.limit * float64(load))
 }
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -201,20 +201,20 @@
 // updateRateShareLocked sets this box's share of the store's load rate in proportion to the
 // endpoints that it owns.
 func (l *Loader) updateRateShareLocked() {
-	all, mine, whole := 0, 0, 0.0
+	total, owned, storeRate := 0, 0, 0.0
 	for _, e := range l.View.All() {
 		g := l.engineSpec(e)
 		if g == nil {
 			continue
 		}
-		whole = max(whole, g.LoadsPerSec)
-		all++
+		storeRate = max(storeRate, g.LoadsPerSec)
+		total++
 		if o := l.owned[e.ID()]; o != nil && o.phase == owning {
-			mine++
+			owned++
 		}
 	}
 	l.modelLoadBucket.limits = l.Limits()
-	l.modelLoadBucket.setShare(whole, float64(mine)/float64(max(all, 1)), l.Leaders())
+	l.modelLoadBucket.setShare(storeRate, float64(owned)/float64(max(total, 1)), l.Leaders())
 }
 
 func (l *Loader) countRequestsLocked(a topology.Adapter, n float64, now time.Time) {
--- a/placement/loadtime.go
+++ b/placement/loadtime.go
@@ -48,8 +48,8 @@
 	if !s.heldBefore {
 		return
 	}
-	quick := took < l.loadLimiter.fastestLoad()*warmThresholdTenths/10
-	if quick {
+	warm := took < l.loadLimiter.fastestLoad()*warmThresholdTenths/10
+	if warm {
 		l.cacheSize = max(l.cacheSize, s.evictionsSince+1)
 	} else if !s.holdsPermit {
 		l.cacheSize = max(min(l.cacheSize, s.evictionsSince), minCacheSize)
--- a/placement/ownership.go
+++ b/placement/ownership.go
@@ -75,10 +75,10 @@
 		if l.engineSpec(e) == nil {
 			continue
 		}
-		mine, from := l.Owns(e, now)
+		owns, from := l.Owns(e, now)
 		o := l.owned[e.ID()]
 		switch {
-		case !mine:
+		case !owns:
 			l.dropLocked(o)
 		case o == nil && !now.Before(from):
 			o = &ownedEndpoint{endpoint: e, phase: claiming, since: now, slots: make(map[topology.Adapter]*slot)}
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -172,32 +172,32 @@
 
 // settleDelayLocked estimates when this box will give orders to an endpoint.
 func (l *Loader) settleDelayLocked(e *topology.Endpoint, o *ownedEndpoint, now time.Time) time.Duration {
-	claims := now
+	claimAt := now
 	switch {
 	case o == nil:
-		if mine, from := l.Owns(e, now); mine {
-			claims = from
+		if owns, from := l.Owns(e, now); owns {
+			claimAt = from
 		}
 	case o.phase == yielded:
-		claims = o.since.Add(l.claimBackoffLocked(o))
+		claimAt = o.since.Add(l.claimBackoffLocked(o))
 	default:
-		claims = o.since
+		claimAt = o.since
 	}
-	left := claims.Add(typicalClaimTime).Sub(now)
-	if left <= 0 { // the claim takes longer than usual
-		left = typicalClaimTime
+	remaining := claimAt.Add(typicalClaimTime).Sub(now)
+	if remaining <= 0 { // the claim takes longer than usual
+		remaining = typicalClaimTime
 	}
-	return left + retryMargin
+	return remaining + retryMargin
 }
 
 // waitOrRetry lets a request wait when the wait ends before limit, and otherwise returns
 // when to retry.
-func (l *Loader) waitOrRetry(left time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.Placed, <-chan struct{}) {
-	left = max(left, 0)
-	if now.Add(left).Before(limit) {
+func (l *Loader) waitOrRetry(remaining time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.Placed, <-chan struct{}) {
+	remaining = max(remaining, 0)
+	if now.Add(remaining).Before(limit) {
 		return forward.Placed{}, done
 	}
-	return forward.Placed{Retry: left + retryMargin, Reason: reason}, nil
+	return forward.Placed{Retry: remaining + retryMargin, Reason: reason}, nil
 }
 
 // enqueueLocked records that an adapter is needed, and lets the request wait when the
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -50,7 +50,7 @@
 	Rejected                       // the endpoint considers the order invalid
 )
 
-// String returns the name used in logs.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return [...]string{"none", "done", "begun", "busy", "fenced", "gone", "unwelcome"}[o]
 }
--- a/placement/rate.go
+++ b/placement/rate.go
@@ -32,9 +32,9 @@
 }
 
 // setShare sets the store's rate and this leader's part of it.
-func (b *tokenBucket) setShare(rate, part float64, leaders int) {
+func (b *tokenBucket) setShare(rate, fraction float64, leaders int) {
 	slack := rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1) + b.limits.Extra
-	b.rate = rate * part * (1 + (b.limits.Overshoot-1)*sustainedShare)
+	b.rate = rate * fraction * (1 + (b.limits.Overshoot-1)*sustainedShare)
 	b.burst = max(1, (slack-rate*b.limits.Window.Seconds()*(b.limits.Overshoot-1)*sustainedShare)*burstShare/float64(max(leaders, 1)))
 }
 
--- a/placement/site.go
+++ b/placement/site.go
@@ -21,13 +21,13 @@
 // data centre of the usual endpoint, preferring endpoints that accept more requests. Endpoints
 // in avoid are excluded, except the usual one, as are endpoints that this box does not own.
 func (l *Loader) chooseEndpointLocked(a topology.Adapter, usual *ownedEndpoint, avoid []string, now time.Time) *ownedEndpoint {
-	best, least := usual, l.endpointRankLocked(usual, a, true, now)
+	best, lowest := usual, l.endpointRankLocked(usual, a, true, now)
 	for id, o := range l.owned {
 		if o == usual || slices.Contains(avoid, id) || !o.isAvailable(now) || !o.models[a.Model] || o.endpoint.DataCentre() != usual.endpoint.DataCentre() {
 			continue
 		}
-		if r := l.endpointRankLocked(o, a, false, now); r.before(least) {
-			best, least = o, r
+		if r := l.endpointRankLocked(o, a, false, now); r.before(lowest) {
+			best, lowest = o, r
 		}
 	}
 	return best
@@ -154,8 +154,8 @@
 // slotWaitLocked estimates, from the recent rate at which adapters become idle, how long a load
 // that is queued behind the given number of others waits for a slot of an endpoint whose slots
 // are all in use.
-func (l *Loader) slotWaitLocked(o *ownedEndpoint, before int, now time.Time) time.Duration {
+func (l *Loader) slotWaitLocked(o *ownedEndpoint, ahead int, now time.Time) time.Duration {
 	rate := max(l.idleTransitions.Rate(now, idleRateHalfLife)/float64(max(len(l.owned), 1)), minIdleRate*float64(len(o.slots)))
-	wait := time.Duration(float64(before+1) / rate * float64(time.Second))
+	wait := time.Duration(float64(ahead+1) / rate * float64(time.Second))
 	return min(max(wait, minSlotWait), maxSlotWait)
 }
--- a/placement/usage.go
+++ b/placement/usage.go
@@ -63,7 +63,7 @@
 
 // hotAdaptersLocked returns the busiest adapter of each full endpoint among those given.
 func (l *Loader) hotAdaptersLocked(endpoints map[string]bool) []hotAdapter {
-	var full []hotAdapter
+	var hot []hotAdapter
 	for id := range endpoints {
 		o := l.owned[id]
 		if o == nil || o.phase != owning || float64(l.inFlight.endpointRequests(id)) < o.comfortableRequests() {
@@ -76,10 +76,10 @@
 			}
 		}
 		if most > 0 {
-			full = append(full, hotAdapter{centre: o.endpoint.DataCentre(), adapter: busiest, copies: l.copiesNeededLocked(o, busiest)})
+			hot = append(hot, hotAdapter{centre: o.endpoint.DataCentre(), adapter: busiest, copies: l.copiesNeededLocked(o, busiest)})
 		}
 	}
-	return full
+	return hot
 }
 
 // copiesNeededLocked returns how many endpoints of this size an adapter's requests in progress in
