--- a/placement/evict.go
+++ b/placement/evict.go
@@ -150,8 +150,8 @@
 // evictWhenIdle unloads an adapter whose eviction began at since, when no box uses it any more.
 func (l *Loader) evictWhenIdle(ctx context.Context, o *ownedEndpoint, claim int, a topology.Adapter, since time.Time) {
 	for {
-		wait, leaves := l.evictionDelay(o, claim, a, since, clock.Now())
-		if !leaves {
+		wait, active := l.evictionDelay(o, claim, a, since, clock.Now())
+		if !active {
 			return
 		}
 		if wait <= 0 {
@@ -167,7 +167,7 @@
 // evictionDelay returns how long to wait before an adapter being evicted may be unloaded; when
 // it returns zero or less, the adapter counts as being unloaded. It returns false when this
 // eviction was cancelled, even if a later one has begun, or the claim has ended.
-func (l *Loader) evictionDelay(o *ownedEndpoint, claim int, a topology.Adapter, since, now time.Time) (wait time.Duration, leaves bool) {
+func (l *Loader) evictionDelay(o *ownedEndpoint, claim int, a topology.Adapter, since, now time.Time) (wait time.Duration, active bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := o.slots[a]
@@ -215,15 +215,15 @@
 
 // unload empties a slot. The slot counts as empty only when the endpoint confirms it.
 func (l *Loader) unload(ctx context.Context, o *ownedEndpoint, claim int, a topology.Adapter) {
-	begun := clock.Now()
-	until := begun.Add(loadTimeout)
-	for pause := pollInterval; clock.Now().Before(until); pause = min(2*pause, maxPollInterval) {
+	started := clock.Now()
+	deadline := started.Add(loadTimeout)
+	for pause := pollInterval; clock.Now().Before(deadline); pause = min(2*pause, maxPollInterval) {
 		out, err := l.sendOrder(ctx, o, claim, Order{Unload: true, Adapter: a})
 		if err != nil {
 			return
 		}
 		if out == Done {
-			l.finishUnload(o, claim, a, clock.Since(begun))
+			l.finishUnload(o, claim, a, clock.Since(started))
 			return
 		}
 		if out != Accepted && out != Busy {
--- a/placement/load.go
+++ b/placement/load.go
@@ -128,8 +128,8 @@
 	if s == nil {
 		return
 	}
-	ordered, begun := clock.Now(), time.Time{}
-	for clock.Since(ordered) < loadTimeout {
+	orderedAt, acceptedAt := clock.Now(), time.Time{}
+	for clock.Since(orderedAt) < loadTimeout {
 		out, err := l.sendOrder(ctx, o, claim, Order{Adapter: a, Version: version})
 		if err != nil {
 			return
@@ -137,13 +137,13 @@
 		now, pause := clock.Now(), pollInterval
 		switch out {
 		case Done:
-			l.finishLoad(o, a, s, begun, now)
+			l.finishLoad(o, a, s, acceptedAt, now)
 			return
 		case Accepted:
-			if begun.IsZero() {
-				begun = now
+			if acceptedAt.IsZero() {
+				acceptedAt = now
 			}
-			pause = l.nextPollDelay(s, now.Sub(begun), expected)
+			pause = l.nextPollDelay(s, now.Sub(acceptedAt), expected)
 		case Busy:
 			pause = maxPollInterval
 		default:
@@ -157,19 +157,20 @@
 	l.requestReclaim(o, claim, "load timed out")
 }
 
-// nextPollDelay returns when to poll a load that was accepted elapsed ago: when it would be done if
-// it came from host memory, shortly before the fastest load from the store would be, and at
-// short intervals from then on. The schedule does not depend on the smoothed load time, since
-// late polls would increase the measured times and so delay the next polls further.
+// nextPollDelay returns the time until the next poll of a load, given the time elapsed since the
+// endpoint accepted it. The load is polled when it would be done if it came from host memory,
+// shortly before the fastest load from the store would be, and at short intervals from then on.
+// The schedule does not depend on the smoothed load time, since late polls would increase the
+// measured times and so delay the next polls further.
 func (l *Loader) nextPollDelay(s *slot, elapsed, expected time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	quickest := l.loadLimiter.fastestLoad() * 9 / 10
+	fastest := l.loadLimiter.fastestLoad() * 9 / 10
 	switch {
 	case elapsed < firstPollDelay:
 		return firstPollDelay - elapsed
-	case s.holdsPermit && elapsed < quickest:
-		return quickest - elapsed
+	case s.holdsPermit && elapsed < fastest:
+		return fastest - elapsed
 	case elapsed > outlierFactor*expected:
 		return maxPollInterval
 	}
@@ -211,18 +212,18 @@
 	return out, err
 }
 
-// finishLoad marks an adapter as ready; begun is zero when the first response said that it
+// finishLoad marks an adapter as ready; acceptedAt is zero when the first response said that it
 // was loaded already.
-func (l *Loader) finishLoad(o *ownedEndpoint, a topology.Adapter, s *slot, begun, now time.Time) {
+func (l *Loader) finishLoad(o *ownedEndpoint, a topology.Adapter, s *slot, acceptedAt, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if o.slots[a] != s {
 		return
 	}
-	if begun.IsZero() {
-		begun = now
+	if acceptedAt.IsZero() {
+		acceptedAt = now
 	}
-	l.recordLoadTimeLocked(s, now.Sub(begun), now)
+	l.recordLoadTimeLocked(s, now.Sub(acceptedAt), now)
 	s.ready, s.lastUsed, s.lastAnnounced = true, now, now // the waiting requests are answered now
 	o.loadsInFlight--
 	o.refusals = 0
@@ -230,7 +231,7 @@
 	l.publishLocked(o)
 	l.wakeUp()
 	l.Log.Info("Adapter is loaded", "adapter", a.String(), "adapter_version", s.version, "endpoint", o.endpoint.ID(),
-		"took_ms", now.Sub(begun).Milliseconds(), "pace", l.loadLimiter.limit, "fence", o.fence)
+		"took_ms", now.Sub(acceptedAt).Milliseconds(), "pace", l.loadLimiter.limit, "fence", o.fence)
 }
 
 // abortLoad drops a load that the endpoint refused.
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -122,11 +122,11 @@
 		case <-next.C:
 		}
 		sleep(ctx, clock.Until(nextStep))
-		begun := clock.Now()
-		for _, task := range l.step(begun) {
+		started := clock.Now()
+		for _, task := range l.step(started) {
 			spawn(task)
 		}
-		nextStep = clock.Now().Add(max(minStepInterval, stepPauseFactor*clock.Since(begun)))
+		nextStep = clock.Now().Add(max(minStepInterval, stepPauseFactor*clock.Since(started)))
 		next.Reset(l.nextStepDelay())
 	}
 	for range running {
--- a/placement/model.go
+++ b/placement/model.go
@@ -61,14 +61,14 @@
 
 // loadModel orders a base model and repeats the order until the endpoint holds it.
 func (l *Loader) loadModel(ctx context.Context, o *ownedEndpoint, claim int, model string) {
-	begun := clock.Now()
-	for clock.Since(begun) < modelLoadTimeout {
+	started := clock.Now()
+	for clock.Since(started) < modelLoadTimeout {
 		out, err := l.sendOrder(ctx, o, claim, Order{Adapter: topology.Adapter{Model: model}})
 		if err != nil {
 			return
 		}
 		if out == Done {
-			l.finishModelLoad(o, claim, model, clock.Since(begun))
+			l.finishModelLoad(o, claim, model, clock.Since(started))
 			return
 		}
 		if out != Accepted && out != Busy {
--- a/placement/ownership.go
+++ b/placement/ownership.go
@@ -105,9 +105,9 @@
 // updateEndpointLocked updates an endpoint to its published state. When it starts draining,
 // requests that wait for loads there are re-evaluated, so that they go elsewhere.
 func (l *Loader) updateEndpointLocked(o *ownedEndpoint, e *topology.Endpoint) {
-	leaves := e.Draining() && !o.endpoint.Draining()
+	startsDraining := e.Draining() && !o.endpoint.Draining()
 	o.endpoint = e
-	if !leaves {
+	if !startsDraining {
 		return
 	}
 	l.cancelPendingLoadsLocked(e.ID())
--- a/placement/site.go
+++ b/placement/site.go
@@ -129,8 +129,8 @@
 // findHolderLocked returns the endpoint of a data centre that holds an adapter ready in the
 // version that a request needs, with the fewest prompt tokens to process, or else one where it is
 // being loaded.
-func (l *Loader) findHolderLocked(asked *ownedEndpoint, w *waiter, denied *ownedEndpoint, now time.Time) (o *ownedEndpoint, s *slot) {
-	a, centre := w.Adapter, asked.endpoint.DataCentre()
+func (l *Loader) findHolderLocked(home *ownedEndpoint, w *waiter, denied *ownedEndpoint, now time.Time) (o *ownedEndpoint, s *slot) {
+	a, centre := w.Adapter, home.endpoint.DataCentre()
 	for id, p := range l.owned {
 		t := p.slots[a]
 		if t == nil || p == denied || w.avoids(id) || !p.isAvailable(now) || p.endpoint.DataCentre() != centre {
