--- a/placement/site.go
+++ b/placement/site.go
@@ -11,149 +11,151 @@
 )
 
 const (
-	turnoverHalf  = 2 * time.Second        // half-life of the rate at which slots come to rest
-	turnoverLeast = 0.2                    // of an endpoint's slots a second, where none came to rest lately: runs take up to some five seconds
-	busyMost      = 10 * time.Second       // the longest wait that is expected of a full endpoint
-	busyLeast     = 100 * time.Millisecond // the shortest
+	idleRateHalfLife = 2 * time.Second        // half-life of the rate at which adapters become idle
+	minIdleRate      = 0.2                    // of an endpoint's slots per second, assumed when few became idle recently: requests take up to some five seconds
+	maxSlotWait      = 10 * time.Second       // upper bound of the expected wait at an endpoint without idle slots
+	minSlotWait      = 100 * time.Millisecond // lower bound
 )
 
-// siteLocked returns where an adapter is loaded: the endpoint of the usual one's data centre
-// at which it costs the least, of those that take more requests where there are any, and of none that is
-// to be avoided but the usual one. Only endpoints that this box owns count.
-func (l *Loader) siteLocked(a topology.Adapter, usual *owned, avoid []string, now time.Time) *owned {
-	best, least := usual, l.siteRankLocked(usual, a, true, now)
+// chooseEndpointLocked returns where to load an adapter: the endpoint with the least cost in the
+// data centre of the usual endpoint, preferring endpoints that accept more requests. Endpoints
+// in avoid are excluded, except the usual one, as are endpoints that this box does not own.
+func (l *Loader) chooseEndpointLocked(a topology.Adapter, usual *ownedEndpoint, avoid []string, now time.Time) *ownedEndpoint {
+	best, lowest := usual, l.endpointRankLocked(usual, a, true, now)
 	for id, o := range l.owned {
-		if o == usual || slices.Contains(avoid, id) || !o.serves(now) || !o.models[a.Model] || o.endpoint.DataCentre() != usual.endpoint.DataCentre() {
+		if o == usual || slices.Contains(avoid, id) || !o.isAvailable(now) || !o.models[a.Model] || o.endpoint.DataCentre() != usual.endpoint.DataCentre() {
 			continue
 		}
-		if r := l.siteRankLocked(o, a, false, now); r.before(least) {
-			best, least = o, r
+		if r := l.endpointRankLocked(o, a, false, now); r.before(lowest) {
+			best, lowest = o, r
 		}
 	}
 	return best
 }
 
-// siteRank orders endpoints where an adapter may be loaded.
-type siteRank struct {
-	gone  bool // it ended, or leaves
-	taken bool // it names a limit, and gets all that it takes
-	cost  time.Duration
+// endpointRank orders endpoints on which an adapter may be loaded.
+type endpointRank struct {
+	unavailable bool // the endpoint ended or is draining
+	saturated   bool // it receives all the requests that its announced limit permits
+	cost        time.Duration
 }
 
-// before tells whether an endpoint of this rank goes before one of another.
-func (r siteRank) before(o siteRank) bool {
+// before reports whether an endpoint of this rank is preferred to one of rank o.
+func (r endpointRank) before(o endpointRank) bool {
 	switch {
-	case r.gone != o.gone:
-		return o.gone
-	case r.taken != o.taken:
-		return o.taken
+	case r.unavailable != o.unavailable:
+		return o.unavailable
+	case r.saturated != o.saturated:
+		return o.saturated
 	}
 	return r.cost < o.cost
 }
 
-func (l *Loader) siteRankLocked(o *owned, a topology.Adapter, usual bool, now time.Time) siteRank {
-	return siteRank{gone: !o.serves(now), taken: l.isTaken(o.endpoint.ID(), now), cost: l.factsLocked(o, a, usual, now).Cost()}
+func (l *Loader) endpointRankLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) endpointRank {
+	return endpointRank{unavailable: !o.isAvailable(now), saturated: l.isSaturated(o.endpoint.ID(), now), cost: l.siteFactsLocked(o, a, usual, now).Cost()}
 }
 
-// wantedAtLocked returns the endpoint of a data centre where a load that serves a request waits already;
-// nil for none.
-func (l *Loader) wantedAtLocked(w *waiter, centre string, now time.Time) *owned {
+// pendingEndpointLocked returns the endpoint of a data centre with a pending load that would
+// serve a request; nil for none.
+func (l *Loader) pendingEndpointLocked(w *waiter, centre string, now time.Time) *ownedEndpoint {
 	for id, o := range l.owned {
-		q := l.wants[wantKey{endpoint: id, adapter: w.Adapter}]
-		if q != nil && !q.copies && !w.avoids(id) && o.serves(now) && o.endpoint.DataCentre() == centre {
+		q := l.pendingLoads[placementKey{endpoint: id, adapter: w.Adapter}]
+		if q != nil && !q.isCopy && !w.avoids(id) && o.isAvailable(now) && o.endpoint.DataCentre() == centre {
 			return o
 		}
 	}
 	return nil
 }
 
-// factsLocked is what is known of an endpoint where an adapter may be loaded.
-func (l *Loader) factsLocked(o *owned, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
+// siteFactsLocked returns the inputs to the cost of loading an adapter on an endpoint.
+func (l *Loader) siteFactsLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
 	f := policy.SiteFacts{
-		Empty:   l.emptyInLocked(o, o.queued, now),
-		Load:    l.warm,
-		Read:    l.readsLocked(o, now),
-		Taken:   l.takenLocked(o, now),
+		Empty:   l.freeSlotDelayLocked(o, o.queuedLoads, now),
+		Load:    l.warmLoadTime,
+		Read:    l.prefillDelayLocked(o, now),
+		Taken:   l.slotUtilisationLocked(o, now),
 		Fetched: !l.isWarmLocked(o, a),
 		Usual:   usual,
 	}
 	if f.Fetched {
-		f.Load = l.cold
+		f.Load = l.coldLoadTime
 	}
-	if o.orders >= loadsAtOnce {
-		f.Load += l.cold / loadsAtOnce
+	if o.loadsInFlight >= maxConcurrentLoads {
+		f.Load += l.coldLoadTime / maxConcurrentLoads
 	}
 	return f
 }
 
-// takenLocked is which part of an endpoint's slots is in use, being filled or wanted.
-func (l *Loader) takenLocked(o *owned, now time.Time) float64 {
-	g := l.engine(o.endpoint)
+// slotUtilisationLocked returns the part of an endpoint's slots that are in use, being filled or
+// needed by queued loads.
+func (l *Loader) slotUtilisationLocked(o *ownedEndpoint, now time.Time) float64 {
+	g := l.engineSpec(o.endpoint)
 	if g == nil {
 		return 1
 	}
-	taken := o.queued
+	taken := o.queuedLoads
 	for a, s := range o.slots {
-		if !s.ready || !l.restsLocked(o, a, s, now) {
+		if !s.ready || !l.isIdleLocked(o, a, s, now) {
 			taken++
 		}
 	}
 	return float64(taken) / float64(max(g.SlotsBeside(o.models), 1))
 }
 
-// levelFor is how long a level is good for: it changes with each load and each prompt, and
-// boxes ask for it with each report of use.
-const levelFor = 20 * time.Millisecond
+// loadCostMaxAge is how long a computed load cost is reused: it changes with each load and prompt,
+// and boxes ask for it with each usage report.
+const loadCostMaxAge = 20 * time.Millisecond
 
-// Level returns what a load from the store costs now at the cheapest endpoint of this box;
-// false where it owns none.
-func (l *Loader) Level(now time.Time) (cost time.Duration, known bool) {
+// MinLoadCost returns the current cost of a load from the store on the cheapest endpoint of this
+// box; false when it owns none.
+func (l *Loader) MinLoadCost(now time.Time) (cost time.Duration, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.levelAt) < levelFor {
-		return l.level, l.levelKnown
+	if now.Sub(l.minLoadCostAt) < loadCostMaxAge {
+		return l.minLoadCost, l.minLoadCostKnown
 	}
 	for _, o := range l.owned {
 		if o.phase != owning || o.endpoint.Draining() || len(o.models) == 0 {
 			continue
 		}
-		if c := l.factsLocked(o, topology.Adapter{}, false, now).Cost(); !known || c < cost {
+		if c := l.siteFactsLocked(o, topology.Adapter{}, false, now).Cost(); !known || c < cost {
 			cost, known = c, true
 		}
 	}
-	l.level, l.levelKnown, l.levelAt = cost, known, now
+	l.minLoadCost, l.minLoadCostKnown, l.minLoadCostAt = cost, known, now
 	return cost, known
 }
 
-// heldLocked returns the endpoint of a data centre where the adapter is ready in the version
-// that a request needs, the one that reads the least, or, where none is, one where it is
+// findHolderLocked returns the endpoint of a data centre that holds an adapter ready in the
+// version that a request needs, with the fewest prompt tokens to process, or else one where it is
 // being loaded.
-func (l *Loader) heldLocked(asked *owned, w *waiter, denied *owned, now time.Time) (o *owned, s *slot) {
-	a, centre := w.Adapter, asked.endpoint.DataCentre()
+func (l *Loader) findHolderLocked(home *ownedEndpoint, w *waiter, denied *ownedEndpoint, now time.Time) (o *ownedEndpoint, s *slot) {
+	a, centre := w.Adapter, home.endpoint.DataCentre()
 	for id, p := range l.owned {
 		t := p.slots[a]
-		if t == nil || p == denied || w.avoids(id) || !p.serves(now) || p.endpoint.DataCentre() != centre {
+		if t == nil || p == denied || w.avoids(id) || !p.isAvailable(now) || p.endpoint.DataCentre() != centre {
 			continue
 		}
-		if (w.Elsewhere && l.isTaken(id, now) || l.isCrowded(p, now)) && l.hasOthersLocked(a, centre, now) {
-			continue // a copy elsewhere serves those that it has no room for
+		if (w.Elsewhere && l.isSaturated(id, now) || l.isThrottled(p, now)) && l.hasAlternativeLocked(a, centre, now) {
+			continue // a copy elsewhere serves the requests that exceed the limit
 		}
-		serves := t.ready && t.version >= w.Version && !(t.leaving && (t.unloading || t.outdated))
+		serves := t.ready && t.version >= w.Version && !(t.evicting && (t.unloading || t.outdated))
 		loads := !t.ready && t.done != nil
 		switch {
 		case !serves && !loads:
 			continue
-		case s == nil, serves && !s.ready, serves == s.ready && l.runs.reading(id) < l.runs.reading(o.endpoint.ID()):
+		case s == nil, serves && !s.ready, serves == s.ready && l.inFlight.prefillTokens(id) < l.inFlight.prefillTokens(o.endpoint.ID()):
 			o, s = p, t
 		}
 	}
 	return o, s
 }
 
-// busyLocked is how long it takes until a slot of an endpoint whose slots are all in use
-// is free, with so many loads before, by how fast slots come to rest lately.
-func (l *Loader) busyLocked(o *owned, before int, now time.Time) time.Duration {
-	rate := max(l.rests.Rate(now, turnoverHalf)/float64(max(len(l.owned), 1)), turnoverLeast*float64(len(o.slots)))
-	wait := time.Duration(float64(before+1) / rate * float64(time.Second))
-	return min(max(wait, busyLeast), busyMost)
+// slotWaitLocked estimates, from the recent rate at which adapters become idle, how long a load
+// that is queued behind the given number of others waits for a slot of an endpoint whose slots
+// are all in use.
+func (l *Loader) slotWaitLocked(o *ownedEndpoint, ahead int, now time.Time) time.Duration {
+	rate := max(l.idleTransitions.Rate(now, idleRateHalfLife)/float64(max(len(l.owned), 1)), minIdleRate*float64(len(o.slots)))
+	wait := time.Duration(float64(ahead+1) / rate * float64(time.Second))
+	return min(max(wait, minSlotWait), maxSlotWait)
 }
--- /dev/null
+++ b/placement/usage.go
@@ -0,0 +1,100 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package placement
+
+import (
+	"math"
+	"time"
+
+	"cairnwick.example/topology"
+)
+
+// Use is a box's report on an adapter at an endpoint.
+type Use struct {
+	Endpoint      string
+	Adapter       topology.Adapter
+	Started       int // requests sent since the box's last report
+	Running       int // requests in progress
+	PrefillTokens int // tokens of their prompts that the endpoint has not processed
+}
+
+const (
+	usageReportExpiry  = 2 * time.Second // the reported requests of a box without a newer report for so long are dropped
+	fullThreshold      = 0.6             // requests in progress per request slot from which an endpoint is full: above it batches become slow, and the next burst queues
+	fullEndpointDemand = 1.0             // unserved requests that each complete usage report of a full endpoint counts as for its busiest adapter
+)
+
+// RecordUsage records a box's report on the endpoints of this box. A partial report leaves what
+// the box reported earlier on other adapters unchanged.
+func (l *Loader) RecordUsage(box string, uses []Use, partial bool, now time.Time) {
+	l.mu.Lock()
+	if n := l.inFlight.update(box, uses, partial, now); n > 0 {
+		l.idleTransitions.Add(float64(n), now, idleRateHalfLife)
+	}
+	endpoints := make(map[string]bool)
+	for _, u := range uses {
+		endpoints[u.Endpoint] = true
+		if u.Started > 0 {
+			l.countRequestsLocked(u.Adapter, float64(u.Started), now)
+		}
+		if o := l.owned[u.Endpoint]; o != nil && o.slots[u.Adapter] != nil {
+			o.slots[u.Adapter].lastUsed = now
+		}
+	}
+	var full []hotAdapter
+	if !partial { // partial reports are many times as frequent and would request as many more copies
+		full = l.hotAdaptersLocked(endpoints)
+	}
+	if len(l.pendingLoads) > 0 {
+		l.wakeUp() // a slot may be idle now
+	}
+	l.mu.Unlock()
+	for _, f := range full {
+		l.requestCopies(f, now)
+	}
+}
+
+// hotAdapter is the busiest adapter of a full endpoint.
+type hotAdapter struct {
+	centre  string
+	adapter topology.Adapter
+	copies  int // endpoints that its requests in progress in the data centre would fill
+}
+
+// hotAdaptersLocked returns the busiest adapter of each full endpoint among those given.
+func (l *Loader) hotAdaptersLocked(endpoints map[string]bool) []hotAdapter {
+	var hot []hotAdapter
+	for id := range endpoints {
+		o := l.owned[id]
+		if o == nil || o.phase != owning || float64(l.inFlight.endpointRequests(id)) < o.comfortableRequests() {
+			continue
+		}
+		busiest, most := topology.Adapter{}, 0
+		for a, s := range o.slots {
+			if n := l.inFlight.adapterRequests(id, a); s.ready && n > most {
+				busiest, most = a, n
+			}
+		}
+		if most > 0 {
+			hot = append(hot, hotAdapter{centre: o.endpoint.DataCentre(), adapter: busiest, copies: l.copiesNeededLocked(o, busiest)})
+		}
+	}
+	return hot
+}
+
+// copiesNeededLocked returns how many endpoints of this size an adapter's requests in progress in
+// the data centre would fill.
+func (l *Loader) copiesNeededLocked(o *ownedEndpoint, a topology.Adapter) int {
+	n := 0
+	for id, p := range l.owned {
+		if p.endpoint.DataCentre() == o.endpoint.DataCentre() {
+			n += l.inFlight.adapterRequests(id, a)
+		}
+	}
+	return int(math.Ceil(float64(n) / o.comfortableRequests()))
+}
+
+// comfortableRequests is the number of concurrent requests from which an endpoint counts as full.
+func (o *ownedEndpoint) comfortableRequests() float64 {
+	return fullThreshold * float64(o.endpoint.Slots())
+}
