--- a/edge/admission.go
+++ b/edge/admission.go
@@ -13,26 +13,26 @@
 // admission implements forward.Admission.
 type admission struct{ node *Node }
 
-// Trusted implements forward.Admission.
-func (a admission) Trusted(now time.Time) bool { return a.node.trustsKeys(now) }
+// KeysUsable implements forward.Admission.
+func (a admission) KeysUsable(now time.Time) bool { return a.node.trustsKeys(now) }
 
-// Current implements forward.Admission.
-func (a admission) Current(now time.Time) bool {
+// KeysCurrent implements forward.Admission.
+func (a admission) KeysCurrent(now time.Time) bool {
 	ago, ok := a.node.vouched.ago(now)
 	return ok && ago <= a.node.behind()
 }
 
-// Spend implements forward.Admission.
-func (a admission) Spend(ctx context.Context, o *access.Organisation, units float64, p forward.Patience) forward.Spent {
+// Charge implements forward.Admission.
+func (a admission) Charge(ctx context.Context, o *access.Organisation, units float64, p forward.QuotaTimeouts) forward.ChargeResult {
 	return a.node.spending.spend(ctx, o, units, p)
 }
 
-// SpendAgain implements forward.Admission.
-func (a admission) SpendAgain(o *access.Organisation, units float64) {
+// ChargeUnchecked implements forward.Admission.
+func (a admission) ChargeUnchecked(o *access.Organisation, units float64) {
 	a.node.spending.change(o.Name(), units)
 }
 
-// Return implements forward.Admission.
-func (a admission) Return(o *access.Organisation, units float64) {
+// Refund implements forward.Admission.
+func (a admission) Refund(o *access.Organisation, units float64) {
 	a.node.spending.change(o.Name(), -units)
 }
--- a/edge/ask.go
+++ b/edge/ask.go
@@ -14,36 +14,36 @@
 )
 
 // ask asks the leader of an endpoint's data centre to load an adapter, and waits for it.
-func (p *peers) ask(ctx context.Context, m member.Member, w forward.Wanted) (forward.Placed, error) {
-	ctx, cancel := context.WithTimeout(ctx, max(w.Most, w.Wait, 0)+askSlack)
+func (p *peers) ask(ctx context.Context, m member.Member, w forward.AdapterRequest) (forward.PlacementResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, max(w.MaxWait, w.TargetWait, 0)+askSlack)
 	defer cancel()
 	go p.cancelWhenGone(ctx, cancel, m.Name())
 	a, err := wire.NewShareClient(p.dialer.Conn(m.Address())).Ask(ctx, &wire.AskRequest{
-		Request:    w.Request,
+		Request:    w.RequestID,
 		Endpoint:   w.Endpoint.ID(),
 		Adapter:    w.Adapter.String(),
 		Version:    w.Version,
-		WaitMicros: w.Wait.Microseconds(),
-		MostMicros: w.Most.Microseconds(),
+		WaitMicros: w.TargetWait.Microseconds(),
+		MostMicros: w.MaxWait.Microseconds(),
 		Priority:   int32(w.Priority),
-		Worth:      w.Worth,
-		Returned:   w.Returned,
-		Denied:     w.Denied,
-		Tokens:     int64(w.Tokens),
-		Elsewhere:  w.Elsewhere,
+		Worth:      w.Value,
+		Returned:   w.Retried,
+		Denied:     w.NotLoaded,
+		Tokens:     int64(w.PromptTokens),
+		Elsewhere:  w.AvoidLimited,
 		Avoid:      w.Avoid,
 	})
 	if err != nil {
-		return forward.Placed{}, errors.Wrapf(err, "edge: leader %s", m.Name())
+		return forward.PlacementResult{}, errors.Wrapf(err, "edge: leader %s", m.Name())
 	}
-	return forward.Placed{
-		Ready:    a.GetReady(),
-		Settling: a.GetSettling(),
-		Endpoint: a.GetEndpoint(),
-		Version:  a.GetVersion(),
-		Queued:   time.Duration(a.GetQueuedMicros()) * time.Microsecond,
-		Retry:    time.Duration(a.GetRetryMicros()) * time.Microsecond,
-		Reason:   a.GetReason(),
+	return forward.PlacementResult{
+		Ready:         a.GetReady(),
+		OwnerChanging: a.GetSettling(),
+		Endpoint:      a.GetEndpoint(),
+		Version:       a.GetVersion(),
+		QueueTime:     time.Duration(a.GetQueuedMicros()) * time.Microsecond,
+		RetryAfter:    time.Duration(a.GetRetryMicros()) * time.Microsecond,
+		Reason:        a.GetReason(),
 	}, nil
 }
 
@@ -64,33 +64,33 @@
 }
 
 // wanted reads an ask of another box.
-func wanted(q *wire.AskRequest, e *topology.Endpoint) forward.Wanted {
-	return forward.Wanted{
-		Request:  q.GetRequest(),
-		Endpoint: e,
-		Adapter:  topology.ParseAdapter(q.GetAdapter()),
-		Version:  q.GetVersion(),
-		Wait:     time.Duration(q.GetWaitMicros()) * time.Microsecond,
-		Most:     time.Duration(q.GetMostMicros()) * time.Microsecond,
-		Priority: int(q.GetPriority()),
-		Worth:    q.GetWorth(),
-		Returned: q.GetReturned(),
-		Denied:   q.GetDenied(),
-		Tokens:   int(q.GetTokens()),
+func wanted(q *wire.AskRequest, e *topology.Endpoint) forward.AdapterRequest {
+	return forward.AdapterRequest{
+		RequestID:    q.GetRequest(),
+		Endpoint:     e,
+		Adapter:      topology.ParseAdapter(q.GetAdapter()),
+		Version:      q.GetVersion(),
+		TargetWait:   time.Duration(q.GetWaitMicros()) * time.Microsecond,
+		MaxWait:      time.Duration(q.GetMostMicros()) * time.Microsecond,
+		Priority:     int(q.GetPriority()),
+		Value:        q.GetWorth(),
+		Retried:      q.GetReturned(),
+		NotLoaded:    q.GetDenied(),
+		PromptTokens: int(q.GetTokens()),
 
-		Elsewhere: q.GetElsewhere(),
-		Avoid:     q.GetAvoid(),
+		AvoidLimited: q.GetElsewhere(),
+		Avoid:        q.GetAvoid(),
 	}
 }
 
 // placer asks the leader of the endpoint's data centre.
 type placer struct{ node *Node }
 
-// Want implements forward.Placer.
-func (p placer) Want(ctx context.Context, w forward.Wanted) (forward.Placed, error) {
+// Place implements forward.Placer.
+func (p placer) Place(ctx context.Context, w forward.AdapterRequest) (forward.PlacementResult, error) {
 	m, ok := p.node.peers.clusterView().leader(w.Endpoint.DataCentre())
 	if !ok || m.Name() == p.node.peers.box || p.node.loader.Keeps(w.Endpoint.ID()) {
-		return p.node.loader.Want(ctx, w)
+		return p.node.loader.Place(ctx, w)
 	}
 	return p.node.peers.ask(ctx, m, w)
 }
--- a/edge/budget_test.go
+++ b/edge/budget_test.go
@@ -15,14 +15,14 @@
 
 // retriesInAWindow returns how many retries one box makes in the worst window, when every
 // request of its callers would like one: it has saved what it may, and spends it at once.
-func retriesInAWindow(limits forward.BudgetLimits, boxes int) int {
-	b := &forward.Budget{Limits: func() forward.BudgetLimits { return limits }}
+func retriesInAWindow(limits forward.RetryLimits, boxes int) int {
+	b := &forward.RetryBudget{Limits: func() forward.RetryLimits { return limits }}
 	now := time.Unix(0, 0)
-	b.Take(now, boxes)
+	b.TryRetry(now, boxes)
 	now = now.Add(2 * limits.Window)
 	made := 0
 	for range 100 {
-		for b.Take(now, boxes) {
+		for b.TryRetry(now, boxes) {
 			made++
 		}
 		now = now.Add(limits.Window / 100)
@@ -42,7 +42,7 @@
 // 715, where 1,021 are allowed. With no more saved than a share, this test counted 216 extra
 // ones of 72 boxes that hear each other, and 1,008 of the same on four sides of a cut; 182 are allowed.
 func TestSidesOfACutShareOneBudgetOfRetries(t *testing.T) {
-	limits := forward.BudgetLimits{Ratio: 0.2, Extra: 182, Window: 10 * time.Second}
+	limits := forward.RetryLimits{Ratio: 0.2, Extra: 182, Window: 10 * time.Second}
 	var all []member.Member
 	for i := range 72 {
 		all = append(all, box(fmt.Sprintf("b%02d", i), fmt.Sprintf("dc%d", i%4), uint64(i+1), 400))
@@ -74,7 +74,7 @@
 // heard of the others.
 func TestABoxThatHasHeardOfNobodyMakesNoExtraRetries(t *testing.T) {
 	c := quicktest.New(t)
-	limits := forward.BudgetLimits{Ratio: 0.2, Extra: 182, Window: 10 * time.Second}
+	limits := forward.RetryLimits{Ratio: 0.2, Extra: 182, Window: 10 * time.Second}
 	p := peersOf(box("a", "dc", 1, 400))
 	c.Assert(retriesInAWindow(limits, p.budgetBoxes(p.started.Add(settleFor/2))), quicktest.Equals, 0)
 }
--- a/edge/ended_test.go
+++ b/edge/ended_test.go
@@ -24,29 +24,29 @@
 // plainProtocol has a call's ID in a header and believes every answer.
 type plainProtocol struct{ forward.Protocol }
 
-// ReadCall implements forward.Protocol.
-func (plainProtocol) ReadCall(h http.Header) (forward.Call, error) {
+// ParseCall implements forward.Protocol.
+func (plainProtocol) ParseCall(h http.Header) (forward.Call, error) {
 	return forward.Call{ID: h.Get("Id")}, nil
 }
 
-// Instruct implements forward.Protocol.
-func (plainProtocol) Instruct(http.Header, forward.Instruction) {}
+// SetDirectives implements forward.Protocol.
+func (plainProtocol) SetDirectives(http.Header, forward.Directives) {}
 
-// Describes implements forward.Protocol.
-func (plainProtocol) Describes(string) bool { return false }
+// IsCallHeader implements forward.Protocol.
+func (plainProtocol) IsCallHeader(string) bool { return false }
 
-// ReadAnswer implements forward.Protocol.
-func (plainProtocol) ReadAnswer(a *http.Response, _ forward.Call, _ string) forward.Answer {
+// ParseResponse implements forward.Protocol.
+func (plainProtocol) ParseResponse(a *http.Response, _ forward.Call, _ string) forward.Response {
 	h := a.Header
-	v := forward.Answer{Own: true, Signed: true, NotRun: h.Get("Not-Run") != ""}
-	v.Limit, v.LimitUnread = ratelimit.Parse(h.Values("Limit"))
-	v.Leaving = h.Get("Leaving") != ""
-	v.Backoff, v.BackoffUnread = backoff.Parse(h.Values("Back-Off"))
+	v := forward.Response{MatchesCall: true, Signed: true, NotExecuted: h.Get("Not-Run") != ""}
+	v.Limit, v.LimitErr = ratelimit.Parse(h.Values("Limit"))
+	v.Draining = h.Get("Leaving") != ""
+	v.Backoff, v.BackoffErr = backoff.Parse(h.Values("Back-Off"))
 	return v
 }
 
-// ComeBack implements forward.Protocol.
-func (plainProtocol) ComeBack(h http.Header, after time.Duration) {
+// SetRetryAfter implements forward.Protocol.
+func (plainProtocol) SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", fmt.Sprint(after.Seconds()))
 }
 
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -216,7 +216,7 @@
 		for _, n := range boxes {
 			asked++
 			go func() {
-				s := n.spending.spend(context.Background(), o.Named("org"), 1, forward.Patience{Over: 60 * time.Millisecond, Unknown: time.Second})
+				s := n.spending.spend(context.Background(), o.Named("org"), 1, forward.QuotaTimeouts{Exceeded: 60 * time.Millisecond, Unavailable: time.Second})
 				answers <- s.OK
 			}()
 		}
--- a/edge/leave.go
+++ b/edge/leave.go
@@ -25,16 +25,16 @@
 // then connections are closed as they rest, and what is held goes on to its end. The box
 // orders until the next leader takes its endpoints over.
 func (n *Node) leave() {
-	n.Log.Info("Box leaves", "held", n.gateway.Held())
+	n.Log.Info("Box leaves", "held", n.gateway.InFlight())
 	begun := clock.Now()
 	n.leaving.Store(true)
-	n.gateway.Leave()
+	n.gateway.Drain()
 	n.loader.Leave(begun) // before its own view says that another box leads
 	n.peers.table.Leave()
 	for clock.Since(begun) < noticeFor {
 		time.Sleep(leavePause)
 	}
-	n.Log.Info("Box has left", "held", n.gateway.Held(), "took_ms", clock.Since(begun).Milliseconds())
+	n.Log.Info("Box has left", "held", n.gateway.InFlight(), "took_ms", clock.Since(begun).Milliseconds())
 }
 
 // isReady tells whether the box can serve callers.
--- a/edge/leave_test.go
+++ b/edge/leave_test.go
@@ -77,7 +77,7 @@
 	}()
 	<-held
 	stop()
-	c.Assert(<-body, quicktest.Equals, forward.ErrEnding.Error())
+	c.Assert(<-body, quicktest.Equals, forward.ErrShutdown.Error())
 	c.Assert(<-ended, quicktest.IsNil)
 }
 
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -80,16 +80,16 @@
 	return &limits{node: n, wake: make(chan struct{}, 1), known: make(map[string]*limited)}
 }
 
-// Limited implements forward.Limits.
-func (s *limits) Limited(endpoint string) bool {
+// HasLimit implements forward.Limits.
+func (s *limits) HasLimit(endpoint string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	return k != nil && k.word.Limit.Named()
 }
 
-// Sent implements forward.Limits.
-func (s *limits) Sent(endpoint string) {
+// RequestSent implements forward.Limits.
+func (s *limits) RequestSent(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if k := s.known[endpoint]; k != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Said implements forward.Limits.
-func (s *limits) Said(endpoint string, l ratelimit.Limit, sent time.Time) {
+// ObserveLimit implements forward.Limits.
+func (s *limits) ObserveLimit(endpoint string, l ratelimit.Limit, sent time.Time) {
 	now := clock.Now()
 	w := ratelimit.NewWord(l, sent, now)
 	s.mu.Lock()
@@ -140,8 +140,8 @@
 	return true
 }
 
-// Unread implements forward.Limits.
-func (s *limits) Unread(endpoint string, err error) {
+// InvalidLimit implements forward.Limits.
+func (s *limits) InvalidLimit(endpoint string, err error) {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,12 +152,12 @@
 	s.node.Log.Info("Endpoint's limit can't be read; what was known before stays", "endpoint", endpoint, "err", err.Error())
 }
 
-// Take implements forward.Limits.
-func (s *limits) Take(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.Taken {
+// Acquire implements forward.Limits.
+func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.AcquireResult {
 	now := clock.Now()
 	word, denied := s.look(e.ID(), want, now)
 	if denied > 0 {
-		return forward.Taken{Wait: denied}
+		return forward.AcquireResult{Wait: denied}
 	}
 	q := &wire.TakeRequest{
 		Box:            s.node.peers.box,
@@ -207,27 +207,27 @@
 
 // taken notes what became of a request for an endpoint. Where nobody counts for the endpoint it gets none:
 // each box alone can't know what the others send.
-func (s *limits) taken(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.Taken {
+func (s *limits) taken(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.AcquireResult {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil { // it is gone meanwhile
-		return forward.Taken{OK: a.GetLeads() && (a.GetGranted() || !a.GetLimited()), Wait: wait}
+		return forward.AcquireResult{OK: a.GetLeads() && (a.GetGranted() || !a.GetLimited()), Wait: wait}
 	}
 	switch {
 	case !a.GetLeads():
 		k.counts.Denied++
 		k.denied = denial{until: now.Add(takeAgain), back: now.Add(takeAgain)}
-		return forward.Taken{Wait: takeAgain}
+		return forward.AcquireResult{Wait: takeAgain}
 	case !a.GetLimited():
 		if k.word == asked { // its leader knows better
 			k.word = ratelimit.Word{At: now}
 		}
-		return forward.Taken{OK: true}
+		return forward.AcquireResult{OK: true}
 	case a.GetGranted():
 		k.counts.Granted++
-		return forward.Taken{OK: true, Wait: wait}
+		return forward.AcquireResult{OK: true, Wait: wait}
 	}
 	k.counts.Denied++
 	again := min(wait, deniedMost)
@@ -235,7 +235,7 @@
 		again = spareAgain
 	}
 	k.denied = denial{until: now.Add(again), back: now.Add(wait), want: want}
-	return forward.Taken{Wait: wait}
+	return forward.AcquireResult{Wait: wait}
 }
 
 // applyLimit takes in a fact that an endpoint names a limit, or none any more.
--- a/edge/limits_lead.go
+++ b/edge/limits_lead.go
@@ -87,7 +87,7 @@
 // room returns what an endpoint takes, for the one that decides where adapters are loaded.
 func (s *limits) room(endpoint string, now time.Time) ratelimit.Room {
 	r := s.counter.Room(endpoint, now)
-	if !r.Limited && s.Limited(endpoint) { // nobody has asked this box for it yet
+	if !r.Limited && s.HasLimit(endpoint) { // nobody has asked this box for it yet
 		return ratelimit.Room{Limited: true}
 	}
 	return r
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -263,7 +263,7 @@
 	press(nodes, 80, 2*time.Second)
 	c.Check(s.endpoints[0].got() >= 40, quicktest.IsTrue, quicktest.Commentf("%d of 160", s.endpoints[0].got()))
 	for _, n := range nodes {
-		c.Check(n.limits.Limited("e/0"), quicktest.IsFalse)
+		c.Check(n.limits.HasLimit("e/0"), quicktest.IsFalse)
 	}
 }
 
@@ -286,7 +286,7 @@
 	allowed := int(limitBeyond*limit*limitWindow.Seconds()) + limitBesides
 	c.Check(s.endpoints[0].most() <= allowed, quicktest.IsTrue, quicktest.Commentf("%d requests in %v; allowed %d", s.endpoints[0].most(), limitWindow, allowed))
 	started, stop := join(c, s, nodes[1])
-	for tries := 0; !started.limits.Limited("e/0"); tries++ {
+	for tries := 0; !started.limits.HasLimit("e/0"); tries++ {
 		c.Assert(tries < 500, quicktest.IsTrue)
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -299,7 +299,7 @@
 	n.build()
 	n.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "s", DataCentre: "dc"}))
 	n.limits.publish("e1", ratelimit.Of(5))
-	c.Assert(n.limits.Limited("e1"), quicktest.IsTrue)
+	c.Assert(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	return n, clock.Now()
 }
 
@@ -307,13 +307,13 @@
 	c := quicktest.New(t)
 	n, now := newLimited(c)
 	n.items.Merge(&wire.Item{Key: limitsPrefix + "e1", Version: 1 << 62, Value: []byte("no limit")})
-	c.Check(n.limits.Limited("e1"), quicktest.IsTrue)
-	n.limits.Unread("e1", errors.New("no number"))
-	c.Check(n.limits.Limited("e1"), quicktest.IsTrue)
-	n.limits.Said("e1", ratelimit.Limit{}, now.Add(-time.Second)) // its request was sent before
-	c.Check(n.limits.Limited("e1"), quicktest.IsTrue)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
+	n.limits.InvalidLimit("e1", errors.New("no number"))
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
+	n.limits.ObserveLimit("e1", ratelimit.Limit{}, now.Add(-time.Second)) // its request was sent before
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	n.limits.publish("e1", ratelimit.Limit{})
-	c.Check(n.limits.Limited("e1"), quicktest.IsFalse)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsFalse)
 }
 
 // The time of day went back: a limit that begins or ends then is told in a newer version all the same.
@@ -322,9 +322,9 @@
 	n, _ := newLimited(c)
 	ahead := n.items.Version(limitsPrefix+"e1") + uint64(time.Hour.Microseconds())
 	n.items.Merge(&wire.Item{Key: limitsPrefix + "e1", Version: ahead, Value: nil})
-	c.Assert(n.limits.Limited("e1"), quicktest.IsFalse) // a fact without a value names none
+	c.Assert(n.limits.HasLimit("e1"), quicktest.IsFalse) // a fact without a value names none
 	n.limits.publish("e1", ratelimit.Of(3))
-	c.Check(n.limits.Limited("e1"), quicktest.IsTrue)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	c.Check(n.items.Version(limitsPrefix+"e1"), quicktest.Equals, ahead+1)
 }
 
@@ -344,11 +344,11 @@
 	n, _ := newLimited(c)
 	n.limits.publish("unknown", ratelimit.Of(1)) // as a box tells that has not heard of its end
 	n.limits.forgetGone()
-	c.Check(n.limits.Limited("unknown"), quicktest.IsFalse)
-	c.Check(n.limits.Limited("e1"), quicktest.IsTrue)
+	c.Check(n.limits.HasLimit("unknown"), quicktest.IsFalse)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	n.view.RemoveEndpoint("e1")
 	n.limits.forgetGone()
-	c.Check(n.limits.Limited("e1"), quicktest.IsFalse)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsFalse)
 	c.Check(n.items.Keys(), quicktest.HasLen, 0)
 }
 
@@ -358,7 +358,7 @@
 	n, now := newLimited(c)
 	c.Check(n.limits.answer(&wire.TakeRequest{}, now).GetLeads(), quicktest.IsFalse)
 	c.Check(n.limits.hearAll(&wire.LimitsRequest{Words: []*wire.LimitWord{nil, {Endpoint: "e1", Limit: &wire.RateLimit{Named: true, Rate: math.NaN()}}}}, now).GetLeads(), quicktest.IsFalse)
-	taken := n.limits.Take(context.Background(), n.view.Endpoint("e1"), ratelimit.Ask{})
+	taken := n.limits.Acquire(context.Background(), n.view.Endpoint("e1"), ratelimit.Ask{})
 	c.Check(taken.OK, quicktest.IsFalse)
 	c.Check(taken.Wait > 0, quicktest.IsTrue)
 	c.Check(n.limits.report()["e1"].Denied, quicktest.Equals, int64(1))
@@ -370,5 +370,5 @@
 	n, now := newLimited(c)
 	word, _ := n.limits.look("e1", ratelimit.Ask{}, now)
 	c.Check(n.limits.taken("e1", word, &wire.TakeReply{Leads: true}, ratelimit.Ask{}, now).OK, quicktest.IsTrue)
-	c.Check(n.limits.Limited("e1"), quicktest.IsFalse)
+	c.Check(n.limits.HasLimit("e1"), quicktest.IsFalse)
 }
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -28,7 +28,7 @@
 	}
 	end, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
-	told := time.AfterFunc(most-answerTime, func() { endRequests(forward.ErrEnding) })
+	told := time.AfterFunc(most-answerTime, func() { endRequests(forward.ErrShutdown) })
 	defer told.Stop()
 	err := s.Shutdown(end)
 	<-served
--- a/edge/node.go
+++ b/edge/node.go
@@ -101,30 +101,30 @@
 		Owns:        n.owns,
 		AskToResign: n.peers.takeOver,
 		Room:        n.room,
-		Reads:       func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
+		Reads:       func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
 	n.loader.Init()
 	n.gateway = &forward.Gateway{
-		DataCentre: s.DataCentre,
-		View:       n.view,
-		Protocol:   n.Protocol,
-		Placer:     placer{node: n},
-		Observer:   n.usage,
-		Admission:  admission{node: n},
-		Quarantine: n.kept,
-		Limits:     n.limits,
-		Boxes:      func() int { return n.peers.budgetBoxes(clock.Now()) },
-		Level:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
-		Cut:        func(centre string) bool { return n.peers.clusterView().silent[centre] },
-		Budget:     func() forward.BudgetLimits { return n.current.Load().Budget },
-		Leaving:    n.departures.observe,
-		MostHeld:   max(s.Limits.Descriptors, heldPart*64) / heldPart,
-		Log:        n.Log,
-		Pressed:    n.Lines.Pressed,
-		Stats:      forward.NewStats(),
+		DataCentre:    s.DataCentre,
+		View:          n.view,
+		Protocol:      n.Protocol,
+		Placer:        placer{node: n},
+		Observer:      n.usage,
+		Admission:     admission{node: n},
+		Quarantine:    n.kept,
+		Limits:        n.limits,
+		Boxes:         func() int { return n.peers.budgetBoxes(clock.Now()) },
+		LoadCost:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
+		Unreachable:   func(centre string) bool { return n.peers.clusterView().silent[centre] },
+		RetryLimits:   func() forward.RetryLimits { return n.current.Load().Budget },
+		OnDraining:    n.departures.observe,
+		MaxInFlight:   max(s.Limits.Descriptors, heldPart*64) / heldPart,
+		Log:           n.Log,
+		LogBacklogged: n.Lines.Pressed,
+		Stats:         forward.NewStats(),
 	}
 }
 
@@ -185,14 +185,16 @@
 
 // HearNotice takes in what an endpoint says of itself in an answer to an order or a report. Call it only
 // while Run serves.
-func (n *Node) HearNotice(endpoint string, said forward.Notice) { n.gateway.HearNotice(endpoint, said) }
+func (n *Node) HearNotice(endpoint string, said forward.Notice) {
+	n.gateway.ObserveNotice(endpoint, said)
+}
 
 // room returns what an endpoint takes, for the one that decides where adapters are loaded. One that asked this
 // box for a back-off is as good as one that gets all that it takes: what it asks of one box it likely asks of
 // others, and a request that needs an adapter there would be turned away.
 func (n *Node) room(endpoint string, now time.Time) ratelimit.Room {
 	r := n.limits.room(endpoint, now)
-	if !r.Limited && n.gateway.BackoffLeft(endpoint, now) > 0 {
+	if !r.Limited && n.gateway.BackoffRemaining(endpoint, now) > 0 {
 		return ratelimit.Room{Limited: true}
 	}
 	return r
--- a/edge/node_test.go
+++ b/edge/node_test.go
@@ -44,13 +44,15 @@
 // noProtocol refuses every call.
 type noProtocol struct{ forward.Protocol }
 
-// ReadCall implements forward.Protocol.
-func (noProtocol) ReadCall(http.Header) (forward.Call, error) {
+// ParseCall implements forward.Protocol.
+func (noProtocol) ParseCall(http.Header) (forward.Call, error) {
 	return forward.Call{}, errors.New("no calls here")
 }
 
-// ComeBack implements forward.Protocol.
-func (noProtocol) ComeBack(h http.Header, after time.Duration) { h.Set("Retry-After", after.String()) }
+// SetRetryAfter implements forward.Protocol.
+func (noProtocol) SetRetryAfter(h http.Header, after time.Duration) {
+	h.Set("Retry-After", after.String())
+}
 
 // noControl reaches no endpoint.
 type noControl struct{}
@@ -99,7 +101,7 @@
 			Seeds:      seeds,
 			Limits:     Limits{MemoryMB: 1024, Descriptors: 1024},
 			Bounds:     Bounds{Grace: 4 * time.Second, Lease: time.Second},
-			Budget:     forward.BudgetLimits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
+			Budget:     forward.RetryLimits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second},
 			Rate:       placement.DefaultRateLimits,
 		},
 		Source:   emptySource{},
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -23,8 +23,8 @@
 // centres what ended under its requests; who has counted enough tells all boxes by a fact.
 type quarantined struct{ node *Node }
 
-// Left implements forward.Quarantine.
-func (q quarantined) Left(c quarantine.Content, now time.Time) (time.Duration, bool) {
+// Remaining implements forward.Quarantine.
+func (q quarantined) Remaining(c quarantine.Content, now time.Time) (time.Duration, bool) {
 	return q.node.state.tracker.Kept().Left(c, now)
 }
 
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -33,7 +33,7 @@
 }
 
 func keeps(n *Node, body string, now time.Time) bool {
-	_, kept := n.kept.Left(contentOf(body), now)
+	_, kept := n.kept.Remaining(contentOf(body), now)
 	return kept
 }
 
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -52,19 +52,19 @@
 	if e == nil {
 		return nil, status.Error(codes.NotFound, "edge: the endpoint is not known here")
 	}
-	p, err := s.node.loader.Want(ctx, wanted(q, e))
+	p, err := s.node.loader.Place(ctx, wanted(q, e))
 	if err != nil {
 		return nil, status.FromContextError(err).Err()
 	}
 	return &wire.AskReply{
 		Ready:       p.Ready,
-		Settling:    p.Settling,
+		Settling:    p.OwnerChanging,
 		Endpoint:    p.Endpoint,
 		Version:     p.Version,
-		RetryMicros: p.Retry.Microseconds(),
+		RetryMicros: p.RetryAfter.Microseconds(),
 		Reason:      p.Reason,
 
-		QueuedMicros: p.Queued.Microseconds(),
+		QueuedMicros: p.QueueTime.Microseconds(),
 	}, nil
 }
 
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -25,7 +25,7 @@
 	Seeds      []string
 	Limits     Limits
 	Bounds     Bounds
-	Budget     forward.BudgetLimits
+	Budget     forward.RetryLimits
 	Rate       placement.RateLimits
 
 	DataCentres int           // that there are; zero: as many as have boxes
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -65,7 +65,7 @@
 	units float64
 	over  time.Time // it waits until then for units that are known to come
 	asked bool      // a settlement asked for it
-	done  chan forward.Spent
+	done  chan forward.ChargeResult
 }
 
 func newSpending(n *Node) *spending {
@@ -109,23 +109,23 @@
 
 // spend takes units of an organisation's quota for a request: at once where this box owes
 // little, else when its leader hands them out.
-func (s *spending) spend(ctx context.Context, o *access.Organisation, units float64, p forward.Patience) forward.Spent {
+func (s *spending) spend(ctx context.Context, o *access.Organisation, units float64, p forward.QuotaTimeouts) forward.ChargeResult {
 	now := clock.Now()
 	s.mu.Lock()
 	a := s.accountLocked(o.Name())
 	if len(a.waiting) == 0 && a.Admit(units, s.float(o.Quota()), rand.Float64()) {
 		s.mu.Unlock()
-		return forward.Spent{OK: true}
+		return forward.ChargeResult{OK: true}
 	}
 	if now.Before(a.refused) {
 		defer s.mu.Unlock()
-		return forward.Spent{Over: true, Retry: a.back.Sub(now)}
+		return forward.ChargeResult{Exceeded: true, RetryAfter: a.back.Sub(now)}
 	}
-	w := &waiter{units: units, over: now.Add(p.Over), done: make(chan forward.Spent, 1)}
+	w := &waiter{units: units, over: now.Add(p.Exceeded), done: make(chan forward.ChargeResult, 1)}
 	a.waiting = append(a.waiting, w)
 	s.mu.Unlock()
 	s.hurry()
-	timeout := time.NewTimer(p.Unknown)
+	timeout := time.NewTimer(p.Unavailable)
 	defer timeout.Stop()
 	select {
 	case r := <-w.done:
@@ -137,12 +137,12 @@
 }
 
 // giveUp takes a request that waits no longer out of the queue; it may have been granted just now.
-func (s *spending) giveUp(a *account, w *waiter) forward.Spent {
+func (s *spending) giveUp(a *account, w *waiter) forward.ChargeResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(a.waiting, w); i >= 0 {
 		a.waiting = slices.Delete(a.waiting, i, i+1)
-		return forward.Spent{Retry: quotaRetry}
+		return forward.ChargeResult{RetryAfter: quotaRetry}
 	}
 	return <-w.done
 }
@@ -270,7 +270,7 @@
 	a.Settle(float64(w.GetPaid()))
 	a.Answered()
 	for _, r := range asked[:min(int(w.GetGranted()), len(asked))] {
-		if !a.finish(r, forward.Spent{OK: true}) {
+		if !a.finish(r, forward.ChargeResult{OK: true}) {
 			a.Return(r.units) // it did not wait so long
 		}
 	}
@@ -280,14 +280,14 @@
 	wait := time.Duration(w.GetWaitMicros()) * time.Microsecond
 	for _, r := range slices.Clone(a.waiting) {
 		if now.Add(wait).After(r.over) {
-			a.finish(r, forward.Spent{Over: true, Retry: wait})
+			a.finish(r, forward.ChargeResult{Exceeded: true, RetryAfter: wait})
 			a.refused, a.back = now.Add(refusedFor), now.Add(wait)
 		}
 	}
 }
 
 // finish tells a request what became of it, unless it waits no longer.
-func (a *account) finish(w *waiter, r forward.Spent) bool {
+func (a *account) finish(w *waiter, r forward.ChargeResult) bool {
 	i := slices.Index(a.waiting, w)
 	if i < 0 {
 		return false
@@ -306,7 +306,7 @@
 	float := s.float(o.Quota())
 	a.Forgive(float, s.node.current.Load().Quota.Window, now)
 	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, float, 1) {
-		a.finish(a.waiting[0], forward.Spent{OK: true})
+		a.finish(a.waiting[0], forward.ChargeResult{OK: true})
 	}
 }
 
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -111,8 +111,8 @@
 func awaitLoad(n *Node, name string) {
 	for {
 		if e := n.view.Endpoint("e/1"); e != nil {
-			w := forward.Wanted{Endpoint: e, Adapter: topology.Adapter{Model: "m", Name: name}, Version: 1, Wait: time.Second, Most: time.Second}
-			if p, err := (placer{node: n}).Want(context.Background(), w); err == nil && p.Ready {
+			w := forward.AdapterRequest{Endpoint: e, Adapter: topology.Adapter{Model: "m", Name: name}, Version: 1, TargetWait: time.Second, MaxWait: time.Second}
+			if p, err := (placer{node: n}).Place(context.Background(), w); err == nil && p.Ready {
 				return
 			}
 		}
--- a/edge/usage.go
+++ b/edge/usage.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// Begun implements forward.Observer.
-func (u *usage) Begun(e *topology.Endpoint, c forward.Call) forward.Run {
-	r := &run{usage: u, key: useKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, reading: c.TokensIn}
+// RequestStarted implements forward.Observer.
+func (u *usage) RequestStarted(e *topology.Endpoint, c forward.Call) forward.Run {
+	r := &run{usage: u, key: useKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, reading: c.PromptTokens}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.counts[r.key]++
@@ -77,8 +77,8 @@
 	over    bool
 }
 
-// Read implements forward.Run.
-func (r *run) Read() {
+// PromptRead implements forward.Run.
+func (r *run) PromptRead() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
 	if r.reading > 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// Ended implements forward.Run.
-func (r *run) Ended() {
+// Finished implements forward.Run.
+func (r *run) Finished() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
 	if !r.over {
--- a/edge/usage_test.go
+++ b/edge/usage_test.go
@@ -27,14 +27,14 @@
 	c := quicktest.New(t)
 	u := newUsage(&Node{peers: &peers{box: "box", centre: "near"}})
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", DataCentre: "far"})
-	r := u.Begun(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "a"}, TokensIn: 900})
+	r := u.RequestStarted(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "a"}, PromptTokens: 900})
 	for _, step := range []struct {
 		change           func()
 		running, reading int
 	}{
 		{func() {}, 1, 900},
-		{r.Read, 1, 0},
-		{r.Ended, 0, 0},
+		{r.PromptRead, 1, 0},
+		{r.Finished, 0, 0},
 	} {
 		step.change()
 		q := told(u, false)
@@ -44,8 +44,8 @@
 		c.Assert(int(q.GetUsage()[0].GetReading()), quicktest.Equals, step.reading)
 		c.Assert(told(u, false), quicktest.IsNil) // it was told
 	}
-	r.Read() // both change nothing any more
-	r.Ended()
+	r.PromptRead() // both change nothing any more
+	r.Finished()
 	c.Assert(told(u, false), quicktest.IsNil)
 	c.Assert(told(u, true), quicktest.IsNil) // nothing is under way
 }
@@ -56,11 +56,11 @@
 	u := newUsage(&Node{peers: &peers{box: "box", centre: "near"}})
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", DataCentre: "far"})
 	call := forward.Call{Adapter: topology.Adapter{Model: "m", Name: "a"}}
-	r := u.Begun(e, call)
+	r := u.RequestStarted(e, call)
 	u.telling["far"] = true
 	c.Assert(told(u, false), quicktest.IsNil)
 	c.Assert(told(u, true), quicktest.IsNil)
-	r.Ended()
+	r.Finished()
 	u.ended("far")
 	q := told(u, false)
 	c.Assert(q.GetUsage(), quicktest.HasLen, 1)
@@ -91,8 +91,8 @@
 		return n
 	}
 	for range 3 {
-		u.Begun(e, call)
-		u.Begun(near, call)
+		u.RequestStarted(e, call)
+		u.RequestStarted(near, call)
 		c.Assert(toldFar(false), quicktest.Equals, 0)
 	}
 	u.telling["near"] = true
@@ -108,7 +108,7 @@
 	c := quicktest.New(t)
 	u := newUsage(&Node{peers: &peers{box: "box", centre: "near"}})
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", DataCentre: "far"})
-	u.Begun(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "a"}})
+	u.RequestStarted(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "a"}})
 	led := func(name string) *clusterView {
 		return &clusterView{leaders: map[string]member.Member{"far": member.New(name, "127.0.0.1:1", roleBox, "far", 1)}}
 	}
@@ -136,10 +136,10 @@
 		time.Sleep(time.Millisecond)
 		e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", DataCentre: "near"})
 		first := topology.Adapter{Model: "m", Name: "first"}
-		u.Begun(e, forward.Call{Adapter: first})
+		u.RequestStarted(e, forward.Call{Adapter: first})
 		for range 8 { // ends before the look at who leads, and long before a whole report
 			time.Sleep(changePause / 2)
-			u.Begun(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "other"}})
+			u.RequestStarted(e, forward.Call{Adapter: topology.Adapter{Model: "m", Name: "other"}})
 		}
 		u.mu.Lock()
 		waits := u.changed[useKey{endpoint: "e1", centre: "near", adapter: first}]
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -12,31 +12,31 @@
 
 // Admission knows what holds for organisations over all boxes.
 type Admission interface {
-	// Trusted tells whether what this box knows of keys is recent enough to serve by: a key that
+	// KeysUsable tells whether what this box knows of keys is recent enough to serve by: a key that
 	// was taken away since may not be served for long.
-	Trusted(now time.Time) bool
-	// Current tells whether it is recent enough to say that a key stands for nobody: one that was
+	KeysUsable(now time.Time) bool
+	// KeysCurrent tells whether it is recent enough to say that a key stands for nobody: one that was
 	// put in since does.
-	Current(now time.Time) bool
-	// Spend takes units from an organisation's quota. It waits as long as p says.
-	Spend(ctx context.Context, o *access.Organisation, units float64, p Patience) Spent
-	// SpendAgain takes units that are used in any case.
-	SpendAgain(o *access.Organisation, units float64)
-	// Return gives back units of a request that did not run.
-	Return(o *access.Organisation, units float64)
+	KeysCurrent(now time.Time) bool
+	// Charge takes units from an organisation's quota. It waits as long as p says.
+	Charge(ctx context.Context, o *access.Organisation, units float64, p QuotaTimeouts) ChargeResult
+	// ChargeUnchecked takes units that are used in any case.
+	ChargeUnchecked(o *access.Organisation, units float64)
+	// Refund gives back units of a request that did not run.
+	Refund(o *access.Organisation, units float64)
 }
 
-// Patience is how long a request waits for a quota.
-type Patience struct {
-	Over    time.Duration // where the quota is used up and known to have room again within it
-	Unknown time.Duration // for somebody who counts the quota
+// QuotaTimeouts is how long a request waits for a quota.
+type QuotaTimeouts struct {
+	Exceeded    time.Duration // where the quota is used up and known to have room again within it
+	Unavailable time.Duration // for somebody who counts the quota
 }
 
-// Spent is what became of a request for units of a quota.
-type Spent struct {
-	OK    bool
-	Over  bool          // not OK: the quota is used up; else nobody who counts it answers
-	Retry time.Duration // not OK: when it is likely granted
+// ChargeResult is what became of a request for units of a quota.
+type ChargeResult struct {
+	OK         bool
+	Exceeded   bool          // not OK: the quota is used up; else nobody who counts it answers
+	RetryAfter time.Duration // not OK: when it is likely granted
 }
 
 // overPart is the part of a route's target that a request waits for a quota that is used up: what is
@@ -55,20 +55,20 @@
 	}
 	c := q.call.Credential
 	if !c.Given() {
-		return &Refusal{Code: CodeNoKey, Detail: "the caller shows no key, or several"}
+		return &Refusal{Code: CodeKeyUnknown, Detail: "the caller shows no key, or several"}
 	}
-	if !g.Admission.Trusted(now) {
-		return &Refusal{Code: CodeOldWord, Retry: noneRetry, Detail: "a key that was taken away may not be known here"}
+	if !g.Admission.KeysUsable(now) {
+		return &Refusal{Code: CodeKeysStale, RetryAfter: noneRetry, Detail: "a key that was taken away may not be known here"}
 	}
 	o := d.Find(c)
 	if o != nil {
 		q.organisation = o
 		return nil
 	}
-	if !g.Admission.Current(now) {
-		return &Refusal{Code: CodeOldWord, Retry: noneRetry, Detail: "a key that was put in may not be known here"}
+	if !g.Admission.KeysCurrent(now) {
+		return &Refusal{Code: CodeKeysStale, RetryAfter: noneRetry, Detail: "a key that was put in may not be known here"}
 	}
-	return &Refusal{Code: CodeNoKey, Detail: "no organisation has the key"}
+	return &Refusal{Code: CodeKeyUnknown, Detail: "no organisation has the key"}
 }
 
 // payer returns the name of the organisation whose request it is; empty for nobody's.
@@ -84,7 +84,7 @@
 
 // cost returns what one run of the request counts.
 func (q *request) cost() float64 {
-	return q.organisation.Quota().Cost(q.call.TokensIn+q.call.TokensOut, q.call.TokensStated)
+	return q.organisation.Quota().Cost(q.call.PromptTokens+q.call.MaxOutputTokens, q.call.TokensStated)
 }
 
 // spend takes a run of the request from its organisation's quota, before anything else is used
@@ -93,18 +93,18 @@
 	if !q.limited() {
 		return nil
 	}
-	s := g.Admission.Spend(ctx, q.organisation, q.cost(), Patience{
-		Over:    time.Duration(overPart * float64(q.route.Target())),
-		Unknown: q.useful(clock.Now()) - g.predict(q.call.TokensIn), // boxes agree anew within a second on who counts
+	s := g.Admission.Charge(ctx, q.organisation, q.cost(), QuotaTimeouts{
+		Exceeded:    time.Duration(overPart * float64(q.route.Target())),
+		Unavailable: q.useful(clock.Now()) - g.predict(q.call.PromptTokens), // boxes agree anew within a second on who counts
 	})
 	switch {
 	case s.OK:
 		q.spent = q.cost()
 		return nil
-	case s.Over:
-		return &Refusal{Code: CodeOverQuota, Retry: s.Retry, Detail: "the organisation asks more than its quota"}
+	case s.Exceeded:
+		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: s.RetryAfter, Detail: "the organisation asks more than its quota"}
 	}
-	return &Refusal{Code: CodeQuotaUnknown, Retry: s.Retry, Detail: "nobody who counts the organisation's quota answers"}
+	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "nobody who counts the organisation's quota answers"}
 }
 
 // spendAgain takes one more run from the quota where the one before began.
@@ -113,13 +113,13 @@
 		return
 	}
 	q.spent = q.cost()
-	g.Admission.SpendAgain(q.organisation, q.spent)
+	g.Admission.ChargeUnchecked(q.organisation, q.spent)
 }
 
 // giveBack returns what was spent for a run that never began.
 func (g *Gateway) giveBack(q *request) {
 	if q.spent > 0 && q.organisation != nil {
-		g.Admission.Return(q.organisation, q.spent)
+		g.Admission.Refund(q.organisation, q.spent)
 		q.spent = 0
 	}
 }
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -24,32 +24,32 @@
 	noLeader       bool
 }
 
-// Trusted implements Admission.
-func (a *fakeAdmission) Trusted(time.Time) bool {
+// KeysUsable implements Admission.
+func (a *fakeAdmission) KeysUsable(time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return !a.old
 }
 
-// Current implements Admission.
-func (a *fakeAdmission) Current(time.Time) bool { return !a.outdated }
+// KeysCurrent implements Admission.
+func (a *fakeAdmission) KeysCurrent(time.Time) bool { return !a.outdated }
 
-// Spend implements Admission.
-func (a *fakeAdmission) Spend(_ context.Context, _ *access.Organisation, units float64, _ Patience) Spent {
+// Charge implements Admission.
+func (a *fakeAdmission) Charge(_ context.Context, _ *access.Organisation, units float64, _ QuotaTimeouts) ChargeResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.noLeader || a.left < units {
-		return Spent{Over: !a.noLeader, Retry: 300 * time.Millisecond}
+		return ChargeResult{Exceeded: !a.noLeader, RetryAfter: 300 * time.Millisecond}
 	}
 	a.left -= units
-	return Spent{OK: true}
+	return ChargeResult{OK: true}
 }
 
-// SpendAgain implements Admission.
-func (a *fakeAdmission) SpendAgain(_ *access.Organisation, units float64) { a.again += units }
+// ChargeUnchecked implements Admission.
+func (a *fakeAdmission) ChargeUnchecked(_ *access.Organisation, units float64) { a.again += units }
 
-// Return implements Admission.
-func (a *fakeAdmission) Return(_ *access.Organisation, units float64) { a.returns += units }
+// Refund implements Admission.
+func (a *fakeAdmission) Refund(_ *access.Organisation, units float64) { a.returns += units }
 
 // newKeyedSite is a site whose callers need keys: organisation "org" has the key "good".
 func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*site, *fakeAdmission) {
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -25,7 +25,7 @@
 func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, t target) *Refusal {
 	d := g.dispatchTo(q, t)
 	defer d.ended()
-	a, f := g.send(ctx, q, d.upstream, t, q.call.LastEvent)
+	a, f := g.send(ctx, q, d.upstream, t, q.call.LastEventID)
 	if f != nil {
 		return f
 	}
@@ -38,7 +38,7 @@
 func (g *Gateway) send(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
 	g.spendAgain(q)
 	a, f := g.exchange(ctx, q, u, t, lastEvent)
-	if f == nil || f.Ran {
+	if f == nil || f.MayHaveRun {
 		q.spent = 0
 	}
 	return a, f
@@ -103,19 +103,19 @@
 	}
 	r.URL = &url.URL{Scheme: "http", Host: t.endpoint.Address(), Opaque: path, RawQuery: query, ForceQuery: marked && query == ""}
 	r.Host = q.inbound.Host
-	r.Header = endToEnd(q.inbound.Header, g.Protocol.Describes)
+	r.Header = endToEnd(q.inbound.Header, g.Protocol.IsCallHeader)
 	if r.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	r.Body = onceReader{bytes.NewReader(q.body)}
 	r.ContentLength = int64(len(q.body))
-	g.Protocol.Instruct(r.Header, Instruction{
-		Endpoint:  t.endpoint.ID(),
-		Left:      q.left(clock.Now()),
-		Priority:  q.config.Rank(q.route, q.organisation),
-		HasModel:  q.service.Engine() != nil,
-		Version:   t.version,
-		LastEvent: lastEvent,
+	g.Protocol.SetDirectives(r.Header, Directives{
+		Endpoint:    t.endpoint.ID(),
+		Remaining:   q.left(clock.Now()),
+		Priority:    q.config.Rank(q.route, q.organisation),
+		HasModel:    q.service.Engine() != nil,
+		Version:     t.version,
+		LastEventID: lastEvent,
 
 		Organisation: q.payer(),
 	})
@@ -143,11 +143,11 @@
 		if isDial(err) {
 			q.refused[u.endpoint.ID()] = true
 		}
-		return &Refusal{Code: CodeNoEndpoint, Unsent: true, Retry: shedRetry, Detail: err.Error()}
+		return &Refusal{Code: CodeNoEndpoint, Unsent: true, RetryAfter: shedRetry, Detail: err.Error()}
 	}
 	q.mayHaveRun = true
 	q.ran++
-	return &Refusal{Code: CodeLost, Ran: true, Detail: err.Error()}
+	return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: err.Error()}
 }
 
 // isDial tells whether no connection was made; else one that had rested was broken, and the endpoint may
@@ -159,32 +159,32 @@
 
 // judge tells whether an answer belongs to the call and whether it ran.
 func (g *Gateway) judge(q *request, u *upstream, t target, a *http.Response) *Refusal {
-	v := g.Protocol.ReadAnswer(a, q.call, t.endpoint.ID())
+	v := g.Protocol.ParseResponse(a, q.call, t.endpoint.ID())
 	g.takeNotice(q, u, t, v)
 	switch {
-	case v.Elsewhere:
+	case v.WrongEndpoint:
 		u.unreachable(clock.Now())
 		return g.turnedAway(q, t, CodeNoEndpoint, "another endpoint has the address")
-	case v.NotHeld:
+	case v.AdapterNotLoaded:
 		g.View.Drop(t.endpoint.ID(), q.call.Adapter)
 		f := g.turnedAway(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
 		delete(q.tried, t.endpoint.ID()) // it can be loaded there
 		delete(q.refused, t.endpoint.ID())
 		q.denied = t.endpoint.ID()
 		return f
-	case v.NotRun:
+	case v.NotExecuted:
 		if v.Backoff == 0 {
 			u.turnedAway(clock.Now())
 		}
-		return g.turnedAway(q, t, CodeShed, "the endpoint refused: "+a.Status)
-	case !v.Own || v.Encoded || (a.StatusCode < http.StatusMultipleChoices && !v.Signed):
+		return g.turnedAway(q, t, CodeRefusedByEndpoint, "the endpoint refused: "+a.Status)
+	case !v.MatchesCall || v.Encoded || (a.StatusCode < http.StatusMultipleChoices && !v.Signed):
 		u.dropIdle()
 		u.outcome(true)
 		q.mayHaveRun = true
 		q.ran++
 		q.tried[t.endpoint.ID()] = true
 		g.recordAttempt(q, "spoilt", "the answer belongs to no request of this box")
-		return &Refusal{Code: CodeSpoilt, Ran: true, Detail: "not an answer to this request"}
+		return &Refusal{Code: CodeSpoilt, MayHaveRun: true, Detail: "not an answer to this request"}
 	}
 	return nil
 }
@@ -198,7 +198,7 @@
 	if after, known := g.soonest(g.View.Endpoints(q.service.Name()), clock.Now()); known {
 		back = max(back, after)
 	}
-	return &Refusal{Code: c, Retry: back, Detail: detail}
+	return &Refusal{Code: c, RetryAfter: back, Detail: detail}
 }
 
 // pass gives the caller the answer, whole or event by event.
@@ -214,7 +214,7 @@
 		return g.cutShort(ctx, q, u, err)
 	}
 	if a.StatusCode >= http.StatusInternalServerError && g.tryAnother(q, t) {
-		return &Refusal{Code: CodeLost, Ran: true, Detail: "the endpoint failed: " + a.Status}
+		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint failed: " + a.Status}
 	}
 	out.head(a, len(body))
 	out.write(body)
@@ -252,5 +252,5 @@
 	q.ran++
 	q.tried[u.endpoint.ID()] = true
 	g.recordAttempt(q, "cut", detail)
-	return &Refusal{Code: CodeCut, Ran: true, Detail: detail}
+	return &Refusal{Code: CodeTruncated, MayHaveRun: true, Detail: detail}
 }
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BudgetLimits is what all boxes together may send again to one service.
-type BudgetLimits struct {
+// RetryLimits is what all boxes together may send again to one service.
+type RetryLimits struct {
 	Ratio  float64       // of the first attempts
 	Extra  float64       // besides, in each window
 	Window time.Duration // over which both are counted
@@ -24,12 +24,12 @@
 	mostSaved = 10.0 // retries of the share, so that few boxes spread theirs as well
 )
 
-// Budget is one box's share of the retries to one service. A box with many callers earns more
+// RetryBudget is one box's share of the retries to one service. A box with many callers earns more
 // by their requests than its share of the extra ones, and needs them together: an endpoint that
 // refuses one of its requests refuses the next ones too. Where each of many boxes could save one retry
 // alone, most of what all may send again would lie unused while requests are given up.
-type Budget struct {
-	Limits func() BudgetLimits
+type RetryBudget struct {
+	Limits func() RetryLimits
 
 	mu     sync.Mutex
 	tokens float64
@@ -41,15 +41,15 @@
 
 // RetryCounts is what one box did with its share of the retries to one service.
 type RetryCounts struct {
-	Made     int64   `json:"made"`     // out of the budget
-	Withheld int64   `json:"withheld"` // since the budget was used up
-	Unsent   int64   `json:"unsent"`   // outside it: the attempt before had reached nobody
-	Left     float64 `json:"left"`     // that may be made now
-	Boxes    int     `json:"boxes"`    // that share the budget, as of the last retry
+	Made      int64   `json:"made"`     // out of the budget
+	Withheld  int64   `json:"withheld"` // since the budget was used up
+	Unsent    int64   `json:"unsent"`   // outside it: the attempt before had reached nobody
+	Remaining float64 `json:"left"`     // that may be made now
+	Boxes     int     `json:"boxes"`    // that share the budget, as of the last retry
 }
 
-// First notes the first attempt of a request at now.
-func (b *Budget) First(now time.Time) {
+// RecordFirst notes the first attempt of a request at now.
+func (b *RetryBudget) RecordFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := b.Limits()
@@ -58,13 +58,13 @@
 }
 
 // mostLocked is how many retries may be saved at now.
-func (b *Budget) mostLocked(now time.Time, limits BudgetLimits) float64 {
+func (b *RetryBudget) mostLocked(now time.Time, limits RetryLimits) float64 {
 	return max(b.saved, 1) + limits.Ratio*ratioKept*float64(b.recent.count(now, limits.Window))
 }
 
-// Take tells whether one more attempt may be made at now by one of so many boxes. Where it
+// TryRetry tells whether one more attempt may be made at now by one of so many boxes. Where it
 // is not known how many there are, zero, only first attempts earn retries.
-func (b *Budget) Take(now time.Time, boxes int) bool {
+func (b *RetryBudget) TryRetry(now time.Time, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := b.Limits()
@@ -89,19 +89,19 @@
 	return true
 }
 
-// Unsent notes an attempt that is made anew since the one before reached nobody.
-func (b *Budget) Unsent() {
+// RecordUnsent notes an attempt that is made anew since the one before reached nobody.
+func (b *RetryBudget) RecordUnsent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Unsent++
 }
 
 // Counts returns what was done so far.
-func (b *Budget) Counts() RetryCounts {
+func (b *RetryBudget) Counts() RetryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts
-	c.Left = b.tokens
+	c.Remaining = b.tokens
 	return c
 }
 
--- a/forward/budget_test.go
+++ b/forward/budget_test.go
@@ -18,33 +18,33 @@
 // had a retry withheld; 430 extra ones and a fifth of 6,500 requests are allowed in 10 s.
 func TestABusyBoxSendsAgainWhatItsRequestsEarned(t *testing.T) {
 	c := quicktest.New(t)
-	limits := BudgetLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
-	b := &Budget{Limits: func() BudgetLimits { return limits }}
+	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
+	b := &RetryBudget{Limits: func() RetryLimits { return limits }}
 	now := time.Unix(1000, 0)
 	for range 100 { // in ten seconds
 		now = now.Add(100 * time.Millisecond)
-		b.First(now)
+		b.RecordFirst(now)
 	}
 	for range 4 {
-		c.Check(b.Take(now, 195), quicktest.IsTrue)
+		c.Check(b.TryRetry(now, 195), quicktest.IsTrue)
 	}
 }
 
 // worstWindow returns how many retries one of so many boxes makes in the worst window: callers
 // sent so many requests in the window before and in this one, it has saved what it may, and each
 // request that it could send again it does.
-func worstWindow(limits BudgetLimits, boxes, before, within int) int {
-	b := &Budget{Limits: func() BudgetLimits { return limits }}
+func worstWindow(limits RetryLimits, boxes, before, within int) int {
+	b := &RetryBudget{Limits: func() RetryLimits { return limits }}
 	now := time.Unix(1000, 0)
-	b.Take(now, boxes)
+	b.TryRetry(now, boxes)
 	ask := func(requests int, retry bool) (made int) {
 		begun := now
 		for i := range max(requests, 1) {
 			now = begun.Add(time.Duration(i) * limits.Window / time.Duration(max(requests, 1)))
 			if requests > 0 {
-				b.First(now)
+				b.RecordFirst(now)
 			}
-			for retry && b.Take(now, boxes) {
+			for retry && b.TryRetry(now, boxes) {
 				made++
 			}
 		}
@@ -64,7 +64,7 @@
 			if extra*sharePart < float64(boxes) {
 				continue // a box makes one retry or none: more boxes than extra retries are an open point
 			}
-			limits := BudgetLimits{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
+			limits := RetryLimits{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
 			for _, before := range []int{0, 1, 10, 33, 400} {
 				for _, within := range []int{0, 1, 10, 33, 400} {
 					t.Run(fmt.Sprintf("%d boxes, %v extra, %d requests and %d", boxes, extra, before, within), func(t *testing.T) {
@@ -83,13 +83,13 @@
 // first request.
 func TestABoxSavesItsShareBeforeItsFirstRequest(t *testing.T) {
 	c := quicktest.New(t)
-	limits := BudgetLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
-	g := &Gateway{Budget: func() BudgetLimits { return limits }}
+	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
+	g := &Gateway{RetryLimits: func() RetryLimits { return limits }}
 	started := time.Unix(1000, 0)
 	g.begin(started)
 	later := started.Add(limits.Window)
 	b := g.budget("service")
-	b.First(later)
-	c.Assert(b.Take(later, 195), quicktest.IsTrue)
-	c.Assert(b.Take(later, 195), quicktest.IsFalse)
+	b.RecordFirst(later)
+	c.Assert(b.TryRetry(later, 195), quicktest.IsTrue)
+	c.Assert(b.TryRetry(later, 195), quicktest.IsFalse)
 }
--- a/forward/caller.go
+++ b/forward/caller.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// ErrEnding is the cause with which a server's base context ends the requests that are still
+// ErrShutdown is the cause with which a server's base context ends the requests that are still
 // held when the time to stop is over: they get their answers instead of a closed connection.
-var ErrEnding = errors.New("forward: the box ends")
+var ErrShutdown = errors.New("forward: the box ends")
 
 const (
 	// refusedTime bounds what a request that is refused before its deadline is known may
@@ -60,5 +60,5 @@
 		panic(fault) // an answer that ends early must not look whole
 	}
 	g.Log.Info("Handler panicked", "request", q.call.ID, "fault", fault, "stack", string(debug.Stack()))
-	g.refuse(out.writer, q, &Refusal{Code: CodeFault, Ran: q.attempts > 0, Retry: noneRetry})
+	g.refuse(out.writer, q, &Refusal{Code: CodeInternal, MayHaveRun: q.attempts > 0, RetryAfter: noneRetry})
 }
--- a/forward/caller_test.go
+++ b/forward/caller_test.go
@@ -89,8 +89,8 @@
 		}
 	})
 	s.callByHand(t, headByHand+"Content-Length: 0\r\n\r\n")
-	s.eventually(func() bool { return s.gateway.Held() == 1 })
-	s.eventually(func() bool { return s.gateway.Held() == 0 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 1 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 }
 
 // eventually waits until what must come has come.
@@ -103,8 +103,8 @@
 // faultyPlacer panics.
 type faultyPlacer struct{}
 
-// Want implements Placer.
-func (faultyPlacer) Want(context.Context, Wanted) (Placed, error) { panic("a fault") }
+// Place implements Placer.
+func (faultyPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) { panic("a fault") }
 
 // A fault of the program in a handler closed the caller's connection without an answer.
 func TestAPanicBeforeTheRequestIsSentIsAnsweredAsNotRun(t *testing.T) {
@@ -115,8 +115,8 @@
 // faultyProtocol panics over the head of an answer.
 type faultyProtocol struct{ plainProtocol }
 
-// ReadAnswer implements Protocol.
-func (faultyProtocol) ReadAnswer(*http.Response, Call, string) Answer { panic("a fault") }
+// ParseResponse implements Protocol.
+func (faultyProtocol) ParseResponse(*http.Response, Call, string) Response { panic("a fault") }
 
 func TestAPanicAfterTheRequestWasSentIsNotAnsweredAsNotRun(t *testing.T) {
 	s := newSite(t, once(time.Second))
@@ -161,6 +161,6 @@
 		status <- a.StatusCode
 	}()
 	s.eventually(func() bool { return calls.Load() == 1 })
-	end(ErrEnding)
+	end(ErrShutdown)
 	s.c.Assert(<-status, quicktest.Equals, http.StatusBadGateway) // it may have run
 }
--- a/forward/dispatch.go
+++ b/forward/dispatch.go
@@ -25,12 +25,12 @@
 func (g *Gateway) dispatchTo(q *request, t target) *dispatch {
 	u := g.upstreams.of(t.endpoint)
 	d := &dispatch{gateway: g, request: q, upstream: u, sent: clock.Now()}
-	d.before = u.begin(q.call.TokensIn)
+	d.before = u.begin(q.call.PromptTokens)
 	d.predicted = g.predict(d.before)
 	if q.call.Adapter.Name != "" {
-		d.run = g.Observer.Begun(t.endpoint, q.call)
+		d.run = g.Observer.RequestStarted(t.endpoint, q.call)
 	}
-	g.Limits.Sent(t.endpoint.ID())
+	g.Limits.RequestSent(t.endpoint.ID())
 	g.notices.sent(t.endpoint.ID(), d.sent)
 	q.attempts++
 	q.sentAt, q.sentTo, q.version, q.predicted, q.firstAt = d.sent, t.endpoint, t.version, d.predicted, time.Time{}
@@ -48,9 +48,9 @@
 	}
 	d.read, d.last = true, now
 	d.request.firstAt = now
-	d.upstream.read(d.request.call.TokensIn)
+	d.upstream.read(d.request.call.PromptTokens)
 	if d.run != nil {
-		d.run.Read()
+		d.run.PromptRead()
 		d.gateway.learn(d.before, now.Sub(d.sent))
 	}
 }
@@ -58,11 +58,11 @@
 // ended notes that the endpoint works on the request no more.
 func (d *dispatch) ended() {
 	if !d.read {
-		d.upstream.read(d.request.call.TokensIn)
+		d.upstream.read(d.request.call.PromptTokens)
 	}
 	d.upstream.end()
 	if d.run != nil {
-		d.run.Ended()
+		d.run.Finished()
 	}
 }
 
@@ -73,9 +73,9 @@
 	g.first.Observe(tokens, took)
 }
 
-// Reads returns how long endpoints take to read so many tokens of prompts, by the answers
+// PromptReadTime returns how long endpoints take to read so many tokens of prompts, by the answers
 // that this box saw.
-func (g *Gateway) Reads(tokens int) time.Duration { return g.predict(tokens) - g.predict(0) }
+func (g *Gateway) PromptReadTime(tokens int) time.Duration { return g.predict(tokens) - g.predict(0) }
 
 // predict returns how long an endpoint takes to its first token after so many tokens.
 func (g *Gateway) predict(tokens int) time.Duration {
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -19,23 +19,23 @@
 // Gateway answers callers. Set the exported fields before Run and before the
 // first request.
 type Gateway struct {
-	DataCentre string
-	View       *topology.View
-	Protocol   Protocol
-	Placer     Placer
-	Observer   Observer
-	Admission  Admission
-	Quarantine Quarantine
-	Limits     Limits
-	Boxes      func() int                                               // boxes that share the budget of retries; zero: not known yet
-	Level      func(dataCentre string) (cost time.Duration, known bool) // of a load there, by who decides for its endpoints
-	Cut        func(dataCentre string) bool                             // whether all boxes of a data centre are believed dead: it is out of touch
-	Budget     func() BudgetLimits                                      // by the settings in force
-	Leaving    func(endpoint string)                                    // hears which endpoint said in an answer that it leaves; nil: nobody does
-	MostHeld   int                                                      // requests held at a time; more are refused
-	Log        logr.Logger
-	Pressed    func() bool // whether the log is behind: successes are not logged then
-	Stats      *Stats
+	DataCentre    string
+	View          *topology.View
+	Protocol      Protocol
+	Placer        Placer
+	Observer      Observer
+	Admission     Admission
+	Quarantine    Quarantine
+	Limits        Limits
+	Boxes         func() int                                               // boxes that share the budget of retries; zero: not known yet
+	LoadCost      func(dataCentre string) (cost time.Duration, known bool) // of a load there, by who decides for its endpoints
+	Unreachable   func(dataCentre string) bool                             // whether all boxes of a data centre are believed dead: it is out of touch
+	RetryLimits   func() RetryLimits                                       // by the settings in force
+	OnDraining    func(endpoint string)                                    // hears which endpoint said in an answer that it leaves; nil: nobody does
+	MaxInFlight   int                                                      // requests held at a time; more are refused
+	Log           logr.Logger
+	LogBacklogged func() bool // whether the log is behind: successes are not logged then
+	Stats         *Stats
 
 	begun     time.Time // when this box began to count its shares of the retries
 	upstreams upstreams
@@ -48,8 +48,8 @@
 	sampled   atomic.Uint64
 
 	mu      sync.Mutex
-	budgets map[string]*Budget // by service; mu is taken before a Budget's
-	first   policy.FirstToken  // of all endpoints that run models
+	budgets map[string]*RetryBudget // by service; mu is taken before a Budget's
+	first   policy.FirstToken       // of all endpoints that run models
 }
 
 // Run forgets endpoints that are gone and looks which ones ended, until ctx ends.
@@ -83,29 +83,29 @@
 	}
 }
 
-// Leave makes every further answer ask its caller to use another connection.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+// Drain makes every further answer ask its caller to use another connection.
+func (g *Gateway) Drain() { g.leaving.Store(true) }
 
-// Held returns how many requests are held now.
-func (g *Gateway) Held() int { return int(g.held.Load()) }
+// InFlight returns how many requests are held now.
+func (g *Gateway) InFlight() int { return int(g.held.Load()) }
 
-func (g *Gateway) budget(service string) *Budget {
+func (g *Gateway) budget(service string) *RetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.budgets == nil {
-		g.budgets = make(map[string]*Budget)
+		g.budgets = make(map[string]*RetryBudget)
 	}
 	g.beginLocked(clock.Now()) // a request may come before Run
 	b := g.budgets[service]
 	if b == nil {
-		b = &Budget{Limits: g.Budget, at: g.begun}
+		b = &RetryBudget{Limits: g.RetryLimits, at: g.begun}
 		g.budgets[service] = b
 	}
 	return b
 }
 
-// Retries returns what this box did with its shares of the retries, by service.
-func (g *Gateway) Retries() map[string]RetryCounts {
+// RetryCounts returns what this box did with its shares of the retries, by service.
+func (g *Gateway) RetryCounts() map[string]RetryCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	counts := make(map[string]RetryCounts, len(g.budgets))
@@ -122,13 +122,13 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	call, malformed := g.Protocol.ReadCall(r.Header) // first: a refusal is logged under its ID
+	call, malformed := g.Protocol.ParseCall(r.Header) // first: a refusal is logged under its ID
 	q := &request{received: received, inbound: r, caller: newCaller(w), call: call}
 	q.caller.begin(clock.Timer(received))
-	out := &answer{writer: w, describes: g.Protocol.Describes}
+	out := &answer{writer: w, describes: g.Protocol.IsCallHeader}
 	defer g.recovered(out, q)
-	if g.held.Add(1) > int64(g.MostHeld) {
-		g.refuse(w, q, &Refusal{Code: CodeOverloaded, Retry: overloadRetry})
+	if g.held.Add(1) > int64(g.MaxInFlight) {
+		g.refuse(w, q, &Refusal{Code: CodeOverloaded, RetryAfter: overloadRetry})
 		return
 	}
 	if f := g.admit(w, q, malformed); f != nil {
@@ -157,12 +157,12 @@
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
 	}
 	if q.inbound.Context().Err() != nil {
-		f = &Refusal{Code: CodeCallerGone, Ran: f.Ran}
-		if context.Cause(q.inbound.Context()) == ErrEnding {
-			f.Code = CodeEnding
+		f = &Refusal{Code: CodeInvalidAnswer, MayHaveRun: f.MayHaveRun}
+		if context.Cause(q.inbound.Context()) == ErrShutdown {
+			f.Code = CodeShutdown
 		}
 	} else if ctx.Err() != nil && q.mayHaveRun {
-		f = &Refusal{Code: CodeTimeout, Ran: true, Detail: f.Detail}
+		f = &Refusal{Code: CodeTimeout, MayHaveRun: true, Detail: f.Detail}
 	}
 	g.refuse(out.writer, q, f)
 }
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -25,9 +25,9 @@
 // plainProtocol is a protocol with names of its own.
 type plainProtocol struct{}
 
-// ReadCall implements Protocol.
-func (plainProtocol) ReadCall(h http.Header) (Call, error) {
-	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEvent: h.Get("Last")}
+// ParseCall implements Protocol.
+func (plainProtocol) ParseCall(h http.Header) (Call, error) {
+	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEventID: h.Get("Last")}
 	c.Credential = access.Show(h.Values("Key"))
 	if d, err := time.ParseDuration(h.Get("Within")); err == nil {
 		c.Deadline = d
@@ -35,49 +35,49 @@
 	return c, nil
 }
 
-// Instruct implements Protocol.
-func (plainProtocol) Instruct(h http.Header, i Instruction) {
+// SetDirectives implements Protocol.
+func (plainProtocol) SetDirectives(h http.Header, i Directives) {
 	h.Del("Order-Endpoint")
 	h.Set("Life", i.Endpoint)
 	h.Set("Payer", i.Organisation)
-	if i.LastEvent != "" {
-		h.Set("Last", i.LastEvent)
+	if i.LastEventID != "" {
+		h.Set("Last", i.LastEventID)
 	}
 }
 
-// Describes implements Protocol.
-func (plainProtocol) Describes(name string) bool { return name == "Id" || name == "Adapter" }
-
-// ReadAnswer implements Protocol.
-func (plainProtocol) ReadAnswer(a *http.Response, c Call, _ string) Answer {
-	v := Answer{
-		Own:       a.Header.Get("Id") == c.ID,
-		Signed:    a.Header.Get("Signed") != "",
-		NotRun:    a.Header.Get("Not-Run") != "",
-		NotHeld:   a.Header.Get("Not-Held") != "",
-		Elsewhere: a.Header.Get("Elsewhere") != "",
+// IsCallHeader implements Protocol.
+func (plainProtocol) IsCallHeader(name string) bool { return name == "Id" || name == "Adapter" }
+
+// ParseResponse implements Protocol.
+func (plainProtocol) ParseResponse(a *http.Response, c Call, _ string) Response {
+	v := Response{
+		MatchesCall:      a.Header.Get("Id") == c.ID,
+		Signed:           a.Header.Get("Signed") != "",
+		NotExecuted:      a.Header.Get("Not-Run") != "",
+		AdapterNotLoaded: a.Header.Get("Not-Held") != "",
+		WrongEndpoint:    a.Header.Get("Elsewhere") != "",
 	}
-	v.Leaving = a.Header.Get("Leaving") != ""
-	v.Backoff, v.BackoffUnread = backoff.Parse(a.Header.Values("Back-Off"))
+	v.Draining = a.Header.Get("Leaving") != ""
+	v.Backoff, v.BackoffErr = backoff.Parse(a.Header.Values("Back-Off"))
 	return v
 }
 
-// ComeBack implements Protocol.
-func (plainProtocol) ComeBack(h http.Header, after time.Duration) {
+// SetRetryAfter implements Protocol.
+func (plainProtocol) SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Come-Back", after.String())
 }
 
 type noPlacer struct{}
 
-// Want implements Placer.
-func (noPlacer) Want(context.Context, Wanted) (Placed, error) {
-	return Placed{Retry: time.Second, Reason: "nobody loads here"}, nil
+// Place implements Placer.
+func (noPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+	return PlacementResult{RetryAfter: time.Second, Reason: "nobody loads here"}, nil
 }
 
 type noQuarantine struct{}
 
-// Left implements Quarantine.
-func (noQuarantine) Left(quarantine.Content, time.Time) (time.Duration, bool) { return 0, false }
+// Remaining implements Quarantine.
+func (noQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) { return 0, false }
 
 // Ended implements Quarantine.
 func (noQuarantine) Ended(string, []quarantine.Content) {}
@@ -85,35 +85,35 @@
 // noLimits knows of no endpoint that names a limit.
 type noLimits struct{}
 
-// Limited implements Limits.
-func (noLimits) Limited(string) bool { return false }
+// HasLimit implements Limits.
+func (noLimits) HasLimit(string) bool { return false }
 
-// Take implements Limits.
-func (noLimits) Take(context.Context, *topology.Endpoint, ratelimit.Ask) Taken {
-	return Taken{OK: true}
+// Acquire implements Limits.
+func (noLimits) Acquire(context.Context, *topology.Endpoint, ratelimit.Ask) AcquireResult {
+	return AcquireResult{OK: true}
 }
 
-// Sent implements Limits.
-func (noLimits) Sent(string) {}
+// RequestSent implements Limits.
+func (noLimits) RequestSent(string) {}
 
-// Said implements Limits.
-func (noLimits) Said(string, ratelimit.Limit, time.Time) {}
+// ObserveLimit implements Limits.
+func (noLimits) ObserveLimit(string, ratelimit.Limit, time.Time) {}
 
-// Unread implements Limits.
-func (noLimits) Unread(string, error) {}
+// InvalidLimit implements Limits.
+func (noLimits) InvalidLimit(string, error) {}
 
 type noObserver struct{}
 
-// Begun implements Observer.
-func (noObserver) Begun(*topology.Endpoint, Call) Run { return noRun{} }
+// RequestStarted implements Observer.
+func (noObserver) RequestStarted(*topology.Endpoint, Call) Run { return noRun{} }
 
 type noRun struct{}
 
-// Read implements Run.
-func (noRun) Read() {}
+// PromptRead implements Run.
+func (noRun) PromptRead() {}
 
-// Ended implements Run.
-func (noRun) Ended() {}
+// Finished implements Run.
+func (noRun) Finished() {}
 
 // site is a gateway before endpoints.
 type site struct {
@@ -136,21 +136,21 @@
 		v.SetConfig(topology.NewConfig(1, list, services, topology.Limits{BodyBytes: 1 << 10}))
 	}
 	g := &Gateway{
-		DataCentre: "dc",
-		View:       v,
-		Protocol:   plainProtocol{},
-		Placer:     noPlacer{},
-		Observer:   noObserver{},
-		Quarantine: noQuarantine{},
-		Limits:     noLimits{},
-		Boxes:      func() int { return 1 },
-		Level:      func(string) (time.Duration, bool) { return 0, false },
-		Cut:        func(string) bool { return false },
-		Budget:     func() BudgetLimits { return BudgetLimits{Ratio: 0.2, Extra: 1e6, Window: 10 * time.Second} },
-		MostHeld:   100,
-		Log:        logr.Discard(),
-		Pressed:    func() bool { return false },
-		Stats:      NewStats(),
+		DataCentre:    "dc",
+		View:          v,
+		Protocol:      plainProtocol{},
+		Placer:        noPlacer{},
+		Observer:      noObserver{},
+		Quarantine:    noQuarantine{},
+		Limits:        noLimits{},
+		Boxes:         func() int { return 1 },
+		LoadCost:      func(string) (time.Duration, bool) { return 0, false },
+		Unreachable:   func(string) bool { return false },
+		RetryLimits:   func() RetryLimits { return RetryLimits{Ratio: 0.2, Extra: 1e6, Window: 10 * time.Second} },
+		MaxInFlight:   100,
+		Log:           logr.Discard(),
+		LogBacklogged: func() bool { return false },
+		Stats:         NewStats(),
 	}
 	front := httptest.NewServer(g)
 	t.Cleanup(front.Close)
@@ -318,7 +318,7 @@
 // and its caller got an answer of the box's own in place of the endpoint's.
 func TestAFailureThatIsNotTriedElsewhereIsPassedOn(t *testing.T) {
 	s := newSite(t, repeatable(2*time.Second))
-	s.gateway.Budget = func() BudgetLimits { return BudgetLimits{Window: time.Second} }
+	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	first := s.endpoint(t, fail)
 	second := s.endpoint(t, fail)
--- a/forward/gone_test.go
+++ b/forward/gone_test.go
@@ -68,7 +68,7 @@
 	s.await(r.begun)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	s.await(r.left)
-	s.eventually(func() bool { return s.gateway.Held() == 0 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(1))
 }
 
@@ -85,9 +85,9 @@
 	s := newSite(t, once(time.Minute))
 	calls := s.endpoint(t, answerOK)
 	caller := s.callByHand(t, headByHand+"Content-Length: 8\r\n\r\nhalf")
-	s.eventually(func() bool { return s.gateway.Held() == 1 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 1 })
 	s.c.Assert(caller.Close(), quicktest.IsNil)
-	s.eventually(func() bool { return s.gateway.Held() == 0 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
@@ -95,12 +95,12 @@
 // when it hears that nobody waits any more.
 type slowPlacer struct{ asked, told chan struct{} }
 
-// Want implements Placer.
-func (p slowPlacer) Want(ctx context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p slowPlacer) Place(ctx context.Context, w AdapterRequest) (PlacementResult, error) {
 	close(p.asked)
 	<-ctx.Done()
 	close(p.told)
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 func TestARequestThatWaitsForAnAdapterIsLeftWithItsCaller(t *testing.T) {
@@ -110,7 +110,7 @@
 	s.await(p.asked)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	s.await(p.told)
-	s.eventually(func() bool { return s.gateway.Held() == 0 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(0))
 }
 
@@ -135,5 +135,5 @@
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	close(more)
 	s.await(r.left)
-	s.eventually(func() bool { return s.gateway.Held() == 0 })
+	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 }
--- a/forward/home.go
+++ b/forward/home.go
@@ -32,7 +32,7 @@
 	}
 	for {
 		t, f, settling := g.askHomes(ctx, q, list)
-		if !settling || ctx.Err() != nil || f.Retry > q.useful(clock.Now())-g.predict(q.call.TokensIn) {
+		if !settling || ctx.Err() != nil || f.RetryAfter > q.useful(clock.Now())-g.predict(q.call.PromptTokens) {
 			return t, f
 		}
 		select {
@@ -48,15 +48,15 @@
 func (g *Gateway) askHomes(ctx context.Context, q *request, list []*topology.Endpoint) (t target, f *Refusal, settling bool) {
 	for len(list) > 0 {
 		e := g.homeOf(q.call.Adapter, list)
-		p, err := g.Placer.Want(ctx, g.wanted(q, e))
-		q.waited, q.queued = clock.Since(q.received), p.Queued
+		p, err := g.Placer.Place(ctx, g.wanted(q, e))
+		q.waited, q.queued = clock.Since(q.received), p.QueueTime
 		switch {
 		case err != nil:
 			g.centres.avoid(e.DataCentre(), clock.Now())
 			g.noteNoOwner(q, e, err)
-			f = sooner(f, &Refusal{Code: CodeNotLoaded, Retry: noneRetry, Detail: "no leader answers"})
-		case p.Settling:
-			f = sooner(f, &Refusal{Code: CodeNotLoaded, Retry: p.Retry, Detail: p.Reason})
+			f = sooner(f, &Refusal{Code: CodeNotLoaded, RetryAfter: noneRetry, Detail: "no leader answers"})
+		case p.OwnerChanging:
+			f = sooner(f, &Refusal{Code: CodeNotLoaded, RetryAfter: p.RetryAfter, Detail: p.Reason})
 		default:
 			t, f = g.placed(ctx, q, e, p)
 			return t, f, false
@@ -82,7 +82,7 @@
 
 // sooner returns the refusal whose caller may come back first; a may be nil.
 func sooner(a, b *Refusal) *Refusal {
-	if a != nil && a.Retry <= b.Retry {
+	if a != nil && a.RetryAfter <= b.RetryAfter {
 		return a
 	}
 	return b
@@ -128,7 +128,7 @@
 	}
 	best, least := "", time.Duration(0)
 	for i, c := range policy.Rank(a.String(), slices.Collect(maps.Keys(byCentre))) {
-		cost, known := g.Level(c)
+		cost, known := g.LoadCost(c)
 		if !known {
 			cost = unknownCost
 		}
@@ -143,22 +143,22 @@
 	if latest != nil && best == latest.DataCentre() {
 		return latest
 	}
-	return Home(a, byCentre[best])
+	return rendezvousEndpoint(a, byCentre[best])
 }
 
 // placed goes by the answer of who decides for an endpoint. One that begins to leave, or asks for a back-off,
 // while the request waits for a load there gets it no more; the next home does.
-func (g *Gateway) placed(ctx context.Context, q *request, e *topology.Endpoint, p Placed) (target, *Refusal) {
+func (g *Gateway) placed(ctx context.Context, q *request, e *topology.Endpoint, p PlacementResult) (target, *Refusal) {
 	now := clock.Now()
 	if !p.Ready && g.takes(e.ID(), now) {
-		return target{}, &Refusal{Code: CodeNotLoaded, Retry: p.Retry, Detail: p.Reason}
+		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: p.RetryAfter, Detail: p.Reason}
 	}
 	if p.Ready && p.Endpoint != e.ID() { // who decides chose another one
 		if e = g.View.Endpoint(p.Endpoint); e == nil {
-			return target{}, &Refusal{Code: CodeNotLoaded, Retry: noneRetry, Detail: "the endpoint is not known here"}
+			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: noneRetry, Detail: "the endpoint is not known here"}
 		}
 		if g.avoids(q, e.ID(), now) { // a box of an older version decides, which is not told what to avoid
-			return target{}, &Refusal{Code: CodeNotLoaded, Retry: max(noneRetry, backoff.ComeBack(g.BackoffLeft(e.ID(), now))),
+			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(noneRetry, backoff.ComeBack(g.BackoffRemaining(e.ID(), now))),
 				Detail: "only an endpoint that turned requests away holds the adapter"}
 		}
 	}
@@ -170,7 +170,7 @@
 
 // avoids tells whether a request can't go to an endpoint, though it may hold the adapter.
 func (g *Gateway) avoids(q *request, endpoint string, now time.Time) bool {
-	return q.refused[endpoint] || g.BackoffLeft(endpoint, now) > 0
+	return q.refused[endpoint] || g.BackoffRemaining(endpoint, now) > 0
 }
 
 // avoided returns the endpoints that a request can't go to, though they may hold its adapter.
@@ -183,35 +183,35 @@
 // placeElsewhere places a request anew whose endpoint takes no new ones any more.
 func (g *Gateway) placeElsewhere(ctx context.Context, q *request, left *topology.Endpoint) (target, *Refusal) {
 	line := "Endpoint began to leave while a request waited for a load there"
-	if g.BackoffLeft(left.ID(), clock.Now()) > 0 {
+	if g.BackoffRemaining(left.ID(), clock.Now()) > 0 {
 		line = "Endpoint asked for a back-off while a request waited for a load there"
 	}
 	g.Log.Info(line, "request", q.call.ID, "endpoint", left.ID())
 	q.tried[left.ID()] = true
 	if ctx.Err() != nil {
-		return target{}, &Refusal{Code: CodeNotLoaded, Retry: noneRetry, Detail: "the endpoint takes no new requests"}
+		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: noneRetry, Detail: "the endpoint takes no new requests"}
 	}
 	return g.place(ctx, q)
 }
 
-func (g *Gateway) wanted(q *request, e *topology.Endpoint) Wanted {
+func (g *Gateway) wanted(q *request, e *topology.Endpoint) AdapterRequest {
 	now := clock.Now()
-	answers := g.predict(q.call.TokensIn)
-	return Wanted{
-		Request:  q.call.ID,
-		Endpoint: e,
-		Adapter:  q.call.Adapter,
-		Version:  g.View.Newest(q.call.Adapter),
-		Wait:     q.route.Target() - now.Sub(q.received) - answers,
-		Most:     q.useful(now) - answers,
-		Priority: q.config.Rank(q.route, q.organisation),
-		Worth:    float64(q.call.TokensIn + outputWeight*q.call.TokensOut),
-		Returned: q.returned(),
-		Denied:   q.denied == e.ID(),
-		Tokens:   q.call.TokensIn,
-
-		Elsewhere: len(q.full) > 0,
-		Avoid:     g.avoided(q, now),
+	answers := g.predict(q.call.PromptTokens)
+	return AdapterRequest{
+		RequestID:    q.call.ID,
+		Endpoint:     e,
+		Adapter:      q.call.Adapter,
+		Version:      g.View.Newest(q.call.Adapter),
+		TargetWait:   q.route.Target() - now.Sub(q.received) - answers,
+		MaxWait:      q.useful(now) - answers,
+		Priority:     q.config.Rank(q.route, q.organisation),
+		Value:        float64(q.call.PromptTokens + outputWeight*q.call.MaxOutputTokens),
+		Retried:      q.returned(),
+		NotLoaded:    q.denied == e.ID(),
+		PromptTokens: q.call.PromptTokens,
+
+		AvoidLimited: len(q.full) > 0,
+		Avoid:        g.avoided(q, now),
 	}
 }
 
--- a/forward/home_test.go
+++ b/forward/home_test.go
@@ -21,12 +21,12 @@
 	retry   time.Duration
 }
 
-// Want implements Placer.
-func (p settlingPlacer) Want(_ context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p settlingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	if w.Endpoint.DataCentre() != p.settled || time.Now().Before(p.after) {
-		return Placed{Settling: true, Retry: p.retry, Reason: "changing"}, nil
+		return PlacementResult{OwnerChanging: true, RetryAfter: p.retry, Reason: "changing"}, nil
 	}
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 // askTwoCentres asks for adapters that nobody holds, at a site with an endpoint in each of
@@ -104,7 +104,7 @@
 		"the first if nobody says anything": {want: policy.First("m/a", []string{"dc", "far"})},
 	} {
 		s, _ := askTwoCentres(t, elsewherePlacer("e1"), "2s")
-		s.gateway.Level = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
+		s.gateway.LoadCost = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
 		a := topology.Adapter{Model: "m", Name: "a"}
 		if f.latest != "" {
 			s.gateway.View.SetHeld(f.latest, map[topology.Adapter]topology.Held{a: {Ready: true}})
--- a/forward/leave_test.go
+++ b/forward/leave_test.go
@@ -40,7 +40,7 @@
 func TestABoxThatLeavesAnswersAndAsksForAnotherConnection(t *testing.T) {
 	s := newSite(t, once(time.Minute))
 	calls := s.endpoint(t, answerOK)
-	s.gateway.Leave()
+	s.gateway.Drain()
 	a, body, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(body, quicktest.Equals, "fine")
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -23,12 +23,12 @@
 
 // hearLimit takes in what the head of an answer says of the endpoint's limit. Any answer of the
 // endpoint may name one; that there is none only its own answer to this request tells.
-func (g *Gateway) hearLimit(q *request, t target, v Answer) {
+func (g *Gateway) hearLimit(q *request, t target, v Response) {
 	switch {
-	case v.LimitUnread != nil:
-		g.Limits.Unread(t.endpoint.ID(), v.LimitUnread)
-	case v.Limit.Named() || (v.Own && v.Signed):
-		g.Limits.Said(t.endpoint.ID(), v.Limit, q.sentAt)
+	case v.LimitErr != nil:
+		g.Limits.InvalidLimit(t.endpoint.ID(), v.LimitErr)
+	case v.Limit.Named() || (v.MatchesCall && v.Signed):
+		g.Limits.ObserveLimit(t.endpoint.ID(), v.Limit, q.sentAt)
 	}
 }
 
@@ -44,7 +44,7 @@
 		if g.wasFull(q, t.endpoint) { // who decides for the endpoints knows no other one
 			return t, q.noRoom()
 		}
-		hasRoom := !g.Limits.Limited(t.endpoint.ID()) || g.hasRoom(ctx, q, t.endpoint)
+		hasRoom := !g.Limits.HasLimit(t.endpoint.ID()) || g.hasRoom(ctx, q, t.endpoint)
 		if now := clock.Now(); hasRoom && g.takes(t.endpoint.ID(), now) { // it may have said else while the request waited for its turn
 			return t, g.maySend(q, now)
 		}
@@ -58,7 +58,7 @@
 // Where there is none the request goes there no more, unless it gets on by nothing else.
 func (g *Gateway) hasRoom(ctx context.Context, q *request, e *topology.Endpoint) bool {
 	a := g.askFor(q, e)
-	r := g.Limits.Take(ctx, e, a)
+	r := g.Limits.Acquire(ctx, e, a)
 	if !r.OK {
 		if q.full == nil {
 			q.full = make(map[string]noRoom)
@@ -97,7 +97,7 @@
 		others = among(g.View.Holders(q.call.Adapter), others)
 	}
 	for _, o := range g.untried(others, q.tried, clock.Now()) {
-		if o.ID() != e.ID() && !g.Limits.Limited(o.ID()) {
+		if o.ID() != e.ID() && !g.Limits.HasLimit(o.ID()) {
 			a.Spare = true
 			return a
 		}
@@ -116,7 +116,7 @@
 		if g.wasFull(q, e) {
 			continue
 		}
-		if len(q.full) < fullMost || !g.Limits.Limited(e.ID()) {
+		if len(q.full) < fullMost || !g.Limits.HasLimit(e.ID()) {
 			some = append(some, e)
 		}
 	}
@@ -127,7 +127,7 @@
 func (g *Gateway) unlimited(list []*topology.Endpoint) []*topology.Endpoint {
 	var some []*topology.Endpoint
 	for _, e := range list {
-		if !g.Limits.Limited(e.ID()) {
+		if !g.Limits.HasLimit(e.ID()) {
 			some = append(some, e)
 		}
 	}
@@ -143,5 +143,5 @@
 			back = n.wait
 		}
 	}
-	return &Refusal{Code: CodeEndpointLimit, Retry: back, Detail: "the endpoints that could serve it take no more requests"}
+	return &Refusal{Code: CodeEndpointLimit, RetryAfter: back, Detail: "the endpoints that could serve it take no more requests"}
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -28,28 +28,28 @@
 	said  []ratelimit.Limit
 }
 
-// Limited implements Limits.
-func (l *givenLimits) Limited(endpoint string) bool {
+// HasLimit implements Limits.
+func (l *givenLimits) HasLimit(endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, limited := l.left[endpoint]
 	return limited
 }
 
-// Take implements Limits.
-func (l *givenLimits) Take(_ context.Context, e *topology.Endpoint, a ratelimit.Ask) Taken {
+// Acquire implements Limits.
+func (l *givenLimits) Acquire(_ context.Context, e *topology.Endpoint, a ratelimit.Ask) AcquireResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.taken = append(l.taken, e.ID())
 	if l.left[e.ID()] == 0 || (a.Spare && l.noneLeft) {
-		return Taken{Wait: time.Duration(len(l.taken)) * 300 * time.Millisecond}
+		return AcquireResult{Wait: time.Duration(len(l.taken)) * 300 * time.Millisecond}
 	}
 	l.left[e.ID()]--
-	return Taken{OK: true}
+	return AcquireResult{OK: true}
 }
 
-// Said implements Limits.
-func (l *givenLimits) Said(_ string, s ratelimit.Limit, _ time.Time) {
+// ObserveLimit implements Limits.
+func (l *givenLimits) ObserveLimit(_ string, s ratelimit.Limit, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.said = append(l.said, s)
@@ -192,15 +192,15 @@
 	list []string
 }
 
-// Want implements Placer.
-func (p *wantedAt) Want(_ context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p *wantedAt) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list = append(p.list, w.Endpoint.ID())
-	if p.holder != "" && !w.Elsewhere {
-		return Placed{Ready: true, Endpoint: p.holder, Version: 1}, nil
+	if p.holder != "" && !w.AvoidLimited {
+		return PlacementResult{Ready: true, Endpoint: p.holder, Version: 1}, nil
 	}
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID(), Version: 1}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID(), Version: 1}, nil
 }
 
 // Some callers of adapters that only an endpoint in need held were refused while others had room for a
@@ -229,13 +229,13 @@
 	l := &givenLimits{}
 	g := &Gateway{Limits: l, Log: logr.Discard()}
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1"})
-	hear := func(a Answer) { g.takeNotice(&request{}, newUpstream(e), target{endpoint: e}, a) }
-	hear(Answer{Elsewhere: true, Notice: Notice{Limit: ratelimit.Of(3)}})
-	hear(Answer{Own: true})
-	hear(Answer{Own: true, Signed: true, Notice: Notice{LimitUnread: http.ErrBodyNotAllowed}})
+	hear := func(a Response) { g.takeNotice(&request{}, newUpstream(e), target{endpoint: e}, a) }
+	hear(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.Of(3)}})
+	hear(Response{MatchesCall: true})
+	hear(Response{MatchesCall: true, Signed: true, Notice: Notice{LimitErr: http.ErrBodyNotAllowed}})
 	c.Check(l.said, quicktest.HasLen, 0)
-	hear(Answer{Notice: Notice{Limit: ratelimit.Of(3)}})
-	hear(Answer{Own: true, Signed: true})
+	hear(Response{Notice: Notice{Limit: ratelimit.Of(3)}})
+	hear(Response{MatchesCall: true, Signed: true})
 	c.Check(l.said, quicktest.HasLen, 2)
 	c.Check([]bool{l.said[0].Named(), l.said[1].Named()}, quicktest.DeepEquals, []bool{true, false})
 }
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -17,35 +17,35 @@
 type Notice struct {
 	IdleTimeout time.Duration   // after which it closes an unused connection; zero: not said
 	Limit       ratelimit.Limit // the requests a second that it takes from all boxes together
-	LimitUnread error           // it names a limit that can't be read; Limit says nothing then
-	Leaving     bool            // this life of it ends soon
+	LimitErr    error           // it names a limit that can't be read; Limit says nothing then
+	Draining    bool            // this life of it ends soon
 	// Backoff is for how long it wants nothing from this box; zero: it does not ask for that. Only an
 	// answer that turns the request away asks.
-	Backoff       time.Duration
-	BackoffUnread error // it asks for a time that can't be read; Backoff is zero then
+	Backoff    time.Duration
+	BackoffErr error // it asks for a time that can't be read; Backoff is zero then
 }
 
 // takeNotice takes in what the head of an answer says of the endpoint. What another endpoint at the
 // address says is none of it.
-func (g *Gateway) takeNotice(q *request, u *upstream, t target, v Answer) {
+func (g *Gateway) takeNotice(q *request, u *upstream, t target, v Response) {
 	u.heardIdle(v.IdleTimeout)
-	if v.Elsewhere {
+	if v.WrongEndpoint {
 		return
 	}
 	g.hearLimit(q, t, v)
 	n := v.Notice
-	n.Leaving = n.Leaving && v.Own // it ends all use of this life, so only an answer to this very request says so
-	g.HearNotice(t.endpoint.ID(), n)
+	n.Draining = n.Draining && v.MatchesCall // it ends all use of this life, so only an answer to this very request says so
+	g.ObserveNotice(t.endpoint.ID(), n)
 }
 
-// HearNotice takes in what an answer of an endpoint says of leaving and of back-offs: to a request, or to
+// ObserveNotice takes in what an answer of an endpoint says of leaving and of back-offs: to a request, or to
 // another call that the box made.
-func (g *Gateway) HearNotice(endpoint string, n Notice) {
-	if n.Leaving {
+func (g *Gateway) ObserveNotice(endpoint string, n Notice) {
+	if n.Draining {
 		g.hearLeaving(endpoint)
 	}
-	if n.BackoffUnread != nil && g.notices.mayLogUnread(endpoint, clock.Now()) {
-		g.Log.Info("Endpoint's back-off can't be read", "endpoint", endpoint, "err", n.BackoffUnread.Error())
+	if n.BackoffErr != nil && g.notices.mayLogUnread(endpoint, clock.Now()) {
+		g.Log.Info("Endpoint's back-off can't be read", "endpoint", endpoint, "err", n.BackoffErr.Error())
 	}
 	if n.Backoff > 0 && g.notices.asks(endpoint, n.Backoff, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", n.Backoff.Milliseconds())
@@ -59,8 +59,8 @@
 		return
 	}
 	g.Log.Info("Endpoint announced draining", "endpoint", endpoint)
-	if g.View.Leave(endpoint) && g.Leaving != nil {
-		g.Leaving(endpoint)
+	if g.View.Leave(endpoint) && g.OnDraining != nil {
+		g.OnDraining(endpoint)
 	}
 }
 
@@ -73,13 +73,13 @@
 
 // isOpen is takes for an endpoint that is known.
 func (g *Gateway) isOpen(e *topology.Endpoint, now time.Time) bool {
-	return !e.Draining() && g.BackoffLeft(e.ID(), now) == 0
+	return !e.Draining() && g.BackoffRemaining(e.ID(), now) == 0
 }
 
-// BackoffLeft returns for how long an endpoint wants nothing more from this box; zero: it may be used. One
+// BackoffRemaining returns for how long an endpoint wants nothing more from this box; zero: it may be used. One
 // that turns requests away runs nothing of this box, so without it the endpoint would look the emptiest
 // and be asked first.
-func (g *Gateway) BackoffLeft(endpoint string, now time.Time) time.Duration {
+func (g *Gateway) BackoffRemaining(endpoint string, now time.Time) time.Duration {
 	return g.notices.backoffs.Left(endpoint, now)
 }
 
@@ -90,7 +90,7 @@
 		if e.Draining() {
 			continue
 		}
-		if left := g.BackoffLeft(e.ID(), now); !known || left < after {
+		if left := g.BackoffRemaining(e.ID(), now); !known || left < after {
 			after, known = left, true
 		}
 	}
@@ -116,10 +116,10 @@
 
 // NoticeCounts is what an endpoint told this box of leaving and of back-offs, for the metrics.
 type NoticeCounts struct {
-	Leaving     bool  `json:"leaving"`
-	Backoffs    int64 `json:"backoffs"`        // answers that asked for one
-	BackoffLeft int64 `json:"backoff_left_ms"` // of the latest one
-	Ignored     int64 `json:"ignored"`         // requests sent all the same
+	Draining         bool  `json:"leaving"`
+	Backoffs         int64 `json:"backoffs"`        // answers that asked for one
+	BackoffRemaining int64 `json:"backoff_left_ms"` // of the latest one
+	Ignored          int64 `json:"ignored"`         // requests sent all the same
 }
 
 func (n *notices) ofLocked(endpoint string) *notice {
@@ -193,10 +193,10 @@
 	list := make(map[string]NoticeCounts, len(g.notices.byEndpoint))
 	for id, k := range g.notices.byEndpoint {
 		list[id] = NoticeCounts{
-			Leaving:     k.leaving,
-			Backoffs:    k.backoffs,
-			BackoffLeft: g.BackoffLeft(id, now).Milliseconds(),
-			Ignored:     k.ignored,
+			Draining:         k.leaving,
+			Backoffs:         k.backoffs,
+			BackoffRemaining: g.BackoffRemaining(id, now).Milliseconds(),
+			Ignored:          k.ignored,
 		}
 	}
 	return list
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -48,7 +48,7 @@
 	})
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	for s.gateway.BackoffLeft("e1", time.Now()) > 0 {
+	for s.gateway.BackoffRemaining("e1", time.Now()) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	a, _, err := s.ask("/")
@@ -101,22 +101,22 @@
 func TestOnlyAnAnswerToThisRequestSaysThatAnEndpointLeaves(t *testing.T) {
 	for _, x := range []struct {
 		name    string
-		answer  Answer
+		answer  Response
 		leaving bool
 		backoff bool
 	}{
-		{name: "its own", answer: Answer{Own: true}, leaving: true, backoff: true},
-		{name: "to another request", answer: Answer{}, backoff: true},
-		{name: "of another endpoint", answer: Answer{Own: true, Elsewhere: true}},
+		{name: "its own", answer: Response{MatchesCall: true}, leaving: true, backoff: true},
+		{name: "to another request", answer: Response{}, backoff: true},
+		{name: "of another endpoint", answer: Response{MatchesCall: true, WrongEndpoint: true}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := newSite(t, once(time.Second))
 			s.endpoint(t, answerOK)
 			e := s.gateway.View.Endpoint("e1")
-			x.answer.Notice = Notice{Leaving: true, Backoff: time.Minute}
+			x.answer.Notice = Notice{Draining: true, Backoff: time.Minute}
 			s.gateway.takeNotice(&request{}, newUpstream(e), target{endpoint: e}, x.answer)
 			s.c.Check(s.gateway.View.Endpoint("e1").Draining(), quicktest.Equals, x.leaving)
-			s.c.Check(s.gateway.BackoffLeft("e1", time.Now()) > 0, quicktest.Equals, x.backoff)
+			s.c.Check(s.gateway.BackoffRemaining("e1", time.Now()) > 0, quicktest.Equals, x.backoff)
 		})
 	}
 }
@@ -125,11 +125,11 @@
 func TestThatAnEndpointLeavesIsToldOnce(t *testing.T) {
 	s := newSite(t, once(time.Second))
 	var told []string
-	s.gateway.Leaving = func(e string) { told = append(told, e) }
+	s.gateway.OnDraining = func(e string) { told = append(told, e) }
 	s.endpoint(t, says("Leaving", "1", answerOK))
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.gateway.HearNotice("e1", Notice{Leaving: true})
+	s.gateway.ObserveNotice("e1", Notice{Draining: true})
 	s.c.Assert(told, quicktest.DeepEquals, []string{"e1"})
 }
 
@@ -140,13 +140,13 @@
 	avoid   [][]string
 }
 
-// Want implements Placer.
-func (p *backoffPlacer) Want(_ context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p *backoffPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	p.named, p.avoid = append(p.named, w.Endpoint.ID()), append(p.avoid, w.Avoid)
 	if len(p.named) == 1 {
-		p.gateway.HearNotice(w.Endpoint.ID(), Notice{Backoff: time.Minute})
+		p.gateway.ObserveNotice(w.Endpoint.ID(), Notice{Backoff: time.Minute})
 	}
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 // A request that waited for a load goes to another endpoint where this one asked for a back-off meanwhile,
@@ -168,7 +168,7 @@
 	s, _ := askTwoCentres(t, elsewherePlacer("e3"), "2s")
 	holder := s.endpoint(t, answerOK)
 	s.move("e3", "dc")
-	s.gateway.HearNotice("e3", Notice{Backoff: time.Minute})
+	s.gateway.ObserveNotice("e3", Notice{Backoff: time.Minute})
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(holder.Load(), quicktest.Equals, int64(0))
 }
@@ -181,7 +181,7 @@
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
 	s.move("e2", "far")
 	s.move("e3", "far")
-	s.gateway.HearNotice("e2", Notice{Backoff: time.Minute})
+	s.gateway.ObserveNotice("e2", Notice{Backoff: time.Minute})
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
@@ -195,13 +195,13 @@
 	view *topology.View
 }
 
-// Limited implements Limits.
-func (waitingLimits) Limited(endpoint string) bool { return endpoint == "e1" }
+// HasLimit implements Limits.
+func (waitingLimits) HasLimit(endpoint string) bool { return endpoint == "e1" }
 
-// Take implements Limits.
-func (l waitingLimits) Take(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) Taken {
+// Acquire implements Limits.
+func (l waitingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) AcquireResult {
 	l.view.Leave(e.ID())
-	return Taken{OK: true, Wait: time.Millisecond}
+	return AcquireResult{OK: true, Wait: time.Millisecond}
 }
 
 func TestARequestThatWaitedForItsTurnDoesNotGoToAnEndpointThatLeaves(t *testing.T) {
@@ -220,7 +220,7 @@
 	s := newSite(t, once(time.Second))
 	s.endpoint(t, answerOK)
 	e := s.gateway.View.Endpoint("e1")
-	s.gateway.HearNotice("e1", Notice{Backoff: time.Minute})
+	s.gateway.ObserveNotice("e1", Notice{Backoff: time.Minute})
 	s.gateway.View.RemoveEndpoint("e1")
 	s.gateway.notices.keep(func(string) bool { return false })
 	s.gateway.View.SetEndpoint(e)
--- a/forward/offer_test.go
+++ b/forward/offer_test.go
@@ -40,7 +40,7 @@
 	s.endpoint(t, refuseUnrun)
 	ran := s.endpoint(t, answerOK)
 	s.move("e2", "far")
-	s.gateway.Cut = func(centre string) bool { return centre == "far" }
+	s.gateway.Unreachable = func(centre string) bool { return centre == "far" }
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
@@ -61,7 +61,7 @@
 // when to come back.
 func TestABoxThatHoldsItsMostAnswersOnNewConnections(t *testing.T) {
 	s := newSite(t, once(time.Minute))
-	s.gateway.MostHeld = 1
+	s.gateway.MaxInFlight = 1
 	r := newRuns()
 	s.endpoint(t, r.work(func(http.ResponseWriter) {}))
 	caller := s.callByHand(t, wholeByHand)
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -79,9 +79,9 @@
 	return best
 }
 
-// Home returns where an adapter that nobody holds should be loaded: every box
+// rendezvousEndpoint returns where an adapter that nobody holds should be loaded: every box
 // that sees the same endpoints names the same one.
-func Home(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
+func rendezvousEndpoint(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
 	names := make([]string, len(list))
 	byName := make(map[string]*topology.Endpoint, len(list))
 	for i, e := range list {
@@ -107,7 +107,7 @@
 // out of touch is asked only where no other has endpoints at all; one that did not answer
 // lately, also where those elsewhere have been tried.
 func (g *Gateway) reachable(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
-	list = g.unavoided(list, g.Cut)
+	list = g.unavoided(list, g.Unreachable)
 	return g.unavoided(g.untried(list, tried, now), func(centre string) bool { return g.centres.isAvoided(centre, now) })
 }
 
--- a/forward/place_test.go
+++ b/forward/place_test.go
@@ -16,14 +16,14 @@
 
 func TestTheBudgetBoundsRetries(t *testing.T) {
 	c := quicktest.New(t)
-	limits := BudgetLimits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
-	b := &Budget{Limits: func() BudgetLimits { return limits }, tokens: 1}
+	limits := RetryLimits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
+	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
 	now := time.Unix(0, 0)
 	taken := 0
 	for range 1000 { // one window, 100 requests a second, each of which would like a retry
 		now = now.Add(10 * time.Millisecond)
-		b.First(now)
-		if b.Take(now, 5) {
+		b.RecordFirst(now)
+		if b.TryRetry(now, 5) {
 			taken++
 		}
 	}
@@ -35,23 +35,23 @@
 func TestManyBoxesSaveNoMoreRetriesThanAWindowAllows(t *testing.T) {
 	c := quicktest.New(t)
 	const boxes, requests = 75, 50 // in a window, of each box
-	limits := BudgetLimits{Ratio: 0.2, Extra: 190, Window: 10 * time.Second}
-	b := &Budget{Limits: func() BudgetLimits { return limits }, tokens: 1}
+	limits := RetryLimits{Ratio: 0.2, Extra: 190, Window: 10 * time.Second}
+	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
 	now := time.Unix(0, 0)
 	calm := func() {
 		for range requests {
 			now = now.Add(limits.Window / requests)
-			b.First(now)
+			b.RecordFirst(now)
 		}
 	}
-	b.Take(now, boxes)
+	b.TryRetry(now, boxes)
 	calm()
 	calm()
 	taken := 0
 	for range requests { // all of them would like a retry
 		now = now.Add(limits.Window / requests)
-		b.First(now)
-		for b.Take(now, boxes) {
+		b.RecordFirst(now)
+		for b.TryRetry(now, boxes) {
 			taken++
 		}
 	}
@@ -60,7 +60,7 @@
 
 func TestAnEndpointInADataCentreOutOfReachIsNotUsed(t *testing.T) {
 	s := newSite(t, once(time.Second))
-	s.gateway.Cut = func(c string) bool { return c == "cut" }
+	s.gateway.Unreachable = func(c string) bool { return c == "cut" }
 	near := topology.NewEndpoint(topology.EndpointSpec{ID: "near", Service: "app", DataCentre: "dc", Slots: 1})
 	far := topology.NewEndpoint(topology.EndpointSpec{ID: "far", Service: "app", DataCentre: "cut", Slots: 1})
 	got := s.gateway.usable([]*topology.Endpoint{far, near}, nil, time.Now())
@@ -113,15 +113,15 @@
 	left string
 }
 
-// Want implements Placer.
-func (p *leavingPlacer) Want(_ context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p *leavingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	if p.left == "" {
 		p.left = w.Endpoint.ID()
 		p.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
 			ID: p.left, Service: "app", Address: w.Endpoint.Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"}, Draining: true,
 		}))
 	}
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 // A request that waited two seconds for a load reached an endpoint that had begun to
@@ -152,9 +152,9 @@
 // elsewherePlacer has every adapter loaded at one endpoint, whichever it is asked for.
 type elsewherePlacer string
 
-// Want implements Placer.
-func (p elsewherePlacer) Want(context.Context, Wanted) (Placed, error) {
-	return Placed{Ready: true, Endpoint: string(p)}, nil
+// Place implements Placer.
+func (p elsewherePlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+	return PlacementResult{Ready: true, Endpoint: string(p)}, nil
 }
 
 func TestARequestGoesWhereItsAdapterWasLoaded(t *testing.T) {
@@ -178,7 +178,7 @@
 // since the budget of retries was used up, though an endpoint beside them served.
 func TestARequestThatReachedNobodyNeedsNoBudget(t *testing.T) {
 	s := newSite(t, once(5*time.Second))
-	s.gateway.Budget = func() BudgetLimits { return BudgetLimits{Window: time.Second} }
+	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	for range 2 {
 		s.dark(t)
 	}
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -19,8 +19,8 @@
 	ended map[string][]quarantine.Content
 }
 
-// Left implements Quarantine.
-func (k *keeper) Left(quarantine.Content, time.Time) (time.Duration, bool) {
+// Remaining implements Quarantine.
+func (k *keeper) Remaining(quarantine.Content, time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.left, k.left > 0
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -55,7 +55,7 @@
 		t.Run(k.name, func(t *testing.T) {
 			var l logged
 			k.site.gateway.Log = funcr.New(l.add, funcr.Options{})
-			k.site.gateway.MostHeld = k.held
+			k.site.gateway.MaxInFlight = k.held
 			a, _, err := k.site.ask("/")
 			c := quicktest.New(t)
 			c.Assert(err, quicktest.IsNil)
@@ -71,9 +71,9 @@
 // silentPlacer reaches nobody.
 type silentPlacer struct{}
 
-// Want implements Placer.
-func (silentPlacer) Want(context.Context, Wanted) (Placed, error) {
-	return Placed{}, errors.New("nobody answers")
+// Place implements Placer.
+func (silentPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+	return PlacementResult{}, errors.New("nobody answers")
 }
 
 // While a leader changed each waiting request wrote the same line ten times a second.
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -13,45 +13,45 @@
 
 // The codes.
 const (
-	CodeBadRequest  Code = "bad_request"
-	CodeBodyTooLong Code = "body_too_large"
-	CodeNoConfig    Code = "no_configuration"
-	CodeNoRoute     Code = "no_route"
-	CodeOverloaded  Code = "overloaded"
-	CodeNoEndpoint  Code = "no_endpoint"
-	CodeNotLoaded   Code = "adapter_not_loaded"
-	CodeShed        Code = "refused_by_endpoint"
-	CodeLost        Code = "answer_lost"
-	CodeSpoilt      Code = "answer_spoilt"
-	CodeCut         Code = "answer_cut"
-	CodeTimeout     Code = "timeout"
-	CodeCallerGone  Code = "caller_gone"
-	CodeBodyLate    Code = "body_too_late" // the body was not there by the request's deadline
-	CodeEnding      Code = "box_ends"      // the time that the box had to stop is over
-	CodeFault       Code = "fault"         // of this program
-	CodeQuarantined Code = "quarantined"   // endpoints ended while they ran such a request
+	CodeBadRequest        Code = "bad_request"
+	CodeBodyTooLarge      Code = "body_too_large"
+	CodeNoConfig          Code = "no_configuration"
+	CodeNoRoute           Code = "no_route"
+	CodeOverloaded        Code = "overloaded"
+	CodeNoEndpoint        Code = "no_endpoint"
+	CodeNotLoaded         Code = "adapter_not_loaded"
+	CodeRefusedByEndpoint Code = "refused_by_endpoint"
+	CodeNoAnswer          Code = "answer_lost"
+	CodeSpoilt            Code = "answer_spoilt"
+	CodeTruncated         Code = "answer_cut"
+	CodeTimeout           Code = "timeout"
+	CodeInvalidAnswer     Code = "caller_gone"
+	CodeBodyTimeout       Code = "body_too_late" // the body was not there by the request's deadline
+	CodeShutdown          Code = "box_ends"      // the time that the box had to stop is over
+	CodeInternal          Code = "fault"         // of this program
+	CodeQuarantined       Code = "quarantined"   // endpoints ended while they ran such a request
 	// CodeEndpointLimit: the endpoints that could serve it name limits, and take no more.
 	CodeEndpointLimit Code = "endpoint_limit"
 	// CodeBackoff: the endpoints that could serve it asked this box to send nothing for a while.
 	CodeBackoff Code = "endpoint_backoff"
 
-	CodeNoKey        Code = "key_unknown"      // the caller shows no key that stands for an organisation
-	CodeOldWord      Code = "keys_not_current" // what this box knows of keys is too old to go by
-	CodeOverQuota    Code = "quota_used_up"    // of the caller's organisation
-	CodeQuotaUnknown Code = "quota_not_known"  // nobody who counts the organisation's quota answers
+	CodeKeyUnknown    Code = "key_unknown"      // the caller shows no key that stands for an organisation
+	CodeKeysStale     Code = "keys_not_current" // what this box knows of keys is too old to go by
+	CodeQuotaExceeded Code = "quota_used_up"    // of the caller's organisation
+	CodeQuotaUnknown  Code = "quota_not_known"  // nobody who counts the organisation's quota answers
 )
 
 // Refusal is the final answer to a request that got none of an endpoint.
 type Refusal struct {
-	Code   Code
-	Ran    bool          // it may have run
-	Unsent bool          // no byte of it left this box
-	Retry  time.Duration // when to come back; zero: nothing better is known than soon
-	Detail string
+	Code       Code
+	MayHaveRun bool          // it may have run
+	Unsent     bool          // no byte of it left this box
+	RetryAfter time.Duration // when to come back; zero: nothing better is known than soon
+	Detail     string
 }
 
 func (f *Refusal) Error() string {
-	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.Ran, f.Detail)
+	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.MayHaveRun, f.Detail)
 }
 
 // soonest is the shortest time that a refused caller is told.
@@ -62,24 +62,24 @@
 	switch f.Code {
 	case CodeBadRequest:
 		return http.StatusBadRequest
-	case CodeBodyTooLong:
+	case CodeBodyTooLarge:
 		return http.StatusRequestEntityTooLarge
 	case CodeNoRoute:
 		return http.StatusNotFound
-	case CodeNoKey:
-		if !f.Ran {
+	case CodeKeyUnknown:
+		if !f.MayHaveRun {
 			return http.StatusUnauthorized
 		}
-	case CodeOverQuota:
-		if !f.Ran {
+	case CodeQuotaExceeded:
+		if !f.MayHaveRun {
 			return http.StatusTooManyRequests
 		}
-	case CodeBodyLate:
+	case CodeBodyTimeout:
 		return http.StatusRequestTimeout
 	case CodeTimeout:
 		return http.StatusGatewayTimeout
 	}
-	if f.Ran {
+	if f.MayHaveRun {
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
@@ -92,9 +92,9 @@
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		g.Protocol.ComeBack(h, max(f.Retry, soonest))
+		g.Protocol.SetRetryAfter(h, max(f.RetryAfter, soonest))
 	}
-	if f.Code == CodeOldWord {
+	if f.Code == CodeKeysStale {
 		h.Set("Connection", "close") // another box may know more
 	}
 	w.WriteHeader(status)
--- a/forward/request.go
+++ b/forward/request.go
@@ -86,7 +86,7 @@
 func (g *Gateway) admit(w http.ResponseWriter, q *request, malformed error) *Refusal {
 	q.config = g.View.Config()
 	if q.config == nil {
-		return &Refusal{Code: CodeNoConfig, Retry: time.Second}
+		return &Refusal{Code: CodeNoConfig, RetryAfter: time.Second}
 	}
 	if malformed != nil {
 		return &Refusal{Code: CodeBadRequest, Detail: malformed.Error()}
@@ -104,7 +104,7 @@
 	}
 	q.service = q.config.Service(q.route.Split(share(q.call.ID)))
 	if q.service == nil {
-		return &Refusal{Code: CodeNoEndpoint, Retry: time.Second, Detail: "the route's service is not configured"}
+		return &Refusal{Code: CodeNoEndpoint, RetryAfter: time.Second, Detail: "the route's service is not configured"}
 	}
 	if f := g.readBody(w, q); f != nil {
 		return f
@@ -128,11 +128,11 @@
 // quarantined refuses a request under which endpoints ended. The next endpoint would end too, with
 // the requests of others that it runs.
 func (g *Gateway) quarantined(q *request, now time.Time) *Refusal {
-	left, kept := g.Quarantine.Left(q.content, now)
+	left, kept := g.Quarantine.Remaining(q.content, now)
 	if !kept {
 		return nil
 	}
-	return &Refusal{Code: CodeQuarantined, Retry: left, Detail: "endpoints ended while they ran such a request"}
+	return &Refusal{Code: CodeQuarantined, RetryAfter: left, Detail: "endpoints ended while they ran such a request"}
 }
 
 // readBody takes the body whole, so that it can be sent again.
@@ -150,12 +150,12 @@
 		return nil
 	}
 	if tooLong(err) {
-		return &Refusal{Code: CodeBodyTooLong}
+		return &Refusal{Code: CodeBodyTooLarge}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &Refusal{Code: CodeBodyLate, Detail: err.Error()}
+		return &Refusal{Code: CodeBodyTimeout, Detail: err.Error()}
 	}
-	return &Refusal{Code: CodeCallerGone, Detail: err.Error()}
+	return &Refusal{Code: CodeInvalidAnswer, Detail: err.Error()}
 }
 
 func tooLong(err error) bool {
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -113,5 +113,5 @@
 	s, _ := askTwoCentres(t, elsewherePlacer("e3"), "2s")
 	s.dark(t)
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(s.gateway.Retries()["app"].Unsent, quicktest.Equals, int64(1))
+	s.c.Assert(s.gateway.RetryCounts()["app"].Unsent, quicktest.Equals, int64(1))
 }
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -28,7 +28,7 @@
 
 // serve tries endpoints until the answer was given, which it returns as nil.
 func (g *Gateway) serve(ctx context.Context, q *request, out *answer) *Refusal {
-	g.budget(q.service.Name()).First(clock.Now())
+	g.budget(q.service.Name()).RecordFirst(clock.Now())
 	q.tried, q.refused = make(map[string]bool), make(map[string]bool)
 	var last *Refusal
 	for q.hasAttempts() {
@@ -51,7 +51,7 @@
 // sum says of the whole request what its attempts together allow.
 func (g *Gateway) sum(q *request, f *Refusal) *Refusal {
 	if q.mayHaveRun {
-		f.Ran = true
+		f.MayHaveRun = true
 	}
 	return f
 }
@@ -59,10 +59,10 @@
 // another tells whether a failed request may be sent once more. One that reached nobody
 // takes nothing from the budget, which keeps endpoints from being asked too often.
 func (g *Gateway) another(q *request, out *answer, f *Refusal) bool {
-	if out.begun || f.Code == CodeCallerGone {
+	if out.begun || f.Code == CodeInvalidAnswer {
 		return false
 	}
-	if f.Ran && (!q.route.MayRepeat() || q.ran >= q.route.MaxAttempts()) {
+	if f.MayHaveRun && (!q.route.MayRepeat() || q.ran >= q.route.MaxAttempts()) {
 		return false
 	}
 	now := clock.Now()
@@ -74,7 +74,7 @@
 		q.budgeted = false
 		return true
 	case f.Unsent:
-		g.budget(q.service.Name()).Unsent()
+		g.budget(q.service.Name()).RecordUnsent()
 		return true
 	}
 	return g.mayRetry(q, now)
@@ -82,7 +82,7 @@
 
 // mayRetry takes one more attempt from the budget, or notes that it was withheld.
 func (g *Gateway) mayRetry(q *request, now time.Time) bool {
-	q.withheld = !g.budget(q.service.Name()).Take(now, g.Boxes())
+	q.withheld = !g.budget(q.service.Name()).TryRetry(now, g.Boxes())
 	return !q.withheld
 }
 
@@ -112,7 +112,7 @@
 // nothing for a while its caller is told when the first takes requests again.
 func (g *Gateway) noneLeft(able []*topology.Endpoint, now time.Time) *Refusal {
 	if after, known := g.soonest(able, now); known && after > 0 {
-		return &Refusal{Code: CodeBackoff, Retry: after, Detail: "the endpoints that could serve it want nothing for a while"}
+		return &Refusal{Code: CodeBackoff, RetryAfter: after, Detail: "the endpoints that could serve it want nothing for a while"}
 	}
-	return &Refusal{Code: CodeNoEndpoint, Retry: noneRetry, Detail: "no endpoint of the service that is left can be used"}
+	return &Refusal{Code: CodeNoEndpoint, RetryAfter: noneRetry, Detail: "no endpoint of the service that is left can be used"}
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -27,7 +27,7 @@
 // at another endpoint where its route allows that.
 func (g *Gateway) passStream(ctx context.Context, q *request, out *answer, d *dispatch, t target, a *http.Response) *Refusal {
 	u := d.upstream
-	s := &events{out: out, last: q.call.LastEvent}
+	s := &events{out: out, last: q.call.LastEventID}
 	err := s.copy(a, d.heard)
 	u.outcome(err != nil && ctx.Err() == nil)
 	if err == nil {
@@ -46,7 +46,7 @@
 			return nil
 		}
 	}
-	return &Refusal{Code: CodeCut, Ran: true, Detail: err.Error()}
+	return &Refusal{Code: CodeTruncated, MayHaveRun: true, Detail: err.Error()}
 }
 
 func (g *Gateway) mayResume(ctx context.Context, q *request, out *answer) bool {
@@ -59,7 +59,7 @@
 	}
 	if q.budgeted { // the attempt before reached nobody
 		q.budgeted = false
-		g.budget(q.service.Name()).Unsent()
+		g.budget(q.service.Name()).RecordUnsent()
 		return true
 	}
 	return g.mayRetry(q, now)
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -96,7 +96,7 @@
 	_, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNotNil)
 	s.c.Assert(text, quicktest.Contains, "piece 2")
-	counts := s.gateway.Retries()["app"]
+	counts := s.gateway.RetryCounts()["app"]
 	s.c.Assert(counts.Made, quicktest.Equals, int64(1))
 	s.c.Assert(counts.Unsent <= mostAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts that reached nobody", counts.Unsent))
 }
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -16,10 +16,10 @@
 // sleepyPlacer has the machine suspended while a request waits for its adapter.
 type sleepyPlacer struct{ pass time.Duration }
 
-// Want implements Placer.
-func (p sleepyPlacer) Want(_ context.Context, w Wanted) (Placed, error) {
+// Place implements Placer.
+func (p sleepyPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	clock.Suspend(p.pass)
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 // A box was suspended while it held a request. Its timers and its steady clock stood still, so it
--- a/placement/copies_test.go
+++ b/placement/copies_test.go
@@ -70,7 +70,7 @@
 		l.owned[id] = &owned{endpoint: e, phase: owning, slots: make(map[topology.Adapter]*slot), models: map[string]bool{model: true}}
 	}
 	for range 5 { // one more than an endpoint runs in comfort
-		_, _ = l.look(&waiter{Wanted: forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(1)}}, time.Now(), time.Now())
+		_, _ = l.look(&waiter{AdapterRequest: forward.AdapterRequest{Endpoint: b.endpoint, Adapter: adapter(1)}}, time.Now(), time.Now())
 	}
 	c.Assert(l.wants, quicktest.HasLen, 2)
 }
--- a/placement/ended_test.go
+++ b/placement/ended_test.go
@@ -72,8 +72,8 @@
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(p.Settling, quicktest.IsTrue)
-	c.Assert(p.Retry > 50*time.Second, quicktest.IsTrue)
+	c.Assert(p.OwnerChanging, quicktest.IsTrue)
+	c.Assert(p.RetryAfter > 50*time.Second, quicktest.IsTrue)
 	b.loader.Ended("unknown", time.Now().Add(time.Minute))
 }
 
@@ -96,15 +96,15 @@
 func TestARequestIsNotBroughtToAnEndpointThatItAvoids(t *testing.T) {
 	c, b := holdingFirst(t)
 	other := b.loader.View.Endpoint("e2")
-	w := forward.Wanted{Endpoint: other, Adapter: adapter(1), Wait: 5 * time.Second, Most: 5 * time.Second, Avoid: []string{"e1"}}
+	w := forward.AdapterRequest{Endpoint: other, Adapter: adapter(1), TargetWait: 5 * time.Second, MaxWait: 5 * time.Second, Avoid: []string{"e1"}}
 	for range 2 { // it is loaded, and then held there
-		p, err := b.loader.Want(context.Background(), w)
+		p, err := b.loader.Place(context.Background(), w)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p.Ready, quicktest.IsTrue)
 		c.Assert(p.Endpoint, quicktest.Equals, "e2")
 	}
 	w.Adapter = adapter(2) // held nowhere: its load costs the same at both
-	p, err := b.loader.Want(context.Background(), w)
+	p, err := b.loader.Place(context.Background(), w)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Equals, "e2")
 }
@@ -120,7 +120,7 @@
 	b.loader.mu.Lock()
 	defer b.loader.mu.Unlock()
 	b.loader.wants[wantKey{endpoint: "e1", adapter: adapter(1)}] = &want{done: make(chan struct{})}
-	w := &waiter{Wanted: forward.Wanted{Adapter: adapter(1)}}
+	w := &waiter{AdapterRequest: forward.AdapterRequest{Adapter: adapter(1)}}
 	c.Assert(b.loader.wantedAtLocked(w, "dc", now), quicktest.Equals, b.loader.owned["e1"])
 	w.Avoid = []string{"e1"}
 	c.Assert(b.loader.wantedAtLocked(w, "dc", now), quicktest.IsNil)
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -170,13 +170,13 @@
 	}
 }
 
-func (b *bench) want(a topology.Adapter, wait time.Duration) (forward.Placed, error) {
-	return b.loader.Want(context.Background(), forward.Wanted{Endpoint: b.endpoint, Adapter: a, Wait: wait, Most: wait})
+func (b *bench) want(a topology.Adapter, wait time.Duration) (forward.PlacementResult, error) {
+	return b.loader.Place(context.Background(), forward.AdapterRequest{Endpoint: b.endpoint, Adapter: a, TargetWait: wait, MaxWait: wait})
 }
 
 // patient is a request for an adapter that can wait for long.
-func (b *bench) patient(i int) forward.Wanted {
-	return forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(i), Version: 1, Wait: 10 * time.Second, Most: 10 * time.Second}
+func (b *bench) patient(i int) forward.AdapterRequest {
+	return forward.AdapterRequest{Endpoint: b.endpoint, Adapter: adapter(i), Version: 1, TargetWait: 10 * time.Second, MaxWait: 10 * time.Second}
 }
 
 func TestAnAdapterThatIsWantedIsLoaded(t *testing.T) {
@@ -305,9 +305,9 @@
 func TestAReturnedCallerThatIsNotServedIsRefusedAtTheEndOfItsWait(t *testing.T) {
 	c := quicktest.New(t)
 	b := newBench(t, 0) // nothing is loaded
-	refused := make(chan forward.Placed, 1)
+	refused := make(chan forward.PlacementResult, 1)
 	go func() {
-		p, _ := b.loader.Want(context.Background(), forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(9), Most: 50 * time.Millisecond, Returned: true})
+		p, _ := b.loader.Place(context.Background(), forward.AdapterRequest{Endpoint: b.endpoint, Adapter: adapter(9), MaxWait: 50 * time.Millisecond, Retried: true})
 		refused <- p
 	}()
 	select {
--- a/placement/reading.go
+++ b/placement/reading.go
@@ -17,9 +17,9 @@
 // waitAtLocked notes where a request waits for a load; nil: nowhere.
 func (l *Loader) waitAtLocked(w *waiter, o *owned) {
 	if w.at != nil {
-		w.at.pending -= w.Tokens
+		w.at.pending -= w.PromptTokens
 	}
 	if w.at = o; o != nil {
-		o.pending += w.Tokens
+		o.pending += w.PromptTokens
 	}
 }
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -133,7 +133,7 @@
 
 // loads tells whether an adapter is loaded for a request that can wait.
 func (b *bench) loads(i int) bool {
-	p, err := b.loader.Want(context.Background(), b.patient(i))
+	p, err := b.loader.Place(context.Background(), b.patient(i))
 	return err == nil && p.Ready
 }
 
@@ -153,9 +153,9 @@
 	after, _, _ := f.count()
 	c.Assert(after, quicktest.Equals, reports) // what the endpoint holds was told
 	c.Assert(second.loader.View.Holders(adapter(1)), quicktest.HasLen, 1)
-	p, err := first.loader.Want(context.Background(), first.patient(3))
+	p, err := first.loader.Place(context.Background(), first.patient(3))
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(p.Settling, quicktest.IsTrue)
+	c.Assert(p.OwnerChanging, quicktest.IsTrue)
 	time.Sleep(2 * ownPause)
 	_, most, holders := f.count()
 	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"}) // no turns
@@ -184,7 +184,7 @@
 	f.mu.Lock()
 	f.answer = make(chan struct{})
 	f.mu.Unlock()
-	go func() { _, _ = first.loader.Want(context.Background(), first.patient(2)) }() // it is told nothing more
+	go func() { _, _ = first.loader.Place(context.Background(), first.patient(2)) }() // it is told nothing more
 	c.Assert(first.eventually(func() bool { return f.holds(adapter(2)) }), quicktest.IsTrue)
 	handed := make(chan Handover, 1)
 	go func() { handed <- first.loader.Resign(context.Background(), "e1") }()
@@ -252,9 +252,9 @@
 			first := leaver(t, c, f)
 			k.do(f, first)
 			c.Assert(first.loader.Resign(context.Background(), "e1"), quicktest.DeepEquals, Handover{})
-			p, err := first.loader.Want(context.Background(), first.patient(3)) // nor does it order any more
+			p, err := first.loader.Place(context.Background(), first.patient(3)) // nor does it order any more
 			c.Assert(err, quicktest.IsNil)
-			c.Assert(p.Settling, quicktest.IsTrue)
+			c.Assert(p.OwnerChanging, quicktest.IsTrue)
 		})
 	}
 }
@@ -290,7 +290,7 @@
 	}
 	second.start(t)
 	for i := 2; first.loader.Keeps("e1"); i++ {
-		_, _ = first.loader.Want(context.Background(), forward.Wanted{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused, once its endpoint is full
+		_, _ = first.loader.Place(context.Background(), forward.AdapterRequest{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused, once its endpoint is full
 		time.Sleep(ownPause / 4)
 	}
 	second.awaitOwned()
--- a/placement/retire_test.go
+++ b/placement/retire_test.go
@@ -224,7 +224,7 @@
 	go func() {
 		w := b.patient(1)
 		w.Version = 2
-		p, _ := b.loader.Want(context.Background(), w)
+		p, _ := b.loader.Place(context.Background(), w)
 		ready <- p.Ready && p.Version == 2
 	}()
 	for range 6 {
--- a/placement/room_test.go
+++ b/placement/room_test.go
@@ -52,12 +52,12 @@
 	p, err = b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Equals, held)
-	w := forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(2), Wait: 5 * time.Second, Most: 5 * time.Second, Elsewhere: true}
+	w := forward.AdapterRequest{Endpoint: b.endpoint, Adapter: adapter(2), TargetWait: 5 * time.Second, MaxWait: 5 * time.Second, AvoidLimited: true}
 	b.loader.mu.Lock()
 	o := b.loader.owned[held]
 	o.slots[w.Adapter] = &slot{ready: true, version: 1, used: time.Now(), given: time.Now()}
 	b.loader.mu.Unlock()
-	p, err = b.loader.Want(context.Background(), w) // it has room, and had none for this request
+	p, err = b.loader.Place(context.Background(), w) // it has room, and had none for this request
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Not(quicktest.Equals), held)
 	b.loader.mu.Lock()
--- a/placement/site.go
+++ b/placement/site.go
@@ -135,7 +135,7 @@
 		if t == nil || p == denied || w.avoids(id) || !p.serves(now) || p.endpoint.DataCentre() != centre {
 			continue
 		}
-		if (w.Elsewhere && l.isTaken(id, now) || l.isCrowded(p, now)) && l.hasOthersLocked(a, centre, now) {
+		if (w.AvoidLimited && l.isTaken(id, now) || l.isCrowded(p, now)) && l.hasOthersLocked(a, centre, now) {
 			continue // a copy elsewhere serves those that it has no room for
 		}
 		serves := t.ready && t.version >= w.Version && !(t.leaving && (t.unloading || t.outdated))
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -37,7 +37,7 @@
 
 // asked is a request for an adapter that asks at endpoint e1 and can wait for long.
 func asked(o *owned, i int) *waiter {
-	return &waiter{Wanted: forward.Wanted{Endpoint: o.endpoint, Adapter: adapter(i), Wait: time.Minute, Most: time.Minute}}
+	return &waiter{AdapterRequest: forward.AdapterRequest{Endpoint: o.endpoint, Adapter: adapter(i), TargetWait: time.Minute, MaxWait: time.Minute}}
 }
 
 // A request waited at its adapter's usual endpoint, where every slot was in use, while
@@ -86,7 +86,7 @@
 	list["e2"].slots[adapter(1)] = &slot{ready: true, version: 3}
 	p, wait := l.look(asked(list["e1"], 1), time.Now(), time.Now())
 	c.Assert(wait, quicktest.IsNil)
-	c.Assert(p, quicktest.Equals, forward.Placed{Ready: true, Endpoint: "e2", Version: 3})
+	c.Assert(p, quicktest.Equals, forward.PlacementResult{Ready: true, Endpoint: "e2", Version: 3})
 }
 
 // Two long prompts waited for loads at one endpoint, and were read there one behind the
@@ -96,7 +96,7 @@
 	l, list := owningSome("e1", "e2")
 	now := time.Now()
 	first, second := asked(list["e1"], 1), asked(list["e1"], 2)
-	first.Tokens, second.Tokens = 9000, 9000
+	first.PromptTokens, second.PromptTokens = 9000, 9000
 	for _, w := range []*waiter{first, second} {
 		_, wait := l.look(w, now, now.Add(time.Minute))
 		c.Assert(wait, quicktest.IsNotNil)
--- a/placement/want.go
+++ b/placement/want.go
@@ -50,7 +50,7 @@
 
 // waiter is one request that needs an adapter.
 type waiter struct {
-	forward.Wanted
+	forward.AdapterRequest
 
 	asked time.Time
 	again bool   // it was counted before
@@ -70,19 +70,19 @@
 	return s.begun.Sub(w.asked)
 }
 
-// Want implements forward.Placer for the endpoints of this box. A request waits as long as
+// Place implements forward.Placer for the endpoints of this box. A request waits as long as
 // its load is expected while that is of use to its caller. What is expected changes with
 // what else is wanted, so it is looked at again and again; as soon as it comes too late the
 // caller is told when to come back instead.
-func (l *Loader) Want(ctx context.Context, w forward.Wanted) (forward.Placed, error) {
+func (l *Loader) Place(ctx context.Context, w forward.AdapterRequest) (forward.PlacementResult, error) {
 	l.Init()
 	now := clock.Now()
-	limit := now.Add(max(w.Most, 0))
-	for q := (&waiter{Wanted: w, asked: now}); ; q.again = true {
+	limit := now.Add(max(w.MaxWait, 0))
+	for q := (&waiter{AdapterRequest: w, asked: now}); ; q.again = true {
 		p, wait := l.look(q, clock.Now(), limit)
 		if wait == nil {
-			l.Log.V(1).Info("Adapter was asked for", "request", w.Request, "adapter", w.Adapter.String(),
-				"endpoint", w.Endpoint.ID(), "ready", p.Ready, "reason", p.Reason, "retry_ms", p.Retry.Milliseconds())
+			l.Log.V(1).Info("Adapter was asked for", "request", w.RequestID, "adapter", w.Adapter.String(),
+				"endpoint", w.Endpoint.ID(), "ready", p.Ready, "reason", p.Reason, "retry_ms", p.RetryAfter.Milliseconds())
 			return p, nil
 		}
 		timer := time.NewTimer(min(clock.Until(limit), lookAgain))
@@ -90,12 +90,12 @@
 		case <-ctx.Done():
 			timer.Stop()
 			l.giveUp(q)
-			return forward.Placed{}, ctx.Err()
+			return forward.PlacementResult{}, ctx.Err()
 		case <-timer.C:
 		case <-wait:
 			timer.Stop()
 		}
-		q.Denied = false
+		q.NotLoaded = false
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 // look answers a request now, or returns what to wait for.
-func (l *Loader) look(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
+func (l *Loader) look(w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waitAtLocked(w, nil)
@@ -135,16 +135,16 @@
 }
 
 // lookLocked answers a request, or returns what to wait for and the endpoint of the load.
-func (l *Loader) lookLocked(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}, *owned) {
+func (l *Loader) lookLocked(w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}, *owned) {
 	o := l.owned[w.Endpoint.ID()]
 	if o == nil || o.phase != owning {
-		return forward.Placed{Settling: true, Retry: l.settledInLocked(w.Endpoint, o, now), Reason: "the endpoint's owner has not settled"}, nil, nil
+		return forward.PlacementResult{OwnerChanging: true, RetryAfter: l.settledInLocked(w.Endpoint, o, now), Reason: "the endpoint's owner has not settled"}, nil, nil
 	}
 	if o.endpoint.Draining() {
-		return forward.Placed{Retry: promiseLate, Reason: "the endpoint leaves"}, nil, nil
+		return forward.PlacementResult{RetryAfter: promiseLate, Reason: "the endpoint leaves"}, nil, nil
 	}
 	var denied *owned
-	if w.Denied {
+	if w.NotLoaded {
 		denied = o
 	}
 	if at, s := l.heldLocked(o, w, denied, now); s != nil {
@@ -154,17 +154,17 @@
 		}
 		if !s.leaving || l.takeBackLocked(at, w.Adapter) {
 			s.used, s.given = now, now
-			at.promised.Add(float64(w.Tokens), now, promisedHalf)
-			return forward.Placed{Ready: true, Endpoint: at.endpoint.ID(), Version: s.version, Queued: w.queued(s)}, nil, nil
+			at.promised.Add(float64(w.PromptTokens), now, promisedHalf)
+			return forward.PlacementResult{Ready: true, Endpoint: at.endpoint.ID(), Version: s.version, QueueTime: w.queued(s)}, nil, nil
 		}
 	}
 	if at := l.wantedAtLocked(w, o.endpoint.DataCentre(), now); at != nil {
 		o = at
-	} else if !w.Denied {
+	} else if !w.NotLoaded {
 		o = l.siteLocked(w.Adapter, o, w.Avoid, now)
 	}
 	if !o.serves(now) { // no other one of the data centre does: those elsewhere may
-		return forward.Placed{Settling: true, Retry: o.goneUntil.Sub(now), Reason: "the endpoint ended"}, nil, nil
+		return forward.PlacementResult{OwnerChanging: true, RetryAfter: o.goneUntil.Sub(now), Reason: "the endpoint ended"}, nil, nil
 	}
 	answer, done := l.enqueueLocked(o, w, now, limit)
 	return answer, done, o
@@ -192,21 +192,21 @@
 
 // await lets a request wait when that will be over by limit, and else says when to
 // come back.
-func (l *Loader) await(left time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.Placed, <-chan struct{}) {
+func (l *Loader) await(left time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.PlacementResult, <-chan struct{}) {
 	left = max(left, 0)
 	if now.Add(left).Before(limit) {
-		return forward.Placed{}, done
+		return forward.PlacementResult{}, done
 	}
-	return forward.Placed{Retry: left + promiseLate, Reason: reason}, nil
+	return forward.PlacementResult{RetryAfter: left + promiseLate, Reason: reason}, nil
 }
 
 // enqueueLocked notes that an adapter is wanted, and lets the request wait when the
 // load will be done by limit.
-func (l *Loader) enqueueLocked(o *owned, w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
+func (l *Loader) enqueueLocked(o *owned, w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}) {
 	key := wantKey{endpoint: o.endpoint.ID(), adapter: w.Adapter}
 	q := l.wants[key]
 	if q == nil {
-		if s := o.slots[w.Adapter]; s != nil && w.Denied {
+		if s := o.slots[w.Adapter]; s != nil && w.NotLoaded {
 			s.ready = false // until the endpoint has said again that it holds it
 		}
 		q = &want{done: make(chan struct{})}
@@ -215,11 +215,11 @@
 	}
 	q.version = max(q.version, w.Version)
 	q.last = now
-	if t := w.asked.Add(w.Wait); t.After(q.inTime) {
+	if t := w.asked.Add(w.TargetWait); t.After(q.inTime) {
 		q.inTime = t
 	}
 	if !w.again {
-		q.demand.Add(l.askWeightLocked(w.Wanted), now, demandHalfLife)
+		q.demand.Add(l.askWeightLocked(w.AdapterRequest), now, demandHalfLife)
 		l.countLocked(w.Adapter, 1, now)
 		q.asked++
 		l.copyAheadLocked(o, q, w.Adapter, now)
@@ -260,18 +260,18 @@
 
 // askWeightLocked is how much a request counts that asked in vain: the more work it
 // stands for, against others as urgent, the more is lost with it.
-func (l *Loader) askWeightLocked(w forward.Wanted) float64 {
-	if w.Worth <= 0 {
+func (l *Loader) askWeightLocked(w forward.AdapterRequest) float64 {
+	if w.Value <= 0 {
 		return 1
 	}
 	mean := l.worth[w.Priority]
 	if mean == 0 {
-		mean = w.Worth
+		mean = w.Value
 	}
-	mean += (w.Worth - mean) / worthMemory
+	mean += (w.Value - mean) / worthMemory
 	l.worth[w.Priority] = mean
-	weight := min(leastWeight+(1-leastWeight)*w.Worth/mean, mostWeight)
-	if w.Returned {
+	weight := min(leastWeight+(1-leastWeight)*w.Value/mean, mostWeight)
+	if w.Retried {
 		return weight * returnWeight
 	}
 	return weight
