--- a/forward/home_test.go
+++ b/forward/adapter_test.go
@@ -14,27 +14,27 @@
 	"github.com/frankban/quicktest"
 )
 
-// settlingPlacer decides for the endpoints of one data centre only.
-type settlingPlacer struct {
+// ownerChangePlacer decides for the endpoints of one data centre only.
+type ownerChangePlacer struct {
 	settled string
 	after   time.Time // nobody decides for any endpoint before
 	retry   time.Duration
 }
 
 // Place implements Placer.
-func (p settlingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
+func (p ownerChangePlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	if w.Endpoint.DataCentre() != p.settled || time.Now().Before(p.after) {
 		return PlacementResult{OwnerChanging: true, RetryAfter: p.retry, Reason: "changing"}, nil
 	}
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// askTwoCentres asks for adapters that nobody holds, at a site with an endpoint in each of
+// askAdapters asks for adapters that nobody holds, at a site with an endpoint in each of
 // two data centres, and returns the statuses; left is what each caller has left of 2 s.
-func askTwoCentres(t *testing.T, p Placer, left string, adapters ...string) (*site, []int) {
-	s := newSite(t, once(2*time.Second))
+func askAdapters(t *testing.T, p Placer, left string, adapters ...string) (*testSite, []int) {
+	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
-	r := once(2 * time.Second)
+	r := onceRoute(2 * time.Second)
 	r.Host, r.Shares, r.Target = "site.example", []topology.Share{{Service: "app", Weight: 1}}, time.Second
 	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
 	for _, centre := range []string{"dc", "far"} {
@@ -47,7 +47,7 @@
 	s.gateway.Placer = p
 	var statuses []int
 	for _, a := range adapters {
-		q, err := http.NewRequest(http.MethodPost, s.front.URL+"/", nil)
+		q, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 		s.c.Assert(err, quicktest.IsNil)
 		q.Host = "site.example"
 		q.Header.Set("Id", "call-1")
@@ -65,7 +65,7 @@
 // was refused, though the other data centres could have loaded it.
 func TestAnAdapterWhoseHomeHasNoOwnerIsLoadedInAnotherDataCentre(t *testing.T) {
 	for _, settled := range []string{"dc", "far"} {
-		s, statuses := askTwoCentres(t, settlingPlacer{settled: settled}, "2s", "a", "b", "c", "d", "e", "f")
+		s, statuses := askAdapters(t, ownerChangePlacer{settled: settled}, "2s", "a", "b", "c", "d", "e", "f")
 		for _, status := range statuses {
 			s.c.Assert(status, quicktest.Equals, http.StatusOK)
 		}
@@ -75,14 +75,14 @@
 // A request was refused at once while nobody decided, though somebody would soon.
 func TestWhileNobodyDecidesARequestWaits(t *testing.T) {
 	for _, left := range []string{"2s", "1500ms"} { // at first, and after a refusal
-		s, statuses := askTwoCentres(t, settlingPlacer{settled: "far", after: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
+		s, statuses := askAdapters(t, ownerChangePlacer{settled: "far", after: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
 		s.c.Assert(statuses[0], quicktest.Equals, http.StatusOK)
 	}
 }
 
 func TestARequestThatCannotBeServedInTimeDoesNotWait(t *testing.T) {
 	begun := time.Now()
-	s, statuses := askTwoCentres(t, settlingPlacer{retry: time.Minute}, "2s", "a", "b", "c")
+	s, statuses := askAdapters(t, ownerChangePlacer{retry: time.Minute}, "2s", "a", "b", "c")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable})
 	s.c.Assert(time.Since(begun) < 3*time.Second, quicktest.IsTrue) // each would have waited for two: no bound on speed, but on the rule
 }
@@ -103,14 +103,14 @@
 		"not there if that costs much more": {levels: map[string]time.Duration{"dc": 300 * ms, "far": 1200 * ms}, latest: "e2", want: "dc"},
 		"the first if nobody says anything": {want: policy.First("m/a", []string{"dc", "far"})},
 	} {
-		s, _ := askTwoCentres(t, elsewherePlacer("e1"), "2s")
+		s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 		s.gateway.LoadCost = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
 		a := topology.Adapter{Model: "m", Name: "a"}
 		if f.latest != "" {
 			s.gateway.View.SetHeld(f.latest, map[topology.Adapter]topology.Held{a: {Ready: true}})
 			s.gateway.View.SetHeld(f.latest, nil)
 		}
-		got := s.gateway.homeOf(a, s.gateway.View.Endpoints("app"))
+		got := s.gateway.loadTarget(a, s.gateway.View.Endpoints("app"))
 		s.c.Check(got.DataCentre(), quicktest.Equals, f.want, quicktest.Commentf(name))
 	}
 }
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -39,15 +39,15 @@
 	RetryAfter time.Duration // not OK: when it is likely granted
 }
 
-// overPart is the part of a route's target that a request waits for a quota that is used up: what is
+// quotaWaitFraction is the part of a route's target that a request waits for a quota that is used up: what is
 // beyond a quota is told so at once, and a wait that others of the same organisation may use up is not
 // worth more of the time in which it must be answered.
-const overPart = 0.125
+const quotaWaitFraction = 0.125
 
-// identify finds whose request it is, by the configuration that is in force now. It is asked
+// authenticate finds whose request it is, by the configuration that is in force now. It is asked
 // before each send: a key may have been taken away, and this box may have stood still, since the
 // request came.
-func (g *Gateway) identify(q *request, now time.Time) *Refusal {
+func (g *Gateway) authenticate(q *request, now time.Time) *Refusal {
 	d := g.View.Config().Callers()
 	if d == nil || q.route.Public() {
 		q.organisation = nil
@@ -58,7 +58,7 @@
 		return &Refusal{Code: CodeKeyUnknown, Detail: "the caller shows no key, or several"}
 	}
 	if !g.Admission.KeysUsable(now) {
-		return &Refusal{Code: CodeKeysStale, RetryAfter: noneRetry, Detail: "a key that was taken away may not be known here"}
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "a key that was taken away may not be known here"}
 	}
 	o := d.Find(c)
 	if o != nil {
@@ -66,40 +66,40 @@
 		return nil
 	}
 	if !g.Admission.KeysCurrent(now) {
-		return &Refusal{Code: CodeKeysStale, RetryAfter: noneRetry, Detail: "a key that was put in may not be known here"}
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "a key that was put in may not be known here"}
 	}
 	return &Refusal{Code: CodeKeyUnknown, Detail: "no organisation has the key"}
 }
 
-// payer returns the name of the organisation whose request it is; empty for nobody's.
-func (q *request) payer() string {
+// organisationName returns the name of the organisation whose request it is; empty for nobody's.
+func (q *request) organisationName() string {
 	if q.organisation == nil {
 		return ""
 	}
 	return q.organisation.Name()
 }
 
-// limited tells whether the request counts against a quota.
-func (q *request) limited() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
+// hasQuota tells whether the request counts against a quota.
+func (q *request) hasQuota() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
 
-// cost returns what one run of the request counts.
-func (q *request) cost() float64 {
+// quotaCost returns what one run of the request counts.
+func (q *request) quotaCost() float64 {
 	return q.organisation.Quota().Cost(q.call.PromptTokens+q.call.MaxOutputTokens, q.call.TokensStated)
 }
 
-// spend takes a run of the request from its organisation's quota, before anything else is used
+// chargeQuota takes a run of the request from its organisation's quota, before anything else is used
 // for it: what is beyond a quota costs the others no slot, load or retry.
-func (g *Gateway) spend(ctx context.Context, q *request) *Refusal {
-	if !q.limited() {
+func (g *Gateway) chargeQuota(ctx context.Context, q *request) *Refusal {
+	if !q.hasQuota() {
 		return nil
 	}
-	s := g.Admission.Charge(ctx, q.organisation, q.cost(), QuotaTimeouts{
-		Exceeded:    time.Duration(overPart * float64(q.route.Target())),
-		Unavailable: q.useful(clock.Now()) - g.predict(q.call.PromptTokens), // boxes agree anew within a second on who counts
+	s := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
+		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.Target())),
+		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // boxes agree anew within a second on who counts
 	})
 	switch {
 	case s.OK:
-		q.spent = q.cost()
+		q.charged = q.quotaCost()
 		return nil
 	case s.Exceeded:
 		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: s.RetryAfter, Detail: "the organisation asks more than its quota"}
@@ -107,19 +107,19 @@
 	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "nobody who counts the organisation's quota answers"}
 }
 
-// spendAgain takes one more run from the quota where the one before began.
-func (g *Gateway) spendAgain(q *request) {
-	if !q.limited() || q.spent > 0 {
+// rechargeQuota takes one more run from the quota where the one before began.
+func (g *Gateway) rechargeQuota(q *request) {
+	if !q.hasQuota() || q.charged > 0 {
 		return
 	}
-	q.spent = q.cost()
-	g.Admission.ChargeUnchecked(q.organisation, q.spent)
+	q.charged = q.quotaCost()
+	g.Admission.ChargeUnchecked(q.organisation, q.charged)
 }
 
-// giveBack returns what was spent for a run that never began.
-func (g *Gateway) giveBack(q *request) {
-	if q.spent > 0 && q.organisation != nil {
-		g.Admission.Refund(q.organisation, q.spent)
-		q.spent = 0
+// refundQuota returns what was spent for a run that never began.
+func (g *Gateway) refundQuota(q *request) {
+	if q.charged > 0 && q.organisation != nil {
+		g.Admission.Refund(q.organisation, q.charged)
+		q.charged = 0
 	}
 }
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -17,22 +17,22 @@
 
 // fakeAdmission grants what is left.
 type fakeAdmission struct {
-	mu             sync.Mutex
-	old, outdated  bool
-	left           float64
-	again, returns float64
-	noLeader       bool
+	mu                         sync.Mutex
+	keysUnusable, keysOutdated bool
+	left                       float64
+	charged, refunded          float64
+	noLeader                   bool
 }
 
 // KeysUsable implements Admission.
 func (a *fakeAdmission) KeysUsable(time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.old
+	return !a.keysUnusable
 }
 
 // KeysCurrent implements Admission.
-func (a *fakeAdmission) KeysCurrent(time.Time) bool { return !a.outdated }
+func (a *fakeAdmission) KeysCurrent(time.Time) bool { return !a.keysOutdated }
 
 // Charge implements Admission.
 func (a *fakeAdmission) Charge(_ context.Context, _ *access.Organisation, units float64, _ QuotaTimeouts) ChargeResult {
@@ -46,22 +46,22 @@
 }
 
 // ChargeUnchecked implements Admission.
-func (a *fakeAdmission) ChargeUnchecked(_ *access.Organisation, units float64) { a.again += units }
+func (a *fakeAdmission) ChargeUnchecked(_ *access.Organisation, units float64) { a.charged += units }
 
 // Refund implements Admission.
-func (a *fakeAdmission) Refund(_ *access.Organisation, units float64) { a.returns += units }
+func (a *fakeAdmission) Refund(_ *access.Organisation, units float64) { a.refunded += units }
 
 // newKeyedSite is a site whose callers need keys: organisation "org" has the key "good".
-func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*site, *fakeAdmission) {
+func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*testSite, *fakeAdmission) {
 	s := newSite(t, r)
-	s.allow(access.Spec{Name: "org", Keys: []access.Digest{access.KeyDigest("good")}, Quota: q})
+	s.setOrganisations(access.Spec{Name: "org", Keys: []access.Digest{access.KeyDigest("good")}, Quota: q})
 	a := &fakeAdmission{left: 1e9}
 	s.gateway.Admission = a
 	return s, a
 }
 
-// allow brings a configuration into force whose only organisations these are.
-func (s *site) allow(specs ...access.Spec) {
+// setOrganisations brings a configuration into force whose only organisations these are.
+func (s *testSite) setOrganisations(specs ...access.Spec) {
 	d, err := access.NewDirectory(specs)
 	s.c.Assert(err, quicktest.IsNil)
 	old := s.gateway.View.Config()
@@ -71,9 +71,9 @@
 	s.gateway.View.SetConfig(n.WithCallers(d))
 }
 
-// askWith sends one request with a key and returns the status and the time to come back.
-func (s *site) askWith(key string) (status int, back string) {
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", strings.NewReader("the body"))
+// askWithKey sends one request with a key and returns the status and the time to come back.
+func (s *testSite) askWithKey(key string) (status int, back string) {
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
@@ -87,34 +87,34 @@
 }
 
 func TestOnlyCallersWithAKnownKeyAreServed(t *testing.T) {
-	s, _ := newKeyedSite(t, once(time.Second), access.Quota{})
+	s, _ := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	var payer string
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		payer = r.Header.Get("Payer")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad"} {
-		status, _ := s.askWith(key)
+		status, _ := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusUnauthorized)
 	}
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	status, _ := s.askWith("good")
+	status, _ := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusOK)
 	s.c.Assert(payer, quicktest.Equals, "org")
 }
 
 func TestAPublicRouteAsksForNoKey(t *testing.T) {
-	r := once(time.Second)
+	r := onceRoute(time.Second)
 	r.Public = true
 	s, a := newKeyedSite(t, r, access.Quota{Rate: 1})
-	a.old = true
+	a.keysUnusable = true
 	var payer string
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		payer = r.Header.Get("Payer")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad", "good"} {
-		status, _ := s.askWith(key)
+		status, _ := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusOK)
 		s.c.Assert(payer, quicktest.Equals, "")
 	}
@@ -123,65 +123,65 @@
 // What a box knows of keys is as old as the last word of the source. Where a key that was taken away
 // since may not be served any more, the box serves nobody by keys, and says that nothing ran.
 func TestByWordThatIsTooOldNoKeyIsServedAndNoneIsDenied(t *testing.T) {
-	s, a := newKeyedSite(t, once(time.Second), access.Quota{})
+	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	calls := s.endpoint(t, answerOK)
-	a.old = true
+	a.keysUnusable = true
 	for _, key := range []string{"good", "bad"} {
-		status, back := s.askWith(key)
+		status, back := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(back, quicktest.Equals, noneRetry.String())
+		s.c.Assert(back, quicktest.Equals, unavailableRetryAfter.String())
 	}
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	a.old, a.outdated = false, true // recent enough to serve by, not to deny by
-	status, _ := s.askWith("good")
+	a.keysUnusable, a.keysOutdated = false, true // recent enough to serve by, not to deny by
+	status, _ := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusOK)
-	status, _ = s.askWith("new")
+	status, _ = s.askWithKey("new")
 	s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
 }
 
 // A request waited for its adapter; meanwhile its key was taken away, or the box stood still until
 // what it knew of keys was too old. The send that followed asked nobody.
 func TestTheKeyIsLookedAtAgainBeforeEachSend(t *testing.T) {
-	for name, change := range map[string]func(*site, *fakeAdmission){
-		"taken away": func(s *site, _ *fakeAdmission) { s.allow(access.Spec{Name: "org"}) },
-		"too old": func(_ *site, a *fakeAdmission) {
+	for name, change := range map[string]func(*testSite, *fakeAdmission){
+		"taken away": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
+		"too old": func(_ *testSite, a *fakeAdmission) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.old = true
+			a.keysUnusable = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, a := newKeyedSite(t, repeatable(2*time.Second), access.Quota{Rate: 1})
+			s, a := newKeyedSite(t, repeatableRoute(2*time.Second), access.Quota{Rate: 1})
 			first := func(w http.ResponseWriter, r *http.Request) {
 				change(s, a)
-				refuseUnrun(w, r)
+				refuseNotExecuted(w, r)
 			}
 			one, two := s.endpoint(t, first), s.endpoint(t, first)
-			status, _ := s.askWith("good")
+			status, _ := s.askWithKey("good")
 			s.c.Assert(status >= 400, quicktest.IsTrue)
 			s.c.Assert(one.Load()+two.Load(), quicktest.Equals, int64(1))
-			s.c.Assert(a.returns, quicktest.Equals, 1.0) // it never ran
+			s.c.Assert(a.refunded, quicktest.Equals, 1.0) // it never ran
 		})
 	}
 }
 
 func TestWhatIsBeyondAQuotaIsToldSoAndReachesNoEndpoint(t *testing.T) {
-	s, a := newKeyedSite(t, once(time.Second), access.Quota{Rate: 10})
+	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{Rate: 10})
 	calls := s.endpoint(t, answerOK)
 	a.left = 2
 	for range 2 {
-		status, _ := s.askWith("good")
+		status, _ := s.askWithKey("good")
 		s.c.Assert(status, quicktest.Equals, http.StatusOK)
 	}
-	status, back := s.askWith("good")
+	status, back := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusTooManyRequests)
 	s.c.Assert(back, quicktest.Equals, "300ms")
 	a.noLeader = true
-	status, back = s.askWith("good")
+	status, back = s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(back, quicktest.Equals, "300ms")
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(2))
-	s.c.Assert(a.returns, quicktest.Equals, 0.0)
+	s.c.Assert(a.refunded, quicktest.Equals, 0.0)
 }
 
 func TestEachRunCountsAndWhatDidNotRunIsGivenBack(t *testing.T) {
@@ -190,16 +190,16 @@
 		again, returns float64
 	}{
 		"runs":         {answerOK, 0, 0},
-		"never runs":   {refuseUnrun, 0, 1},
-		"breaks twice": {hangUp, 1, 0},
+		"never runs":   {refuseNotExecuted, 0, 1},
+		"breaks twice": {dropConnection, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, a := newKeyedSite(t, repeatable(2*time.Second), access.Quota{Rate: 10})
+			s, a := newKeyedSite(t, repeatableRoute(2*time.Second), access.Quota{Rate: 10})
 			s.endpoint(t, k.handler)
 			s.endpoint(t, k.handler)
-			s.askWith("good")
-			s.c.Assert(a.again, quicktest.Equals, k.again)
-			s.c.Assert(a.returns, quicktest.Equals, k.returns)
+			s.askWithKey("good")
+			s.c.Assert(a.charged, quicktest.Equals, k.again)
+			s.c.Assert(a.refunded, quicktest.Equals, k.returns)
 		})
 	}
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -17,36 +17,36 @@
 	"github.com/pkg/errors"
 )
 
-// maxWhole bounds an answer that is not a stream, in bytes.
-const maxWhole = 16 << 20
+// maxBufferedBody bounds an answer that is not a stream, in bytes.
+const maxBufferedBody = 16 << 20
 
 // attempt sends the request once and passes the answer on; nil says that the
 // caller got it whole.
-func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, t target) *Refusal {
-	d := g.dispatchTo(q, t)
-	defer d.ended()
+func (g *Gateway) attempt(ctx context.Context, q *request, out *callerResponse, t target) *Refusal {
+	d := g.newDispatch(q, t)
+	defer d.finish()
 	a, f := g.send(ctx, q, d.upstream, t, q.call.LastEventID)
 	if f != nil {
 		return f
 	}
 	defer a.Body.Close()
-	return g.pass(ctx, q, out, d, t, a)
+	return g.relay(ctx, q, out, d, t, a)
 }
 
 // send sends the request, which counts against its organisation's quota unless it is known not to
 // have run. What is no answer to this call is a failure.
 func (g *Gateway) send(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
-	g.spendAgain(q)
-	a, f := g.exchange(ctx, q, u, t, lastEvent)
+	g.rechargeQuota(q)
+	a, f := g.roundTrip(ctx, q, u, t, lastEvent)
 	if f == nil || f.MayHaveRun {
-		q.spent = 0
+		q.charged = 0
 	}
 	return a, f
 }
 
-// exchange writes the request and reads the head of the answer.
-func (g *Gateway) exchange(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
-	r, err := g.outbound(ctx, q, t, lastEvent)
+// roundTrip writes the request and reads the head of the answer.
+func (g *Gateway) roundTrip(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
+	r, err := g.newOutbound(ctx, q, t, lastEvent)
 	if err != nil {
 		return nil, &Refusal{Code: CodeBadRequest, Detail: err.Error()}
 	}
@@ -54,20 +54,20 @@
 	a, err := engine.Send(u.client(), r, time.Time{})
 	quiet()
 	if err != nil {
-		return nil, g.lost(ctx, q, u, err)
+		return nil, g.recordLost(ctx, q, u, err)
 	}
-	g.hear(u, clock.Now())
-	if f := g.judge(q, u, t, a); f != nil {
+	g.recordActivity(u, clock.Now())
+	if f := g.checkResponse(q, u, t, a); f != nil {
 		_ = a.Body.Close() // nothing of it is used
 		return nil, f
 	}
 	return a, nil
 }
 
-// hear notes that something came from an endpoint.
-func (g *Gateway) hear(u *upstream, now time.Time) {
-	u.hear(now)
-	g.centres.hear(u.endpoint.DataCentre(), now)
+// recordActivity notes that something came from an endpoint.
+func (g *Gateway) recordActivity(u *upstream, now time.Time) {
+	u.recordActivity(now)
+	g.dataCentres.recordActivity(u.endpoint.DataCentre(), now)
 }
 
 // watchSilence counts the request as silent while its answer is long in coming, and tells
@@ -76,26 +76,26 @@
 func (g *Gateway) watchSilence(u *upstream) func() {
 	sent := clock.Now()
 	silence := time.AfterFunc(silenceTimeout, func() {
-		g.centres.silence(u.endpoint.DataCentre(), u.endpoint.ID(), sent, clock.Now())
-		u.closeResting(sent)
+		g.dataCentres.recordSilence(u.endpoint.DataCentre(), u.endpoint.ID(), sent, clock.Now())
+		u.closeIdleIfSilent(sent)
 	})
 	done := make(chan struct{}, 1)
 	timer := time.AfterFunc(silentAfter, func() {
-		u.quiet(1)
+		u.addSilent(1)
 		done <- struct{}{}
 	})
 	return func() {
 		silence.Stop()
 		if !timer.Stop() {
 			<-done
-			u.quiet(-1)
+			u.addSilent(-1)
 		}
 	}
 }
 
-// outbound makes the request for an endpoint: method, path and body as the
+// newOutbound makes the request for an endpoint: method, path and body as the
 // caller sent them.
-func (g *Gateway) outbound(ctx context.Context, q *request, t target, lastEvent string) (*http.Request, error) {
+func (g *Gateway) newOutbound(ctx context.Context, q *request, t target, lastEvent string) (*http.Request, error) {
 	path, query, marked := strings.Cut(q.inbound.RequestURI, "?")
 	r, err := http.NewRequestWithContext(ctx, q.inbound.Method, "http://"+t.endpoint.Address()+"/", nil)
 	if err != nil {
@@ -107,81 +107,81 @@
 	if r.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
-	r.Body = onceReader{bytes.NewReader(q.body)}
+	r.Body = singleUseBody{bytes.NewReader(q.body)}
 	r.ContentLength = int64(len(q.body))
 	g.Protocol.SetDirectives(r.Header, Directives{
 		Endpoint:    t.endpoint.ID(),
-		Remaining:   q.left(clock.Now()),
+		Remaining:   q.remaining(clock.Now()),
 		Priority:    q.config.Rank(q.route, q.organisation),
 		HasModel:    q.service.Engine() != nil,
 		Version:     t.version,
 		LastEventID: lastEvent,
 
-		Organisation: q.payer(),
+		Organisation: q.organisationName(),
 	})
 	return r, nil
 }
 
-// lost records an attempt that got no answer.
-func (g *Gateway) lost(ctx context.Context, q *request, u *upstream, err error) *Refusal {
+// recordLost records an attempt that got no answer.
+func (g *Gateway) recordLost(ctx context.Context, q *request, u *upstream, err error) *Refusal {
 	var l *engine.LostError
 	sent := !errors.As(err, &l) || l.Sent
 	if ctx.Err() == nil {
-		u.outcome(true)
-		u.dropIdle()
+		u.recordOutcome(true)
+		u.resetConnections()
 		if !sent {
-			u.unreachable(clock.Now())
-			g.centres.fail(u.endpoint.DataCentre(), u.endpoint.ID(), clock.Now())
+			u.markDown(clock.Now())
+			g.dataCentres.recordFailure(u.endpoint.DataCentre(), u.endpoint.ID(), clock.Now())
 		} else {
-			g.wasCut(u, q)
+			g.reportBroken(u, q)
 		}
 	}
 	g.recordAttempt(q, "lost", err.Error())
 	q.tried[u.endpoint.ID()] = true
 	if !sent {
-		q.unreached++
-		if isDial(err) {
-			q.refused[u.endpoint.ID()] = true
+		q.unsent++
+		if isDialError(err) {
+			q.excluded[u.endpoint.ID()] = true
 		}
-		return &Refusal{Code: CodeNoEndpoint, Unsent: true, RetryAfter: shedRetry, Detail: err.Error()}
+		return &Refusal{Code: CodeNoEndpoint, Unsent: true, RetryAfter: refusedRetryAfter, Detail: err.Error()}
 	}
 	q.mayHaveRun = true
-	q.ran++
+	q.executions++
 	return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: err.Error()}
 }
 
-// isDial tells whether no connection was made; else one that had rested was broken, and the endpoint may
+// isDialError tells whether no connection was made; else one that had rested was broken, and the endpoint may
 // be there.
-func isDial(err error) bool {
+func isDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
 }
 
-// judge tells whether an answer belongs to the call and whether it ran.
-func (g *Gateway) judge(q *request, u *upstream, t target, a *http.Response) *Refusal {
+// checkResponse tells whether an answer belongs to the call and whether it ran.
+func (g *Gateway) checkResponse(q *request, u *upstream, t target, a *http.Response) *Refusal {
 	v := g.Protocol.ParseResponse(a, q.call, t.endpoint.ID())
-	g.takeNotice(q, u, t, v)
+	g.observeResponse(q, u, t, v)
 	switch {
 	case v.WrongEndpoint:
-		u.unreachable(clock.Now())
-		return g.turnedAway(q, t, CodeNoEndpoint, "another endpoint has the address")
+		u.markDown(clock.Now())
+		return g.recordRefused(q, t, CodeNoEndpoint, "another endpoint has the address")
 	case v.AdapterNotLoaded:
 		g.View.Drop(t.endpoint.ID(), q.call.Adapter)
-		f := g.turnedAway(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
+		f := g.recordRefused(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
 		delete(q.tried, t.endpoint.ID()) // it can be loaded there
-		delete(q.refused, t.endpoint.ID())
-		q.denied = t.endpoint.ID()
+		delete(q.excluded, t.endpoint.ID())
+		q.notLoadedAt = t.endpoint.ID()
 		return f
 	case v.NotExecuted:
 		if v.Backoff == 0 {
-			u.turnedAway(clock.Now())
+			u.recordRefusal(clock.Now())
 		}
-		return g.turnedAway(q, t, CodeRefusedByEndpoint, "the endpoint refused: "+a.Status)
+		return g.recordRefused(q, t, CodeRefusedByEndpoint, "the endpoint refused: "+a.Status)
 	case !v.MatchesCall || v.Encoded || (a.StatusCode < http.StatusMultipleChoices && !v.Signed):
-		u.dropIdle()
-		u.outcome(true)
+		u.resetConnections()
+		u.recordOutcome(true)
 		q.mayHaveRun = true
-		q.ran++
+		q.executions++
 		q.tried[t.endpoint.ID()] = true
 		g.recordAttempt(q, "spoilt", "the answer belongs to no request of this box")
 		return &Refusal{Code: CodeSpoilt, MayHaveRun: true, Detail: "not an answer to this request"}
@@ -189,67 +189,67 @@
 	return nil
 }
 
-// turnedAway records an endpoint's proof that the request did not run.
-func (g *Gateway) turnedAway(q *request, t target, c Code, detail string) *Refusal {
+// recordRefused records an endpoint's proof that the request did not run.
+func (g *Gateway) recordRefused(q *request, t target, c Code, detail string) *Refusal {
 	q.tried[t.endpoint.ID()] = true
-	q.refused[t.endpoint.ID()] = true
+	q.excluded[t.endpoint.ID()] = true
 	g.recordAttempt(q, "refused", detail)
-	back := shedRetry
-	if after, known := g.soonest(g.View.Endpoints(q.service.Name()), clock.Now()); known {
+	back := refusedRetryAfter
+	if after, known := g.earliestAvailable(g.View.Endpoints(q.service.Name()), clock.Now()); known {
 		back = max(back, after)
 	}
 	return &Refusal{Code: c, RetryAfter: back, Detail: detail}
 }
 
-// pass gives the caller the answer, whole or event by event.
-func (g *Gateway) pass(ctx context.Context, q *request, out *answer, d *dispatch, t target, a *http.Response) *Refusal {
+// relay gives the caller the answer, whole or event by event.
+func (g *Gateway) relay(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, a *http.Response) *Refusal {
 	if isStream(a) {
-		return g.passStream(ctx, q, out, d, t, a)
+		return g.relayStream(ctx, q, out, d, t, a)
 	}
 	u := d.upstream
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole+1))
-	failed := err != nil || len(body) > maxWhole
-	u.outcome(failed || a.StatusCode >= http.StatusInternalServerError)
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBody+1))
+	failed := err != nil || len(body) > maxBufferedBody
+	u.recordOutcome(failed || a.StatusCode >= http.StatusInternalServerError)
 	if failed {
-		return g.cutShort(ctx, q, u, err)
+		return g.recordTruncated(ctx, q, u, err)
 	}
-	if a.StatusCode >= http.StatusInternalServerError && g.tryAnother(q, t) {
+	if a.StatusCode >= http.StatusInternalServerError && g.mayRetryFailure(q, t) {
 		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint failed: " + a.Status}
 	}
-	out.head(a, len(body))
+	out.writeHead(a, len(body))
 	out.write(body)
 	return nil
 }
 
-// tryAnother tells whether a repeatable request that an endpoint failed goes to
+// mayRetryFailure tells whether a repeatable request that an endpoint failed goes to
 // another one. The failure is not passed on then, so the budget is asked first.
-func (g *Gateway) tryAnother(q *request, t target) bool {
-	q.ran++
-	if !q.route.MayRepeat() || q.ran >= q.route.MaxAttempts() || !q.hasAttempts() {
+func (g *Gateway) mayRetryFailure(q *request, t target) bool {
+	q.executions++
+	if !q.route.MayRepeat() || q.executions >= q.route.MaxAttempts() || !q.hasAttempts() {
 		return false
 	}
 	q.tried[t.endpoint.ID()] = true
 	now := clock.Now()
-	others := g.unlimited(g.usable(g.View.Endpoints(q.service.Name()), q.tried, now)) // those with limits may have no room
-	if len(others) == 0 || q.left(now) < firstByte || !g.mayRetry(q, now) {
+	others := g.withoutLimit(g.usable(g.View.Endpoints(q.service.Name()), q.tried, now)) // those with limits may have no room
+	if len(others) == 0 || q.remaining(now) < firstByteTime || !g.takeRetry(q, now) {
 		return false
 	}
-	q.budgeted, q.mayHaveRun = true, true
+	q.retryReserved, q.mayHaveRun = true, true
 	return true
 }
 
-// cutShort records an answer that broke off before the caller saw any.
-func (g *Gateway) cutShort(ctx context.Context, q *request, u *upstream, err error) *Refusal {
+// recordTruncated records an answer that broke off before the caller saw any.
+func (g *Gateway) recordTruncated(ctx context.Context, q *request, u *upstream, err error) *Refusal {
 	detail := "longer than an answer may be"
 	if err != nil {
 		detail = err.Error()
 	}
 	if ctx.Err() == nil {
-		u.dropIdle()
-		g.wasCut(u, q)
+		u.resetConnections()
+		g.reportBroken(u, q)
 	}
 	q.mayHaveRun = true
-	q.ran++
+	q.executions++
 	q.tried[u.endpoint.ID()] = true
 	g.recordAttempt(q, "cut", detail)
 	return &Refusal{Code: CodeTruncated, MayHaveRun: true, Detail: detail}
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -17,11 +17,11 @@
 // How a box's share is used. What it saves and what it earns in a window may fall into one
 // window, so both together stay below the share.
 const (
-	ratioPart = 0.7  // of the retries that first attempts earn: requests are counted elsewhere too
-	ratioKept = 0.25 // of the same, by the first attempts of the last window: so much may be saved, and both together stay below what either window allows
-	sharePart = 0.95 // of its share of the extra retries; the rest is for boxes that are still unknown
-	savedPart = 0.35 // of that share may be saved and spent at once
-	mostSaved = 10.0 // retries of the share, so that few boxes spread theirs as well
+	earnedFactor      = 0.7  // of the retries that first attempts earn: requests are counted elsewhere too
+	earnedBurstFactor = 0.25 // of the same, by the first attempts of the last window: so much may be saved, and both together stay below what either window allows
+	shareFactor       = 0.95 // of its share of the extra retries; the rest is for boxes that are still unknown
+	shareBurstFactor  = 0.35 // of that share may be saved and spent at once
+	maxShareBurst     = 10.0 // retries of the share, so that few boxes spread theirs as well
 )
 
 // RetryBudget is one box's share of the retries to one service. A box with many callers earns more
@@ -31,12 +31,12 @@
 type RetryBudget struct {
 	Limits func() RetryLimits
 
-	mu     sync.Mutex
-	tokens float64
-	saved  float64 // of its share of the extra ones, that tokens may rise to, as of the last retry; zero: one
-	recent recent  // first attempts
-	at     time.Time
-	counts RetryCounts
+	mu         sync.Mutex
+	tokens     float64
+	shareBurst float64       // of its share of the extra ones, that tokens may rise to, as of the last retry; zero: one
+	firsts     windowCounter // first attempts
+	refilledAt time.Time
+	counts     RetryCounts
 }
 
 // RetryCounts is what one box did with its share of the retries to one service.
@@ -53,13 +53,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := b.Limits()
-	b.recent.add(now, limits.Window)
-	b.tokens = min(b.tokens+limits.Ratio*ratioPart, b.mostLocked(now, limits))
+	b.firsts.add(now, limits.Window)
+	b.tokens = min(b.tokens+limits.Ratio*earnedFactor, b.maxTokensLocked(now, limits))
 }
 
-// mostLocked is how many retries may be saved at now.
-func (b *RetryBudget) mostLocked(now time.Time, limits RetryLimits) float64 {
-	return max(b.saved, 1) + limits.Ratio*ratioKept*float64(b.recent.count(now, limits.Window))
+// maxTokensLocked is how many retries may be saved at now.
+func (b *RetryBudget) maxTokensLocked(now time.Time, limits RetryLimits) float64 {
+	return max(b.shareBurst, 1) + limits.Ratio*earnedBurstFactor*float64(b.firsts.count(now, limits.Window))
 }
 
 // TryRetry tells whether one more attempt may be made at now by one of so many boxes. Where it
@@ -72,13 +72,13 @@
 	if boxes > 0 {
 		share = limits.Extra / float64(boxes)
 	}
-	b.saved = max(min(share*savedPart, mostSaved), 1)
-	earned := max(share*sharePart-b.saved, 0) // in a window
-	if !b.at.IsZero() {
-		b.tokens += earned * now.Sub(b.at).Seconds() / limits.Window.Seconds()
+	b.shareBurst = max(min(share*shareBurstFactor, maxShareBurst), 1)
+	earned := max(share*shareFactor-b.shareBurst, 0) // in a window
+	if !b.refilledAt.IsZero() {
+		b.tokens += earned * now.Sub(b.refilledAt).Seconds() / limits.Window.Seconds()
 	}
-	b.tokens = min(b.tokens, b.mostLocked(now, limits))
-	b.at = now
+	b.tokens = min(b.tokens, b.maxTokensLocked(now, limits))
+	b.refilledAt = now
 	b.counts.Boxes = boxes
 	if b.tokens < 1 {
 		b.counts.Withheld++
@@ -105,41 +105,41 @@
 	return c
 }
 
-// recentParts is into how many parts a window is divided to count what lies in the last one.
-const recentParts = 10
+// windowBuckets is into how many parts a window is divided to count what lies in the last one.
+const windowBuckets = 10
 
-// recent counts what happened within the last window, by parts of it; the part that has begun
+// windowCounter counts what happened within the last window, by parts of it; the part that has begun
 // and the oldest one that is not whole any more do not count. The zero value has counted nothing.
-type recent struct {
-	parts [recentParts + 1]int
-	begun time.Time // when the first part began; the steady clock goes on from it
-	last  int64     // number of the latest part
+type windowCounter struct {
+	buckets   [windowBuckets + 1]int
+	startedAt time.Time // when the first part began; the steady clock goes on from it
+	latest    int64     // number of the latest part
 }
 
 // add counts one at now.
-func (r *recent) add(now time.Time, window time.Duration) {
-	r.turn(now, window)
-	r.parts[r.last%int64(len(r.parts))]++
+func (r *windowCounter) add(now time.Time, window time.Duration) {
+	r.advance(now, window)
+	r.buckets[r.latest%int64(len(r.buckets))]++
 }
 
 // count returns how many lie within the whole parts of the last window.
-func (r *recent) count(now time.Time, window time.Duration) int {
-	r.turn(now, window)
+func (r *windowCounter) count(now time.Time, window time.Duration) int {
+	r.advance(now, window)
 	n := 0
-	for _, p := range r.parts {
+	for _, p := range r.buckets {
 		n += p
 	}
-	return n - r.parts[r.last%int64(len(r.parts))] - r.parts[(r.last+1)%int64(len(r.parts))]
+	return n - r.buckets[r.latest%int64(len(r.buckets))] - r.buckets[(r.latest+1)%int64(len(r.buckets))]
 }
 
-// turn begins the part of now and empties those that have passed since.
-func (r *recent) turn(now time.Time, window time.Duration) {
-	if r.begun.IsZero() {
-		r.begun = now
+// advance begins the part of now and empties those that have passed since.
+func (r *windowCounter) advance(now time.Time, window time.Duration) {
+	if r.startedAt.IsZero() {
+		r.startedAt = now
 	}
-	part := max(int64(now.Sub(r.begun)), 0) / max(int64(window)/recentParts, 1)
-	for i := max(r.last+1, part-recentParts); i <= part; i++ {
-		r.parts[i%int64(len(r.parts))] = 0
+	part := max(int64(now.Sub(r.startedAt)), 0) / max(int64(window)/windowBuckets, 1)
+	for i := max(r.latest+1, part-windowBuckets); i <= part; i++ {
+		r.buckets[i%int64(len(r.buckets))] = 0
 	}
-	r.last = max(r.last, part)
+	r.latest = max(r.latest, part)
 }
--- a/forward/budget_test.go
+++ b/forward/budget_test.go
@@ -61,7 +61,7 @@
 func TestAllBoxesTogetherKeepTheBudgetInTheWorstWindow(t *testing.T) {
 	for _, boxes := range []int{1, 3, 7, 39, 79, 195, 233, 404} {
 		for _, extra := range []float64{52, 182, 430} {
-			if extra*sharePart < float64(boxes) {
+			if extra*shareFactor < float64(boxes) {
 				continue // a box makes one retry or none: more boxes than extra retries are an open point
 			}
 			limits := RetryLimits{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
@@ -86,9 +86,9 @@
 	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
 	g := &Gateway{RetryLimits: func() RetryLimits { return limits }}
 	started := time.Unix(1000, 0)
-	g.begin(started)
+	g.start(started)
 	later := started.Add(limits.Window)
-	b := g.budget("service")
+	b := g.retryBudget("service")
 	b.RecordFirst(later)
 	c.Assert(b.TryRetry(later, 195), quicktest.IsTrue)
 	c.Assert(b.TryRetry(later, 195), quicktest.IsFalse)
--- a/forward/caller_test.go
+++ b/forward/caller_conn_test.go
@@ -16,27 +16,27 @@
 	"github.com/frankban/quicktest"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for what must come.
+const testTimeout = 10 * time.Second
 
-// callByHand opens a connection and writes on it.
-func (s *site) callByHand(t *testing.T, text string) net.Conn {
-	c, err := net.Dial("tcp", s.front.Listener.Addr().String())
+// sendRaw opens a connection and writes on it.
+func (s *testSite) sendRaw(t *testing.T, text string) net.Conn {
+	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	s.c.Assert(err, quicktest.IsNil)
 	t.Cleanup(func() { c.Close() })
-	s.c.Assert(c.SetDeadline(time.Now().Add(patience)), quicktest.IsNil)
+	s.c.Assert(c.SetDeadline(time.Now().Add(testTimeout)), quicktest.IsNil)
 	_, err = io.WriteString(c, text)
 	s.c.Assert(err, quicktest.IsNil)
 	return c
 }
 
-const headByHand = "POST / HTTP/1.1\r\nHost: site.example\r\nId: call-1\r\n"
+const rawHead = "POST / HTTP/1.1\r\nHost: site.example\r\nId: call-1\r\n"
 
 // A caller sent the head of a request and half of its body, and then nothing for good.
 func TestABodyThatStaysAwayEndsAtTheDeadline(t *testing.T) {
-	s := newSite(t, once(200*time.Millisecond))
+	s := newSite(t, onceRoute(200*time.Millisecond))
 	calls := s.endpoint(t, answerOK)
-	c := s.callByHand(t, headByHand+"Content-Length: 8\r\n\r\nhalf")
+	c := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.c.Assert(err, quicktest.IsNil)
 	a.Body.Close()
@@ -48,9 +48,9 @@
 // requests of which nothing is known, and the caller got a closed connection.
 func TestABodyThatIsLateBySecondsGetsItsAnswer(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, once(refusedTime+500*time.Millisecond))
+	s := newSite(t, onceRoute(unadmittedTimeout+500*time.Millisecond))
 	s.endpoint(t, answerOK)
-	c := s.callByHand(t, headByHand+"Content-Length: 8\r\n\r\nhalf")
+	c := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.c.Assert(err, quicktest.IsNil)
 	a.Body.Close()
@@ -61,11 +61,11 @@
 // that leaves.
 func TestARequestMayRunLongerThanItsBodyMayTake(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		select {
-		case <-time.After(refusedTime + 100*time.Millisecond):
+		case <-time.After(unadmittedTimeout + 100*time.Millisecond):
 			answerOK(w, r)
 		case <-r.Context().Done():
 		}
@@ -78,7 +78,7 @@
 // A caller fell silent in the middle of its stream. The box waited for ever to write on, and
 // held the request for as long.
 func TestACallerThatReadsNoMoreIsGivenUpAfterTheDeadline(t *testing.T) {
-	s := newSite(t, resumable(200*time.Millisecond))
+	s := newSite(t, resumableRoute(200*time.Millisecond))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		event := "data: " + strings.Repeat("x", 64<<10) + "\n\n"
@@ -88,40 +88,42 @@
 			}
 		}
 	})
-	s.callByHand(t, headByHand+"Content-Length: 0\r\n\r\n")
+	s.sendRaw(t, rawHead+"Content-Length: 0\r\n\r\n")
 	s.eventually(func() bool { return s.gateway.InFlight() == 1 })
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 }
 
 // eventually waits until what must come has come.
-func (s *site) eventually(done func() bool) {
-	for until := time.Now().Add(patience); !done(); time.Sleep(time.Millisecond) {
+func (s *testSite) eventually(done func() bool) {
+	for until := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
 		s.c.Assert(time.Now().Before(until), quicktest.IsTrue, quicktest.Commentf("it has not come"))
 	}
 }
 
-// faultyPlacer panics.
-type faultyPlacer struct{}
+// panickingPlacer panics.
+type panickingPlacer struct{}
 
 // Place implements Placer.
-func (faultyPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) { panic("a fault") }
+func (panickingPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+	panic("a fault")
+}
 
 // A fault of the program in a handler closed the caller's connection without an answer.
 func TestAPanicBeforeTheRequestIsSentIsAnsweredAsNotRun(t *testing.T) {
-	s, statuses := askTwoCentres(t, faultyPlacer{}, "2s", "a")
+	s, statuses := askAdapters(t, panickingPlacer{}, "2s", "a")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable})
 }
 
-// faultyProtocol panics over the head of an answer.
-type faultyProtocol struct{ plainProtocol }
+// panickingProtocol panics over the head of an answer.
+type panickingProtocol struct{ plainProtocol }
 
 // ParseResponse implements Protocol.
-func (faultyProtocol) ParseResponse(*http.Response, Call, string) Response { panic("a fault") }
+func (panickingProtocol) ParseResponse(*http.Response, Call, string) Response { panic("a fault") }
 
 func TestAPanicAfterTheRequestWasSentIsNotAnsweredAsNotRun(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
-	s.gateway.Protocol = faultyProtocol{}
+	s.gateway.Protocol = panickingProtocol{}
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
@@ -129,9 +131,9 @@
 
 // The body of a request was so much longer than allowed that most of it was never read.
 func TestABodyFarTooLongGetsItsAnswer(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	for range 5 {
-		r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", strings.NewReader(strings.Repeat("x", 1<<20)))
+		r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 1<<20)))
 		s.c.Assert(err, quicktest.IsNil)
 		r.Host = "site.example"
 		a, err := http.DefaultClient.Do(r)
@@ -143,13 +145,13 @@
 
 // A stop's time was over while requests were held; their connections were closed.
 func TestWhatIsHeldWhenTheBoxEndsIsAnswered(t *testing.T) {
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	base, end := context.WithCancelCause(context.Background())
-	s.front.Close()
-	s.front = httptest.NewUnstartedServer(s.gateway)
-	s.front.Config.BaseContext = func(net.Listener) context.Context { return base }
-	s.front.Start()
-	defer s.front.Close()
+	s.server.Close()
+	s.server = httptest.NewUnstartedServer(s.gateway)
+	s.server.Config.BaseContext = func(net.Listener) context.Context { return base }
+	s.server.Start()
+	defer s.server.Close()
 	calls := s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
--- a/forward/gone_test.go
+++ b/forward/caller_gone_test.go
@@ -12,35 +12,37 @@
 	"github.com/frankban/quicktest"
 )
 
-// runs is an endpoint's work on requests.
-type runs struct{ begun, left chan struct{} }
+// endpointRuns is an endpoint's work on requests.
+type endpointRuns struct{ started, cancelled chan struct{} }
 
-func newRuns() runs { return runs{begun: make(chan struct{}, 8), left: make(chan struct{}, 8)} }
+func newEndpointRuns() endpointRuns {
+	return endpointRuns{started: make(chan struct{}, 8), cancelled: make(chan struct{}, 8)}
+}
 
-// work reads the request, begins its answer as told, and works until its caller leaves.
-func (r runs) work(begin func(http.ResponseWriter)) http.HandlerFunc {
+// handler reads the request, begins its answer as told, and works until its caller leaves.
+func (r endpointRuns) handler(begin func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		_, _ = io.Copy(io.Discard, q.Body) // a server notices that its caller leaves only after the body
 		begin(w)
-		r.begun <- struct{}{}
+		r.started <- struct{}{}
 		select {
 		case <-q.Context().Done():
-			r.left <- struct{}{}
-		case <-time.After(2 * patience): // so that the test that fails ends
+			r.cancelled <- struct{}{}
+		case <-time.After(2 * testTimeout): // so that the test that fails ends
 		}
 	}
 }
 
 // await fails the test where what must come stays away.
-func (s *site) await(what <-chan struct{}) {
+func (s *testSite) await(what <-chan struct{}) {
 	select {
 	case <-what:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		s.c.Fatal("it has not come")
 	}
 }
 
-const wholeByHand = headByHand + "Content-Length: 0\r\n\r\n"
+const rawRequest = rawHead + "Content-Length: 0\r\n\r\n"
 
 func TestAStreamIsLeftWhenItsCallerLeaves(t *testing.T) {
 	for name, begin := range map[string]func(http.ResponseWriter){
@@ -52,51 +54,51 @@
 		"after an event": func(w http.ResponseWriter) { sendEvents(w, 1, 1, false) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, resumable(time.Minute))
-			r := newRuns()
-			s.endpoint(t, r.work(begin))
-			s.endpoint(t, r.work(begin)) // it may be resumed there, but not for nobody
-			s.leavesOneOfTwo(t, r)
+			s := newSite(t, resumableRoute(time.Minute))
+			r := newEndpointRuns()
+			s.endpoint(t, r.handler(begin))
+			s.endpoint(t, r.handler(begin)) // it may be resumed there, but not for nobody
+			s.assertCallerGone(t, r)
 		})
 	}
 }
 
-// leavesOneOfTwo checks that a caller that leaves while the first endpoint works is left
+// assertCallerGone checks that a caller that leaves while the first endpoint works is left
 // there, and that the second one is not asked.
-func (s *site) leavesOneOfTwo(t *testing.T, r runs) {
-	caller := s.callByHand(t, wholeByHand)
-	s.await(r.begun)
+func (s *testSite) assertCallerGone(t *testing.T, r endpointRuns) {
+	caller := s.sendRaw(t, rawRequest)
+	s.await(r.started)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
-	s.await(r.left)
+	s.await(r.cancelled)
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(1))
 }
 
 func TestARepeatableRequestIsNotRepeatedForACallerThatLeft(t *testing.T) {
-	s := newSite(t, repeatable(time.Minute))
-	r := newRuns()
+	s := newSite(t, repeatableRoute(time.Minute))
+	r := newEndpointRuns()
 	for range 2 {
-		s.endpoint(t, r.work(func(http.ResponseWriter) {}))
+		s.endpoint(t, r.handler(func(http.ResponseWriter) {}))
 	}
-	s.leavesOneOfTwo(t, r)
+	s.assertCallerGone(t, r)
 }
 
 func TestACallerThatLeavesInItsBodyIsLeft(t *testing.T) {
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	calls := s.endpoint(t, answerOK)
-	caller := s.callByHand(t, headByHand+"Content-Length: 8\r\n\r\nhalf")
+	caller := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
 	s.eventually(func() bool { return s.gateway.InFlight() == 1 })
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
-// slowPlacer has an adapter ready long after its caller left; it says when it is asked, and
+// blockingPlacer has an adapter ready long after its caller left; it says when it is asked, and
 // when it hears that nobody waits any more.
-type slowPlacer struct{ asked, told chan struct{} }
+type blockingPlacer struct{ asked, told chan struct{} }
 
 // Place implements Placer.
-func (p slowPlacer) Place(ctx context.Context, w AdapterRequest) (PlacementResult, error) {
+func (p blockingPlacer) Place(ctx context.Context, w AdapterRequest) (PlacementResult, error) {
 	close(p.asked)
 	<-ctx.Done()
 	close(p.told)
@@ -104,9 +106,9 @@
 }
 
 func TestARequestThatWaitsForAnAdapterIsLeftWithItsCaller(t *testing.T) {
-	p := slowPlacer{asked: make(chan struct{}), told: make(chan struct{})}
-	s, _ := askTwoCentres(t, p, "2s")
-	caller := s.callByHand(t, headByHand+"Adapter: m/a\r\nContent-Length: 0\r\n\r\n")
+	p := blockingPlacer{asked: make(chan struct{}), told: make(chan struct{})}
+	s, _ := askAdapters(t, p, "2s")
+	caller := s.sendRaw(t, rawHead+"Adapter: m/a\r\nContent-Length: 0\r\n\r\n")
 	s.await(p.asked)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	s.await(p.told)
@@ -117,23 +119,23 @@
 // What came on the connection after the request ends net/http's watch for its close: such a
 // caller is noticed when something is written to it, as here, or at its deadline.
 func TestACallerWithBytesAfterItsRequestIsLeftAtTheNextEvent(t *testing.T) {
-	s := newSite(t, resumable(time.Minute))
-	r := newRuns()
+	s := newSite(t, resumableRoute(time.Minute))
+	r := newEndpointRuns()
 	more := make(chan struct{})
 	s.endpoint(t, func(w http.ResponseWriter, q *http.Request) {
 		sendEvents(w, 1, 1, false)
-		r.begun <- struct{}{}
+		r.started <- struct{}{}
 		<-more
 		for i := 2; q.Context().Err() == nil; i++ { // the first is answered with a reset, a later one fails
 			sendEvents(w, i, i, false)
 			time.Sleep(time.Millisecond)
 		}
-		r.left <- struct{}{}
+		r.cancelled <- struct{}{}
 	})
-	caller := s.callByHand(t, wholeByHand+"POST")
-	s.await(r.begun)
+	caller := s.sendRaw(t, rawRequest+"POST")
+	s.await(r.started)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
 	close(more)
-	s.await(r.left)
+	s.await(r.cancelled)
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 }
--- a/forward/answer.go
+++ b/forward/caller_response.go
@@ -11,21 +11,21 @@
 	"cairnwick.example/clock"
 )
 
-// answer is what the caller has got so far.
-type answer struct {
-	writer    http.ResponseWriter
-	describes func(header string) bool // whether it says what the call is
-	begun     bool                     // something was written
-	first     time.Time                // of the first byte
-	gone      bool                     // a write failed: the caller is gone
-	status    int
+// callerResponse is what the caller has got so far.
+type callerResponse struct {
+	writer       http.ResponseWriter
+	isCallHeader func(header string) bool // whether it says what the call is
+	started      bool                     // something was written
+	firstByteAt  time.Time                // of the first byte
+	callerGone   bool                     // a write failed: the caller is gone
+	status       int
 }
 
-// head writes an endpoint's status and headers; length below zero: not known.
-func (a *answer) head(r *http.Response, length int) {
+// writeHead writes an endpoint's status and headers; length below zero: not known.
+func (a *callerResponse) writeHead(r *http.Response, length int) {
 	h := a.writer.Header()
 	leaving := h.Get("Connection")
-	for n, values := range endToEnd(r.Header, a.describes) {
+	for n, values := range endToEnd(r.Header, a.isCallHeader) {
 		h[n] = values
 	}
 	if leaving != "" {
@@ -41,19 +41,19 @@
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // and from guessing
 	}
-	a.begun, a.first, a.status = true, clock.Now(), r.StatusCode
+	a.started, a.firstByteAt, a.status = true, clock.Now(), r.StatusCode
 	a.writer.WriteHeader(r.StatusCode)
 }
 
-func (a *answer) write(b []byte) {
+func (a *callerResponse) write(b []byte) {
 	if _, err := a.writer.Write(b); err != nil {
-		a.gone = true
+		a.callerGone = true
 	}
 }
 
-func (a *answer) flush() {
+func (a *callerResponse) flush() {
 	if err := http.NewResponseController(a.writer).Flush(); err != nil {
-		a.gone = true
+		a.callerGone = true
 	}
 }
 
--- a/forward/leave_test.go
+++ b/forward/drain_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestTheEndpointIsLeftWhenItsCallerLeaves(t *testing.T) {
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	begun, left := make(chan struct{}), make(chan struct{})
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // a server notices that its caller leaves only after the body
@@ -22,7 +22,7 @@
 		close(left)
 	})
 	ctx, leave := context.WithCancel(context.Background())
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.front.URL+"/", nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
@@ -38,7 +38,7 @@
 }
 
 func TestABoxThatLeavesAnswersAndAsksForAnotherConnection(t *testing.T) {
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	calls := s.endpoint(t, answerOK)
 	s.gateway.Drain()
 	a, body, err := s.ask("/")
--- a/forward/endings_test.go
+++ b/forward/endings_test.go
@@ -16,8 +16,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// fragile adds an endpoint that ends when it begins to run a request whose body holds a text.
-func (s *site) fragile(t *testing.T, id, text string) {
+// addCrashing adds an endpoint that ends when it begins to run a request whose body holds a text.
+func (s *testSite) addCrashing(t *testing.T, id, text string) {
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -34,8 +34,8 @@
 	}))
 }
 
-// runs runs the site's gateway until the test ends.
-func (s *site) runs(t *testing.T) {
+// runGateway runs the site's gateway until the test ends.
+func (s *testSite) runGateway(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.gateway.Run(ctx) }()
@@ -45,8 +45,8 @@
 	})
 }
 
-// sees waits until the gateway counted as many ends.
-func (s *site) sees(want quarantine.Ends) {
+// awaitEnds waits until the gateway counted as many ends.
+func (s *testSite) awaitEnds(want quarantine.Ends) {
 	for range 500 {
 		if s.gateway.Ends() == want {
 			return
@@ -57,15 +57,15 @@
 }
 
 func TestAnEndpointThatEndedIsToldFromAnAnswerThatBrokeOff(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	s.runs(t)
-	s.endpoint(t, hangUp)
+	s := newSite(t, onceRoute(2*time.Second))
+	s.runGateway(t)
+	s.endpoint(t, dropConnection)
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Alive: 1})
+	s.awaitEnds(quarantine.Ends{Alive: 1})
 	s.gateway.View.RemoveEndpoint("e1")
-	s.fragile(t, "e2", "the body")
+	s.addCrashing(t, "e2", "the body")
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Alive: 1, Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.Ends{Alive: 1, Endpoints: 1, Requests: 1})
 }
--- a/forward/events_fuzz_test.go
+++ b/forward/events_fuzz_test.go
@@ -14,21 +14,21 @@
 	"github.com/frankban/quicktest"
 )
 
-// passed returns what a caller gets of a stream, and the end of it.
-func passed(raw []byte, pieces bool) (string, *events, error) {
+// relayEvents returns what a caller gets of a stream, and the end of it.
+func relayEvents(raw []byte, pieces bool) (string, *eventRelay, error) {
 	var body io.Reader = bytes.NewReader(raw)
 	if pieces {
 		body = iotest.OneByteReader(body)
 	}
 	w := httptest.NewRecorder()
-	s := &events{out: &answer{writer: w, describes: func(string) bool { return false }}}
+	s := &eventRelay{out: &callerResponse{writer: w, isCallHeader: func(string) bool { return false }}}
 	a := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body)}
 	err := s.copy(a, func() {})
 	return w.Body.String(), s, err
 }
 
-// wholeEvents returns the events of a stream that are whole: lines up to an empty one.
-func wholeEvents(raw []byte) (whole [][]byte, rest []byte) {
+// completeEvents returns the events of a stream that are whole: lines up to an empty one.
+func completeEvents(raw []byte) (whole [][]byte, rest []byte) {
 	for line := range bytes.Lines(raw) {
 		rest = append(rest, line...)
 		if line[len(line)-1] == '\n' && len(bytes.TrimRight(line, "\r\n")) == 0 {
@@ -45,12 +45,12 @@
 	f.Add([]byte("id: 2\r\ndata: a\r\n\r\nid: 1\ndata: again\n\ndata: cut"))
 	f.Add([]byte("data: " + strings.Repeat("x", 4<<10-6) + "\nid: 1\n\n"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		whole, rest := wholeEvents(raw)
+		whole, rest := completeEvents(raw)
 		var want strings.Builder
 		last := ""
 		for _, e := range whole {
 			id := eventID(e)
-			if id != "" && !after(id, last) {
+			if id != "" && !isAfter(id, last) {
 				continue
 			}
 			if id != "" {
@@ -59,9 +59,9 @@
 			want.Write(e)
 		}
 		for _, pieces := range []bool{false, true} {
-			got, s, err := passed(raw, pieces)
-			if got != want.String() || s.last != last {
-				t.Fatalf("passed %q up to %q, want %q up to %q", got, s.last, want.String(), last)
+			got, s, err := relayEvents(raw, pieces)
+			if got != want.String() || s.lastID != last {
+				t.Fatalf("passed %q up to %q, want %q up to %q", got, s.lastID, want.String(), last)
 			}
 			if (err != nil) != (len(rest) > 0) {
 				t.Fatalf("the end is %v after a rest of %q", err, rest)
@@ -77,16 +77,16 @@
 func TestALineAsLongAsTheBufferDoesNotEndItsEvent(t *testing.T) {
 	c := quicktest.New(t)
 	for _, long := range []int{4 << 10, 8 << 10} {
-		got, s, err := passed([]byte("id: 1\ndata: "+strings.Repeat("x", long-len("data: "))+"\ndata: cut"), false)
+		got, s, err := relayEvents([]byte("id: 1\ndata: "+strings.Repeat("x", long-len("data: "))+"\ndata: cut"), false)
 		c.Check(err, quicktest.Equals, io.ErrUnexpectedEOF)
 		c.Check(got, quicktest.Equals, "")
-		c.Check(s.last, quicktest.Equals, "")
+		c.Check(s.lastID, quicktest.Equals, "")
 	}
 }
 
 // An event of many lines grew without bound: the bound was asked for single lines alone.
 func TestAnEventOfManyLinesIsBounded(t *testing.T) {
 	c := quicktest.New(t)
-	_, _, err := passed([]byte(strings.Repeat("data: x\n", maxEvent/4)+"\n"), false)
+	_, _, err := relayEvents([]byte(strings.Repeat("data: x\n", maxEventBytes/4)+"\n"), false)
 	c.Check(err, quicktest.IsNotNil)
 }
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -37,68 +37,68 @@
 	LogBacklogged func() bool // whether the log is behind: successes are not logged then
 	Stats         *Stats
 
-	begun     time.Time // when this box began to count its shares of the retries
-	upstreams upstreams
-	notices   notices
-	watchOnce sync.Once
-	watched   *quarantine.Watch // by watch
-	centres   centres
-	held      atomic.Int64
-	leaving   atomic.Bool
-	sampled   atomic.Uint64
-
-	mu      sync.Mutex
-	budgets map[string]*RetryBudget // by service; mu is taken before a Budget's
-	first   policy.FirstToken       // of all endpoints that run models
+	startedAt   time.Time // when this box began to count its shares of the retries
+	upstreams   upstreams
+	notices     noticeTable
+	watchOnce   sync.Once
+	watcher     *quarantine.Watch // by watch
+	dataCentres dataCentres
+	inFlight    atomic.Int64
+	draining    atomic.Bool
+	sampleCount atomic.Uint64
+
+	mu         sync.Mutex
+	budgets    map[string]*RetryBudget // by service; mu is taken before a Budget's
+	firstToken policy.FirstToken       // of all endpoints that run models
 }
 
 // Run forgets endpoints that are gone and looks which ones ended, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) error {
-	g.begin(clock.Now())
+	g.start(clock.Now())
 	ended := make(chan error, 1)
 	go func() { ended <- g.watch().Run(ctx) }()
-	g.forget(ctx)
+	g.pruneLoop(ctx)
 	return <-ended
 }
 
 // watch returns what finds out which endpoints ended; a request may come before Run.
 func (g *Gateway) watch() *quarantine.Watch {
-	g.watchOnce.Do(func() { g.watched = g.newWatch() })
-	return g.watched
+	g.watchOnce.Do(func() { g.watcher = g.newWatch() })
+	return g.watcher
 }
 
 // Ends returns what this box saw of endpoints that ended.
 func (g *Gateway) Ends() quarantine.Ends { return g.watch().Counts() }
 
-// begin notes since when this box may save what its share of the extra retries earns.
-func (g *Gateway) begin(now time.Time) {
+// start notes since when this box may save what its share of the extra retries earns.
+func (g *Gateway) start(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.beginLocked(now)
+	g.startLocked(now)
 }
 
-func (g *Gateway) beginLocked(now time.Time) {
-	if g.begun.IsZero() {
-		g.begun = now
+func (g *Gateway) startLocked(now time.Time) {
+	if g.startedAt.IsZero() {
+		g.startedAt = now
 	}
 }
 
 // Drain makes every further answer ask its caller to use another connection.
-func (g *Gateway) Drain() { g.leaving.Store(true) }
+func (g *Gateway) Drain() { g.draining.Store(true) }
 
 // InFlight returns how many requests are held now.
-func (g *Gateway) InFlight() int { return int(g.held.Load()) }
+func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-func (g *Gateway) budget(service string) *RetryBudget {
+func (g *Gateway) retryBudget(service string) *RetryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.budgets == nil {
 		g.budgets = make(map[string]*RetryBudget)
 	}
-	g.beginLocked(clock.Now()) // a request may come before Run
+	g.startLocked(clock.Now()) // a request may come before Run
 	b := g.budgets[service]
 	if b == nil {
-		b = &RetryBudget{Limits: g.RetryLimits, at: g.begun}
+		b = &RetryBudget{Limits: g.RetryLimits, refilledAt: g.startedAt}
 		g.budgets[service] = b
 	}
 	return b
@@ -118,41 +118,41 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := clock.Now()
-	defer g.held.Add(-1)
-	if g.leaving.Load() {
+	defer g.inFlight.Add(-1)
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	call, malformed := g.Protocol.ParseCall(r.Header) // first: a refusal is logged under its ID
-	q := &request{received: received, inbound: r, caller: newCaller(w), call: call}
-	q.caller.begin(clock.Timer(received))
-	out := &answer{writer: w, describes: g.Protocol.IsCallHeader}
-	defer g.recovered(out, q)
-	if g.held.Add(1) > int64(g.MaxInFlight) {
-		g.refuse(w, q, &Refusal{Code: CodeOverloaded, RetryAfter: overloadRetry})
+	q := &request{received: received, inbound: r, connection: newCallerConn(w), call: call}
+	q.connection.limitUnadmitted(clock.Timer(received))
+	out := &callerResponse{writer: w, isCallHeader: g.Protocol.IsCallHeader}
+	defer g.recoverPanic(out, q)
+	if g.inFlight.Add(1) > int64(g.MaxInFlight) {
+		g.refuse(w, q, &Refusal{Code: CodeOverloaded, RetryAfter: overloadRetryAfter})
 		return
 	}
 	if f := g.admit(w, q, malformed); f != nil {
 		g.refuse(w, q, f)
 		return
 	}
-	q.caller.admitted(clock.Timer(q.deadline))
+	q.connection.limitResponse(clock.Timer(q.deadline))
 	ctx, cancel := context.WithDeadline(r.Context(), clock.Timer(q.deadline))
 	defer cancel()
-	f := g.spend(ctx, q)
+	f := g.chargeQuota(ctx, q)
 	if f == nil {
 		f = g.serve(ctx, q, out)
-		g.giveBack(q)
+		g.refundQuota(q)
 	}
 	if f != nil {
-		g.fail(ctx, out, q, f)
+		g.respondFailure(ctx, out, q, f)
 		return
 	}
-	g.note(q, out)
+	g.recordSuccess(q, out)
 }
 
-// fail gives the caller the final answer of a request that got none of its own.
-func (g *Gateway) fail(ctx context.Context, out *answer, q *request, f *Refusal) {
-	if out.begun {
+// respondFailure gives the caller the final answer of a request that got none of its own.
+func (g *Gateway) respondFailure(ctx context.Context, out *callerResponse, q *request, f *Refusal) {
+	if out.started {
 		g.recordFailure(q, f, true)
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
 	}
@@ -167,4 +167,4 @@
 	g.refuse(out.writer, q, f)
 }
 
-const overloadRetry = 300 * time.Millisecond
+const overloadRetryAfter = 300 * time.Millisecond
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -115,16 +115,16 @@
 // Finished implements Run.
 func (noRun) Finished() {}
 
-// site is a gateway before endpoints.
-type site struct {
+// testSite is a gateway before endpoints.
+type testSite struct {
 	c       *quicktest.C
 	gateway *Gateway
-	front   *httptest.Server
+	server  *httptest.Server
 	count   int
 	calls   map[string]*atomic.Int64 // by endpoint
 }
 
-func newSite(t *testing.T, routes ...topology.RouteSpec) *site {
+func newSite(t *testing.T, routes ...topology.RouteSpec) *testSite {
 	v := topology.NewView()
 	if len(routes) > 0 {
 		var list []*topology.Route
@@ -154,11 +154,11 @@
 	}
 	front := httptest.NewServer(g)
 	t.Cleanup(front.Close)
-	return &site{c: quicktest.New(t), gateway: g, front: front, calls: make(map[string]*atomic.Int64)}
+	return &testSite{c: quicktest.New(t), gateway: g, server: front, calls: make(map[string]*atomic.Int64)}
 }
 
 // endpoint adds one that answers by h, and returns its count of requests.
-func (s *site) endpoint(t *testing.T, h http.HandlerFunc) *atomic.Int64 {
+func (s *testSite) endpoint(t *testing.T, h http.HandlerFunc) *atomic.Int64 {
 	var calls atomic.Int64
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -180,8 +180,8 @@
 }
 
 // ask sends one request and returns the answer with its whole body.
-func (s *site) ask(path string) (*http.Response, string, error) {
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+path, strings.NewReader("the body"))
+func (s *testSite) ask(path string) (*http.Response, string, error) {
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+path, strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
@@ -195,8 +195,8 @@
 }
 
 // askAdapter sends one request for the adapter a of the base model m, and returns the answer's status.
-func (s *site) askAdapter() int {
-	q, err := http.NewRequest(http.MethodPost, s.front.URL+"/", nil)
+func (s *testSite) askAdapter() int {
+	q, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	q.Host = "site.example"
 	q.Header.Set("Id", "call-1")
@@ -207,27 +207,27 @@
 	return a.StatusCode
 }
 
-func once(timeout time.Duration) topology.RouteSpec {
+func onceRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "once", Prefix: "/", Kind: topology.Once, Timeout: timeout, Target: timeout, MaxAttempts: 1}
 }
 
-func repeatable(timeout time.Duration) topology.RouteSpec {
+func repeatableRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "rep", Prefix: "/", Kind: topology.Repeatable, Timeout: timeout, Target: timeout, MaxAttempts: 2}
 }
 
-func resumable(timeout time.Duration) topology.RouteSpec {
+func resumableRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "res", Prefix: "/", Kind: topology.Stream, Timeout: timeout, Target: timeout, MaxAttempts: 2, Resumable: true}
 }
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") }
 
-func refuseUnrun(w http.ResponseWriter, _ *http.Request) {
+func refuseNotExecuted(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hangUp reads the request and closes the connection.
-func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection reads the request and closes the connection.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func TestWithoutAConfigurationCallersAreAskedToComeBack(t *testing.T) {
 	s := newSite(t)
@@ -238,7 +238,7 @@
 }
 
 func TestAPathWithoutARouteIsNotFound(t *testing.T) {
-	r := once(time.Second)
+	r := onceRoute(time.Second)
 	r.Prefix = "/known/"
 	s := newSite(t, r)
 	a, _, err := s.ask("/unknown/")
@@ -247,7 +247,7 @@
 }
 
 func TestARequestArrivesAsItWasSent(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	var got *http.Request
 	var body string
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -268,9 +268,9 @@
 }
 
 func TestABodyThatIsTooLongIsRefused(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	calls := s.endpoint(t, answerOK)
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	a, err := http.DefaultClient.Do(r)
@@ -281,8 +281,8 @@
 }
 
 func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	refused := s.endpoint(t, refuseUnrun)
+	s := newSite(t, onceRoute(2*time.Second))
+	refused := s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
 	for range 10 {
 		a, _, err := s.ask("/")
@@ -294,9 +294,9 @@
 }
 
 func TestARequestThatMayRunOnceIsNotSentAgain(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	first := s.endpoint(t, hangUp)
-	second := s.endpoint(t, hangUp)
+	s := newSite(t, onceRoute(2*time.Second))
+	first := s.endpoint(t, dropConnection)
+	second := s.endpoint(t, dropConnection)
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have run
@@ -304,8 +304,8 @@
 }
 
 func TestARequestThatMayRepeatIsSentToAnotherEndpoint(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
-	s.endpoint(t, hangUp)
+	s := newSite(t, repeatableRoute(2*time.Second))
+	s.endpoint(t, dropConnection)
 	s.endpoint(t, answerOK)
 	for range 4 {
 		a, _, err := s.ask("/")
@@ -317,7 +317,7 @@
 // An endpoint failed a repeatable request, the budget of retries kept it from a second one,
 // and its caller got an answer of the box's own in place of the endpoint's.
 func TestAFailureThatIsNotTriedElsewhereIsPassedOn(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
+	s := newSite(t, repeatableRoute(2*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	first := s.endpoint(t, fail)
@@ -332,7 +332,7 @@
 }
 
 func TestAnAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", "another")
 		answerOK(w, r)
@@ -344,7 +344,7 @@
 }
 
 func TestAnAnswerThatBreaksOffIsNotPassedOn(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
@@ -358,7 +358,7 @@
 }
 
 func TestAnEndpointsOwnFailureIsPassedOnUnchanged(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "its own words")
@@ -371,7 +371,7 @@
 }
 
 func TestARequestThatIsHeldTooLongGetsItsAnswerAtTheRoutesTimeout(t *testing.T) {
-	s := newSite(t, once(200*time.Millisecond))
+	s := newSite(t, onceRoute(200*time.Millisecond))
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the connection close
 		<-r.Context().Done()
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -10,12 +10,12 @@
 	"github.com/frankban/quicktest"
 )
 
-// received returns the headers that an endpoint gets of a request with these.
-func received(t *testing.T, h http.Header) http.Header {
-	s := newSite(t, once(time.Second))
+// receivedHeaders returns the headers that an endpoint gets of a request with these.
+func receivedHeaders(t *testing.T, h http.Header) http.Header {
+	s := newSite(t, onceRoute(time.Second))
 	got := make(chan http.Header, 1)
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) { got <- r.Header })
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", nil)
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host, r.Header = "site.example", h
 	a, err := http.DefaultClient.Do(r)
@@ -26,12 +26,12 @@
 }
 
 func TestInstructionsOfCallersDoNotReachEndpoints(t *testing.T) {
-	h := received(t, http.Header{"Id": {"call-1"}, "order-endpoint": {"a"}, "Order-Endpoint": {"b", "c"}, "Connection": {"order-endpoint"}})
+	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "order-endpoint": {"a"}, "Order-Endpoint": {"b", "c"}, "Connection": {"order-endpoint"}})
 	quicktest.Assert(t, h["Order-Endpoint"], quicktest.HasLen, 0)
 }
 
 func TestACallersConnectionHeaderTakesNothingFromTheCall(t *testing.T) {
-	h := received(t, http.Header{"Id": {"call-1"}, "Adapter": {"m/a1"}, "Mine": {"x"}, "Connection": {"adapter, id, mine"}})
+	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "Adapter": {"m/a1"}, "Mine": {"x"}, "Connection": {"adapter, id, mine"}})
 	quicktest.Assert(t, h.Get("Id"), quicktest.Equals, "call-1")
 	quicktest.Assert(t, h.Get("Adapter"), quicktest.Equals, "m/a1")
 	quicktest.Assert(t, h["Mine"], quicktest.HasLen, 0)
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -16,60 +16,60 @@
 	"github.com/go-logr/logr"
 )
 
-// givenLimits knows endpoints that name limits, and hands out so many requests for each.
-type givenLimits struct {
+// fakeLimits knows endpoints that name limits, and hands out so many requests for each.
+type fakeLimits struct {
 	noLimits
 
-	noneLeft bool // for requests that others can serve
+	noneSpare bool // for requests that others can serve
 
-	mu    sync.Mutex
-	left  map[string]int // of an endpoint that names a limit
-	taken []string       // endpoints that were asked for
-	said  []ratelimit.Limit
+	mu        sync.Mutex
+	available map[string]int // of an endpoint that names a limit
+	asked     []string       // endpoints that were asked for
+	observed  []ratelimit.Limit
 }
 
 // HasLimit implements Limits.
-func (l *givenLimits) HasLimit(endpoint string) bool {
+func (l *fakeLimits) HasLimit(endpoint string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, limited := l.left[endpoint]
+	_, limited := l.available[endpoint]
 	return limited
 }
 
 // Acquire implements Limits.
-func (l *givenLimits) Acquire(_ context.Context, e *topology.Endpoint, a ratelimit.Ask) AcquireResult {
+func (l *fakeLimits) Acquire(_ context.Context, e *topology.Endpoint, a ratelimit.Ask) AcquireResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.taken = append(l.taken, e.ID())
-	if l.left[e.ID()] == 0 || (a.Spare && l.noneLeft) {
-		return AcquireResult{Wait: time.Duration(len(l.taken)) * 300 * time.Millisecond}
+	l.asked = append(l.asked, e.ID())
+	if l.available[e.ID()] == 0 || (a.Spare && l.noneSpare) {
+		return AcquireResult{Wait: time.Duration(len(l.asked)) * 300 * time.Millisecond}
 	}
-	l.left[e.ID()]--
+	l.available[e.ID()]--
 	return AcquireResult{OK: true}
 }
 
 // ObserveLimit implements Limits.
-func (l *givenLimits) ObserveLimit(_ string, s ratelimit.Limit, _ time.Time) {
+func (l *fakeLimits) ObserveLimit(_ string, s ratelimit.Limit, _ time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.said = append(l.said, s)
+	l.observed = append(l.observed, s)
 }
 
 // allow lets an endpoint take so many requests.
-func (l *givenLimits) allow(endpoint string, requests int) {
+func (l *fakeLimits) allow(endpoint string, requests int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.left[endpoint] = requests
+	l.available[endpoint] = requests
 }
 
-func (s *site) limit(left map[string]int) *givenLimits {
-	l := &givenLimits{left: left}
+func (s *testSite) limit(left map[string]int) *fakeLimits {
+	l := &fakeLimits{available: left}
 	s.gateway.Limits = l
 	return l
 }
 
 func TestARequestGoesElsewhereWhereAnEndpointTakesNoMore(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	needy, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 0})
 	for range 10 {
@@ -81,7 +81,7 @@
 }
 
 func TestAnEndpointThatNamesALimitGetsWhatItTakes(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	needy := s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 2})
 	var statuses []int
@@ -96,7 +96,7 @@
 
 // Where none has room the caller is told at once when the first one has.
 func TestWhereNoEndpointHasRoomTheCallerComesBackWhenTheFirstHas(t *testing.T) {
-	s := newSite(t, once(20*time.Second))
+	s := newSite(t, onceRoute(20*time.Second))
 	for range 3 {
 		s.endpoint(t, answerOK)
 	}
@@ -107,14 +107,14 @@
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "endpoint_limit\n")
 	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "300ms")
-	s.c.Assert(len(l.taken), quicktest.Equals, 3)
+	s.c.Assert(len(l.asked), quicktest.Equals, 3)
 	s.c.Assert(time.Since(begun) < 10*time.Second, quicktest.IsTrue)
 }
 
 func TestARequestAsksFewEndpointsForRoom(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	left := make(map[string]int)
-	for i := range 3 * fullMost {
+	for i := range 3 * maxLimitDenials {
 		s.endpoint(t, answerOK)
 		left[fmt.Sprintf("e%d", i+1)] = 0
 	}
@@ -122,23 +122,23 @@
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(len(l.taken), quicktest.Equals, fullMost)
+	s.c.Assert(len(l.asked), quicktest.Equals, maxLimitDenials)
 }
 
 // A request that another endpoint could serve was offered what is left of a limit, and got nothing. Then
 // the other one turned it away, and it was refused, though the first one had room for it.
 func TestARequestAsksForMoreOnceTheOthersHaveFailed(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	needy := s.endpoint(t, answerOK)
-	s.endpoint(t, refuseUnrun)
-	s.move("e2", "far")
+	s.endpoint(t, refuseNotExecuted)
+	s.setDataCentre("e2", "far")
 	l := s.limit(map[string]int{"e1": 1})
-	l.noneLeft = true
+	l.noneSpare = true
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(1))
-	s.c.Assert(l.taken, quicktest.DeepEquals, []string{"e1", "e1"})
+	s.c.Assert(l.asked, quicktest.DeepEquals, []string{"e1", "e1"})
 }
 
 // A retry and a stream that goes on are sends like the first one: both take from the limit.
@@ -148,14 +148,14 @@
 		route topology.RouteSpec
 		fails http.HandlerFunc
 	}{
-		{name: "retry", route: once(2 * time.Second), fails: refuseUnrun},
-		{name: "stream", route: resumable(2 * time.Second), fails: func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) }},
+		{name: "retry", route: onceRoute(2 * time.Second), fails: refuseNotExecuted},
+		{name: "stream", route: resumableRoute(2 * time.Second), fails: func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) }},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := newSite(t, x.route)
 			s.endpoint(t, x.fails)
 			needy := s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
-			s.move("e2", "far") // the next one, not the first
+			s.setDataCentre("e2", "far") // the next one, not the first
 			l := s.limit(map[string]int{"e2": 0})
 			_, _, _ = s.ask("/") // its answer is a failure, or broken off
 			s.c.Check(needy.Load(), quicktest.Equals, int64(0))
@@ -164,7 +164,7 @@
 			s.c.Check(err, quicktest.IsNil)
 			s.c.Check(text, quicktest.Contains, "piece 4")
 			s.c.Check(needy.Load(), quicktest.Equals, int64(1))
-			s.c.Check(l.taken, quicktest.DeepEquals, []string{"e2", "e2"})
+			s.c.Check(l.asked, quicktest.DeepEquals, []string{"e2", "e2"})
 		})
 	}
 }
@@ -172,10 +172,10 @@
 // An endpoint failed a request that may be repeated, and the only other one has a limit: its failure is
 // what the caller gets, since nothing better is certain.
 func TestAFailureIsPassedOnWhereOthersMayHaveNoRoom(t *testing.T) {
-	s := newSite(t, repeatable(time.Second))
+	s := newSite(t, repeatableRoute(time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	needy := s.endpoint(t, answerOK)
-	s.move("e2", "far")
+	s.setDataCentre("e2", "far")
 	s.limit(map[string]int{"e2": 0})
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
@@ -183,20 +183,20 @@
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
-// wantedAt notes where an adapter is asked for, and says that it is ready there; at its holder, where
+// recordingPlacer notes where an adapter is asked for, and says that it is ready there; at its holder, where
 // the request does not say that there was no room for it.
-type wantedAt struct {
+type recordingPlacer struct {
 	holder string
 
-	mu   sync.Mutex
-	list []string
+	mu        sync.Mutex
+	requested []string
 }
 
 // Place implements Placer.
-func (p *wantedAt) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
+func (p *recordingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.list = append(p.list, w.Endpoint.ID())
+	p.requested = append(p.requested, w.Endpoint.ID())
 	if p.holder != "" && !w.AvoidLimited {
 		return PlacementResult{Ready: true, Endpoint: p.holder, Version: 1}, nil
 	}
@@ -213,29 +213,29 @@
 // The evidence: 3 of 103 refusals, on a day on which four of twelve endpoints were taken to name limits, say
 // that there is no room, and none where the box says that its request goes elsewhere.
 func TestAnAdapterIsLoadedElsewhereWhereItsHolderTakesNoMore(t *testing.T) {
-	p := &wantedAt{}
-	s, _ := askTwoCentres(t, p, "2s")
-	p.list, p.holder = nil, "e1"
+	p := &recordingPlacer{}
+	s, _ := askAdapters(t, p, "2s")
+	p.requested, p.holder = nil, "e1"
 	s.gateway.View.SetHeld("e1", map[topology.Adapter]topology.Held{{Model: "m", Name: "a"}: {Version: 1, Ready: true}})
 	s.limit(map[string]int{"e1": 0})
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
-	s.c.Assert(p.list, quicktest.DeepEquals, []string{"e2"})
+	s.c.Assert(p.requested, quicktest.DeepEquals, []string{"e2"})
 }
 
 // An answer of another life at the address says nothing of this one; one that can't be trusted to be
 // the endpoint's own may name a limit and end none.
 func TestOnlyAnEndpointsOwnAnswerEndsALimit(t *testing.T) {
 	c := quicktest.New(t)
-	l := &givenLimits{}
+	l := &fakeLimits{}
 	g := &Gateway{Limits: l, Log: logr.Discard()}
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1"})
-	hear := func(a Response) { g.takeNotice(&request{}, newUpstream(e), target{endpoint: e}, a) }
+	hear := func(a Response) { g.observeResponse(&request{}, newUpstream(e), target{endpoint: e}, a) }
 	hear(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.Of(3)}})
 	hear(Response{MatchesCall: true})
 	hear(Response{MatchesCall: true, Signed: true, Notice: Notice{LimitErr: http.ErrBodyNotAllowed}})
-	c.Check(l.said, quicktest.HasLen, 0)
+	c.Check(l.observed, quicktest.HasLen, 0)
 	hear(Response{Notice: Notice{Limit: ratelimit.Of(3)}})
 	hear(Response{MatchesCall: true, Signed: true})
-	c.Check(l.said, quicktest.HasLen, 2)
-	c.Check([]bool{l.said[0].Named(), l.said[1].Named()}, quicktest.DeepEquals, []bool{true, false})
+	c.Check(l.observed, quicktest.HasLen, 2)
+	c.Check([]bool{l.observed[0].Named(), l.observed[1].Named()}, quicktest.DeepEquals, []bool{true, false})
 }
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -25,14 +25,14 @@
 	BackoffErr error // it asks for a time that can't be read; Backoff is zero then
 }
 
-// takeNotice takes in what the head of an answer says of the endpoint. What another endpoint at the
+// observeResponse takes in what the head of an answer says of the endpoint. What another endpoint at the
 // address says is none of it.
-func (g *Gateway) takeNotice(q *request, u *upstream, t target, v Response) {
-	u.heardIdle(v.IdleTimeout)
+func (g *Gateway) observeResponse(q *request, u *upstream, t target, v Response) {
+	u.setIdleTimeout(v.IdleTimeout)
 	if v.WrongEndpoint {
 		return
 	}
-	g.hearLimit(q, t, v)
+	g.observeLimit(q, t, v)
 	n := v.Notice
 	n.Draining = n.Draining && v.MatchesCall // it ends all use of this life, so only an answer to this very request says so
 	g.ObserveNotice(t.endpoint.ID(), n)
@@ -42,20 +42,20 @@
 // another call that the box made.
 func (g *Gateway) ObserveNotice(endpoint string, n Notice) {
 	if n.Draining {
-		g.hearLeaving(endpoint)
+		g.observeDraining(endpoint)
 	}
-	if n.BackoffErr != nil && g.notices.mayLogUnread(endpoint, clock.Now()) {
+	if n.BackoffErr != nil && g.notices.mayLogInvalid(endpoint, clock.Now()) {
 		g.Log.Info("Endpoint's back-off can't be read", "endpoint", endpoint, "err", n.BackoffErr.Error())
 	}
-	if n.Backoff > 0 && g.notices.asks(endpoint, n.Backoff, clock.Now()) {
+	if n.Backoff > 0 && g.notices.setBackoff(endpoint, n.Backoff, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", n.Backoff.Milliseconds())
 	}
 }
 
-// hearLeaving takes in that an endpoint says that it leaves. Its entry at the source may say so much later,
+// observeDraining takes in that an endpoint says that it leaves. Its entry at the source may say so much later,
 // or never.
-func (g *Gateway) hearLeaving(endpoint string) {
-	if !g.notices.leaves(endpoint) {
+func (g *Gateway) observeDraining(endpoint string) {
+	if !g.notices.setDraining(endpoint) {
 		return
 	}
 	g.Log.Info("Endpoint announced draining", "endpoint", endpoint)
@@ -64,15 +64,15 @@
 	}
 }
 
-// takes tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
+// isAvailableID tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
 // asked for no back-off.
-func (g *Gateway) takes(id string, now time.Time) bool {
+func (g *Gateway) isAvailableID(id string, now time.Time) bool {
 	e := g.View.Endpoint(id)
-	return e != nil && g.isOpen(e, now)
+	return e != nil && g.isAvailable(e, now)
 }
 
-// isOpen is takes for an endpoint that is known.
-func (g *Gateway) isOpen(e *topology.Endpoint, now time.Time) bool {
+// isAvailable is takes for an endpoint that is known.
+func (g *Gateway) isAvailable(e *topology.Endpoint, now time.Time) bool {
 	return !e.Draining() && g.BackoffRemaining(e.ID(), now) == 0
 }
 
@@ -83,9 +83,9 @@
 	return g.notices.backoffs.Left(endpoint, now)
 }
 
-// soonest returns when the first of the endpoints takes requests from this box again, as a caller is told;
+// earliestAvailable returns when the first of the endpoints takes requests from this box again, as a caller is told;
 // known is false where none is there that does not leave.
-func (g *Gateway) soonest(list []*topology.Endpoint, now time.Time) (after time.Duration, known bool) {
+func (g *Gateway) earliestAvailable(list []*topology.Endpoint, now time.Time) (after time.Duration, known bool) {
 	for _, e := range list {
 		if e.Draining() {
 			continue
@@ -97,21 +97,21 @@
 	return backoff.ComeBack(after), known
 }
 
-// notices is what endpoints told this box of leaving and of back-offs. Its lock is taken before that of
+// noticeTable is what endpoints told this box of leaving and of back-offs. Its lock is taken before that of
 // the back-offs.
-type notices struct {
+type noticeTable struct {
 	backoffs backoff.Table
 
 	mu         sync.Mutex
-	byEndpoint map[string]*notice
+	byEndpoint map[string]*endpointNotice
 }
 
-// notice is what one life of an endpoint told this box.
-type notice struct {
-	leaving  bool
-	unread   time.Time // when a line last told that what it asks for can't be read
-	backoffs int64
-	ignored  int64 // requests sent since it said that it leaves, or before a back-off was over
+// endpointNotice is what one life of an endpoint told this box.
+type endpointNotice struct {
+	draining        bool
+	invalidLoggedAt time.Time // when a line last told that what it asks for can't be read
+	backoffs        int64
+	ignored         int64 // requests sent since it said that it leaves, or before a back-off was over
 }
 
 // NoticeCounts is what an endpoint told this box of leaving and of back-offs, for the metrics.
@@ -122,60 +122,60 @@
 	Ignored          int64 `json:"ignored"`         // requests sent all the same
 }
 
-func (n *notices) ofLocked(endpoint string) *notice {
+func (n *noticeTable) entryLocked(endpoint string) *endpointNotice {
 	if n.byEndpoint == nil {
-		n.byEndpoint = make(map[string]*notice)
+		n.byEndpoint = make(map[string]*endpointNotice)
 	}
 	if n.byEndpoint[endpoint] == nil {
-		n.byEndpoint[endpoint] = new(notice)
+		n.byEndpoint[endpoint] = new(endpointNotice)
 	}
 	return n.byEndpoint[endpoint]
 }
 
-// leaves notes that an endpoint says that it leaves; it tells whether that is news.
-func (n *notices) leaves(endpoint string) bool {
+// setDraining notes that an endpoint says that it leaves; it tells whether that is news.
+func (n *noticeTable) setDraining(endpoint string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.ofLocked(endpoint)
-	news := !k.leaving
-	k.leaving = true
+	k := n.entryLocked(endpoint)
+	news := !k.draining
+	k.draining = true
 	return news
 }
 
-// asks notes that an endpoint asks for a back-off; it tells whether the endpoint was used until now.
-func (n *notices) asks(endpoint string, d time.Duration, now time.Time) bool {
+// setBackoff notes that an endpoint asks for a back-off; it tells whether the endpoint was used until now.
+func (n *noticeTable) setBackoff(endpoint string, d time.Duration, now time.Time) bool {
 	n.mu.Lock()
-	n.ofLocked(endpoint).backoffs++
+	n.entryLocked(endpoint).backoffs++
 	n.mu.Unlock()
 	return n.backoffs.Ask(endpoint, d, now)
 }
 
-// unreadLine is between two lines that what one endpoint asks for can't be read: each answer may ask.
-const unreadLine = time.Second
+// invalidLogInterval is between two lines that what one endpoint asks for can't be read: each answer may ask.
+const invalidLogInterval = time.Second
 
-// mayLogUnread tells whether a line may tell that what an endpoint asks for can't be read.
-func (n *notices) mayLogUnread(endpoint string, now time.Time) bool {
+// mayLogInvalid tells whether a line may tell that what an endpoint asks for can't be read.
+func (n *noticeTable) mayLogInvalid(endpoint string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.ofLocked(endpoint)
-	if !k.unread.IsZero() && now.Sub(k.unread) < unreadLine {
+	k := n.entryLocked(endpoint)
+	if !k.invalidLoggedAt.IsZero() && now.Sub(k.invalidLoggedAt) < invalidLogInterval {
 		return false
 	}
-	k.unread = now
+	k.invalidLoggedAt = now
 	return true
 }
 
-// sent notes a request to an endpoint.
-func (n *notices) sent(endpoint string, now time.Time) {
+// recordSent notes a request to an endpoint.
+func (n *noticeTable) recordSent(endpoint string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if k := n.byEndpoint[endpoint]; k != nil && (k.leaving || n.backoffs.Left(endpoint, now) > 0) {
+	if k := n.byEndpoint[endpoint]; k != nil && (k.draining || n.backoffs.Left(endpoint, now) > 0) {
 		k.ignored++
 	}
 }
 
-// keep forgets what endpoints that are gone said. Back-offs stay: an entry may lapse and come back.
-func (n *notices) keep(known func(id string) bool) {
+// prune forgets what endpoints that are gone said. Back-offs stay: an entry may lapse and come back.
+func (n *noticeTable) prune(known func(id string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id := range n.byEndpoint {
@@ -193,7 +193,7 @@
 	list := make(map[string]NoticeCounts, len(g.notices.byEndpoint))
 	for id, k := range g.notices.byEndpoint {
 		list[id] = NoticeCounts{
-			Draining:         k.leaving,
+			Draining:         k.draining,
 			Backoffs:         k.backoffs,
 			BackoffRemaining: g.BackoffRemaining(id, now).Milliseconds(),
 			Ignored:          k.ignored,
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -14,8 +14,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// says answers by h, and writes a header into the answer besides.
-func says(header, value string, h http.HandlerFunc) http.HandlerFunc {
+// withHeader answers by h, and writes a header into the answer besides.
+func withHeader(header, value string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(header, value)
 		h(w, r)
@@ -23,9 +23,9 @@
 }
 
 func TestAnEndpointThatAskedForABackOffIsNotAsked(t *testing.T) {
-	s := newSite(t, once(time.Second))
-	needy, other := s.endpoint(t, says("Back-Off", "60", refuseUnrun)), s.endpoint(t, answerOK)
-	s.move("e2", "far") // the other one goes first
+	s := newSite(t, onceRoute(time.Second))
+	needy, other := s.endpoint(t, withHeader("Back-Off", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
+	s.setDataCentre("e2", "far") // the other one goes first
 	for range 5 {
 		a, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
@@ -37,11 +37,11 @@
 }
 
 func TestAnEndpointIsUsedAgainAfterItsBackOff(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	var asked atomic.Bool
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if !asked.Swap(true) {
-			says("Back-Off", "0.05", refuseUnrun)(w, r)
+			withHeader("Back-Off", "0.05", refuseNotExecuted)(w, r)
 			return
 		}
 		answerOK(w, r)
@@ -60,22 +60,22 @@
 // Where all endpoints want nothing the caller is told at once when the first takes requests again: it is
 // not held until its deadline, and no endpoint is asked all the same.
 func TestWhereAllEndpointsWantNothingTheCallerIsToldWhenTheFirstDoes(t *testing.T) {
-	s := newSite(t, once(time.Minute))
-	near, far := s.endpoint(t, says("Back-Off", "30", refuseUnrun)), s.endpoint(t, says("Back-Off", "10", refuseUnrun))
+	s := newSite(t, onceRoute(time.Minute))
+	near, far := s.endpoint(t, withHeader("Back-Off", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Back-Off", "10", refuseNotExecuted))
 	a, _, err := s.ask("/") // finds it out
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	checkBack(s.c, a)
+	assertRetryAfter(s.c, a)
 	a, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "endpoint_backoff\n")
-	checkBack(s.c, a)
+	assertRetryAfter(s.c, a)
 	s.c.Assert([]int64{near.Load(), far.Load()}, quicktest.DeepEquals, []int64{1, 1})
 }
 
-// checkBack checks the time that a caller is told where the first endpoint wants nothing for ten seconds.
-func checkBack(c *quicktest.C, a *http.Response) {
+// assertRetryAfter checks the time that a caller is told where the first endpoint wants nothing for ten seconds.
+func assertRetryAfter(c *quicktest.C, a *http.Response) {
 	c.Helper()
 	back, err := time.ParseDuration(a.Header.Get("Come-Back"))
 	c.Assert(err, quicktest.IsNil)
@@ -84,8 +84,8 @@
 
 // An endpoint that leaves is no way out where the others want nothing.
 func TestAnEndpointThatLeavesIsNotWaitedFor(t *testing.T) {
-	s := newSite(t, once(time.Second))
-	leaving := s.endpoint(t, says("Leaving", "1", answerOK))
+	s := newSite(t, onceRoute(time.Second))
+	leaving := s.endpoint(t, withHeader("Leaving", "1", answerOK))
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
@@ -110,11 +110,11 @@
 		{name: "of another endpoint", answer: Response{MatchesCall: true, WrongEndpoint: true}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			s := newSite(t, once(time.Second))
+			s := newSite(t, onceRoute(time.Second))
 			s.endpoint(t, answerOK)
 			e := s.gateway.View.Endpoint("e1")
 			x.answer.Notice = Notice{Draining: true, Backoff: time.Minute}
-			s.gateway.takeNotice(&request{}, newUpstream(e), target{endpoint: e}, x.answer)
+			s.gateway.observeResponse(&request{}, newUpstream(e), target{endpoint: e}, x.answer)
 			s.c.Check(s.gateway.View.Endpoint("e1").Draining(), quicktest.Equals, x.leaving)
 			s.c.Check(s.gateway.BackoffRemaining("e1", time.Now()) > 0, quicktest.Equals, x.backoff)
 		})
@@ -123,10 +123,10 @@
 
 // An endpoint that leaves is told to others once, by whichever answer says so.
 func TestThatAnEndpointLeavesIsToldOnce(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	var told []string
 	s.gateway.OnDraining = func(e string) { told = append(told, e) }
-	s.endpoint(t, says("Leaving", "1", answerOK))
+	s.endpoint(t, withHeader("Leaving", "1", answerOK))
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.gateway.ObserveNotice("e1", Notice{Draining: true})
@@ -152,7 +152,7 @@
 // A request that waited for a load goes to another endpoint where this one asked for a back-off meanwhile,
 // and whoever decides there hears which one to avoid.
 func TestARequestThatWaitedDoesNotGoToAnEndpointThatAskedForABackOff(t *testing.T) {
-	s, _ := askTwoCentres(t, elsewherePlacer("e1"), "2s")
+	s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 	p := &backoffPlacer{gateway: s.gateway}
 	s.gateway.Placer = p
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
@@ -165,9 +165,9 @@
 // A leader of an older version names an endpoint that asked this box for a back-off, and the request is
 // refused at once instead.
 func TestALeadersWordDoesNotBringARequestToAnEndpointThatAskedForABackOff(t *testing.T) {
-	s, _ := askTwoCentres(t, elsewherePlacer("e3"), "2s")
+	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	holder := s.endpoint(t, answerOK)
-	s.move("e3", "dc")
+	s.setDataCentre("e3", "dc")
 	s.gateway.ObserveNotice("e3", Notice{Backoff: time.Minute})
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(holder.Load(), quicktest.Equals, int64(0))
@@ -175,12 +175,12 @@
 
 // A stream goes on at an endpoint that takes requests, and at no other.
 func TestAStreamDoesNotGoOnWhereABackOffWasAskedFor(t *testing.T) {
-	s := newSite(t, resumable(2*time.Second))
+	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) })
 	needy := s.endpoint(t, answerOK)
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
-	s.move("e2", "far")
-	s.move("e3", "far")
+	s.setDataCentre("e2", "far")
+	s.setDataCentre("e3", "far")
 	s.gateway.ObserveNotice("e2", Notice{Backoff: time.Minute})
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
@@ -188,27 +188,27 @@
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
-// waitingLimits grants a request after a time in which the endpoint begins to leave.
-type waitingLimits struct {
+// drainingLimits grants a request after a time in which the endpoint begins to leave.
+type drainingLimits struct {
 	noLimits
 
 	view *topology.View
 }
 
 // HasLimit implements Limits.
-func (waitingLimits) HasLimit(endpoint string) bool { return endpoint == "e1" }
+func (drainingLimits) HasLimit(endpoint string) bool { return endpoint == "e1" }
 
 // Acquire implements Limits.
-func (l waitingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) AcquireResult {
+func (l drainingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) AcquireResult {
 	l.view.Leave(e.ID())
 	return AcquireResult{OK: true, Wait: time.Millisecond}
 }
 
 func TestARequestThatWaitedForItsTurnDoesNotGoToAnEndpointThatLeaves(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	left, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
-	s.move("e2", "far")
-	s.gateway.Limits = waitingLimits{view: s.gateway.View}
+	s.setDataCentre("e2", "far")
+	s.gateway.Limits = drainingLimits{view: s.gateway.View}
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
@@ -217,12 +217,12 @@
 
 // An endpoint's entry lapses while the source is away, and comes back: the same life wants nothing still.
 func TestABackOffOutlastsAnEntryThatLapses(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
 	e := s.gateway.View.Endpoint("e1")
 	s.gateway.ObserveNotice("e1", Notice{Backoff: time.Minute})
 	s.gateway.View.RemoveEndpoint("e1")
-	s.gateway.notices.keep(func(string) bool { return false })
+	s.gateway.notices.prune(func(string) bool { return false })
 	s.gateway.View.SetEndpoint(e)
-	s.c.Assert(s.gateway.takes("e1", time.Now()), quicktest.IsFalse)
+	s.c.Assert(s.gateway.isAvailableID("e1", time.Now()), quicktest.IsFalse)
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestARequestInQuarantineIsRefusedAtOnceAndToldWhenToComeBack(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	calls := s.endpoint(t, answerOK)
 	k := &keeper{left: 40 * time.Minute}
 	s.gateway.Quarantine = k
@@ -67,12 +67,12 @@
 
 // The word of another box may come while a request waits, here while its first endpoint refuses it.
 func TestARequestThatComesIntoQuarantineIsSentNoMore(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
 	refuse := func(w http.ResponseWriter, r *http.Request) {
 		k.keep(time.Hour)
-		refuseUnrun(w, r)
+		refuseNotExecuted(w, r)
 	}
 	first, second := s.endpoint(t, refuse), s.endpoint(t, refuse)
 	a, _, err := s.ask("/")
@@ -83,12 +83,12 @@
 
 // It has run, so its caller is not told that it has not.
 func TestARequestThatRanBeforeItsQuarantineIsNotCalledUnrun(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
+	s := newSite(t, repeatableRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
 	cut := func(w http.ResponseWriter, r *http.Request) {
 		k.keep(time.Hour)
-		hangUp(w, r)
+		dropConnection(w, r)
 	}
 	first, second := s.endpoint(t, cut), s.endpoint(t, cut)
 	a, _, err := s.ask("/")
@@ -98,14 +98,14 @@
 }
 
 func TestAnEndIsToldWithTheRequestsThatRanThere(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
-	s.runs(t)
-	s.fragile(t, "e1", "the body")
+	s.runGateway(t)
+	s.addCrashing(t, "e1", "the body")
 	_, _, err := s.ask("/x?y")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
 	for k.of("e1") == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -116,17 +116,17 @@
 // Endpoints of a rack end together while each runs a page that all callers open. It was answered
 // again and again before, so it is not what they ended under.
 func TestARequestThatWasAnsweredLatelyIsNotSuspect(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
-	s.runs(t)
+	s.runGateway(t)
 	s.endpoint(t, answerOK)
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.gateway.View.RemoveEndpoint("e1")
-	s.fragile(t, "e2", "the body")
+	s.addCrashing(t, "e2", "the body")
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
 	s.c.Assert(k.of("e2"), quicktest.HasLen, 0)
 }
--- a/forward/record.go
+++ b/forward/record.go
@@ -7,15 +7,15 @@
 	"cairnwick.example/metrics"
 )
 
-// sampleEvery is how many ordinary successes share one log line.
-const sampleEvery = 32
+// sampleInterval is how many ordinary successes share one log line.
+const sampleInterval = 32
 
-// mostRoutes bounds the histograms by route.
-const mostRoutes = 64
+// maxRoutes bounds the histograms by route.
+const maxRoutes = 64
 
-// mostOrganisations bounds the histograms by organisation; the rest share one. A histogram takes
+// maxOrganisations bounds the histograms by organisation; the rest share one. A histogram takes
 // 25 KB of heap, so that both families stay below 4 MB.
-const mostOrganisations = 64
+const maxOrganisations = 64
 
 // Stats are the gateway's histograms.
 type Stats struct {
@@ -32,50 +32,50 @@
 // NewStats returns empty histograms.
 func NewStats() *Stats {
 	return &Stats{
-		Routes:          metrics.NewFamily(mostRoutes),
-		FirstByte:       metrics.NewFamily(mostRoutes),
-		Refusals:        metrics.NewFamily(mostRoutes),
-		FailedAttempts:  metrics.NewFamily(mostRoutes),
-		PredictionError: metrics.NewFamily(mostRoutes),
+		Routes:          metrics.NewFamily(maxRoutes),
+		FirstByte:       metrics.NewFamily(maxRoutes),
+		Refusals:        metrics.NewFamily(maxRoutes),
+		FailedAttempts:  metrics.NewFamily(maxRoutes),
+		PredictionError: metrics.NewFamily(maxRoutes),
 
-		Organisations:        metrics.NewFamily(mostOrganisations),
-		OrganisationRefusals: metrics.NewFamily(mostOrganisations),
+		Organisations:        metrics.NewFamily(maxOrganisations),
+		OrganisationRefusals: metrics.NewFamily(maxOrganisations),
 	}
 }
 
-// note records a request that was served.
-func (g *Gateway) note(q *request, out *answer) {
+// recordSuccess records a request that was served.
+func (g *Gateway) recordSuccess(q *request, out *callerResponse) {
 	now := clock.Now()
 	g.watch().Answered(q.content, now)
 	g.Stats.Routes.Observe(q.route.Name(), now.Sub(q.received))
-	g.Stats.FirstByte.Observe(q.route.Name(), out.first.Sub(q.received))
+	g.Stats.FirstByte.Observe(q.route.Name(), out.firstByteAt.Sub(q.received))
 	if q.organisation != nil {
-		g.Stats.Organisations.Observe(q.payer(), now.Sub(q.received))
+		g.Stats.Organisations.Observe(q.organisationName(), now.Sub(q.received))
 	}
-	plain := q.attempts == 1 && out.status < 300 && out.first.Sub(q.received) <= q.route.Target()
-	g.notePrediction(q)
-	if g.LogBacklogged() || (plain && g.sampled.Add(1)%sampleEvery != 0 && !g.Log.V(1).Enabled()) {
+	plain := q.attempts == 1 && out.status < 300 && out.firstByteAt.Sub(q.received) <= q.route.Target()
+	g.recordPrediction(q)
+	if g.LogBacklogged() || (plain && g.sampleCount.Add(1)%sampleInterval != 0 && !g.Log.V(1).Enabled()) {
 		return
 	}
-	g.Log.Info("Request was answered", "request", q.call.ID, "route", q.route.Name(), "organisation", q.payer(), "endpoint", q.sentTo.ID(),
+	g.Log.Info("Request was answered", "request", q.call.ID, "route", q.route.Name(), "organisation", q.organisationName(), "endpoint", q.sentTo.ID(),
 		"adapter", q.call.Adapter.String(), "adapter_version", q.version, "config", q.config.Version(),
-		"status", out.status, "attempts", q.attempts, "waited_ms", q.waited.Milliseconds(), "queued_ms", q.queued.Milliseconds(),
-		"sent_ms", q.sentAt.Sub(q.received).Milliseconds(), "predicted_ms", q.predicted.Milliseconds(),
-		"first_ms", out.first.Sub(q.received).Milliseconds(), "target_ms", q.route.Target().Milliseconds(),
-		"pause_ms", q.pause.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
+		"status", out.status, "attempts", q.attempts, "waited_ms", q.placementTime.Milliseconds(), "queued_ms", q.queueTime.Milliseconds(),
+		"sent_ms", q.sentAt.Sub(q.received).Milliseconds(), "predicted_ms", q.predictedFirstToken.Milliseconds(),
+		"first_ms", out.firstByteAt.Sub(q.received).Milliseconds(), "target_ms", q.route.Target().Milliseconds(),
+		"pause_ms", q.maxEventGap.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
 }
 
-// notePrediction records how far off the predicted time to the first token was.
-func (g *Gateway) notePrediction(q *request) {
-	if q.call.Adapter.Name == "" || q.firstAt.IsZero() {
+// recordPrediction records how far off the predicted time to the first token was.
+func (g *Gateway) recordPrediction(q *request) {
+	if q.call.Adapter.Name == "" || q.firstTokenAt.IsZero() {
 		return
 	}
-	seen := q.firstAt.Sub(q.sentAt)
-	if seen > q.predicted {
-		g.Stats.PredictionError.Observe("later", seen-q.predicted)
+	seen := q.firstTokenAt.Sub(q.sentAt)
+	if seen > q.predictedFirstToken {
+		g.Stats.PredictionError.Observe("later", seen-q.predictedFirstToken)
 		return
 	}
-	g.Stats.PredictionError.Observe("sooner", q.predicted-seen)
+	g.Stats.PredictionError.Observe("sooner", q.predictedFirstToken-seen)
 }
 
 // recordAttempt records an attempt that brought no answer.
@@ -92,7 +92,7 @@
 	took := clock.Since(q.received)
 	g.Stats.Refusals.Observe(string(f.Code), took)
 	if q.organisation != nil {
-		g.Stats.OrganisationRefusals.Observe(q.payer()+" "+string(f.Code), took)
+		g.Stats.OrganisationRefusals.Observe(q.organisationName()+" "+string(f.Code), took)
 	}
 	route, version, endpoint := "", uint64(0), ""
 	if q.route != nil {
@@ -104,8 +104,8 @@
 	if q.sentTo != nil {
 		endpoint = q.sentTo.ID()
 	}
-	g.Log.Info("Request failed", "request", q.call.ID, "content", q.content.String(), "route", route, "organisation", q.payer(), "reason", string(f.Code),
+	g.Log.Info("Request failed", "request", q.call.ID, "content", q.content.String(), "route", route, "organisation", q.organisationName(), "reason", string(f.Code),
 		"status", f.status(), "may_have_run", f.MayHaveRun, "begun", begun, "adapter", q.call.Adapter.String(),
-		"endpoint", endpoint, "attempts", q.attempts, "retry_withheld", q.withheld, "config", version, "waited_ms", q.waited.Milliseconds(),
+		"endpoint", endpoint, "attempts", q.attempts, "retry_withheld", q.retryWithheld, "config", version, "waited_ms", q.placementTime.Milliseconds(),
 		"took_ms", took.Milliseconds(), "retry_ms", f.RetryAfter.Milliseconds(), "cause", f.Detail)
 }
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -16,20 +16,20 @@
 	"github.com/pkg/errors"
 )
 
-// logged keeps a gateway's lines.
-type logged struct {
+// logLines keeps a gateway's lines.
+type logLines struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (l *logged) add(_, line string) {
+func (l *logLines) add(_, line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = append(l.lines, line)
 }
 
-// with returns the lines that hold a text.
-func (l *logged) with(text string) []string {
+// containing returns the lines that hold a text.
+func (l *logLines) containing(text string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var some []string
@@ -45,22 +45,22 @@
 func TestARequestThatIsRefusedAtOnceIsLoggedByItsID(t *testing.T) {
 	for _, k := range []struct {
 		name  string
-		site  *site
+		site  *testSite
 		held  int
 		cause string
 	}{
-		{"overload", newSite(t, once(time.Second)), 0, "overloaded"},
+		{"overload", newSite(t, onceRoute(time.Second)), 0, "overloaded"},
 		{"no configuration", newSite(t), 100, "no_configuration"},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			var l logged
+			var l logLines
 			k.site.gateway.Log = funcr.New(l.add, funcr.Options{})
 			k.site.gateway.MaxInFlight = k.held
 			a, _, err := k.site.ask("/")
 			c := quicktest.New(t)
 			c.Assert(err, quicktest.IsNil)
 			c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-			failed := l.with("Request failed")
+			failed := l.containing("Request failed")
 			c.Assert(failed, quicktest.HasLen, 1)
 			c.Assert(failed[0], quicktest.Contains, `"request"="call-1"`)
 			c.Assert(failed[0], quicktest.Contains, k.cause)
@@ -68,26 +68,26 @@
 	}
 }
 
-// silentPlacer reaches nobody.
-type silentPlacer struct{}
+// failingPlacer reaches nobody.
+type failingPlacer struct{}
 
 // Place implements Placer.
-func (silentPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+func (failingPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
 	return PlacementResult{}, errors.New("nobody answers")
 }
 
 // While a leader changed each waiting request wrote the same line ten times a second.
 func TestARequestThatNobodyAnswersIsLoggedOnce(t *testing.T) {
-	s := newSite(t, once(time.Second))
-	var l logged
+	s := newSite(t, onceRoute(time.Second))
+	var l logLines
 	s.gateway.Log = funcr.New(l.add, funcr.Options{})
-	s.gateway.Placer = silentPlacer{}
+	s.gateway.Placer = failingPlacer{}
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", DataCentre: "dc", Slots: 1})
 	q := &request{config: s.gateway.View.Config(), call: Call{ID: "call-1", Adapter: topology.Adapter{Model: "m", Name: "a"}}, received: time.Now(),
-		deadline: time.Now().Add(time.Second), route: topology.NewRoute(once(time.Second))}
+		deadline: time.Now().Add(time.Second), route: topology.NewRoute(onceRoute(time.Second))}
 	for range 3 {
-		_, _, settling := s.gateway.askHomes(context.Background(), q, []*topology.Endpoint{e})
+		_, _, settling := s.gateway.requestPlacement(context.Background(), q, []*topology.Endpoint{e})
 		s.c.Assert(settling, quicktest.IsTrue)
 	}
-	s.c.Assert(l.with("Nobody answers"), quicktest.HasLen, 1)
+	s.c.Assert(l.containing("Nobody answers"), quicktest.HasLen, 1)
 }
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.MayHaveRun, f.Detail)
 }
 
-// soonest is the shortest time that a refused caller is told.
-const soonest = 50 * time.Millisecond
+// minRetryAfter is the shortest time that a refused caller is told.
+const minRetryAfter = 50 * time.Millisecond
 
 // status is 503 only where the request has provably not run.
 func (f *Refusal) status() int {
@@ -92,7 +92,7 @@
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		g.Protocol.SetRetryAfter(h, max(f.RetryAfter, soonest))
+		g.Protocol.SetRetryAfter(h, max(f.RetryAfter, minRetryAfter))
 	}
 	if f.Code == CodeKeysStale {
 		h.Set("Connection", "close") // another box may know more
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -24,9 +24,9 @@
 // The evidence: 89 of 668 attempts that were turned away went to an endpoint that had turned the same
 // request away before; with the mend taken out the endpoint here gets four.
 func TestARetryDoesNotGoBackToTheEndpointThatTurnedItAway(t *testing.T) {
-	s, _ := askTwoCentres(t, elsewherePlacer("e3"), "2s")
-	holder := s.endpoint(t, refuseUnrun)
-	s.move("e3", "dc")
+	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
+	holder := s.endpoint(t, refuseNotExecuted)
+	s.setDataCentre("e3", "dc")
 	s.askAdapter()
 	s.c.Assert(holder.Load(), quicktest.Equals, int64(1))
 }
@@ -43,46 +43,46 @@
 // The evidence: on such a day 1,144 attempts were turned away, and 747 requests were refused for want of a retry;
 // with the mend 7 in 1,000 are refused, in three days of three.
 func TestAnEndpointThatTurnsRequestsAwayInARowIsPassedOver(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	for range 3 {
 		s.endpoint(t, answerOK)
 	}
 	list := s.gateway.View.Endpoints("app")
-	sheds := s.gateway.upstreams.of(list[0])
+	sheds := s.gateway.upstreams.get(list[0])
 	now := time.Now()
 	count := func(after time.Duration) int { return len(s.gateway.usable(list, nil, now.Add(after))) }
-	sheds.turnedAway(now)
+	sheds.recordRefusal(now)
 	s.c.Assert(count(0), quicktest.Equals, 3) // it may be full just now
-	sheds.turnedAway(now)
+	sheds.recordRefusal(now)
 	s.c.Assert(count(0), quicktest.Equals, 2)
-	sheds.turnedAway(now) // one that was sent before
-	s.c.Assert(count(shedFirst), quicktest.Equals, 3)
-	sheds.turnedAway(now.Add(shedFirst))
-	s.c.Assert(count(2*shedFirst), quicktest.Equals, 2)
-	s.c.Assert(count(3*shedFirst), quicktest.Equals, 3)
-	last := 3 * shedFirst
+	sheds.recordRefusal(now) // one that was sent before
+	s.c.Assert(count(minShedTime), quicktest.Equals, 3)
+	sheds.recordRefusal(now.Add(minShedTime))
+	s.c.Assert(count(2*minShedTime), quicktest.Equals, 2)
+	s.c.Assert(count(3*minShedTime), quicktest.Equals, 3)
+	last := 3 * minShedTime
 	for range 20 {
-		sheds.turnedAway(now.Add(last))
-		last += shedMost
+		sheds.recordRefusal(now.Add(last))
+		last += maxShedTime
 	}
 	s.c.Assert(count(last-1), quicktest.Equals, 2)
 	s.c.Assert(count(last), quicktest.Equals, 3) // never for longer
-	sheds.outcome(false)
-	sheds.turnedAway(now.Add(last))
+	sheds.recordOutcome(false)
+	sheds.recordRefusal(now.Add(last))
 	s.c.Assert(count(last), quicktest.Equals, 3) // it has served since
 }
 
 // All endpoints of a service that is overloaded turn requests away: they are asked all the same.
 func TestWhereMostEndpointsTurnRequestsAwayNoneIsPassedOver(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	for range 4 {
 		s.endpoint(t, answerOK)
 	}
 	list := s.gateway.View.Endpoints("app")
 	now := time.Now()
 	for _, e := range list[:2] {
-		s.gateway.upstreams.of(e).turnedAway(now)
-		s.gateway.upstreams.of(e).turnedAway(now)
+		s.gateway.upstreams.get(e).recordRefusal(now)
+		s.gateway.upstreams.get(e).recordRefusal(now)
 	}
 	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 4)
 }
@@ -97,12 +97,12 @@
 // The evidence: four lines of one request, "not reached: connection refused", the first and the last for the same
 // endpoint; 5 of 8 runs on a busy machine.
 func TestARequestThatReachesNobodyGoesOnToAnEndpointThatServes(t *testing.T) {
-	s := newSite(t, once(5*time.Second))
-	for range mostUnreached - 1 {
-		s.dark(t)
+	s := newSite(t, onceRoute(5*time.Second))
+	for range maxUnsent - 1 {
+		s.addRefusing(t)
 	}
 	serves := s.endpoint(t, answerOK)
-	s.move(fmt.Sprintf("e%d", s.count), "far") // the last one to be tried
+	s.setDataCentre(fmt.Sprintf("e%d", s.count), "far") // the last one to be tried
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
@@ -110,8 +110,8 @@
 }
 
 func TestARequestIsNotBroughtBackToAnEndpointThatItDidNotReach(t *testing.T) {
-	s, _ := askTwoCentres(t, elsewherePlacer("e3"), "2s")
-	s.dark(t)
+	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
+	s.addRefusing(t)
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(s.gateway.RetryCounts()["app"].Unsent, quicktest.Equals, int64(1))
 }
--- a/forward/place_test.go
+++ b/forward/select_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestAnEndpointInADataCentreOutOfReachIsNotUsed(t *testing.T) {
-	s := newSite(t, once(time.Second))
+	s := newSite(t, onceRoute(time.Second))
 	s.gateway.Unreachable = func(c string) bool { return c == "cut" }
 	near := topology.NewEndpoint(topology.EndpointSpec{ID: "near", Service: "app", DataCentre: "dc", Slots: 1})
 	far := topology.NewEndpoint(topology.EndpointSpec{ID: "far", Service: "app", DataCentre: "cut", Slots: 1})
@@ -70,51 +70,51 @@
 
 func TestSeveralUnreachableEndpointsMakeTheirDataCentreAvoided(t *testing.T) {
 	c := quicktest.New(t)
-	var a centres
+	var a dataCentres
 	now := time.Unix(100, 0)
-	for i := range failuresMost - 1 {
-		a.fail("far", fmt.Sprint(i), now)
-		a.fail("far", "0", now) // the same one again is no more than one
+	for i := range failureThreshold - 1 {
+		a.recordFailure("far", fmt.Sprint(i), now)
+		a.recordFailure("far", "0", now) // the same one again is no more than one
 	}
 	c.Assert(a.isAvoided("far", now), quicktest.IsFalse)
-	late := now.Add(2 * failuresWithin) // the others are long ago
-	a.fail("far", "9", late)
+	late := now.Add(2 * failureWindow) // the others are long ago
+	a.recordFailure("far", "9", late)
 	c.Assert(a.isAvoided("far", late), quicktest.IsFalse)
-	for i := range failuresMost {
-		a.fail("far", fmt.Sprint(i), late)
+	for i := range failureThreshold {
+		a.recordFailure("far", fmt.Sprint(i), late)
 	}
 	c.Assert(a.isAvoided("far", late), quicktest.IsTrue)
-	c.Assert(a.isAvoided("far", late.Add(2*avoidFor)), quicktest.IsFalse)
+	c.Assert(a.isAvoided("far", late.Add(2*avoidDuration)), quicktest.IsFalse)
 }
 
 // A cut showed only by the heartbeats of boxes, 1.2 s later; every request into it until
 // then was lost.
 func TestSeveralRequestsIntoSilenceMakeTheirDataCentreAvoided(t *testing.T) {
 	c := quicktest.New(t)
-	var a centres
+	var a dataCentres
 	sent := time.Unix(100, 0)
 	late := sent.Add(silenceTimeout)
-	a.hear("far", sent.Add(time.Millisecond)) // of another request there
-	for i := range failuresMost {
-		a.silence("far", fmt.Sprint(i), sent, late)
+	a.recordActivity("far", sent.Add(time.Millisecond)) // of another request there
+	for i := range failureThreshold {
+		a.recordSilence("far", fmt.Sprint(i), sent, late)
 	}
 	c.Assert(a.isAvoided("far", late), quicktest.IsFalse)
 	sent = late
 	late = sent.Add(silenceTimeout)
-	for i := range failuresMost {
-		a.silence("far", fmt.Sprint(i), sent, late)
+	for i := range failureThreshold {
+		a.recordSilence("far", fmt.Sprint(i), sent, late)
 	}
 	c.Assert(a.isAvoided("far", late), quicktest.IsTrue)
 }
 
-// leavingPlacer makes the first endpoint that it is asked for leave meanwhile.
-type leavingPlacer struct {
+// drainingPlacer makes the first endpoint that it is asked for leave meanwhile.
+type drainingPlacer struct {
 	view *topology.View
 	left string
 }
 
 // Place implements Placer.
-func (p *leavingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
+func (p *drainingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	if p.left == "" {
 		p.left = w.Endpoint.ID()
 		p.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
@@ -127,10 +127,10 @@
 // A request that waited two seconds for a load reached an endpoint that had begun to
 // leave meanwhile.
 func TestARequestThatWaitedDoesNotGoToAnEndpointThatLeaves(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	engine := &topology.EngineSpec{AdapterSlots: 2}
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: engine})}
-	r := once(2 * time.Second)
+	r := onceRoute(2 * time.Second)
 	r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
 	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
 	calls := make(map[string]*atomic.Int64)
@@ -143,30 +143,30 @@
 			ID: id, Service: "app", Address: e.Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"},
 		}))
 	}
-	p := &leavingPlacer{view: s.gateway.View}
+	p := &drainingPlacer{view: s.gateway.View}
 	s.gateway.Placer = p
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
 	s.c.Assert(calls[p.left].Load(), quicktest.Equals, int64(0))
 }
 
-// elsewherePlacer has every adapter loaded at one endpoint, whichever it is asked for.
-type elsewherePlacer string
+// fixedPlacer has every adapter loaded at one endpoint, whichever it is asked for.
+type fixedPlacer string
 
 // Place implements Placer.
-func (p elsewherePlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+func (p fixedPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
 	return PlacementResult{Ready: true, Endpoint: string(p)}, nil
 }
 
 func TestARequestGoesWhereItsAdapterWasLoaded(t *testing.T) {
 	for _, id := range []string{"e1", "e2"} {
-		s, statuses := askTwoCentres(t, elsewherePlacer(id), "2s", "a", "b", "c", "d")
+		s, statuses := askAdapters(t, fixedPlacer(id), "2s", "a", "b", "c", "d")
 		s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusOK, http.StatusOK, http.StatusOK, http.StatusOK})
 		s.c.Assert(s.calls[id].Load(), quicktest.Equals, int64(4))
 	}
 }
 
-// dark adds an endpoint that refuses connections.
-func (s *site) dark(t *testing.T) string {
+// addRefusing adds an endpoint that refuses connections.
+func (s *testSite) addRefusing(t *testing.T) string {
 	s.endpoint(t, answerOK)
 	id := fmt.Sprintf("e%d", s.count)
 	e := s.gateway.View.Endpoint(id)
@@ -177,10 +177,10 @@
 // While a data centre was cut off, its boxes refused requests that had reached nobody,
 // since the budget of retries was used up, though an endpoint beside them served.
 func TestARequestThatReachedNobodyNeedsNoBudget(t *testing.T) {
-	s := newSite(t, once(5*time.Second))
+	s := newSite(t, onceRoute(5*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	for range 2 {
-		s.dark(t)
+		s.addRefusing(t)
 	}
 	s.endpoint(t, answerOK)
 	for range 3 {
@@ -193,10 +193,10 @@
 // Two of three endpoints were cut off, and were asked again and again, since no more than
 // half of a service is avoided.
 func TestEndpointsThatRefuseConnectionsAreAvoidedAsLongAsOthersServe(t *testing.T) {
-	s := newSite(t, once(5*time.Second))
+	s := newSite(t, onceRoute(5*time.Second))
 	now := time.Now()
 	for range 2 {
-		s.gateway.upstreams.of(s.gateway.View.Endpoint(s.dark(t))).unreachable(now)
+		s.gateway.upstreams.get(s.gateway.View.Endpoint(s.addRefusing(t))).markDown(now)
 	}
 	list := s.gateway.View.Endpoints("app")
 	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 2) // nothing else is there
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -17,9 +17,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// behindProxy moves the site's latest endpoint behind a proxy that can make its connections
+// addProxy moves the site's latest endpoint behind a proxy that can make its connections
 // silent.
-func (s *site) behindProxy(t *testing.T) *standin.SilentProxy {
+func (s *testSite) addProxy(t *testing.T) *standin.SilentProxy {
 	e := s.gateway.View.All()[0]
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	s.c.Assert(err, quicktest.IsNil)
@@ -46,7 +46,7 @@
 // worked. A request waited on one until its deadline, and so did each later one on another.
 func TestOneRequestOnASilentConnectionIsEnough(t *testing.T) {
 	const kept = 3
-	s := newSite(t, once(4*silenceTimeout))
+	s := newSite(t, onceRoute(4*silenceTimeout))
 	var together sync.WaitGroup // so that each of the first requests has its connection
 	together.Add(kept)
 	var count atomic.Int64
@@ -57,7 +57,7 @@
 		}
 		answerOK(w, r)
 	})
-	p := s.behindProxy(t)
+	p := s.addProxy(t)
 	status := make(chan int, kept)
 	ask := func() {
 		a, _, err := s.ask("/")
@@ -96,8 +96,8 @@
 		c.Assert(err, quicktest.IsNil)
 		return value
 	}
-	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), quicktest.Equals, int(userTimeout.Milliseconds()))
+	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), quicktest.Equals, int(tcpUserTimeout.Milliseconds()))
 	c.Assert(option(unix.SOL_SOCKET, unix.SO_KEEPALIVE), quicktest.Equals, 1)
-	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), quicktest.Equals, int(keepIdle.Seconds()))
-	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), quicktest.Equals, int(keepIdle.Seconds()))
+	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), quicktest.Equals, int(keepAliveIdle.Seconds()))
+	c.Assert(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), quicktest.Equals, int(keepAliveIdle.Seconds()))
 }
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestAStreamThatBreaksOffDoesNotLookWhole(t *testing.T) {
-	r := resumable(2 * time.Second)
+	r := resumableRoute(2 * time.Second)
 	r.Resumable = false
 	s := newSite(t, r)
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) })
@@ -40,7 +40,7 @@
 }
 
 func TestAResumableStreamGoesOnElsewhereWithoutGapOrRepeat(t *testing.T) {
-	s := newSite(t, resumable(2*time.Second))
+	s := newSite(t, resumableRoute(2*time.Second))
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last") == "" {
 			sendEvents(w, 1, 2, true)
@@ -56,14 +56,14 @@
 }
 
 func TestEventsArePassedOnAsTheyCome(t *testing.T) {
-	s := newSite(t, resumable(5*time.Second))
+	s := newSite(t, resumableRoute(5*time.Second))
 	gate := make(chan struct{})
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		sendEvents(w, 1, 1, false)
 		<-gate
 		sendEvents(w, 2, 2, false)
 	})
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", nil)
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	a, err := http.DefaultClient.Do(r)
@@ -86,10 +86,10 @@
 //
 // The evidence: ten lines of one request, attempts 2 to 10, "not reached: connection refused".
 func TestAStreamThatReachesNobodyTakesOneRetryAndFewAttempts(t *testing.T) {
-	s := newSite(t, resumable(2*time.Second))
+	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
-		for i := range 2 * mostAttempts {
-			s.ended(fmt.Sprintf("gone-%d", i))
+		for i := range 2 * maxAttempts {
+			s.addUnreachable(fmt.Sprintf("gone-%d", i))
 		}
 		sendEvents(w, 1, 2, true)
 	})
@@ -98,11 +98,11 @@
 	s.c.Assert(text, quicktest.Contains, "piece 2")
 	counts := s.gateway.RetryCounts()["app"]
 	s.c.Assert(counts.Made, quicktest.Equals, int64(1))
-	s.c.Assert(counts.Unsent <= mostAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts that reached nobody", counts.Unsent))
+	s.c.Assert(counts.Unsent <= maxAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts that reached nobody", counts.Unsent))
 }
 
-// ended adds an endpoint at whose address nobody listens.
-func (s *site) ended(id string) {
+// addUnreachable adds an endpoint at whose address nobody listens.
+func (s *testSite) addUnreachable(id string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	s.c.Check(err, quicktest.IsNil)
 	s.c.Check(l.Close(), quicktest.IsNil)
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -13,11 +13,11 @@
 	"github.com/frankban/quicktest"
 )
 
-// sleepyPlacer has the machine suspended while a request waits for its adapter.
-type sleepyPlacer struct{ pass time.Duration }
+// suspendingPlacer has the machine suspended while a request waits for its adapter.
+type suspendingPlacer struct{ pass time.Duration }
 
 // Place implements Placer.
-func (p sleepyPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
+func (p suspendingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
 	clock.Suspend(p.pass)
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
@@ -25,9 +25,9 @@
 // A box was suspended while it held a request. Its timers and its steady clock stood still, so it
 // gave the request to an endpoint long after its caller had left.
 func TestARequestWhoseTimePassedInASuspensionIsNotSent(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
-	r := once(2 * time.Second)
+	r := onceRoute(2 * time.Second)
 	r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
 	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
 	calls := s.endpoint(t, answerOK)
@@ -35,7 +35,7 @@
 		ID: "e1", Service: "app", Address: s.gateway.View.Endpoint("e1").Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"},
 	}))
 	pass := 5 * time.Second
-	s.gateway.Placer = sleepyPlacer{pass: pass}
+	s.gateway.Placer = suspendingPlacer{pass: pass}
 	t.Cleanup(func() { clock.Suspend(-pass) })
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusGatewayTimeout)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
--- a/forward/endings.go
+++ b/forward/termination.go
@@ -25,12 +25,12 @@
 func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
 	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
 	if e := g.View.Endpoint(endpoint); e != nil {
-		g.upstreams.of(e).unreachable(clock.Now())
+		g.upstreams.get(e).markDown(clock.Now())
 	}
 	g.Quarantine.Ended(endpoint, suspects)
 }
 
-// wasCut notes that an endpoint broke off the answer to a request.
-func (g *Gateway) wasCut(u *upstream, q *request) {
+// reportBroken notes that an endpoint broke off the answer to a request.
+func (g *Gateway) reportBroken(u *upstream, q *request) {
 	g.watch().Cut(u.endpoint.ID(), u.endpoint.Address(), q.content)
 }
--- a/forward/offer_test.go
+++ b/forward/turned_away_test.go
@@ -12,8 +12,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// move puts the site's endpoint into a data centre, with base models.
-func (s *site) move(id, centre string, models ...string) {
+// setDataCentre puts the site's endpoint into a data centre, with base models.
+func (s *testSite) setDataCentre(id, centre string, models ...string) {
 	s.gateway.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
 		ID: id, Service: "app", Address: s.gateway.View.Endpoint(id).Address(), DataCentre: centre, Slots: 4, Models: models,
 	}))
@@ -24,10 +24,10 @@
 // though endpoints of the other one were empty: it was avoided as long as there was any
 // endpoint here, those that the request had tried too.
 func TestARequestThatWasTurnedAwayIsOfferedToADataCentreThatIsAvoided(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	refused, ran := s.endpoint(t, refuseUnrun), s.endpoint(t, answerOK)
-	s.move("e2", "far")
-	s.gateway.centres.avoid("far", time.Now().Add(time.Minute))
+	s := newSite(t, onceRoute(2*time.Second))
+	refused, ran := s.endpoint(t, refuseNotExecuted), s.endpoint(t, answerOK)
+	s.setDataCentre("e2", "far")
+	s.gateway.dataCentres.avoid("far", time.Now().Add(time.Minute))
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
@@ -36,10 +36,10 @@
 
 // A data centre that is out of touch is not waited for by a request that was turned away.
 func TestARequestThatWasTurnedAwayIsNotOfferedToADataCentreThatIsCutOff(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	s.endpoint(t, refuseUnrun)
+	s := newSite(t, onceRoute(2*time.Second))
+	s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
-	s.move("e2", "far")
+	s.setDataCentre("e2", "far")
 	s.gateway.Unreachable = func(centre string) bool { return centre == "far" }
 	a, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
@@ -50,9 +50,9 @@
 // A data centre was avoided, no endpoint beside the box held the base model, and the request
 // was refused.
 func TestARequestIsOfferedWhereItsModelIsThoughThatIsAvoided(t *testing.T) {
-	s, _ := askTwoCentres(t, settlingPlacer{settled: "far"}, "2s")
-	s.move("e1", "dc")
-	s.gateway.centres.avoid("far", time.Now().Add(time.Minute))
+	s, _ := askAdapters(t, ownerChangePlacer{settled: "far"}, "2s")
+	s.setDataCentre("e1", "dc")
+	s.gateway.dataCentres.avoid("far", time.Now().Add(time.Minute))
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
 	s.c.Assert(s.calls["e2"].Load(), quicktest.Equals, int64(1))
 }
@@ -60,20 +60,20 @@
 // A box that holds as many requests as it may still takes new connections, and says at once
 // when to come back.
 func TestABoxThatHoldsItsMostAnswersOnNewConnections(t *testing.T) {
-	s := newSite(t, once(time.Minute))
+	s := newSite(t, onceRoute(time.Minute))
 	s.gateway.MaxInFlight = 1
-	r := newRuns()
-	s.endpoint(t, r.work(func(http.ResponseWriter) {}))
-	caller := s.callByHand(t, wholeByHand)
-	s.await(r.begun)
+	r := newEndpointRuns()
+	s.endpoint(t, r.handler(func(http.ResponseWriter) {}))
+	caller := s.sendRaw(t, rawRequest)
+	s.await(r.started)
 	for range 7 {
-		a, err := http.ReadResponse(bufio.NewReader(s.callByHand(t, wholeByHand)), nil)
+		a, err := http.ReadResponse(bufio.NewReader(s.sendRaw(t, rawRequest)), nil)
 		s.c.Assert(err, quicktest.IsNil)
 		a.Body.Close()
 		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, overloadRetry.String())
+		s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, overloadRetryAfter.String())
 	}
 	s.c.Assert(s.calls["e1"].Load(), quicktest.Equals, int64(1))
 	s.c.Assert(caller.Close(), quicktest.IsNil)
-	s.await(r.left)
+	s.await(r.cancelled)
 }
