--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -150,7 +150,7 @@
 // while the request waits for a load there gets it no more; the next home does.
 func (g *Gateway) applyPlacement(ctx context.Context, q *request, e *topology.Endpoint, p PlacementResult) (target, *Refusal) {
 	now := clock.Now()
-	if !p.Ready && g.isAvailableID(e.ID(), now) {
+	if !p.Ready && g.accepts(e.ID(), now) {
 		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: p.RetryAfter, Detail: p.Reason}
 	}
 	if p.Ready && p.Endpoint != e.ID() { // who decides chose another one
@@ -162,7 +162,7 @@
 				Detail: "only an endpoint that turned requests away holds the adapter"}
 		}
 	}
-	if !g.isAvailableID(e.ID(), now) {
+	if !g.accepts(e.ID(), now) {
 		return g.selectAnother(ctx, q, e)
 	}
 	return target{endpoint: g.View.Endpoint(e.ID()), version: max(p.Version, g.View.Newest(q.call.Adapter))}, nil
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -184,7 +184,7 @@
 		q.executions++
 		q.tried[t.endpoint.ID()] = true
 		g.recordAttempt(q, "spoilt", "the answer belongs to no request of this box")
-		return &Refusal{Code: CodeSpoilt, MayHaveRun: true, Detail: "not an answer to this request"}
+		return &Refusal{Code: CodeInvalidResponse, MayHaveRun: true, Detail: "not an answer to this request"}
 	}
 	return nil
 }
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -157,7 +157,7 @@
 		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
 	}
 	if q.inbound.Context().Err() != nil {
-		f = &Refusal{Code: CodeInvalidAnswer, MayHaveRun: f.MayHaveRun}
+		f = &Refusal{Code: CodeCallerGone, MayHaveRun: f.MayHaveRun}
 		if context.Cause(q.inbound.Context()) == ErrShutdown {
 			f.Code = CodeShutdown
 		}
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -45,7 +45,7 @@
 			return t, q.limitRefusal()
 		}
 		hasRoom := !g.Limits.HasLimit(t.endpoint.ID()) || g.acquireCapacity(ctx, q, t.endpoint)
-		if now := clock.Now(); hasRoom && g.isAvailableID(t.endpoint.ID(), now) { // it may have said else while the request waited for its turn
+		if now := clock.Now(); hasRoom && g.accepts(t.endpoint.ID(), now) { // it may have said else while the request waited for its turn
 			return t, g.maySend(q, now)
 		}
 		if ctx.Err() != nil {
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// isAvailableID tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
+// accepts tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
 // asked for no back-off.
-func (g *Gateway) isAvailableID(id string, now time.Time) bool {
+func (g *Gateway) accepts(id string, now time.Time) bool {
 	e := g.View.Endpoint(id)
 	return e != nil && g.isAvailable(e, now)
 }
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -224,5 +224,5 @@
 	s.gateway.View.RemoveEndpoint("e1")
 	s.gateway.notices.prune(func(string) bool { return false })
 	s.gateway.View.SetEndpoint(e)
-	s.c.Assert(s.gateway.isAvailableID("e1", time.Now()), quicktest.IsFalse)
+	s.c.Assert(s.gateway.accepts("e1", time.Now()), quicktest.IsFalse)
 }
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -22,10 +22,10 @@
 	CodeNotLoaded         Code = "adapter_not_loaded"
 	CodeRefusedByEndpoint Code = "refused_by_endpoint"
 	CodeNoAnswer          Code = "answer_lost"
-	CodeSpoilt            Code = "answer_spoilt"
+	CodeInvalidResponse   Code = "answer_spoilt"
 	CodeTruncated         Code = "answer_cut"
 	CodeTimeout           Code = "timeout"
-	CodeInvalidAnswer     Code = "caller_gone"
+	CodeCallerGone        Code = "caller_gone"
 	CodeBodyTimeout       Code = "body_too_late" // the body was not there by the request's deadline
 	CodeShutdown          Code = "box_ends"      // the time that the box had to stop is over
 	CodeInternal          Code = "fault"         // of this program
--- a/forward/request.go
+++ b/forward/request.go
@@ -155,7 +155,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &Refusal{Code: CodeBodyTimeout, Detail: err.Error()}
 	}
-	return &Refusal{Code: CodeInvalidAnswer, Detail: err.Error()}
+	return &Refusal{Code: CodeCallerGone, Detail: err.Error()}
 }
 
 func isBodyTooLarge(err error) bool {
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -59,7 +59,7 @@
 // mayTryAgain tells whether a failed request may be sent once more. One that reached nobody
 // takes nothing from the budget, which keeps endpoints from being asked too often.
 func (g *Gateway) mayTryAgain(q *request, out *callerResponse, f *Refusal) bool {
-	if out.started || f.Code == CodeInvalidAnswer {
+	if out.started || f.Code == CodeCallerGone {
 		return false
 	}
 	if f.MayHaveRun && (!q.route.MayRepeat() || q.executions >= q.route.MaxAttempts()) {
