--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -17,11 +17,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxBufferedBody bounds an answer that is not a stream, in bytes.
+// maxBufferedBody limits a response that is not a stream, in bytes.
 const maxBufferedBody = 16 << 20
 
-// attempt sends the request once and passes the answer on; nil says that the
-// caller got it whole.
+// attempt sends the request once and relays the response; nil means that the
+// caller got all of it.
 func (g *Gateway) attempt(ctx context.Context, q *request, out *callerResponse, t target) *Refusal {
 	d := g.newDispatch(q, t)
 	defer d.finish()
@@ -33,8 +33,8 @@
 	return g.relay(ctx, q, out, d, t, a)
 }
 
-// send sends the request, which counts against its organisation's quota unless it is known not to
-// have run. What is no answer to this call is a failure.
+// send sends the request and charges its organisation's quota for it, unless it was provably not
+// executed. An invalid response is a failure.
 func (g *Gateway) send(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
 	g.rechargeQuota(q)
 	a, f := g.roundTrip(ctx, q, u, t, lastEvent)
@@ -44,7 +44,7 @@
 	return a, f
 }
 
-// roundTrip writes the request and reads the head of the answer.
+// roundTrip sends the request and reads the head of the response.
 func (g *Gateway) roundTrip(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
 	r, err := g.newOutbound(ctx, q, t, lastEvent)
 	if err != nil {
@@ -58,21 +58,21 @@
 	}
 	g.recordActivity(u, clock.Now())
 	if f := g.checkResponse(q, u, t, a); f != nil {
-		_ = a.Body.Close() // nothing of it is used
+		_ = a.Body.Close() // discarded
 		return nil, f
 	}
 	return a, nil
 }
 
-// recordActivity notes that something came from an endpoint.
+// recordActivity notes that data came from an endpoint.
 func (g *Gateway) recordActivity(u *upstream, now time.Time) {
 	u.recordActivity(now)
 	g.dataCentres.recordActivity(u.endpoint.DataCentre(), now)
 }
 
-// watchSilence counts the request as silent while its answer is long in coming, and tells
-// a cut by several that nothing is heard of, and a silent connection; the function it returns
-// ends that.
+// watchSilence counts the request as silent once its response takes longer than silentAfter. After
+// silenceTimeout without any data it records a failure of the data centre and closes the idle
+// connections, which may be dead too. The returned function stops the watch.
 func (g *Gateway) watchSilence(u *upstream) func() {
 	sent := clock.Now()
 	silence := time.AfterFunc(silenceTimeout, func() {
@@ -93,8 +93,8 @@
 	}
 }
 
-// newOutbound makes the request for an endpoint: method, path and body as the
-// caller sent them.
+// newOutbound creates the request to an endpoint, with the caller's method, path and
+// body.
 func (g *Gateway) newOutbound(ctx context.Context, q *request, t target, lastEvent string) (*http.Request, error) {
 	path, query, marked := strings.Cut(q.inbound.RequestURI, "?")
 	r, err := http.NewRequestWithContext(ctx, q.inbound.Method, "http://"+t.endpoint.Address()+"/", nil)
@@ -122,7 +122,7 @@
 	return r, nil
 }
 
-// recordLost records an attempt that got no answer.
+// recordLost records an attempt without a response.
 func (g *Gateway) recordLost(ctx context.Context, q *request, u *upstream, err error) *Refusal {
 	var l *engine.LostError
 	sent := !errors.As(err, &l) || l.Sent
@@ -150,14 +150,14 @@
 	return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: err.Error()}
 }
 
-// isDialError tells whether no connection was made; else one that had rested was broken, and the endpoint may
-// be there.
+// isDialError reports whether no connection was made. Otherwise an idle connection was broken, and the
+// endpoint may still be up.
 func isDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
 }
 
-// checkResponse tells whether an answer belongs to the call and whether it ran.
+// checkResponse checks whether a response belongs to the call and whether the request was executed.
 func (g *Gateway) checkResponse(q *request, u *upstream, t target, a *http.Response) *Refusal {
 	v := g.Protocol.ParseResponse(a, q.call, t.endpoint.ID())
 	g.observeResponse(q, u, t, v)
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// recordRefused records an endpoint's proof that the request did not run.
+// recordRefused records that an endpoint rejected the request without executing it.
 func (g *Gateway) recordRefused(q *request, t target, c Code, detail string) *Refusal {
 	q.tried[t.endpoint.ID()] = true
 	q.excluded[t.endpoint.ID()] = true
@@ -201,7 +201,7 @@
 	return &Refusal{Code: c, RetryAfter: back, Detail: detail}
 }
 
-// relay gives the caller the answer, whole or event by event.
+// relay sends the response to the caller, at once or event by event.
 func (g *Gateway) relay(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, a *http.Response) *Refusal {
 	if isStream(a) {
 		return g.relayStream(ctx, q, out, d, t, a)
@@ -221,8 +221,8 @@
 	return nil
 }
 
-// mayRetryFailure tells whether a repeatable request that an endpoint failed goes to
-// another one. The failure is not passed on then, so the budget is asked first.
+// mayRetryFailure reports whether a repeatable request that failed at an endpoint goes to another
+// one. The failed response is discarded in that case, so the retry is taken from the budget first.
 func (g *Gateway) mayRetryFailure(q *request, t target) bool {
 	q.executions++
 	if !q.route.MayRepeat() || q.executions >= q.route.MaxAttempts() || !q.hasAttempts() {
@@ -230,7 +230,7 @@
 	}
 	q.tried[t.endpoint.ID()] = true
 	now := clock.Now()
-	others := g.withoutLimit(g.usable(g.View.Endpoints(q.service.Name()), q.tried, now)) // those with limits may have no room
+	others := g.withoutLimit(g.usable(g.View.Endpoints(q.service.Name()), q.tried, now)) // those with a rate limit may have no capacity
 	if len(others) == 0 || q.remaining(now) < firstByteTime || !g.takeRetry(q, now) {
 		return false
 	}
@@ -238,7 +238,7 @@
 	return true
 }
 
-// recordTruncated records an answer that broke off before the caller saw any.
+// recordTruncated records a response that broke off before any of it was relayed.
 func (g *Gateway) recordTruncated(ctx context.Context, q *request, u *upstream, err error) *Refusal {
 	detail := "longer than an answer may be"
 	if err != nil {
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/go-logr/logr"
 )
 
-// Gateway answers callers. Set the exported fields before Run and before the
-// first request.
+// Gateway is the HTTP handler for callers' requests. Set the exported fields before
+// Run and before the first request.
 type Gateway struct {
 	DataCentre    string
 	View          *topology.View
@@ -27,32 +27,32 @@
 	Admission     Admission
 	Quarantine    Quarantine
 	Limits        Limits
-	Boxes         func() int                                               // boxes that share the budget of retries; zero: not known yet
-	LoadCost      func(dataCentre string) (cost time.Duration, known bool) // of a load there, by who decides for its endpoints
-	Unreachable   func(dataCentre string) bool                             // whether all boxes of a data centre are believed dead: it is out of touch
-	RetryLimits   func() RetryLimits                                       // by the settings in force
-	OnDraining    func(endpoint string)                                    // hears which endpoint said in an answer that it leaves; nil: nobody does
-	MaxInFlight   int                                                      // requests held at a time; more are refused
+	Boxes         func() int                                               // boxes that share the retry budget; zero: not known yet
+	LoadCost      func(dataCentre string) (cost time.Duration, known bool) // of a load there, as reported by its leader
+	Unreachable   func(dataCentre string) bool                             // whether all boxes of a data centre are believed dead
+	RetryLimits   func() RetryLimits                                       // of the settings in force
+	OnDraining    func(endpoint string)                                    // called once for each endpoint that announces draining in a response; nil: no callback
+	MaxInFlight   int                                                      // requests; more are refused
 	Log           logr.Logger
 	LogBacklogged func() bool // whether the log is behind: successes are not logged then
 	Stats         *Stats
 
-	startedAt   time.Time // when this box began to count its shares of the retries
+	startedAt   time.Time // when this box began to earn its shares of the retries
 	upstreams   upstreams
 	notices     noticeTable
 	watchOnce   sync.Once
-	watcher     *quarantine.Watch // by watch
+	watcher     *quarantine.Watch // use watch
 	dataCentres dataCentres
 	inFlight    atomic.Int64
 	draining    atomic.Bool
 	sampleCount atomic.Uint64
 
 	mu         sync.Mutex
-	budgets    map[string]*RetryBudget // by service; mu is taken before a Budget's
+	budgets    map[string]*RetryBudget // by service; mu is taken before a RetryBudget's
 	firstToken policy.FirstToken       // of all endpoints that run models
 }
 
-// Run forgets endpoints that are gone and looks which ones ended, until ctx ends.
+// Run drops state of removed endpoints and detects endpoints that ended, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.start(clock.Now())
 	ended := make(chan error, 1)
@@ -61,16 +61,16 @@
 	return <-ended
 }
 
-// watch returns what finds out which endpoints ended; a request may come before Run.
+// watch returns the detector of endpoints that ended; requests may come before Run.
 func (g *Gateway) watch() *quarantine.Watch {
 	g.watchOnce.Do(func() { g.watcher = g.newWatch() })
 	return g.watcher
 }
 
-// Ends returns what this box saw of endpoints that ended.
+// Ends returns counts of the endpoints that ended under requests of this box.
 func (g *Gateway) Ends() quarantine.Ends { return g.watch().Counts() }
 
-// start notes since when this box may save what its share of the extra retries earns.
+// start sets the time from which this box earns its share of the extra retries.
 func (g *Gateway) start(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -83,10 +83,10 @@
 	}
 }
 
-// Drain makes every further answer ask its caller to use another connection.
+// Drain makes all further responses close their callers' connections.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// InFlight returns how many requests are held now.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
 func (g *Gateway) retryBudget(service string) *RetryBudget {
@@ -95,7 +95,7 @@
 	if g.budgets == nil {
 		g.budgets = make(map[string]*RetryBudget)
 	}
-	g.startLocked(clock.Now()) // a request may come before Run
+	g.startLocked(clock.Now()) // requests may come before Run
 	b := g.budgets[service]
 	if b == nil {
 		b = &RetryBudget{Limits: g.RetryLimits, refilledAt: g.startedAt}
@@ -104,7 +104,7 @@
 	return b
 }
 
-// RetryCounts returns what this box did with its shares of the retries, by service.
+// RetryCounts returns the use of this box's retry budgets, by service.
 func (g *Gateway) RetryCounts() map[string]RetryCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +122,7 @@
 	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	call, malformed := g.Protocol.ParseCall(r.Header) // first: a refusal is logged under its ID
+	call, malformed := g.Protocol.ParseCall(r.Header) // first, so that a refusal is logged with the request's ID
 	q := &request{received: received, inbound: r, connection: newCallerConn(w), call: call}
 	q.connection.limitUnadmitted(clock.Timer(received))
 	out := &callerResponse{writer: w, isCallHeader: g.Protocol.IsCallHeader}
@@ -150,11 +150,11 @@
 	g.recordSuccess(q, out)
 }
 
-// respondFailure gives the caller the final answer of a request that got none of its own.
+// respondFailure sends the final response to a request that got none from an endpoint.
 func (g *Gateway) respondFailure(ctx context.Context, out *callerResponse, q *request, f *Refusal) {
 	if out.started {
 		g.recordFailure(q, f, true)
-		panic(http.ErrAbortHandler) // an answer that ends early must not look whole
+		panic(http.ErrAbortHandler) // a truncated response must not look complete
 	}
 	if q.inbound.Context().Err() != nil {
 		f = &Refusal{Code: CodeCallerGone, MayHaveRun: f.MayHaveRun}
--- a/forward/request.go
+++ b/forward/request.go
@@ -19,61 +19,60 @@
 	"github.com/pkg/errors"
 )
 
-// request is one try of a caller, held until its final answer.
+// request is one attempt of a caller, until its final response.
 type request struct {
 	inbound       *http.Request
 	connection    callerConn
 	call          Call
 	received      time.Time
-	deadline      time.Time // of the caller or of the route, whichever is first
+	deadline      time.Time // the earlier of the caller's and the route's
 	route         *topology.Route
 	config        *topology.Config
 	service       *topology.Service
-	organisation  *access.Organisation // nil: the route asks for no key
-	charged       float64              // of the organisation's quota, for a run that has not begun
+	organisation  *access.Organisation // nil: the route is public
+	charged       float64              // units of the organisation's quota for an execution that has not begun
 	body          []byte
 	content       quarantine.Content     // zero: the body has not been read
 	attempts      int                    // requests sent to endpoints
-	unsent        int                    // of these, those that reached nobody
-	executions    int                    // of these, those that may have run
+	unsent        int                    // of these, those of which no byte was sent
+	executions    int                    // of these, those that may have been executed
 	tried         map[string]bool        // endpoints that failed it
-	excluded      map[string]bool        // of these, those that turned it away or were not there: nobody is to bring it there again
-	limitDenials  map[string]limitDenial // endpoints that name a limit and had no room for it
-	mayHaveRun    bool                   // an attempt may have run
-	noOwnerLogged bool                   // a line tells that nobody answered for an endpoint that should load its adapter
-	retryReserved bool                   // the next attempt has been taken from the budget of retries already
-	retryWithheld bool                   // the budget kept it from another attempt
-	notLoadedAt   string                 // the endpoint that said it does not hold the adapter
+	excluded      map[string]bool        // of these, those that rejected it or refused the connection: placement must not choose them again
+	limitDenials  map[string]limitDenial // by endpoint with a rate limit
+	mayHaveRun    bool                   // an attempt may have been executed
+	noOwnerLogged bool                   // logNoOwner has logged
+	retryReserved bool                   // the next attempt has already been taken from the retry budget
+	retryWithheld bool                   // the retry budget denied another attempt
+	notLoadedAt   string                 // endpoint that reported that it does not hold the adapter
 	sentAt        time.Time              // of the last attempt
 	sentTo        *topology.Endpoint
 	version       int64         // of the adapter at the last attempt; zero: any
-	queueTime     time.Duration // of waited, until the load began
-	placementTime time.Duration // until its adapter was ready somewhere, or was found not to be
-	// predictedFirstToken is how long the endpoint of the last attempt was expected to take to its
-	// first token.
+	queueTime     time.Duration // part of placementTime before the load began
+	placementTime time.Duration // from receipt until the adapter was ready, or was found not to be
+	// predictedFirstToken is the predicted time to the first token of the last attempt.
 	predictedFirstToken time.Duration
-	maxEventGap         time.Duration // the longest between two events of its stream
-	firstTokenAt        time.Time     // when the endpoint of the last attempt began to answer; zero: it has not
+	maxEventGap         time.Duration // the longest time between two events of its stream
+	firstTokenAt        time.Time     // of the last attempt; zero: no response yet
 }
 
 func (q *request) remaining(now time.Time) time.Duration { return q.deadline.Sub(now) }
 
-// hasAttempts tells whether the request may be sent once more.
+// hasAttempts reports whether the request may be sent once more.
 func (q *request) hasAttempts() bool {
 	return q.attempts-q.unsent < maxAttempts && q.unsent < maxUnsent
 }
 
-// retryMargin is how much less time than the route gives a caller must have left to
-// have come back: more than clocks and the way here explain.
+// retryMargin is how much shorter than the route's timeout a caller's deadline must be to
+// indicate a retry: more than network delay explains.
 const retryMargin = 40 * time.Millisecond
 
-// isRetry tells whether the caller spent some of its time before this try.
+// isRetry reports whether the caller has used up some of its time in earlier attempts.
 func (q *request) isRetry() bool {
 	return q.call.Deadline > 0 && q.call.Deadline+retryMargin < q.route.Timeout()
 }
 
-// usefulTime is how much longer the first part of an answer is of use to the caller: it leaves
-// when it has heard nothing for some time, long before its deadline.
+// usefulTime is how much longer the first byte of a response is of use to the caller, which
+// gives up after the route's patience, long before its deadline.
 func (q *request) usefulTime(now time.Time) time.Duration {
 	left := q.remaining(now)
 	if p := q.route.Patience(); p > 0 {
@@ -82,7 +81,7 @@
 	return left
 }
 
-// admit finds a request's route and reads its body; malformed is what is wrong with its head.
+// admit routes a request and reads its body; malformed is the error in its headers.
 func (g *Gateway) admit(w http.ResponseWriter, q *request, malformed error) *Refusal {
 	q.config = g.View.Config()
 	if q.config == nil {
@@ -112,9 +111,9 @@
 	return g.checkQuarantine(q, clock.Now())
 }
 
-// maySend tells whether a request may be given to an endpoint now: a configuration, or the word of
-// another box, may have come while it waited. Its context does not end while the machine is suspended,
-// so its time is looked at too.
+// maySend checks whether a request may be sent now: the configuration or the quarantine may have
+// changed while it waited. The deadline is checked too, since the request's context does not expire
+// while the machine is suspended.
 func (g *Gateway) maySend(q *request, now time.Time) *Refusal {
 	if q.remaining(now) <= 0 {
 		return &Refusal{Code: CodeTimeout, Detail: "its time was over before it could be sent"}
@@ -125,8 +124,8 @@
 	return g.authenticate(q, now)
 }
 
-// checkQuarantine refuses a request under which endpoints ended. The next endpoint would end too, with
-// the requests of others that it runs.
+// checkQuarantine refuses a request under which endpoints ended. The next endpoint would end too, and
+// with it the other requests that it runs.
 func (g *Gateway) checkQuarantine(q *request, now time.Time) *Refusal {
 	left, kept := g.Quarantine.Remaining(q.content, now)
 	if !kept {
@@ -135,7 +134,7 @@
 	return &Refusal{Code: CodeQuarantined, RetryAfter: left, Detail: "endpoints ended while they ran such a request"}
 }
 
-// readBody takes the body whole, so that it can be sent again.
+// readBody buffers the body, so that it can be sent again.
 func (g *Gateway) readBody(w http.ResponseWriter, q *request) *Refusal {
 	q.connection.limitBodyRead(clock.Timer(q.deadline))
 	limit := q.config.Limits().BodyBytes
@@ -163,7 +162,7 @@
 	return ok
 }
 
-// hostOf returns the host that the caller named, without a port.
+// hostOf returns the host of the request, without a port.
 func hostOf(r *http.Request) string {
 	if h, _, err := net.SplitHostPort(r.Host); err == nil {
 		return h
@@ -171,18 +170,18 @@
 	return r.Host
 }
 
-// pathOf returns the path as the caller wrote it.
+// pathOf returns the path as the caller sent it.
 func pathOf(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// hashFraction turns an ID into a number in [0, 1).
+// hashFraction maps an ID to a number in [0, 1).
 func hashFraction(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 }
 
-// singleUseBody is a body that net/http cannot send a second time by itself.
+// singleUseBody is a body that net/http can't send again on its own.
 type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
--- a/forward/select.go
+++ b/forward/select.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	remotePenalty     = 0.5                    // how much fuller an endpoint of the own data centre may be than one elsewhere
-	failurePenalty    = 2.0                    // how much fuller an endpoint that always fails would have to be
-	failureRateMargin = 0.25                   // an endpoint that fails so much more often than the others is avoided
-	silentThreshold   = 2                      // requests without any answer for long that make an endpoint suspect
-	silentAfter       = 700 * time.Millisecond // after which a request without any answer counts as one of them: a first event takes some 50 ms
+	remotePenalty     = 0.5                    // how much more load an endpoint of the own data centre may have than a remote one
+	failurePenalty    = 2.0                    // additional load that an endpoint that always fails counts for
+	failureRateMargin = 0.25                   // an endpoint whose failure rate is so much above the lowest is avoided
+	silentThreshold   = 2                      // silent requests from which on an endpoint is avoided
+	silentAfter       = 700 * time.Millisecond // a request without a response for so long is silent: a first event takes some 50 ms
 )
 
-// usable returns those of the list that are worth a try: open, not tried, and not
-// avoided. Those that refused a connection lately are left out as long as there are others;
-// where most would be left out for how they answer, it does not believe that.
+// usable returns the endpoints of the list that are candidates for the next attempt. Those that refused
+// a connection recently are left out if there are others. Those that perform badly are left out too, but
+// only if they are fewer than half: otherwise the cause is likely not the endpoints.
 func (g *Gateway) usable(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
 	serving := g.candidates(list, tried, now)
 	var up, good []*topology.Endpoint
@@ -47,7 +47,7 @@
 	return good
 }
 
-// untried returns those that take new requests and that a request has not tried.
+// untried returns the endpoints that accept new requests and that the request has not tried.
 func (g *Gateway) untried(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
 	var some []*topology.Endpoint
 	for _, e := range list {
@@ -58,8 +58,8 @@
 	return some
 }
 
-// leastLoaded returns the endpoint that is emptiest, with those of the own data centre
-// before others; nil for none.
+// leastLoaded returns the endpoint with the least load, preferring the own data
+// centre; nil for an empty list.
 func (g *Gateway) leastLoaded(list []*topology.Endpoint, now time.Time) *topology.Endpoint {
 	var best *topology.Endpoint
 	most := 0.0
@@ -79,8 +79,8 @@
 	return best
 }
 
-// rendezvousEndpoint returns where an adapter that nobody holds should be loaded: every box
-// that sees the same endpoints names the same one.
+// rendezvousEndpoint returns where an adapter that no endpoint holds should be loaded: all boxes
+// that see the same endpoints choose the same one.
 func rendezvousEndpoint(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
 	names := make([]string, len(list))
 	byName := make(map[string]*topology.Endpoint, len(list))
@@ -91,7 +91,7 @@
 	return byName[policy.First(a.String(), names)]
 }
 
-// withModel returns those that hold the base model.
+// withModel returns the endpoints that have the base model.
 func withModel(list []*topology.Endpoint, model string) []*topology.Endpoint {
 	var some []*topology.Endpoint
 	for _, e := range list {
@@ -102,17 +102,16 @@
 	return some
 }
 
-// candidates returns those that take new requests and that a request has not tried, in data centres
-// that this box can reach: it may be cut off from the others while they serve. One that is
-// out of touch is asked only where no other has endpoints at all; one that did not answer
-// lately, also where those elsewhere have been tried.
+// candidates returns the untried endpoints in data centres that this box can reach: the network to
+// others may be cut while they serve. Endpoints of an unreachable data centre are used only if no other
+// data centre has any; those of an avoided one also if all others have been tried.
 func (g *Gateway) candidates(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
 	list = g.withoutAvoided(list, g.Unreachable)
 	return g.withoutAvoided(g.untried(list, tried, now), func(centre string) bool { return g.dataCentres.isAvoided(centre, now) })
 }
 
-// withoutAvoided returns those of the own data centre and of others that are not avoided; where
-// that leaves none it returns all.
+// withoutAvoided returns the endpoints of the own data centre and of those not avoided; if there
+// are none it returns the whole list.
 func (g *Gateway) withoutAvoided(list []*topology.Endpoint, avoided func(centre string) bool) []*topology.Endpoint {
 	avoid := make(map[string]bool)
 	var some []*topology.Endpoint
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	firstByteTime         = 100 * time.Millisecond // from sending to the first event, assumed when a wait is allowed
-	refusedRetryAfter     = 200 * time.Millisecond // a full endpoint has room again
-	unavailableRetryAfter = 500 * time.Millisecond // an endpoint may be back
-	maxAttempts           = 4                      // sends for one request, refused ones included
-	// maxUnsent is how many endpoints a request may find gone besides: where many end together others
-	// serve, and where more in a row can't be reached the way there is cut.
+	firstByteTime         = 100 * time.Millisecond // from sending to the first event, assumed in decisions to wait
+	refusedRetryAfter     = 200 * time.Millisecond // until a full endpoint has capacity again
+	unavailableRetryAfter = 500 * time.Millisecond // until an endpoint may be back
+	maxAttempts           = 4                      // for one request, rejected ones included
+	// maxUnsent limits the unreachable endpoints that a request may try in addition. Where several end
+	// together others still serve; more in a row indicate that the network is cut.
 	maxUnsent = 8
 )
 
-// target is where one attempt goes.
+// target is the destination of one attempt.
 type target struct {
 	endpoint *topology.Endpoint
 	version  int64 // of the adapter; zero: any
 }
 
-// serve tries endpoints until the answer was given, which it returns as nil.
+// serve tries endpoints until one has responded, and returns nil then.
 func (g *Gateway) serve(ctx context.Context, q *request, out *callerResponse) *Refusal {
 	g.retryBudget(q.service.Name()).RecordFirst(clock.Now())
 	q.tried, q.excluded = make(map[string]bool), make(map[string]bool)
@@ -48,7 +48,7 @@
 	return g.withExecution(q, last)
 }
 
-// withExecution says of the whole request what its attempts together allow.
+// withExecution marks a refusal of a request of which any attempt may have been executed.
 func (g *Gateway) withExecution(q *request, f *Refusal) *Refusal {
 	if q.mayHaveRun {
 		f.MayHaveRun = true
@@ -56,8 +56,8 @@
 	return f
 }
 
-// mayTryAgain tells whether a failed request may be sent once more. One that reached nobody
-// takes nothing from the budget, which keeps endpoints from being asked too often.
+// mayTryAgain reports whether a failed request may be sent once more. The budget protects endpoints from
+// overload, so an attempt of which nothing was sent costs none of it.
 func (g *Gateway) mayTryAgain(q *request, out *callerResponse, f *Refusal) bool {
 	if out.started || f.Code == CodeCallerGone {
 		return false
@@ -80,13 +80,13 @@
 	return g.takeRetry(q, now)
 }
 
-// takeRetry takes one more attempt from the budget, or notes that it was withheld.
+// takeRetry takes one retry from the budget, and notes if it was denied.
 func (g *Gateway) takeRetry(q *request, now time.Time) bool {
 	q.retryWithheld = !g.retryBudget(q.service.Name()).TryRetry(now, g.Boxes())
 	return !q.retryWithheld
 }
 
-// selectEndpoint finds the endpoint for the next attempt.
+// selectEndpoint selects the endpoint for the next attempt.
 func (g *Gateway) selectEndpoint(ctx context.Context, q *request) (target, *Refusal) {
 	now := clock.Now()
 	list := g.View.Endpoints(q.service.Name())
@@ -94,7 +94,7 @@
 		list = withModel(list, q.call.Adapter.Model)
 	}
 	able := list
-	list = g.usable(able, q.tried, now) // of those that can serve it: it avoids none without another
+	list = g.usable(able, q.tried, now) // filtered after withModel, since usable avoids endpoints only if others are left
 	if len(list) == 0 {
 		return target{}, g.noEndpoint(able, now)
 	}
@@ -108,8 +108,8 @@
 	return g.placeAdapter(ctx, q, list)
 }
 
-// noEndpoint refuses a request for which no endpoint of those that could serve it is left. Where all want
-// nothing for a while its caller is told when the first takes requests again.
+// noEndpoint refuses a request that no endpoint can serve. If all of them are in a back-off the caller
+// is told when the first one ends.
 func (g *Gateway) noEndpoint(able []*topology.Endpoint, now time.Time) *Refusal {
 	if after, known := g.earliestAvailable(able, now); known && after > 0 {
 		return &Refusal{Code: CodeBackoff, RetryAfter: after, Detail: "the endpoints that could serve it want nothing for a while"}
