--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -14,12 +14,12 @@
 	"cairnwick.example/topology"
 )
 
-// ownerPollInterval is between two looks whether somebody decides for an endpoint again.
+// ownerPollInterval is the time between two checks whether an endpoint has an owner again.
 const ownerPollInterval = 100 * time.Millisecond
 
-// placeAdapter prefers an endpoint that holds the adapter and else has it loaded. While
-// nobody decides for any endpoint a request waits, as long as somebody is expected to in
-// time for its caller to be served.
+// placeAdapter prefers an endpoint that holds the adapter, and has it loaded otherwise. While no
+// endpoint has an owner the request waits, as long as one is expected in time for the caller to be
+// served.
 func (g *Gateway) placeAdapter(ctx context.Context, q *request, list []*topology.Endpoint) (target, *Refusal) {
 	a := q.call.Adapter
 	g.Log.V(1).Info("Adapter is needed", "request", q.call.ID, "adapter", a.String(), "route", q.route.Name())
@@ -28,7 +28,7 @@
 		return target{endpoint: e, version: g.View.Newest(a)}, nil
 	}
 	if others := g.withoutLimit(list); len(others) > 0 {
-		list = others // who decides may still choose one with a limit that takes more than it gets
+		list = others // the owner may still choose an endpoint whose rate limit has capacity left
 	}
 	for {
 		t, f, settling := g.requestPlacement(ctx, q, list)
@@ -42,9 +42,9 @@
 	}
 }
 
-// requestPlacement asks for the adapter at its home. Where nobody decides for that endpoint just
-// now it asks at the home that the adapter has in the other data centres; settling says
-// that this is so for all of them.
+// requestPlacement asks the owner of the preferred endpoint for the adapter. If that endpoint has no
+// owner it goes on with the preferred endpoints in the other data centres; settling reports that none
+// of them has an owner.
 func (g *Gateway) requestPlacement(ctx context.Context, q *request, list []*topology.Endpoint) (t target, f *Refusal, settling bool) {
 	for len(list) > 0 {
 		e := g.loadTarget(q.call.Adapter, list)
@@ -69,8 +69,8 @@
 	return target{}, f, true
 }
 
-// logNoOwner logs once for a request that nobody answers for the endpoint: it asks again ten
-// times a second.
+// logNoOwner logs once per request that an endpoint has no owner: the request asks again ten times a
+// second.
 func (g *Gateway) logNoOwner(q *request, e *topology.Endpoint, err error) {
 	if q.noOwnerLogged {
 		return
@@ -80,7 +80,7 @@
 		"endpoint", e.ID(), "endpoint_data_centre", e.DataCentre(), "adapter", q.call.Adapter.String(), "err", err.Error())
 }
 
-// earlierRetry returns the refusal whose caller may come back first; a may be nil.
+// earlierRetry returns the refusal with the shorter RetryAfter; a may be nil.
 func earlierRetry(a, b *Refusal) *Refusal {
 	if a != nil && a.RetryAfter <= b.RetryAfter {
 		return a
@@ -88,7 +88,7 @@
 	return b
 }
 
-// outsideDataCentre returns those of other data centres.
+// outsideDataCentre returns the endpoints of other data centres.
 func outsideDataCentre(list []*topology.Endpoint, centre string) []*topology.Endpoint {
 	var some []*topology.Endpoint
 	for _, e := range list {
@@ -99,21 +99,22 @@
 	return some
 }
 
-// What a load costs in one data centre or another, on top of what its leader tells.
+// Adjustments of the load cost that a data centre's leader reports.
 const (
-	// secondaryCost is how much more a load may cost in an adapter's first data centre than in
-	// its second before it goes there: where costs are alike, boxes agree.
+	// secondaryCost is the extra cost of a load for each rank that a data centre has below the first
+	// in the rendezvous order of the adapter. Where costs are similar it makes all boxes agree.
 	secondaryCost = 60 * time.Millisecond
-	// cachedAdapterGain is how much less a load costs where the adapter was held last: its memory
-	// likely has it, so that it takes some 35 ms instead of 250 and nothing from the store.
+	// cachedAdapterGain is how much less a load costs at the endpoint that held the adapter last. The
+	// adapter is likely in its memory, so a load takes some 35 ms instead of 250 and nothing from the
+	// store.
 	cachedAdapterGain = 500 * time.Millisecond
-	// unknownLoadCost is what a load counts for in a data centre whose leader has told nothing
-	// lately: it may be cut off, or be changing.
+	// unknownLoadCost is the cost in a data centre whose leader has not reported one recently: the
+	// data centre may be cut off, or its leader may be changing.
 	unknownLoadCost = 600 * time.Millisecond
 )
 
-// loadTarget returns where an adapter is being loaded, or else an endpoint in the data centre
-// where its load costs the least: where it was held last, if that is there.
+// loadTarget returns an endpoint that is loading the adapter already, or else one in the data centre with
+// the lowest load cost: there the endpoint that held the adapter last is preferred.
 func (g *Gateway) loadTarget(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
 	if e := g.leastLoaded(intersect(g.View.Loading(a), list), clock.Now()); e != nil {
 		return e
@@ -146,18 +147,18 @@
 	return rendezvousEndpoint(a, byCentre[best])
 }
 
-// applyPlacement goes by the answer of who decides for an endpoint. One that begins to leave, or asks for a back-off,
-// while the request waits for a load there gets it no more; the next home does.
+// applyPlacement turns an owner's answer into a target. If the chosen endpoint began to drain or asked for a
+// back-off while the request waited, another one is selected.
 func (g *Gateway) applyPlacement(ctx context.Context, q *request, e *topology.Endpoint, p PlacementResult) (target, *Refusal) {
 	now := clock.Now()
 	if !p.Ready && g.accepts(e.ID(), now) {
 		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: p.RetryAfter, Detail: p.Reason}
 	}
-	if p.Ready && p.Endpoint != e.ID() { // who decides chose another one
+	if p.Ready && p.Endpoint != e.ID() { // the owner chose another endpoint
 		if e = g.View.Endpoint(p.Endpoint); e == nil {
 			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the endpoint is not known here"}
 		}
-		if g.isExcluded(q, e.ID(), now) { // a box of an older version decides, which is not told what to avoid
+		if g.isExcluded(q, e.ID(), now) { // owners of an older version ignore AdapterRequest.Avoid
 			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(unavailableRetryAfter, backoff.ComeBack(g.BackoffRemaining(e.ID(), now))),
 				Detail: "only an endpoint that turned requests away holds the adapter"}
 		}
@@ -168,19 +169,19 @@
 	return target{endpoint: g.View.Endpoint(e.ID()), version: max(p.Version, g.View.Newest(q.call.Adapter))}, nil
 }
 
-// isExcluded tells whether a request can't go to an endpoint, though it may hold the adapter.
+// isExcluded reports whether a request must not go to an endpoint, though it may hold the adapter.
 func (g *Gateway) isExcluded(q *request, endpoint string, now time.Time) bool {
 	return q.excluded[endpoint] || g.BackoffRemaining(endpoint, now) > 0
 }
 
-// excludedEndpoints returns the endpoints that a request can't go to, though they may hold its adapter.
+// excludedEndpoints returns the endpoints that a request must not go to, though they may hold its adapter.
 func (g *Gateway) excludedEndpoints(q *request, now time.Time) []string {
 	list := append(g.notices.backoffs.Under(now), slices.Collect(maps.Keys(q.excluded))...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// selectAnother places a request anew whose endpoint takes no new ones any more.
+// selectAnother selects another endpoint for a request whose endpoint no longer accepts new ones.
 func (g *Gateway) selectAnother(ctx context.Context, q *request, left *topology.Endpoint) (target, *Refusal) {
 	line := "Endpoint began to leave while a request waited for a load there"
 	if g.BackoffRemaining(left.ID(), clock.Now()) > 0 {
@@ -215,11 +216,11 @@
 	}
 }
 
-// outputWeight is how many tokens of a prompt cost as much as one that is
-// generated.
+// outputWeight is how many prompt tokens cost as much as one generated
+// token.
 const outputWeight = 10
 
-// intersect returns those of list that are in allowed too.
+// intersect returns the endpoints of list that are in allowed too.
 func intersect(list, allowed []*topology.Endpoint) []*topology.Endpoint {
 	in := make(map[string]bool, len(allowed))
 	for _, e := range allowed {
--- a/forward/caller_conn.go
+++ b/forward/caller_conn.go
@@ -10,56 +10,56 @@
 	"github.com/pkg/errors"
 )
 
-// ErrShutdown is the cause with which a server's base context ends the requests that are still
-// held when the time to stop is over: they get their answers instead of a closed connection.
+// ErrShutdown is the cause with which a server's base context ends the requests still in flight at the end
+// of the shutdown grace period: they get a response instead of a closed connection.
 var ErrShutdown = errors.New("forward: the box ends")
 
 const (
-	// unadmittedTimeout bounds what a request that is refused before its deadline is known may
-	// still hold: its body is read, and its answer written, or the caller is silent.
+	// unadmittedTimeout limits reading the body of, and responding to, a request that is refused before its
+	// deadline is known.
 	unadmittedTimeout = 5 * time.Second
-	// writeGrace is how long after its deadline the last of a request's answer may still
-	// be written: a caller some ms away that takes longer reads no more.
+	// writeGrace is how long after the deadline a response may still be written. Callers are some ms away,
+	// so one that takes longer no longer reads.
 	writeGrace = time.Second
 )
 
-// callerConn is the connection of one request's caller. It may fall silent without a reset, so
-// reads and writes on it end by themselves. A writer that knows no deadlines is no
-// connection: what it returns then is passed over.
+// callerConn sets the deadlines of a caller's connection, which may go silent without a reset. Errors of
+// writers that don't support deadlines are ignored: they are no network
+// connections.
 type callerConn struct{ controller *http.ResponseController }
 
 func newCallerConn(w http.ResponseWriter) callerConn {
 	return callerConn{http.NewResponseController(w)}
 }
 
-// limitUnadmitted bounds a request of which nothing is known yet.
+// limitUnadmitted sets the deadlines until the request is admitted.
 func (c callerConn) limitUnadmitted(now time.Time) {
 	_ = c.controller.SetReadDeadline(now.Add(unadmittedTimeout))
 	_ = c.controller.SetWriteDeadline(now.Add(unadmittedTimeout))
 }
 
-// limitBodyRead bounds the reading of the body, and leaves time for the answer where it is late.
+// limitBodyRead sets the deadline for the body, and leaves time for the response if the body is late.
 func (c callerConn) limitBodyRead(deadline time.Time) {
 	_ = c.controller.SetReadDeadline(deadline)
 	_ = c.controller.SetWriteDeadline(deadline.Add(writeGrace))
 }
 
-// limitResponse bounds the answer. What is read from now on only tells that the caller leaves,
-// and a deadline would look like that.
+// limitResponse sets the deadline for the response and removes that for reads. From here on reads only
+// detect that the caller left, and an expired deadline would look the same.
 func (c callerConn) limitResponse(deadline time.Time) {
 	_ = c.controller.SetReadDeadline(time.Time{})
 	_ = c.controller.SetWriteDeadline(deadline.Add(writeGrace))
 }
 
-// recoverPanic gives a request its answer whose handler panicked; net/http would close the
-// connection without one.
+// recoverPanic responds to a request whose handler panicked; net/http would only close the
+// connection.
 func (g *Gateway) recoverPanic(out *callerResponse, q *request) {
 	fault := recover()
 	if fault == nil {
 		return
 	}
 	if fault == http.ErrAbortHandler || out.started {
-		panic(fault) // an answer that ends early must not look whole
+		panic(fault) // a truncated response must not look complete
 	}
 	g.Log.Info("Handler panicked", "request", q.call.ID, "fault", fault, "stack", string(debug.Stack()))
 	g.refuse(out.writer, q, &Refusal{Code: CodeInternal, MayHaveRun: q.attempts > 0, RetryAfter: unavailableRetryAfter})
--- a/forward/caller_response.go
+++ b/forward/caller_response.go
@@ -11,17 +11,17 @@
 	"cairnwick.example/clock"
 )
 
-// callerResponse is what the caller has got so far.
+// callerResponse is the response to the caller, and its state.
 type callerResponse struct {
 	writer       http.ResponseWriter
-	isCallHeader func(header string) bool // whether it says what the call is
-	started      bool                     // something was written
-	firstByteAt  time.Time                // of the first byte
-	callerGone   bool                     // a write failed: the caller is gone
+	isCallHeader func(header string) bool // whether the header is part of the call's metadata
+	started      bool                     // the head was written
+	firstByteAt  time.Time
+	callerGone   bool // a write failed
 	status       int
 }
 
-// writeHead writes an endpoint's status and headers; length below zero: not known.
+// writeHead writes an endpoint's status and headers; a negative length means that it is unknown.
 func (a *callerResponse) writeHead(r *http.Response, length int) {
 	h := a.writer.Header()
 	leaving := h.Get("Connection")
@@ -36,10 +36,10 @@
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
 	if h["Date"] == nil {
-		h["Date"] = nil // keeps net/http from adding one
+		h["Date"] = nil // keeps net/http from adding it
 	}
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // and from guessing
+		h["Content-Type"] = nil // and from guessing it
 	}
 	a.started, a.firstByteAt, a.status = true, clock.Now(), r.StatusCode
 	a.writer.WriteHeader(r.StatusCode)
@@ -57,14 +57,14 @@
 	}
 }
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop are the headers that apply to a single connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd returns the headers without those that concern one connection only: the usual
-// ones, and those that the sender lists, unless they describe the call.
+// endToEnd returns the headers without the hop-by-hop ones: the standard ones, and those that Connection
+// lists, unless they are part of the call's metadata.
 func endToEnd(from http.Header, describes func(name string) bool) http.Header {
 	h := from.Clone()
 	for _, line := range from["Connection"] {
--- a/forward/data_centres.go
+++ b/forward/data_centres.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	avoidDuration    = time.Second            // a data centre that did not answer is not asked for so long
-	failureThreshold = 3                      // endpoints of one data centre that could not be reached
-	failureWindow    = 700 * time.Millisecond // within so long mean that the way there is cut
-	silenceTimeout   = 350 * time.Millisecond // a request without any answer for so long, while nothing else came from its data centre either, counts as a failure: a first event takes some 50 ms
+	avoidDuration    = time.Second            // how long a data centre that did not respond is avoided
+	failureThreshold = 3                      // unreachable endpoints of one data centre
+	failureWindow    = 700 * time.Millisecond // within so long indicate that the network to it is cut
+	silenceTimeout   = 350 * time.Millisecond // a request without a response for so long, while no other data came from its data centre, counts as a failure: a first event takes some 50 ms
 )
 
-// dataCentres remembers how the data centres answered lately, and which of them are avoided for
-// it. Gateway.Cut says of others, by what the members tell, that they are out of touch.
+// dataCentres tracks which data centres failed recently, as seen by this box, and are avoided. Those that
+// the members report as dead are covered by Gateway.Unreachable.
 type dataCentres struct {
 	mu           sync.Mutex
-	avoidedUntil map[string]time.Time            // by data centre: it is avoided until then
+	avoidedUntil map[string]time.Time            // by data centre
 	failures     map[string]map[string]time.Time // by data centre and endpoint
-	lastActivity map[string]time.Time            // by data centre: when anything came from an endpoint there
+	lastActivity map[string]time.Time            // by data centre: when data last came from one of its endpoints
 }
 
-// recordActivity notes that something came from an endpoint of a data centre.
+// recordActivity records that data came from an endpoint of a data centre.
 func (c *dataCentres) recordActivity(centre string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,8 +33,8 @@
 	c.lastActivity[centre] = now
 }
 
-// recordSilence notes that a request sent some time ago has had no answer: a failure, where nothing
-// at all came from the data centre meanwhile.
+// recordSilence records a request that has had no response since sent. It is a failure if no data at all
+// came from the data centre meanwhile.
 func (c *dataCentres) recordSilence(centre, endpoint string, sent, now time.Time) {
 	c.mu.Lock()
 	heard := c.lastActivity[centre].After(sent)
@@ -44,7 +44,7 @@
 	}
 }
 
-// avoid avoids a data centre for avoidFor.
+// avoid avoids a data centre for avoidDuration.
 func (c *dataCentres) avoid(centre string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,8 +58,8 @@
 	c.avoidedUntil[centre] = now.Add(avoidDuration)
 }
 
-// recordFailure notes that an endpoint of a data centre could not be reached: several in a
-// short time are a cut, which other boxes' heartbeats show only later.
+// recordFailure records that an endpoint of a data centre could not be reached. Several in a short time
+// indicate a network partition, before other boxes' heartbeats show it.
 func (c *dataCentres) recordFailure(centre, endpoint string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/forward/dispatch.go
+++ b/forward/dispatch.go
@@ -8,20 +8,20 @@
 	"cairnwick.example/clock"
 )
 
-// dispatch is one request at one endpoint. It counts there until it has ended.
+// dispatch is one request at one endpoint, which counts towards the endpoint's load until finish.
 type dispatch struct {
 	gateway             *Gateway
 	request             *request
 	upstream            *upstream
-	run                 Run // nil where the request needs no adapter
-	unreadTokens        int // tokens of prompts of this box that the endpoint had not read, the own ones too
+	run                 Run // nil if the request needs no adapter
+	unreadTokens        int // prompt tokens of this box that the endpoint has not read, including the request's
 	predictedFirstToken time.Duration
 	sentAt              time.Time
-	promptRead          bool      // something of the answer came
-	lastPartAt          time.Time // when the latest part of it came
+	promptRead          bool      // a part of the response came
+	lastPartAt          time.Time // when the latest part of the response came
 }
 
-// newDispatch notes that a request is being sent to an endpoint.
+// newDispatch records that a request is being sent to an endpoint.
 func (g *Gateway) newDispatch(q *request, t target) *dispatch {
 	u := g.upstreams.get(t.endpoint)
 	d := &dispatch{gateway: g, request: q, upstream: u, sentAt: clock.Now()}
@@ -37,7 +37,7 @@
 	return d
 }
 
-// partReceived notes that a part of the answer came. The first one says that the prompt is read.
+// partReceived records a part of the response. The first one shows that the prompt has been read.
 func (d *dispatch) partReceived() {
 	now := clock.Now()
 	d.gateway.recordActivity(d.upstream, now)
@@ -55,7 +55,7 @@
 	}
 }
 
-// finish notes that the endpoint works on the request no more.
+// finish records that the endpoint no longer works on the request.
 func (d *dispatch) finish() {
 	if !d.promptRead {
 		d.upstream.promptRead(d.request.call.PromptTokens)
@@ -66,20 +66,20 @@
 	}
 }
 
-// observeFirstToken takes in how long an endpoint took to its first token.
+// observeFirstToken updates the predictor with the time that an endpoint took to its first token.
 func (g *Gateway) observeFirstToken(tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.firstToken.Observe(tokens, took)
 }
 
-// PromptReadTime returns how long endpoints take to read so many tokens of prompts, by the answers
-// that this box saw.
+// PromptReadTime predicts how long an endpoint takes to read a prompt of so many tokens, from the
+// responses that this box received.
 func (g *Gateway) PromptReadTime(tokens int) time.Duration {
 	return g.predictFirstToken(tokens) - g.predictFirstToken(0)
 }
 
-// predictFirstToken returns how long an endpoint takes to its first token after so many tokens.
+// predictFirstToken predicts the time to the first token while so many prompt tokens are unread.
 func (g *Gateway) predictFirstToken(tokens int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/forward/termination.go
+++ b/forward/termination.go
@@ -10,8 +10,8 @@
 	"cairnwick.example/quarantine"
 )
 
-// newWatch returns what finds out which endpoints ended under requests of this box, and what it
-// then does.
+// newWatch returns the detector of endpoints that end under requests of this box, and its
+// callback.
 func (g *Gateway) newWatch() *quarantine.Watch {
 	return &quarantine.Watch{
 		HasEnded: func(ctx context.Context, address string) bool {
@@ -21,7 +21,7 @@
 	}
 }
 
-// endpointEnded takes in that an endpoint ended, and under which requests it may have.
+// endpointEnded handles the end of an endpoint; suspects are the requests that may have caused it.
 func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
 	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
 	if e := g.View.Endpoint(endpoint); e != nil {
@@ -30,7 +30,7 @@
 	g.Quarantine.Ended(endpoint, suspects)
 }
 
-// reportBroken notes that an endpoint broke off the answer to a request.
+// reportBroken reports that an endpoint broke off the response to a request.
 func (g *Gateway) reportBroken(u *upstream, q *request) {
 	g.watch().Cut(u.endpoint.ID(), u.endpoint.Address(), q.content)
 }
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	dialTimeout = 300 * time.Millisecond // an endpoint a few ms away that takes longer does not answer
-	// tcpUserTimeout ends a connection whose bytes the other side has not acknowledged for so
-	// long: a silent one takes no more of what its callers wait for. It leaves room for four
-	// sends, 0.2, 0.6 and 1.4 s after the first, by the system's least retransmission time,
-	// and for two questions after a rest, 1 and 2 s after the last byte.
+	dialTimeout = 300 * time.Millisecond // endpoints are a few ms away
+	// tcpUserTimeout closes a connection on which sent data stays unacknowledged for so long, so
+	// that a dead one takes no more of its callers' time. It leaves room for three retransmissions,
+	// 0.2, 0.6 and 1.4 s after the first transmission at the kernel's minimum timeout, and for two
+	// keep-alive probes, 1 and 2 s after the last byte.
 	tcpUserTimeout = 2500 * time.Millisecond
-	// keepAliveIdle is how long a connection rests, or its answer pauses, until the system asks
-	// the other side whether it is there, and how long it waits for that, by a packet of 52
-	// bytes each way; the system knows whole seconds. One that is silent ends after
-	// userTimeout, which leaves room for a second question: a packet that is lost ends nothing.
+	// keepAliveIdle is how long a connection is idle, or its response pauses, before the kernel sends
+	// a keep-alive probe, and the interval between probes. A probe takes 52 bytes each way; the kernel
+	// counts in whole seconds. A dead connection is closed after tcpUserTimeout, which leaves room for
+	// a second probe, so that a single lost packet closes nothing.
 	keepAliveIdle     = time.Second
-	maxIdleConns      = 64                     // kept for each endpoint
-	idleTimeout       = 20 * time.Second       // until the endpoint says how long it keeps connections
-	idleTimeoutFactor = 0.6                    // of what the endpoint says: it must not close first
-	minDownTime       = 500 * time.Millisecond // how long an endpoint that could not be reached is avoided
-	maxDownTime       = 4 * time.Second        // the longest, after some refusals in a row
-	failureRateWeight = 0.1                    // weight of one outcome in the failure rate
-
-	shedThreshold = 2                      // requests turned away in a row that say more than that the endpoint is full just now
-	minShedTime   = 100 * time.Millisecond // how long it is passed over then, where others serve; twice as long with each further one
-	maxShedTime   = time.Second            // the longest: it must show soon that it serves again
+	maxIdleConns      = 64                     // per endpoint
+	idleTimeout       = 20 * time.Second       // until the endpoint announces its own
+	idleTimeoutFactor = 0.6                    // of the endpoint's idle timeout: it must not close a connection first
+	minDownTime       = 500 * time.Millisecond // how long an endpoint is avoided after a failed connect
+	maxDownTime       = 4 * time.Second        // limit of that time, which doubles with each further failure
+	failureRateWeight = 0.1                    // weight of one outcome in the moving average
+
+	shedThreshold = 2                      // rejections in a row that show more than a momentarily full endpoint
+	minShedTime   = 100 * time.Millisecond // how long such an endpoint is avoided if others serve; doubles with each further rejection
+	maxShedTime   = time.Second            // limit of that time, so that it is soon noticed when the endpoint serves again
 )
 
-// upstream is the connections to one life of an endpoint and how it did.
+// upstream holds the connections to one incarnation of an endpoint, and its health.
 type upstream struct {
 	endpoint *topology.Endpoint
 
@@ -47,15 +47,15 @@
 	transport      *http.Transport
 	idleTimeout    time.Duration // of transport
 	inFlight       int
-	unreadTokens   int       // tokens of the prompts of inFlight that the endpoint has not read
-	silentRequests int       // of inFlight, those sent over silentAfter ago without any answer
-	lastActivity   time.Time // when anything came from it
-	failureRate    float64   // share of requests that failed lately, 0 to 1
-	outcomes       int       // outcomes counted, up to enoughOutcomes
-	downUntil      time.Time // it is avoided until then
+	unreadTokens   int       // prompt tokens of inFlight that the endpoint has not read
+	silentRequests int       // of inFlight, those without a response for longer than silentAfter
+	lastActivity   time.Time // when data last came from the endpoint
+	failureRate    float64   // moving average, 0 to 1
+	outcomes       int       // number of outcomes in failureRate, up to minOutcomes
+	downUntil      time.Time // avoided until then
 	downTime       time.Duration
-	refusalsInRow  int       // requests turned away in a row, of those that were sent after fullUntil
-	sheddingUntil  time.Time // it is passed over until then
+	refusalsInRow  int       // rejections in a row, not counting those before sheddingUntil
+	sheddingUntil  time.Time // avoided until then
 }
 
 func newUpstream(e *topology.Endpoint) *upstream {
@@ -64,7 +64,7 @@
 	return u
 }
 
-// reconnect replaces the connections by ones that are closed after idle.
+// reconnect replaces the transport by one with the idle timeout.
 func (u *upstream) reconnect(idle time.Duration) {
 	t := engine.NewTransport(newDialer().DialContext, maxIdleConns)
 	t.IdleConnTimeout = idle
@@ -75,13 +75,13 @@
 	}
 }
 
-// newDialer returns what opens connections that end when they are silent.
+// newDialer returns a dialer whose connections are closed when the peer goes silent.
 func newDialer() *net.Dialer {
 	keep := net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveIdle, Count: 2}
 	return &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keep, Control: setUserTimeout}
 }
 
-// setUserTimeout makes connections end whose peer says nothing any more.
+// setUserTimeout sets TCP_USER_TIMEOUT, which closes a connection whose peer no longer acknowledges data.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
@@ -99,10 +99,10 @@
 	return &http.Client{Transport: u.transport, CheckRedirect: noRedirect}
 }
 
-// noRedirect passes redirects on instead of following them.
+// noRedirect relays redirects to the caller instead of following them.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// setIdleTimeout takes what the endpoint says of its connections.
+// setIdleTimeout adopts the idle timeout that the endpoint announced, if it is shorter.
 func (u *upstream) setIdleTimeout(d time.Duration) {
 	if d <= 0 {
 		return
@@ -115,15 +115,15 @@
 	}
 }
 
-// resetConnections closes the unused connections, after an answer that was not asked for.
+// resetConnections closes idle connections: one may hold a response that no request asked for.
 func (u *upstream) resetConnections() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.reconnect(u.idleTimeout)
 }
 
-// startRequest counts one request more, and returns how many tokens of prompts the endpoint has
-// not read then.
+// startRequest counts a request in flight, and returns how many prompt tokens the endpoint has not read
+// then.
 func (u *upstream) startRequest(tokens int) (reading int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -132,7 +132,7 @@
 	return u.unreadTokens
 }
 
-// promptRead notes that the endpoint has read a prompt of so many tokens, or will not.
+// promptRead records that the endpoint has read a prompt of so many tokens, or won't read it.
 func (u *upstream) promptRead(tokens int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -145,23 +145,23 @@
 	u.inFlight--
 }
 
-// addSilent notes that one request more or less has waited long for its answer.
+// addSilent changes the number of silent requests.
 func (u *upstream) addSilent(n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.silentRequests += n
 }
 
-// recordActivity notes that something came from the endpoint.
+// recordActivity records that data came from the endpoint.
 func (u *upstream) recordActivity(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.lastActivity = now
 }
 
-// closeIdleIfSilent closes the connections that rest, where nothing at all came from the endpoint since
-// sent: they may be as silent as the one that a request has waited on in vain. Those in use
-// may still answer.
+// closeIdleIfSilent closes the idle connections if no data at all came from the endpoint since sent: they
+// may be as dead as the one that a request has been waiting on. Those in use may still deliver a
+// response.
 func (u *upstream) closeIdleIfSilent(sent time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -170,9 +170,9 @@
 	}
 }
 
-const minOutcomes = 8 // before the failure rate says anything
+const minOutcomes = 8 // before the failure rate is used
 
-// recordOutcome notes how one request went.
+// recordOutcome updates the failure rate.
 func (u *upstream) recordOutcome(failed bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -187,9 +187,8 @@
 	u.outcomes = min(u.outcomes+1, minOutcomes)
 }
 
-// recordRefusal notes that the endpoint turned a request away and did not say for how long it takes none. What
-// turns requests away works on none of them, so without this it looks emptier than the others and is asked
-// first.
+// recordRefusal records that the endpoint rejected a request without a back-off. Such an endpoint has no
+// requests in flight, so it would otherwise look less loaded than the others and be preferred.
 func (u *upstream) recordRefusal(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -202,7 +201,7 @@
 	}
 }
 
-// markDown avoids the endpoint for a while, longer each time.
+// markDown avoids the endpoint for a while, longer with each failure in a row.
 func (u *upstream) markDown(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -213,10 +212,10 @@
 	u.downUntil = now.Add(u.downTime)
 }
 
-// health is what placement must know of an upstream.
+// health is what the selection of endpoints uses of an upstream.
 type health struct {
 	inFlight       int
-	unreadTokens   int // tokens of prompts
+	unreadTokens   int // of prompts
 	down           bool
 	shedding       bool
 	silentRequests int
@@ -233,7 +232,7 @@
 	return h
 }
 
-// upstreams keeps one for each endpoint that was used.
+// upstreams holds one upstream for each endpoint that was used.
 type upstreams struct {
 	mu   sync.Mutex
 	byID map[string]*upstream
@@ -253,8 +252,8 @@
 	return u
 }
 
-// prune forgets the upstreams of endpoints that are gone; what they still answer
-// goes on.
+// prune drops the upstreams of removed endpoints; requests in flight there
+// continue.
 func (t *upstreams) prune(known func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -266,12 +265,12 @@
 	}
 }
 
-// pruneInterval is between two looks for endpoints that are gone: where thousands change, each change
-// alone would cost a look at all that this box has used. A connection at rest to one that is gone does
-// no harm meanwhile.
+// pruneInterval is the minimum time between two scans for removed endpoints: a scan covers all endpoints
+// that this box has used, and thousands may change at once. Until then an idle connection to a removed
+// endpoint does no harm.
 const pruneInterval = 250 * time.Millisecond
 
-// pruneLoop forgets gone endpoints as the view changes, until ctx ends.
+// pruneLoop drops state of removed endpoints as the view changes, until ctx ends.
 func (g *Gateway) pruneLoop(ctx context.Context) {
 	known := func(id string) bool { return g.View.Endpoint(id) != nil }
 	for ctx.Err() == nil {
