--- a/forward/admission.go
+++ b/forward/admission.go
@@ -10,43 +10,43 @@
 	"cairnwick.example/clock"
 )
 
-// Admission knows what holds for organisations over all boxes.
+// Admission checks keys and quotas, which hold for all boxes together.
 type Admission interface {
-	// KeysUsable tells whether what this box knows of keys is recent enough to serve by: a key that
-	// was taken away since may not be served for long.
+	// KeysUsable reports whether this box's copy of the keys is recent enough to accept one. A key
+	// that was revoked since must soon be rejected.
 	KeysUsable(now time.Time) bool
-	// KeysCurrent tells whether it is recent enough to say that a key stands for nobody: one that was
-	// put in since does.
+	// KeysCurrent reports whether the copy is recent enough to reject a key. One that was added since
+	// is valid.
 	KeysCurrent(now time.Time) bool
-	// Charge takes units from an organisation's quota. It waits as long as p says.
+	// Charge takes units from an organisation's quota. It waits at most as long as p allows.
 	Charge(ctx context.Context, o *access.Organisation, units float64, p QuotaTimeouts) ChargeResult
-	// ChargeUnchecked takes units that are used in any case.
+	// ChargeUnchecked takes units whether or not the quota has them.
 	ChargeUnchecked(o *access.Organisation, units float64)
-	// Refund gives back units of a request that did not run.
+	// Refund returns the units of a request that was not executed.
 	Refund(o *access.Organisation, units float64)
 }
 
-// QuotaTimeouts is how long a request waits for a quota.
+// QuotaTimeouts limits how long a request waits for a quota.
 type QuotaTimeouts struct {
-	Exceeded    time.Duration // where the quota is used up and known to have room again within it
-	Unavailable time.Duration // for somebody who counts the quota
+	Exceeded    time.Duration // if the quota is used up, and is known to have units again within that time
+	Unavailable time.Duration // if no leader that counts the quota answers
 }
 
-// ChargeResult is what became of a request for units of a quota.
+// ChargeResult is the answer to Admission.Charge.
 type ChargeResult struct {
 	OK         bool
-	Exceeded   bool          // not OK: the quota is used up; else nobody who counts it answers
-	RetryAfter time.Duration // not OK: when it is likely granted
+	Exceeded   bool          // not OK: the quota is used up; otherwise no leader that counts it answered
+	RetryAfter time.Duration // not OK: until the units are likely granted
 }
 
-// quotaWaitFraction is the part of a route's target that a request waits for a quota that is used up: what is
-// beyond a quota is told so at once, and a wait that others of the same organisation may use up is not
-// worth more of the time in which it must be answered.
+// quotaWaitFraction is the part of a route's target latency that a request waits for a quota that is used up.
+// Callers over their quota are told so soon. A longer wait is not worth the time that the response needs,
+// since other requests of the same organisation may use up the units that become free.
 const quotaWaitFraction = 0.125
 
-// authenticate finds whose request it is, by the configuration that is in force now. It is asked
-// before each send: a key may have been taken away, and this box may have stood still, since the
-// request came.
+// authenticate finds the organisation of a request in the current configuration. It is called before each
+// attempt: since the request came its key may have been revoked, and this box may have been
+// suspended.
 func (g *Gateway) authenticate(q *request, now time.Time) *Refusal {
 	d := g.View.Config().Callers()
 	if d == nil || q.route.Public() {
@@ -71,7 +71,7 @@
 	return &Refusal{Code: CodeKeyUnknown, Detail: "no organisation has the key"}
 }
 
-// organisationName returns the name of the organisation whose request it is; empty for nobody's.
+// organisationName returns the name of the request's organisation; empty for none.
 func (q *request) organisationName() string {
 	if q.organisation == nil {
 		return ""
@@ -79,23 +79,23 @@
 	return q.organisation.Name()
 }
 
-// hasQuota tells whether the request counts against a quota.
+// hasQuota reports whether the request counts towards a quota.
 func (q *request) hasQuota() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
 
-// quotaCost returns what one run of the request counts.
+// quotaCost returns the units of one execution of the request.
 func (q *request) quotaCost() float64 {
 	return q.organisation.Quota().Cost(q.call.PromptTokens+q.call.MaxOutputTokens, q.call.TokensStated)
 }
 
-// chargeQuota takes a run of the request from its organisation's quota, before anything else is used
-// for it: what is beyond a quota costs the others no slot, load or retry.
+// chargeQuota charges one execution of the request to its organisation's quota. It comes before anything else
+// is used, so that requests over a quota cost the other organisations no slots, loads or retries.
 func (g *Gateway) chargeQuota(ctx context.Context, q *request) *Refusal {
 	if !q.hasQuota() {
 		return nil
 	}
 	s := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
 		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.Target())),
-		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // boxes agree anew within a second on who counts
+		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // leaders change within a second
 	})
 	switch {
 	case s.OK:
@@ -107,7 +107,7 @@
 	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "nobody who counts the organisation's quota answers"}
 }
 
-// rechargeQuota takes one more run from the quota where the one before began.
+// rechargeQuota charges another execution if the one before has begun.
 func (g *Gateway) rechargeQuota(q *request) {
 	if !q.hasQuota() || q.charged > 0 {
 		return
@@ -116,7 +116,7 @@
 	g.Admission.ChargeUnchecked(q.organisation, q.charged)
 }
 
-// refundQuota returns what was spent for a run that never began.
+// refundQuota returns the units of an execution that never began.
 func (g *Gateway) refundQuota(q *request) {
 	if q.charged > 0 && q.organisation != nil {
 		g.Admission.Refund(q.organisation, q.charged)
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// RetryLimits is what all boxes together may send again to one service.
+// RetryLimits bounds the retries of all boxes together to one service.
 type RetryLimits struct {
-	Ratio  float64       // of the first attempts
-	Extra  float64       // besides, in each window
-	Window time.Duration // over which both are counted
+	Ratio  float64       // retries per first attempt
+	Extra  float64       // additional retries per window
+	Window time.Duration // over which first attempts and retries are counted
 }
 
-// How a box's share is used. What it saves and what it earns in a window may fall into one
+// Use of a box's share. A burst of saved retries and the retries earned in a window may fall into the same
 // window, so both together stay below the share.
 const (
 	earnedFactor      = 0.7  // of the retries that first attempts earn: requests are counted elsewhere too
-	earnedBurstFactor = 0.25 // of the same, by the first attempts of the last window: so much may be saved, and both together stay below what either window allows
-	shareFactor       = 0.95 // of its share of the extra retries; the rest is for boxes that are still unknown
-	shareBurstFactor  = 0.35 // of that share may be saved and spent at once
-	maxShareBurst     = 10.0 // retries of the share, so that few boxes spread theirs as well
+	earnedBurstFactor = 0.25 // of the same, by the first attempts of the last window, may be saved for a burst; both together stay below what either window allows
+	shareFactor       = 0.95 // of the share of the extra retries; the rest is for boxes not yet known
+	shareBurstFactor  = 0.35 // of that share may be saved for a burst
+	maxShareBurst     = 10.0 // retries of the share in a burst, so that a few boxes spread theirs too
 )
 
-// RetryBudget is one box's share of the retries to one service. A box with many callers earns more
-// by their requests than its share of the extra ones, and needs them together: an endpoint that
-// refuses one of its requests refuses the next ones too. Where each of many boxes could save one retry
-// alone, most of what all may send again would lie unused while requests are given up.
+// RetryBudget is a token bucket that holds one box's share of the retries to one service. A box with many
+// callers earns more by their first attempts than by its share of the extra retries, and needs them in a
+// burst: an endpoint that rejects one request rejects the next ones too. If each of many boxes could only
+// save up a single retry, most of what the limits allow would stay unused while requests fail.
 type RetryBudget struct {
 	Limits func() RetryLimits
 
 	mu         sync.Mutex
 	tokens     float64
-	shareBurst float64       // of its share of the extra ones, that tokens may rise to, as of the last retry; zero: one
+	shareBurst float64       // burst from the share of the extra retries, as of the last retry; zero: one
 	firsts     windowCounter // first attempts
 	refilledAt time.Time
 	counts     RetryCounts
 }
 
-// RetryCounts is what one box did with its share of the retries to one service.
+// RetryCounts counts the retries of one box to one service.
 type RetryCounts struct {
-	Made      int64   `json:"made"`     // out of the budget
-	Withheld  int64   `json:"withheld"` // since the budget was used up
-	Unsent    int64   `json:"unsent"`   // outside it: the attempt before had reached nobody
-	Remaining float64 `json:"left"`     // that may be made now
+	Made      int64   `json:"made"`     // from the budget
+	Withheld  int64   `json:"withheld"` // denied by the budget
+	Unsent    int64   `json:"unsent"`   // outside the budget: nothing of the attempt before was sent
+	Remaining float64 `json:"left"`     // retries available now
 	Boxes     int     `json:"boxes"`    // that share the budget, as of the last retry
 }
 
-// RecordFirst notes the first attempt of a request at now.
+// RecordFirst adds the first attempt of a request.
 func (b *RetryBudget) RecordFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,13 +57,13 @@
 	b.tokens = min(b.tokens+limits.Ratio*earnedFactor, b.maxTokensLocked(now, limits))
 }
 
-// maxTokensLocked is how many retries may be saved at now.
+// maxTokensLocked returns the size of the bucket.
 func (b *RetryBudget) maxTokensLocked(now time.Time, limits RetryLimits) float64 {
 	return max(b.shareBurst, 1) + limits.Ratio*earnedBurstFactor*float64(b.firsts.count(now, limits.Window))
 }
 
-// TryRetry tells whether one more attempt may be made at now by one of so many boxes. Where it
-// is not known how many there are, zero, only first attempts earn retries.
+// TryRetry takes one retry from the budget, if it has one. boxes is the number of boxes that share the
+// limits; if it is zero, for unknown, only first attempts earn retries.
 func (b *RetryBudget) TryRetry(now time.Time, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +73,7 @@
 		share = limits.Extra / float64(boxes)
 	}
 	b.shareBurst = max(min(share*shareBurstFactor, maxShareBurst), 1)
-	earned := max(share*shareFactor-b.shareBurst, 0) // in a window
+	earned := max(share*shareFactor-b.shareBurst, 0) // per window
 	if !b.refilledAt.IsZero() {
 		b.tokens += earned * now.Sub(b.refilledAt).Seconds() / limits.Window.Seconds()
 	}
@@ -89,14 +89,14 @@
 	return true
 }
 
-// RecordUnsent notes an attempt that is made anew since the one before reached nobody.
+// RecordUnsent counts a retry of an attempt of which nothing was sent.
 func (b *RetryBudget) RecordUnsent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Unsent++
 }
 
-// Counts returns what was done so far.
+// Counts returns the counts since the start.
 func (b *RetryBudget) Counts() RetryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -105,24 +105,24 @@
 	return c
 }
 
-// windowBuckets is into how many parts a window is divided to count what lies in the last one.
+// windowBuckets is the number of buckets in a window.
 const windowBuckets = 10
 
-// windowCounter counts what happened within the last window, by parts of it; the part that has begun
-// and the oldest one that is not whole any more do not count. The zero value has counted nothing.
+// windowCounter counts events in a sliding window, by buckets. The current bucket and the oldest, partly
+// expired one do not count. The zero value is empty.
 type windowCounter struct {
 	buckets   [windowBuckets + 1]int
-	startedAt time.Time // when the first part began; the steady clock goes on from it
-	latest    int64     // number of the latest part
+	startedAt time.Time // start of the first bucket, on the monotonic clock
+	latest    int64     // number of the latest bucket
 }
 
-// add counts one at now.
+// add counts one event.
 func (r *windowCounter) add(now time.Time, window time.Duration) {
 	r.advance(now, window)
 	r.buckets[r.latest%int64(len(r.buckets))]++
 }
 
-// count returns how many lie within the whole parts of the last window.
+// count returns the events in the complete buckets of the window.
 func (r *windowCounter) count(now time.Time, window time.Duration) int {
 	r.advance(now, window)
 	n := 0
@@ -132,7 +132,7 @@
 	return n - r.buckets[r.latest%int64(len(r.buckets))] - r.buckets[(r.latest+1)%int64(len(r.buckets))]
 }
 
-// advance begins the part of now and empties those that have passed since.
+// advance moves to the bucket of now and clears the expired ones.
 func (r *windowCounter) advance(now time.Time, window time.Duration) {
 	if r.startedAt.IsZero() {
 		r.startedAt = now
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// limitWaitFraction is the part of a route's target that a request waits for room at an endpoint that names
-	// a limit, where all others that it could go to name one too. It is less than a load elsewhere takes,
-	// and leaves the rest for the answer.
+	// limitWaitFraction is the part of a route's target latency that a request waits for capacity at an
+	// endpoint with a rate limit, if all its alternatives have one too. It is less than a load elsewhere
+	// takes, and leaves the rest for the response.
 	limitWaitFraction = 0.125
-	// maxLimitDenials is how many endpoints without room a request asks: each is a call to another box, and
-	// where so many are in need the rest are.
+	// maxLimitDenials is how many endpoints may deny capacity before a request gives up on those with a rate
+	// limit. Each is a call to another box, and where so many are at their limits the rest are.
 	maxLimitDenials = 4
 )
 
-// observeLimit takes in what the head of an answer says of the endpoint's limit. Any answer of the
-// endpoint may name one; that there is none only its own answer to this request tells.
+// observeLimit records the rate limit that a response announces. Any response of the endpoint may announce
+// one, but only a signed one to this request shows that there is none.
 func (g *Gateway) observeLimit(q *request, t target, v Response) {
 	switch {
 	case v.LimitErr != nil:
@@ -32,20 +32,20 @@
 	}
 }
 
-// nextTarget finds the endpoint for the next attempt. Each send, a first one, a retry or one by which a stream
-// goes on, passes here: of an endpoint that names a limit it takes one of the requests that all
-// boxes together may send there, or else goes to another one.
+// nextTarget selects the endpoint for the next attempt. Every attempt passes here: first attempts, retries
+// and resumed streams. At an endpoint with a rate limit, which all boxes share, it reserves one request, or
+// else selects another endpoint.
 func (g *Gateway) nextTarget(ctx context.Context, q *request) (target, *Refusal) {
 	for {
 		t, f := g.selectEndpoint(ctx, q)
 		if f != nil {
 			return t, f
 		}
-		if g.wasDenied(q, t.endpoint) { // who decides for the endpoints knows no other one
+		if g.wasDenied(q, t.endpoint) { // owners know no other endpoint
 			return t, q.limitRefusal()
 		}
 		hasRoom := !g.Limits.HasLimit(t.endpoint.ID()) || g.acquireCapacity(ctx, q, t.endpoint)
-		if now := clock.Now(); hasRoom && g.accepts(t.endpoint.ID(), now) { // it may have said else while the request waited for its turn
+		if now := clock.Now(); hasRoom && g.accepts(t.endpoint.ID(), now) { // it may have changed while the request waited
 			return t, g.maySend(q, now)
 		}
 		if ctx.Err() != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// acquireCapacity takes one of the requests that an endpoint takes which names a limit, and waits for its time.
-// Where there is none the request goes there no more, unless it gets on by nothing else.
+// acquireCapacity reserves one request of an endpoint's rate limit, and waits for its turn. If that is
+// denied the request does not go to the endpoint again, unless limitRequest asks for more.
 func (g *Gateway) acquireCapacity(ctx context.Context, q *request, e *topology.Endpoint) bool {
 	a := g.limitRequest(q, e)
 	r := g.Limits.Acquire(ctx, e, a)
@@ -75,21 +75,21 @@
 	return true
 }
 
-// limitDenial is the answer that an endpoint which names a limit takes no more.
+// limitDenial records that an endpoint had no capacity left in its rate limit.
 type limitDenial struct {
 	request ratelimit.Ask
-	wait    time.Duration // until it likely takes such a request
+	wait    time.Duration // until such a request is likely granted
 }
 
-// wasDenied tells whether an endpoint had no room for the request, which would get none by asking again:
-// only where the others have failed meanwhile it asks for more than they leave.
+// wasDenied reports whether an endpoint denied the request, and would deny it again. A request asks for more
+// than before, not only for spare capacity, once its alternatives have failed.
 func (g *Gateway) wasDenied(q *request, e *topology.Endpoint) bool {
 	n, asked := q.limitDenials[e.ID()]
 	return asked && !g.limitRequest(q, e).Before(n.request)
 }
 
-// limitRequest returns what the request asks of an endpoint that names a limit: what others leave, where another
-// one without a limit has what it needs; else it waits a little.
+// limitRequest returns what the request asks of an endpoint with a rate limit: spare capacity if an endpoint
+// without a limit could serve it, or else any capacity after a short wait.
 func (g *Gateway) limitRequest(q *request, e *topology.Endpoint) ratelimit.Ask {
 	a := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
 	others := g.View.Endpoints(q.service.Name())
@@ -106,7 +106,7 @@
 	return a
 }
 
-// withCapacity returns those that had room for the request, as far as they were asked.
+// withCapacity returns the endpoints that have not denied the request.
 func (g *Gateway) withCapacity(q *request, list []*topology.Endpoint) []*topology.Endpoint {
 	if len(q.limitDenials) == 0 {
 		return list
@@ -123,7 +123,7 @@
 	return some
 }
 
-// withoutLimit returns those that name no limit.
+// withoutLimit returns the endpoints without a rate limit.
 func (g *Gateway) withoutLimit(list []*topology.Endpoint) []*topology.Endpoint {
 	var some []*topology.Endpoint
 	for _, e := range list {
@@ -134,8 +134,8 @@
 	return some
 }
 
-// limitRefusal refuses a request for which no endpoint has room: its caller may come back when the first of
-// those that were asked has.
+// limitRefusal refuses a request that all endpoints denied. Its caller may come back when the first of them
+// has capacity.
 func (q *request) limitRefusal() *Refusal {
 	var back time.Duration
 	for _, n := range q.limitDenials {
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -12,21 +12,21 @@
 	"cairnwick.example/topology"
 )
 
-// Notice is what an endpoint says of itself in the head of an answer, besides answering. Nobody but the
-// box that asked hears it.
+// Notice is what an endpoint announces of itself in the head of a response, besides the response. Only the
+// box that sent the request receives it.
 type Notice struct {
-	IdleTimeout time.Duration   // after which it closes an unused connection; zero: not said
-	Limit       ratelimit.Limit // the requests a second that it takes from all boxes together
-	LimitErr    error           // it names a limit that can't be read; Limit says nothing then
-	Draining    bool            // this life of it ends soon
-	// Backoff is for how long it wants nothing from this box; zero: it does not ask for that. Only an
-	// answer that turns the request away asks.
+	IdleTimeout time.Duration   // after which it closes an idle connection; zero: not announced
+	Limit       ratelimit.Limit // requests a second that it accepts from all boxes together
+	LimitErr    error           // the announced limit can't be parsed; Limit is zero then
+	Draining    bool            // this incarnation shuts down soon
+	// Backoff is how long this box should send it no requests; zero: not announced. Only a rejection
+	// announces one.
 	Backoff    time.Duration
-	BackoffErr error // it asks for a time that can't be read; Backoff is zero then
+	BackoffErr error // the announced back-off can't be parsed; Backoff is zero then
 }
 
-// observeResponse takes in what the head of an answer says of the endpoint. What another endpoint at the
-// address says is none of it.
+// observeResponse applies what the head of a response announces of the endpoint. It ignores a response of
+// another endpoint at the address.
 func (g *Gateway) observeResponse(q *request, u *upstream, t target, v Response) {
 	u.setIdleTimeout(v.IdleTimeout)
 	if v.WrongEndpoint {
@@ -34,12 +34,12 @@
 	}
 	g.observeLimit(q, t, v)
 	n := v.Notice
-	n.Draining = n.Draining && v.MatchesCall // it ends all use of this life, so only an answer to this very request says so
+	n.Draining = n.Draining && v.MatchesCall // draining is final for this incarnation, so only a response to this very request may announce it
 	g.ObserveNotice(t.endpoint.ID(), n)
 }
 
-// ObserveNotice takes in what an answer of an endpoint says of leaving and of back-offs: to a request, or to
-// another call that the box made.
+// ObserveNotice applies the draining and back-off of a notice, from the response to a request or to
+// another call of this box.
 func (g *Gateway) ObserveNotice(endpoint string, n Notice) {
 	if n.Draining {
 		g.observeDraining(endpoint)
@@ -52,8 +52,8 @@
 	}
 }
 
-// observeDraining takes in that an endpoint says that it leaves. Its entry at the source may say so much later,
-// or never.
+// observeDraining records that an endpoint announced draining. Its entry in the source may follow much
+// later, or never.
 func (g *Gateway) observeDraining(endpoint string) {
 	if !g.notices.setDraining(endpoint) {
 		return
@@ -64,27 +64,27 @@
 	}
 }
 
-// accepts tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
-// asked for no back-off.
+// accepts reports whether this box may send new requests to an endpoint: it is known, not draining, and not in
+// a back-off.
 func (g *Gateway) accepts(id string, now time.Time) bool {
 	e := g.View.Endpoint(id)
 	return e != nil && g.isAvailable(e, now)
 }
 
-// isAvailable is takes for an endpoint that is known.
+// isAvailable is accepts for a known endpoint.
 func (g *Gateway) isAvailable(e *topology.Endpoint, now time.Time) bool {
 	return !e.Draining() && g.BackoffRemaining(e.ID(), now) == 0
 }
 
-// BackoffRemaining returns for how long an endpoint wants nothing more from this box; zero: it may be used. One
-// that turns requests away runs nothing of this box, so without it the endpoint would look the emptiest
-// and be asked first.
+// BackoffRemaining returns how long an endpoint stays in a back-off for this box; zero: it may be used. An
+// endpoint that rejects requests has none of this box in flight, so without the back-off it would look the
+// least loaded and be preferred.
 func (g *Gateway) BackoffRemaining(endpoint string, now time.Time) time.Duration {
 	return g.notices.backoffs.Left(endpoint, now)
 }
 
-// earliestAvailable returns when the first of the endpoints takes requests from this box again, as a caller is told;
-// known is false where none is there that does not leave.
+// earliestAvailable returns the Retry-After for callers until the first of the endpoints may be used again;
+// known is false if all of them are draining.
 func (g *Gateway) earliestAvailable(list []*topology.Endpoint, now time.Time) (after time.Duration, known bool) {
 	for _, e := range list {
 		if e.Draining() {
@@ -97,8 +97,8 @@
 	return backoff.ComeBack(after), known
 }
 
-// noticeTable is what endpoints told this box of leaving and of back-offs. Its lock is taken before that of
-// the back-offs.
+// noticeTable holds the announcements of endpoints to this box. Its lock is taken before that of
+// backoffs.
 type noticeTable struct {
 	backoffs backoff.Table
 
@@ -106,20 +106,20 @@
 	byEndpoint map[string]*endpointNotice
 }
 
-// endpointNotice is what one life of an endpoint told this box.
+// endpointNotice holds the announcements of one incarnation of an endpoint.
 type endpointNotice struct {
 	draining        bool
-	invalidLoggedAt time.Time // when a line last told that what it asks for can't be read
+	invalidLoggedAt time.Time // when an invalid back-off was last logged
 	backoffs        int64
-	ignored         int64 // requests sent since it said that it leaves, or before a back-off was over
+	ignored         int64 // requests sent after it announced draining, or during a back-off
 }
 
-// NoticeCounts is what an endpoint told this box of leaving and of back-offs, for the metrics.
+// NoticeCounts counts the announcements of an endpoint to this box, for the metrics.
 type NoticeCounts struct {
 	Draining         bool  `json:"leaving"`
-	Backoffs         int64 `json:"backoffs"`        // answers that asked for one
-	BackoffRemaining int64 `json:"backoff_left_ms"` // of the latest one
-	Ignored          int64 `json:"ignored"`         // requests sent all the same
+	Backoffs         int64 `json:"backoffs"`        // responses that asked for one
+	BackoffRemaining int64 `json:"backoff_left_ms"` // of the current one
+	Ignored          int64 `json:"ignored"`         // requests sent nevertheless
 }
 
 func (n *noticeTable) entryLocked(endpoint string) *endpointNotice {
@@ -132,7 +132,7 @@
 	return n.byEndpoint[endpoint]
 }
 
-// setDraining notes that an endpoint says that it leaves; it tells whether that is news.
+// setDraining records that an endpoint announced draining; it reports whether that is new.
 func (n *noticeTable) setDraining(endpoint string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -142,7 +142,7 @@
 	return news
 }
 
-// setBackoff notes that an endpoint asks for a back-off; it tells whether the endpoint was used until now.
+// setBackoff records a back-off; it reports whether the endpoint was in use before.
 func (n *noticeTable) setBackoff(endpoint string, d time.Duration, now time.Time) bool {
 	n.mu.Lock()
 	n.entryLocked(endpoint).backoffs++
@@ -150,10 +150,11 @@
 	return n.backoffs.Ask(endpoint, d, now)
 }
 
-// invalidLogInterval is between two lines that what one endpoint asks for can't be read: each answer may ask.
+// invalidLogInterval is the minimum time between two log lines about invalid back-offs of one endpoint: every
+// response may have one.
 const invalidLogInterval = time.Second
 
-// mayLogInvalid tells whether a line may tell that what an endpoint asks for can't be read.
+// mayLogInvalid reports whether an invalid back-off of the endpoint may be logged now.
 func (n *noticeTable) mayLogInvalid(endpoint string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -165,7 +166,7 @@
 	return true
 }
 
-// recordSent notes a request to an endpoint.
+// recordSent records a request to an endpoint.
 func (n *noticeTable) recordSent(endpoint string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,7 +175,7 @@
 	}
 }
 
-// prune forgets what endpoints that are gone said. Back-offs stay: an entry may lapse and come back.
+// prune drops removed endpoints. Back-offs stay, since an entry may expire and come back.
 func (n *noticeTable) prune(known func(id string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -185,7 +186,7 @@
 	}
 }
 
-// Notices returns what endpoints told this box, by endpoint.
+// Notices returns counts of the endpoints' announcements to this box, by endpoint.
 func (g *Gateway) Notices() map[string]NoticeCounts {
 	now := clock.Now()
 	g.notices.mu.Lock()
--- a/forward/record.go
+++ b/forward/record.go
@@ -7,25 +7,25 @@
 	"cairnwick.example/metrics"
 )
 
-// sampleInterval is how many ordinary successes share one log line.
+// sampleInterval is the number of ordinary successes per log line.
 const sampleInterval = 32
 
-// maxRoutes bounds the histograms by route.
+// maxRoutes limits the number of histograms by route.
 const maxRoutes = 64
 
-// maxOrganisations bounds the histograms by organisation; the rest share one. A histogram takes
-// 25 KB of heap, so that both families stay below 4 MB.
+// maxOrganisations limits the number of histograms by organisation; the rest share one. A histogram takes
+// 25 KB of heap, so both families stay below 4 MB.
 const maxOrganisations = 64
 
-// Stats are the gateway's histograms.
+// Stats holds the gateway's histograms.
 type Stats struct {
-	Routes          *metrics.Family // time to the end of served requests, by route
-	FirstByte       *metrics.Family // time to the first byte, by route
+	Routes          *metrics.Family // latency of served requests, by route
+	FirstByte       *metrics.Family // time to first byte, by route
 	Refusals        *metrics.Family // time to the refusal, by code
-	FailedAttempts  *metrics.Family // time of failed attempts, by what became of them
-	PredictionError *metrics.Family // how far the predicted time to the first token was off, by which way
+	FailedAttempts  *metrics.Family // duration of failed attempts, by outcome
+	PredictionError *metrics.Family // of the time to first token, by direction
 
-	Organisations        *metrics.Family // time to the end of served requests, by organisation
+	Organisations        *metrics.Family // latency of served requests, by organisation
 	OrganisationRefusals *metrics.Family // time to the refusal, by organisation and code
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// recordSuccess records a request that was served.
+// recordSuccess logs and counts a served request.
 func (g *Gateway) recordSuccess(q *request, out *callerResponse) {
 	now := clock.Now()
 	g.watch().Answered(q.content, now)
@@ -65,7 +65,7 @@
 		"pause_ms", q.maxEventGap.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
 }
 
-// recordPrediction records how far off the predicted time to the first token was.
+// recordPrediction records the error of the predicted time to first token.
 func (g *Gateway) recordPrediction(q *request) {
 	if q.call.Adapter.Name == "" || q.firstTokenAt.IsZero() {
 		return
@@ -78,7 +78,7 @@
 	g.Stats.PredictionError.Observe("sooner", q.predictedFirstToken-seen)
 }
 
-// recordAttempt records an attempt that brought no answer.
+// recordAttempt logs and counts an attempt without a usable response.
 func (g *Gateway) recordAttempt(q *request, what, detail string) {
 	took := clock.Since(q.sentAt)
 	g.Stats.FailedAttempts.Observe(what, took)
@@ -87,7 +87,7 @@
 		"took_ms", took.Milliseconds(), "cause", detail)
 }
 
-// recordFailure records the final answer of a request that was not served.
+// recordFailure logs and counts the final response to a request that was not served.
 func (g *Gateway) recordFailure(q *request, f *Refusal, begun bool) {
 	took := clock.Since(q.received)
 	g.Stats.Refusals.Observe(string(f.Code), took)
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Code names why a request got no answer of an endpoint.
+// Code names the reason why a request got no response of an endpoint.
 type Code string
 
-// The codes.
+// The codes of refusals.
 const (
 	CodeBadRequest        Code = "bad_request"
 	CodeBodyTooLarge      Code = "body_too_large"
@@ -26,27 +26,27 @@
 	CodeTruncated         Code = "answer_cut"
 	CodeTimeout           Code = "timeout"
 	CodeCallerGone        Code = "caller_gone"
-	CodeBodyTimeout       Code = "body_too_late" // the body was not there by the request's deadline
-	CodeShutdown          Code = "box_ends"      // the time that the box had to stop is over
-	CodeInternal          Code = "fault"         // of this program
+	CodeBodyTimeout       Code = "body_too_late" // the body did not arrive before the request's deadline
+	CodeShutdown          Code = "box_ends"      // the shutdown grace period is over
+	CodeInternal          Code = "fault"         // a panic in this program
 	CodeQuarantined       Code = "quarantined"   // endpoints ended while they ran such a request
-	// CodeEndpointLimit: the endpoints that could serve it name limits, and take no more.
+	// CodeEndpointLimit: the endpoints that could serve the request have reached their rate limits.
 	CodeEndpointLimit Code = "endpoint_limit"
-	// CodeBackoff: the endpoints that could serve it asked this box to send nothing for a while.
+	// CodeBackoff: the endpoints that could serve the request are in a back-off.
 	CodeBackoff Code = "endpoint_backoff"
 
-	CodeKeyUnknown    Code = "key_unknown"      // the caller shows no key that stands for an organisation
-	CodeKeysStale     Code = "keys_not_current" // what this box knows of keys is too old to go by
-	CodeQuotaExceeded Code = "quota_used_up"    // of the caller's organisation
-	CodeQuotaUnknown  Code = "quota_not_known"  // nobody who counts the organisation's quota answers
+	CodeKeyUnknown    Code = "key_unknown"      // the caller sent no key of an organisation
+	CodeKeysStale     Code = "keys_not_current" // this box's copy of the keys is too old
+	CodeQuotaExceeded Code = "quota_used_up"
+	CodeQuotaUnknown  Code = "quota_not_known" // no leader that counts the organisation's quota answers
 )
 
-// Refusal is the final answer to a request that got none of an endpoint.
+// Refusal is the final response to a request that got none from an endpoint.
 type Refusal struct {
 	Code       Code
-	MayHaveRun bool          // it may have run
-	Unsent     bool          // no byte of it left this box
-	RetryAfter time.Duration // when to come back; zero: nothing better is known than soon
+	MayHaveRun bool          // the request may have been executed
+	Unsent     bool          // no byte of the request left this box
+	RetryAfter time.Duration // for the caller; zero: minRetryAfter
 	Detail     string
 }
 
@@ -54,10 +54,10 @@
 	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.MayHaveRun, f.Detail)
 }
 
-// minRetryAfter is the shortest time that a refused caller is told.
+// minRetryAfter is the shortest Retry-After that a refused caller gets.
 const minRetryAfter = 50 * time.Millisecond
 
-// status is 503 only where the request has provably not run.
+// status returns 503 only if the request has provably not been executed.
 func (f *Refusal) status() int {
 	switch f.Code {
 	case CodeBadRequest:
@@ -85,7 +85,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// refuse answers at once.
+// refuse sends the refusal to the caller.
 func (g *Gateway) refuse(w http.ResponseWriter, q *request, f *Refusal) {
 	g.recordFailure(q, f, false)
 	status := f.status()
@@ -95,7 +95,7 @@
 		g.Protocol.SetRetryAfter(h, max(f.RetryAfter, minRetryAfter))
 	}
 	if f.Code == CodeKeysStale {
-		h.Set("Connection", "close") // another box may know more
+		h.Set("Connection", "close") // a box with a newer copy may answer
 	}
 	w.WriteHeader(status)
 	_, _ = fmt.Fprintf(w, "%s\n", f.Code) // the caller may be gone
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -16,15 +16,15 @@
 
 const streamType = "text/event-stream"
 
-// maxEventBytes bounds one event of a stream, in bytes.
+// maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
 func isStream(a *http.Response) bool {
 	return a.StatusCode == http.StatusOK && strings.HasPrefix(a.Header.Get("Content-Type"), streamType)
 }
 
-// relayStream hands whole events on as they come. A stream that breaks off goes on
-// at another endpoint where its route allows that.
+// relayStream relays complete events as they arrive. A stream that breaks off is resumed at another endpoint
+// if its route allows that.
 func (g *Gateway) relayStream(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, a *http.Response) *Refusal {
 	u := d.upstream
 	s := &eventRelay{out: out, lastID: q.call.LastEventID}
@@ -57,7 +57,7 @@
 	if q.remaining(now) <= firstByteTime {
 		return false
 	}
-	if q.retryReserved { // the attempt before reached nobody
+	if q.retryReserved { // nothing of the previous attempt was sent
 		q.retryReserved = false
 		g.retryBudget(q.service.Name()).RecordUnsent()
 		return true
@@ -65,12 +65,12 @@
 	return g.takeRetry(q, now)
 }
 
-// resume goes on with a broken stream at another endpoint, after the last event
-// that the caller got; it tells whether the stream came to its end.
+// resume continues a broken stream at another endpoint, after the last event that the caller received. It
+// reports whether the stream is complete.
 func (g *Gateway) resume(ctx context.Context, q *request, s *eventRelay) bool {
 	t, f := g.nextTarget(ctx, q)
 	if f != nil {
-		q.executions = q.route.MaxAttempts() // nowhere to go
+		q.executions = q.route.MaxAttempts() // no endpoint to resume at
 		return false
 	}
 	d := g.newDispatch(q, t)
@@ -95,20 +95,20 @@
 	return err == nil
 }
 
-// eventRelay passes the events of one answer on, from one run or, where a run went
-// on elsewhere, several.
+// eventRelay relays the events of one response, which may come from several runs if the stream was
+// resumed.
 type eventRelay struct {
 	out    *callerResponse
-	lastID string // ID of the last event that was passed on; empty: none
+	lastID string // ID of the last relayed event; empty: none
 }
 
-// copy passes whole events on until the stream's end, which it returns as nil.
-// What is left of an event that was cut inside is not passed on. Each event is told to
-// heard.
+// copy relays complete events until the end of the stream, for which it returns nil. It drops an event
+// that was cut off, and calls heard for each
+// complete one.
 func (s *eventRelay) copy(a *http.Response, heard func()) error {
 	in := bufio.NewReaderSize(a.Body, 4<<10)
 	var event []byte
-	begun := 0 // where the last line begins: a long one comes in pieces
+	begun := 0 // start of the last line: a long one arrives in pieces
 	for {
 		piece, err := in.ReadSlice('\n')
 		event = append(event, piece...)
@@ -138,8 +138,8 @@
 	}
 }
 
-// finish tells whether the end of the body is the end of the stream. What was passed
-// on before reaches the caller in any case.
+// finish returns nil if the end of the body is the end of the stream. It flushes the events relayed
+// before.
 func (s *eventRelay) finish(a *http.Response, partial []byte, err error) error {
 	if s.out.started {
 		s.out.flush()
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// relay hands one event on, unless an earlier run gave it already.
+// relay sends one event to the caller, unless an earlier run already delivered it.
 func (s *eventRelay) relay(a *http.Response, event []byte) {
 	id := eventID(event)
 	if id != "" && !isAfter(id, s.lastID) {
@@ -174,7 +174,7 @@
 
 var idField = []byte("id:")
 
-// eventID returns the ID of an event; empty when it has none.
+// eventID returns the ID of an event; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if bytes.HasPrefix(line, idField) {
@@ -184,7 +184,7 @@
 	return ""
 }
 
-// isAfter tells whether an event's ID comes after another's; IDs rise as numbers.
+// isAfter reports whether event id comes after last. IDs are ascending numbers.
 func isAfter(id, last string) bool {
 	if last == "" {
 		return true
