--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -76,7 +76,7 @@
 		return
 	}
 	q.noOwnerLogged = true
-	g.Log.Info("Nobody answers for the endpoint that should load the adapter", "request", q.call.ID,
+	g.Log.Info("No leader answered for the endpoint that should load the adapter", "request", q.call.ID,
 		"endpoint", e.ID(), "endpoint_data_centre", e.DataCentre(), "adapter", q.call.Adapter.String(), "err", err.Error())
 }
 
@@ -156,11 +156,11 @@
 	}
 	if p.Ready && p.Endpoint != e.ID() { // the owner chose another endpoint
 		if e = g.View.Endpoint(p.Endpoint); e == nil {
-			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the endpoint is not known here"}
+			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the chosen endpoint is not in this box's view"}
 		}
 		if g.isExcluded(q, e.ID(), now) { // owners of an older version ignore AdapterRequest.Avoid
 			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(unavailableRetryAfter, backoff.ComeBack(g.BackoffRemaining(e.ID(), now))),
-				Detail: "only an endpoint that turned requests away holds the adapter"}
+				Detail: "the chosen endpoint rejected the request or is in a back-off"}
 		}
 	}
 	if !g.accepts(e.ID(), now) {
@@ -190,7 +190,7 @@
 	g.Log.Info(line, "request", q.call.ID, "endpoint", left.ID())
 	q.tried[left.ID()] = true
 	if ctx.Err() != nil {
-		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the endpoint takes no new requests"}
+		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the chosen endpoint accepts no new requests"}
 	}
 	return g.selectEndpoint(ctx, q)
 }
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -55,10 +55,10 @@
 	}
 	c := q.call.Credential
 	if !c.Given() {
-		return &Refusal{Code: CodeKeyUnknown, Detail: "the caller shows no key, or several"}
+		return &Refusal{Code: CodeKeyUnknown, Detail: "the request has no key, or several"}
 	}
 	if !g.Admission.KeysUsable(now) {
-		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "a key that was taken away may not be known here"}
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "this box's copy of the keys is too old to accept one"}
 	}
 	o := d.Find(c)
 	if o != nil {
@@ -66,7 +66,7 @@
 		return nil
 	}
 	if !g.Admission.KeysCurrent(now) {
-		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "a key that was put in may not be known here"}
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "this box's copy of the keys is too old to reject one"}
 	}
 	return &Refusal{Code: CodeKeyUnknown, Detail: "no organisation has the key"}
 }
@@ -102,9 +102,9 @@
 		q.charged = q.quotaCost()
 		return nil
 	case s.Exceeded:
-		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: s.RetryAfter, Detail: "the organisation asks more than its quota"}
+		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: s.RetryAfter, Detail: "the organisation's quota is used up"}
 	}
-	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "nobody who counts the organisation's quota answers"}
+	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "no leader that counts the organisation's quota answered"}
 }
 
 // rechargeQuota charges another execution if the one before has begun.
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -20,6 +21,9 @@
 // maxBufferedBody limits a response that is not a stream, in bytes.
 const maxBufferedBody = 16 << 20
 
+// invalidResponse is the detail of a response that checkResponse does not accept.
+const invalidResponse = "the response is not for this request, not signed, or encoded"
+
 // attempt sends the request once and relays the response; nil means that the
 // caller got all of it.
 func (g *Gateway) attempt(ctx context.Context, q *request, out *callerResponse, t target) *Refusal {
@@ -99,7 +103,7 @@
 	path, query, marked := strings.Cut(q.inbound.RequestURI, "?")
 	r, err := http.NewRequestWithContext(ctx, q.inbound.Method, "http://"+t.endpoint.Address()+"/", nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "forward: make request")
+		return nil, errors.Wrap(err, "forward: create request")
 	}
 	r.URL = &url.URL{Scheme: "http", Host: t.endpoint.Address(), Opaque: path, RawQuery: query, ForceQuery: marked && query == ""}
 	r.Host = q.inbound.Host
@@ -164,7 +168,7 @@
 	switch {
 	case v.WrongEndpoint:
 		u.markDown(clock.Now())
-		return g.recordRefused(q, t, CodeNoEndpoint, "another endpoint has the address")
+		return g.recordRefused(q, t, CodeNoEndpoint, "another endpoint answered at the address")
 	case v.AdapterNotLoaded:
 		g.View.Drop(t.endpoint.ID(), q.call.Adapter)
 		f := g.recordRefused(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
@@ -176,15 +180,15 @@
 		if v.Backoff == 0 {
 			u.recordRefusal(clock.Now())
 		}
-		return g.recordRefused(q, t, CodeRefusedByEndpoint, "the endpoint refused: "+a.Status)
+		return g.recordRefused(q, t, CodeRefusedByEndpoint, "the endpoint rejected the request: "+a.Status)
 	case !v.MatchesCall || v.Encoded || (a.StatusCode < http.StatusMultipleChoices && !v.Signed):
 		u.resetConnections()
 		u.recordOutcome(true)
 		q.mayHaveRun = true
 		q.executions++
 		q.tried[t.endpoint.ID()] = true
-		g.recordAttempt(q, "spoilt", "the answer belongs to no request of this box")
-		return &Refusal{Code: CodeInvalidResponse, MayHaveRun: true, Detail: "not an answer to this request"}
+		g.recordAttempt(q, "spoilt", invalidResponse)
+		return &Refusal{Code: CodeInvalidResponse, MayHaveRun: true, Detail: invalidResponse}
 	}
 	return nil
 }
@@ -214,7 +218,7 @@
 		return g.recordTruncated(ctx, q, u, err)
 	}
 	if a.StatusCode >= http.StatusInternalServerError && g.mayRetryFailure(q, t) {
-		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint failed: " + a.Status}
+		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint responded with " + a.Status}
 	}
 	out.writeHead(a, len(body))
 	out.write(body)
@@ -240,7 +244,7 @@
 
 // recordTruncated records a response that broke off before any of it was relayed.
 func (g *Gateway) recordTruncated(ctx context.Context, q *request, u *upstream, err error) *Refusal {
-	detail := "longer than an answer may be"
+	detail := fmt.Sprintf("response is longer than %d bytes", maxBufferedBody)
 	if err != nil {
 		detail = err.Error()
 	}
--- a/forward/caller_conn.go
+++ b/forward/caller_conn.go
@@ -12,7 +12,7 @@
 
 // ErrShutdown is the cause with which a server's base context ends the requests still in flight at the end
 // of the shutdown grace period: they get a response instead of a closed connection.
-var ErrShutdown = errors.New("forward: the box ends")
+var ErrShutdown = errors.New("forward: box is shutting down")
 
 const (
 	// unadmittedTimeout limits reading the body of, and responding to, a request that is refused before its
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -143,5 +143,5 @@
 			back = n.wait
 		}
 	}
-	return &Refusal{Code: CodeEndpointLimit, RetryAfter: back, Detail: "the endpoints that could serve it take no more requests"}
+	return &Refusal{Code: CodeEndpointLimit, RetryAfter: back, Detail: "the endpoints that could serve the request have reached their rate limits"}
 }
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -45,7 +45,7 @@
 		g.observeDraining(endpoint)
 	}
 	if n.BackoffErr != nil && g.notices.mayLogInvalid(endpoint, clock.Now()) {
-		g.Log.Info("Endpoint's back-off can't be read", "endpoint", endpoint, "err", n.BackoffErr.Error())
+		g.Log.Info("Endpoint's back-off can't be parsed", "endpoint", endpoint, "err", n.BackoffErr.Error())
 	}
 	if n.Backoff > 0 && g.notices.setBackoff(endpoint, n.Backoff, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", n.Backoff.Milliseconds())
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -89,5 +89,5 @@
 		_, _, settling := s.gateway.requestPlacement(context.Background(), q, []*topology.Endpoint{e})
 		s.c.Assert(settling, quicktest.IsTrue)
 	}
-	s.c.Assert(l.containing("Nobody answers"), quicktest.HasLen, 1)
+	s.c.Assert(l.containing("No leader answered"), quicktest.HasLen, 1)
 }
--- a/forward/request.go
+++ b/forward/request.go
@@ -116,7 +116,7 @@
 // while the machine is suspended.
 func (g *Gateway) maySend(q *request, now time.Time) *Refusal {
 	if q.remaining(now) <= 0 {
-		return &Refusal{Code: CodeTimeout, Detail: "its time was over before it could be sent"}
+		return &Refusal{Code: CodeTimeout, Detail: "deadline passed before the request could be sent"}
 	}
 	if f := g.checkQuarantine(q, now); f != nil {
 		return f
@@ -131,7 +131,7 @@
 	if !kept {
 		return nil
 	}
-	return &Refusal{Code: CodeQuarantined, RetryAfter: left, Detail: "endpoints ended while they ran such a request"}
+	return &Refusal{Code: CodeQuarantined, RetryAfter: left, Detail: "endpoints ended while they ran requests with this content"}
 }
 
 // readBody buffers the body, so that it can be sent again.
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -112,7 +112,7 @@
 // is told when the first one ends.
 func (g *Gateway) noEndpoint(able []*topology.Endpoint, now time.Time) *Refusal {
 	if after, known := g.earliestAvailable(able, now); known && after > 0 {
-		return &Refusal{Code: CodeBackoff, RetryAfter: after, Detail: "the endpoints that could serve it want nothing for a while"}
+		return &Refusal{Code: CodeBackoff, RetryAfter: after, Detail: "all endpoints that could serve the request are in a back-off"}
 	}
-	return &Refusal{Code: CodeNoEndpoint, RetryAfter: unavailableRetryAfter, Detail: "no endpoint of the service that is left can be used"}
+	return &Refusal{Code: CodeNoEndpoint, RetryAfter: unavailableRetryAfter, Detail: "no usable endpoint of the service is left"}
 }
