--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -21,18 +21,18 @@
 // endpoint has an owner the request waits, as long as one is expected in time for the caller to be
 // served.
 func (g *Gateway) placeAdapter(ctx context.Context, q *request, list []*topology.Endpoint) (target, *Refusal) {
-	a := q.call.Adapter
-	g.Log.V(1).Info("Adapter is needed", "request", q.call.ID, "adapter", a.String(), "route", q.route.Name())
+	adapter := q.call.Adapter
+	g.Log.V(1).Info("Adapter is needed", "request", q.call.ID, "adapter", adapter.String(), "route", q.route.Name())
 	now := clock.Now()
-	if e := g.leastLoaded(intersect(g.View.Holders(a), list), now); e != nil {
-		return target{endpoint: e, version: g.View.Newest(a)}, nil
+	if e := g.leastLoaded(intersect(g.View.Holders(adapter), list), now); e != nil {
+		return target{endpoint: e, version: g.View.Newest(adapter)}, nil
 	}
 	if others := g.withoutLimit(list); len(others) > 0 {
 		list = others // the owner may still choose an endpoint whose rate limit has capacity left
 	}
 	for {
-		t, f, settling := g.requestPlacement(ctx, q, list)
-		if !settling || ctx.Err() != nil || f.RetryAfter > q.usefulTime(clock.Now())-g.predictFirstToken(q.call.PromptTokens) {
+		t, f, noOwner := g.requestPlacement(ctx, q, list)
+		if !noOwner || ctx.Err() != nil || f.RetryAfter > q.usefulTime(clock.Now())-g.predictFirstToken(q.call.PromptTokens) {
 			return t, f
 		}
 		select {
@@ -43,9 +43,9 @@
 }
 
 // requestPlacement asks the owner of the preferred endpoint for the adapter. If that endpoint has no
-// owner it goes on with the preferred endpoints in the other data centres; settling reports that none
+// owner it goes on with the preferred endpoints in the other data centres; noOwner reports that none
 // of them has an owner.
-func (g *Gateway) requestPlacement(ctx context.Context, q *request, list []*topology.Endpoint) (t target, f *Refusal, settling bool) {
+func (g *Gateway) requestPlacement(ctx context.Context, q *request, list []*topology.Endpoint) (t target, f *Refusal, noOwner bool) {
 	for len(list) > 0 {
 		e := g.loadTarget(q.call.Adapter, list)
 		p, err := g.Placer.Place(ctx, g.adapterRequest(q, e))
@@ -90,13 +90,13 @@
 
 // outsideDataCentre returns the endpoints of other data centres.
 func outsideDataCentre(list []*topology.Endpoint, centre string) []*topology.Endpoint {
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if e.DataCentre() != centre {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
 // Adjustments of the load cost that a data centre's leader reports.
@@ -115,36 +115,36 @@
 
 // loadTarget returns an endpoint that is loading the adapter already, or else one in the data centre with
 // the lowest load cost: there the endpoint that held the adapter last is preferred.
-func (g *Gateway) loadTarget(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
-	if e := g.leastLoaded(intersect(g.View.Loading(a), list), clock.Now()); e != nil {
+func (g *Gateway) loadTarget(adapter topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
+	if e := g.leastLoaded(intersect(g.View.Loading(adapter), list), clock.Now()); e != nil {
 		return e
 	}
-	latest := g.View.Latest(a)
-	if latest != nil && !slices.Contains(list, latest) {
-		latest = nil
+	lastHolder := g.View.Latest(adapter)
+	if lastHolder != nil && !slices.Contains(list, lastHolder) {
+		lastHolder = nil
 	}
 	byCentre := make(map[string][]*topology.Endpoint)
 	for _, e := range list {
 		byCentre[e.DataCentre()] = append(byCentre[e.DataCentre()], e)
 	}
-	best, least := "", time.Duration(0)
-	for i, c := range policy.Rank(a.String(), slices.Collect(maps.Keys(byCentre))) {
+	best, lowest := "", time.Duration(0)
+	for i, c := range policy.Rank(adapter.String(), slices.Collect(maps.Keys(byCentre))) {
 		cost, known := g.LoadCost(c)
 		if !known {
 			cost = unknownLoadCost
 		}
 		cost += time.Duration(i) * secondaryCost
-		if latest != nil && c == latest.DataCentre() {
+		if lastHolder != nil && c == lastHolder.DataCentre() {
 			cost -= cachedAdapterGain
 		}
-		if best == "" || cost < least {
-			best, least = c, cost
+		if best == "" || cost < lowest {
+			best, lowest = c, cost
 		}
 	}
-	if latest != nil && best == latest.DataCentre() {
-		return latest
+	if lastHolder != nil && best == lastHolder.DataCentre() {
+		return lastHolder
 	}
-	return rendezvousEndpoint(a, byCentre[best])
+	return rendezvousEndpoint(adapter, byCentre[best])
 }
 
 // applyPlacement turns an owner's answer into a target. If the chosen endpoint began to drain or asked for a
@@ -182,13 +182,13 @@
 }
 
 // selectAnother selects another endpoint for a request whose endpoint no longer accepts new ones.
-func (g *Gateway) selectAnother(ctx context.Context, q *request, left *topology.Endpoint) (target, *Refusal) {
-	line := "Endpoint began to leave while a request waited for a load there"
-	if g.BackoffRemaining(left.ID(), clock.Now()) > 0 {
-		line = "Endpoint asked for a back-off while a request waited for a load there"
+func (g *Gateway) selectAnother(ctx context.Context, q *request, previous *topology.Endpoint) (target, *Refusal) {
+	message := "Endpoint began to leave while a request waited for a load there"
+	if g.BackoffRemaining(previous.ID(), clock.Now()) > 0 {
+		message = "Endpoint asked for a back-off while a request waited for a load there"
 	}
-	g.Log.Info(line, "request", q.call.ID, "endpoint", left.ID())
-	q.tried[left.ID()] = true
+	g.Log.Info(message, "request", q.call.ID, "endpoint", previous.ID())
+	q.tried[previous.ID()] = true
 	if ctx.Err() != nil {
 		return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the chosen endpoint accepts no new requests"}
 	}
@@ -226,11 +226,11 @@
 	for _, e := range allowed {
 		in[e.ID()] = true
 	}
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if in[e.ID()] {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -53,10 +53,10 @@
 		q.Header.Set("Id", "call-1")
 		q.Header.Set("Adapter", "m/"+a)
 		q.Header.Set("Within", left)
-		answer, err := http.DefaultClient.Do(q)
+		resp, err := http.DefaultClient.Do(q)
 		s.c.Assert(err, quicktest.IsNil)
-		answer.Body.Close()
-		statuses = append(statuses, answer.StatusCode)
+		resp.Body.Close()
+		statuses = append(statuses, resp.StatusCode)
 	}
 	return s, statuses
 }
@@ -105,12 +105,12 @@
 	} {
 		s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 		s.gateway.LoadCost = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
-		a := topology.Adapter{Model: "m", Name: "a"}
+		adapter := topology.Adapter{Model: "m", Name: "a"}
 		if f.latest != "" {
-			s.gateway.View.SetHeld(f.latest, map[topology.Adapter]topology.Held{a: {Ready: true}})
+			s.gateway.View.SetHeld(f.latest, map[topology.Adapter]topology.Held{adapter: {Ready: true}})
 			s.gateway.View.SetHeld(f.latest, nil)
 		}
-		got := s.gateway.loadTarget(a, s.gateway.View.Endpoints("app"))
+		got := s.gateway.loadTarget(adapter, s.gateway.View.Endpoints("app"))
 		s.c.Check(got.DataCentre(), quicktest.Equals, f.want, quicktest.Commentf(name))
 	}
 }
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -48,19 +48,19 @@
 // attempt: since the request came its key may have been revoked, and this box may have been
 // suspended.
 func (g *Gateway) authenticate(q *request, now time.Time) *Refusal {
-	d := g.View.Config().Callers()
-	if d == nil || q.route.Public() {
+	directory := g.View.Config().Callers()
+	if directory == nil || q.route.Public() {
 		q.organisation = nil
 		return nil
 	}
-	c := q.call.Credential
-	if !c.Given() {
+	credential := q.call.Credential
+	if !credential.Given() {
 		return &Refusal{Code: CodeKeyUnknown, Detail: "the request has no key, or several"}
 	}
 	if !g.Admission.KeysUsable(now) {
 		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "this box's copy of the keys is too old to accept one"}
 	}
-	o := d.Find(c)
+	o := directory.Find(credential)
 	if o != nil {
 		q.organisation = o
 		return nil
@@ -93,18 +93,18 @@
 	if !q.hasQuota() {
 		return nil
 	}
-	s := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
+	result := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
 		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.Target())),
 		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // leaders change within a second
 	})
 	switch {
-	case s.OK:
+	case result.OK:
 		q.charged = q.quotaCost()
 		return nil
-	case s.Exceeded:
-		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: s.RetryAfter, Detail: "the organisation's quota is used up"}
+	case result.Exceeded:
+		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: result.RetryAfter, Detail: "the organisation's quota is used up"}
 	}
-	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: s.RetryAfter, Detail: "no leader that counts the organisation's quota answered"}
+	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: result.RetryAfter, Detail: "no leader that counts the organisation's quota answered"}
 }
 
 // rechargeQuota charges another execution if the one before has begun.
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -80,10 +80,10 @@
 	if key != "" {
 		r.Header.Set("Key", key)
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	defer a.Body.Close()
-	return a.StatusCode, a.Header.Get("Come-Back")
+	defer resp.Body.Close()
+	return resp.StatusCode, resp.Header.Get("Come-Back")
 }
 
 func TestOnlyCallersWithAKnownKeyAreServed(t *testing.T) {
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -29,23 +29,23 @@
 func (g *Gateway) attempt(ctx context.Context, q *request, out *callerResponse, t target) *Refusal {
 	d := g.newDispatch(q, t)
 	defer d.finish()
-	a, f := g.send(ctx, q, d.upstream, t, q.call.LastEventID)
+	resp, f := g.send(ctx, q, d.upstream, t, q.call.LastEventID)
 	if f != nil {
 		return f
 	}
-	defer a.Body.Close()
-	return g.relay(ctx, q, out, d, t, a)
+	defer resp.Body.Close()
+	return g.relay(ctx, q, out, d, t, resp)
 }
 
 // send sends the request and charges its organisation's quota for it, unless it was provably not
 // executed. An invalid response is a failure.
 func (g *Gateway) send(ctx context.Context, q *request, u *upstream, t target, lastEvent string) (*http.Response, *Refusal) {
 	g.rechargeQuota(q)
-	a, f := g.roundTrip(ctx, q, u, t, lastEvent)
+	resp, f := g.roundTrip(ctx, q, u, t, lastEvent)
 	if f == nil || f.MayHaveRun {
 		q.charged = 0
 	}
-	return a, f
+	return resp, f
 }
 
 // roundTrip sends the request and reads the head of the response.
@@ -54,18 +54,18 @@
 	if err != nil {
 		return nil, &Refusal{Code: CodeBadRequest, Detail: err.Error()}
 	}
-	quiet := g.watchSilence(u)
-	a, err := engine.Send(u.client(), r, time.Time{})
-	quiet()
+	stopWatch := g.watchSilence(u)
+	resp, err := engine.Send(u.client(), r, time.Time{})
+	stopWatch()
 	if err != nil {
 		return nil, g.recordLost(ctx, q, u, err)
 	}
 	g.recordActivity(u, clock.Now())
-	if f := g.checkResponse(q, u, t, a); f != nil {
-		_ = a.Body.Close() // discarded
+	if f := g.checkResponse(q, u, t, resp); f != nil {
+		_ = resp.Body.Close() // discarded
 		return nil, f
 	}
-	return a, nil
+	return resp, nil
 }
 
 // recordActivity notes that data came from an endpoint.
@@ -79,7 +79,7 @@
 // connections, which may be dead too. The returned function stops the watch.
 func (g *Gateway) watchSilence(u *upstream) func() {
 	sent := clock.Now()
-	silence := time.AfterFunc(silenceTimeout, func() {
+	silenceTimer := time.AfterFunc(silenceTimeout, func() {
 		g.dataCentres.recordSilence(u.endpoint.DataCentre(), u.endpoint.ID(), sent, clock.Now())
 		u.closeIdleIfSilent(sent)
 	})
@@ -89,7 +89,7 @@
 		done <- struct{}{}
 	})
 	return func() {
-		silence.Stop()
+		silenceTimer.Stop()
 		if !timer.Stop() {
 			<-done
 			u.addSilent(-1)
@@ -100,12 +100,12 @@
 // newOutbound creates the request to an endpoint, with the caller's method, path and
 // body.
 func (g *Gateway) newOutbound(ctx context.Context, q *request, t target, lastEvent string) (*http.Request, error) {
-	path, query, marked := strings.Cut(q.inbound.RequestURI, "?")
+	path, query, hasQuery := strings.Cut(q.inbound.RequestURI, "?")
 	r, err := http.NewRequestWithContext(ctx, q.inbound.Method, "http://"+t.endpoint.Address()+"/", nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "forward: create request")
 	}
-	r.URL = &url.URL{Scheme: "http", Host: t.endpoint.Address(), Opaque: path, RawQuery: query, ForceQuery: marked && query == ""}
+	r.URL = &url.URL{Scheme: "http", Host: t.endpoint.Address(), Opaque: path, RawQuery: query, ForceQuery: hasQuery && query == ""}
 	r.Host = q.inbound.Host
 	r.Header = endToEnd(q.inbound.Header, g.Protocol.IsCallHeader)
 	if r.Header["User-Agent"] == nil {
@@ -128,8 +128,8 @@
 
 // recordLost records an attempt without a response.
 func (g *Gateway) recordLost(ctx context.Context, q *request, u *upstream, err error) *Refusal {
-	var l *engine.LostError
-	sent := !errors.As(err, &l) || l.Sent
+	var lost *engine.LostError
+	sent := !errors.As(err, &lost) || lost.Sent
 	if ctx.Err() == nil {
 		u.recordOutcome(true)
 		u.resetConnections()
@@ -157,31 +157,31 @@
 // isDialError reports whether no connection was made. Otherwise an idle connection was broken, and the
 // endpoint may still be up.
 func isDialError(err error) bool {
-	var o *net.OpError
-	return errors.As(err, &o) && o.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
 // checkResponse checks whether a response belongs to the call and whether the request was executed.
-func (g *Gateway) checkResponse(q *request, u *upstream, t target, a *http.Response) *Refusal {
-	v := g.Protocol.ParseResponse(a, q.call, t.endpoint.ID())
-	g.observeResponse(q, u, t, v)
+func (g *Gateway) checkResponse(q *request, u *upstream, t target, resp *http.Response) *Refusal {
+	head := g.Protocol.ParseResponse(resp, q.call, t.endpoint.ID())
+	g.observeResponse(q, u, t, head)
 	switch {
-	case v.WrongEndpoint:
+	case head.WrongEndpoint:
 		u.markDown(clock.Now())
 		return g.recordRefused(q, t, CodeNoEndpoint, "another endpoint answered at the address")
-	case v.AdapterNotLoaded:
+	case head.AdapterNotLoaded:
 		g.View.Drop(t.endpoint.ID(), q.call.Adapter)
 		f := g.recordRefused(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
 		delete(q.tried, t.endpoint.ID()) // it can be loaded there
 		delete(q.excluded, t.endpoint.ID())
 		q.notLoadedAt = t.endpoint.ID()
 		return f
-	case v.NotExecuted:
-		if v.Backoff == 0 {
+	case head.NotExecuted:
+		if head.Backoff == 0 {
 			u.recordRefusal(clock.Now())
 		}
-		return g.recordRefused(q, t, CodeRefusedByEndpoint, "the endpoint rejected the request: "+a.Status)
-	case !v.MatchesCall || v.Encoded || (a.StatusCode < http.StatusMultipleChoices && !v.Signed):
+		return g.recordRefused(q, t, CodeRefusedByEndpoint, "the endpoint rejected the request: "+resp.Status)
+	case !head.MatchesCall || head.Encoded || (resp.StatusCode < http.StatusMultipleChoices && !head.Signed):
 		u.resetConnections()
 		u.recordOutcome(true)
 		q.mayHaveRun = true
@@ -198,29 +198,29 @@
 	q.tried[t.endpoint.ID()] = true
 	q.excluded[t.endpoint.ID()] = true
 	g.recordAttempt(q, "refused", detail)
-	back := refusedRetryAfter
+	retryAfter := refusedRetryAfter
 	if after, known := g.earliestAvailable(g.View.Endpoints(q.service.Name()), clock.Now()); known {
-		back = max(back, after)
+		retryAfter = max(retryAfter, after)
 	}
-	return &Refusal{Code: c, RetryAfter: back, Detail: detail}
+	return &Refusal{Code: c, RetryAfter: retryAfter, Detail: detail}
 }
 
 // relay sends the response to the caller, at once or event by event.
-func (g *Gateway) relay(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, a *http.Response) *Refusal {
-	if isStream(a) {
-		return g.relayStream(ctx, q, out, d, t, a)
+func (g *Gateway) relay(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, resp *http.Response) *Refusal {
+	if isStream(resp) {
+		return g.relayStream(ctx, q, out, d, t, resp)
 	}
 	u := d.upstream
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBody+1))
 	failed := err != nil || len(body) > maxBufferedBody
-	u.recordOutcome(failed || a.StatusCode >= http.StatusInternalServerError)
+	u.recordOutcome(failed || resp.StatusCode >= http.StatusInternalServerError)
 	if failed {
 		return g.recordTruncated(ctx, q, u, err)
 	}
-	if a.StatusCode >= http.StatusInternalServerError && g.mayRetryFailure(q, t) {
-		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint responded with " + a.Status}
+	if resp.StatusCode >= http.StatusInternalServerError && g.mayRetryFailure(q, t) {
+		return &Refusal{Code: CodeNoAnswer, MayHaveRun: true, Detail: "the endpoint responded with " + resp.Status}
 	}
-	out.writeHead(a, len(body))
+	out.writeHead(resp, len(body))
 	out.write(body)
 	return nil
 }
--- a/forward/caller_conn.go
+++ b/forward/caller_conn.go
@@ -54,13 +54,13 @@
 // recoverPanic responds to a request whose handler panicked; net/http would only close the
 // connection.
 func (g *Gateway) recoverPanic(out *callerResponse, q *request) {
-	fault := recover()
-	if fault == nil {
+	value := recover()
+	if value == nil {
 		return
 	}
-	if fault == http.ErrAbortHandler || out.started {
-		panic(fault) // a truncated response must not look complete
+	if value == http.ErrAbortHandler || out.started {
+		panic(value) // a truncated response must not look complete
 	}
-	g.Log.Info("Handler panicked", "request", q.call.ID, "fault", fault, "stack", string(debug.Stack()))
+	g.Log.Info("Handler panicked", "request", q.call.ID, "fault", value, "stack", string(debug.Stack()))
 	g.refuse(out.writer, q, &Refusal{Code: CodeInternal, MayHaveRun: q.attempts > 0, RetryAfter: unavailableRetryAfter})
 }
--- a/forward/caller_conn_test.go
+++ b/forward/caller_conn_test.go
@@ -37,10 +37,10 @@
 	s := newSite(t, onceRoute(200*time.Millisecond))
 	calls := s.endpoint(t, answerOK)
 	c := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.c.Assert(err, quicktest.IsNil)
-	a.Body.Close()
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusRequestTimeout) // a promise: it has not run
+	resp.Body.Close()
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestTimeout) // a promise: it has not run
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
@@ -51,10 +51,10 @@
 	s := newSite(t, onceRoute(unadmittedTimeout+500*time.Millisecond))
 	s.endpoint(t, answerOK)
 	c := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.c.Assert(err, quicktest.IsNil)
-	a.Body.Close()
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusRequestTimeout)
+	resp.Body.Close()
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestTimeout)
 }
 
 // What bounds the reading of a body went on while the request ran, and looked like a caller
@@ -70,9 +70,9 @@
 		case <-r.Context().Done():
 		}
 	})
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 }
 
 // A caller fell silent in the middle of its stream. The box waited for ever to write on, and
@@ -124,9 +124,9 @@
 	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
 	s.gateway.Protocol = panickingProtocol{}
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 }
 
 // The body of a request was so much longer than allowed that most of it was never read.
@@ -136,10 +136,10 @@
 		r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 1<<20)))
 		s.c.Assert(err, quicktest.IsNil)
 		r.Host = "site.example"
-		a, err := http.DefaultClient.Do(r)
+		resp, err := http.DefaultClient.Do(r)
 		s.c.Assert(err, quicktest.IsNil)
-		a.Body.Close()
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
+		resp.Body.Close()
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
 	}
 }
 
@@ -158,9 +158,9 @@
 	})
 	status := make(chan int, 1)
 	go func() {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Check(err, quicktest.IsNil)
-		status <- a.StatusCode
+		status <- resp.StatusCode
 	}()
 	s.eventually(func() bool { return calls.Load() == 1 })
 	end(ErrShutdown)
--- a/forward/caller_response.go
+++ b/forward/caller_response.go
@@ -22,14 +22,14 @@
 }
 
 // writeHead writes an endpoint's status and headers; a negative length means that it is unknown.
-func (a *callerResponse) writeHead(r *http.Response, length int) {
+func (a *callerResponse) writeHead(resp *http.Response, length int) {
 	h := a.writer.Header()
-	leaving := h.Get("Connection")
-	for n, values := range endToEnd(r.Header, a.isCallHeader) {
+	connection := h.Get("Connection")
+	for n, values := range endToEnd(resp.Header, a.isCallHeader) {
 		h[n] = values
 	}
-	if leaving != "" {
-		h.Set("Connection", leaving)
+	if connection != "" {
+		h.Set("Connection", connection)
 	}
 	h.Del("Content-Length")
 	if length >= 0 {
@@ -41,8 +41,8 @@
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // and from guessing it
 	}
-	a.started, a.firstByteAt, a.status = true, clock.Now(), r.StatusCode
-	a.writer.WriteHeader(r.StatusCode)
+	a.started, a.firstByteAt, a.status = true, clock.Now(), resp.StatusCode
+	a.writer.WriteHeader(resp.StatusCode)
 }
 
 func (a *callerResponse) write(b []byte) {
--- a/forward/drain_test.go
+++ b/forward/drain_test.go
@@ -41,9 +41,9 @@
 	s := newSite(t, onceRoute(time.Minute))
 	calls := s.endpoint(t, answerOK)
 	s.gateway.Drain()
-	a, body, err := s.ask("/")
+	resp, body, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(body, quicktest.Equals, "fine")
-	s.c.Assert(a.Close, quicktest.IsTrue)
+	s.c.Assert(resp.Close, quicktest.IsTrue)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(1))
 }
--- a/forward/events_fuzz_test.go
+++ b/forward/events_fuzz_test.go
@@ -22,8 +22,8 @@
 	}
 	w := httptest.NewRecorder()
 	s := &eventRelay{out: &callerResponse{writer: w, isCallHeader: func(string) bool { return false }}}
-	a := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body)}
-	err := s.copy(a, func() {})
+	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body)}
+	err := s.copy(resp, func() {})
 	return w.Body.String(), s, err
 }
 
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -55,10 +55,10 @@
 // Run drops state of removed endpoints and detects endpoints that ended, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.start(clock.Now())
-	ended := make(chan error, 1)
-	go func() { ended <- g.watch().Run(ctx) }()
+	watched := make(chan error, 1)
+	go func() { watched <- g.watch().Run(ctx) }()
 	g.pruneLoop(ctx)
-	return <-ended
+	return <-watched
 }
 
 // watch returns the detector of endpoints that ended; requests may come before Run.
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -49,17 +49,17 @@
 func (plainProtocol) IsCallHeader(name string) bool { return name == "Id" || name == "Adapter" }
 
 // ParseResponse implements Protocol.
-func (plainProtocol) ParseResponse(a *http.Response, c Call, _ string) Response {
-	v := Response{
-		MatchesCall:      a.Header.Get("Id") == c.ID,
-		Signed:           a.Header.Get("Signed") != "",
-		NotExecuted:      a.Header.Get("Not-Run") != "",
-		AdapterNotLoaded: a.Header.Get("Not-Held") != "",
-		WrongEndpoint:    a.Header.Get("Elsewhere") != "",
+func (plainProtocol) ParseResponse(resp *http.Response, c Call, _ string) Response {
+	head := Response{
+		MatchesCall:      resp.Header.Get("Id") == c.ID,
+		Signed:           resp.Header.Get("Signed") != "",
+		NotExecuted:      resp.Header.Get("Not-Run") != "",
+		AdapterNotLoaded: resp.Header.Get("Not-Held") != "",
+		WrongEndpoint:    resp.Header.Get("Elsewhere") != "",
 	}
-	v.Draining = a.Header.Get("Leaving") != ""
-	v.Backoff, v.BackoffErr = backoff.Parse(a.Header.Values("Back-Off"))
-	return v
+	head.Draining = resp.Header.Get("Leaving") != ""
+	head.Backoff, head.BackoffErr = backoff.Parse(resp.Header.Values("Back-Off"))
+	return head
 }
 
 // SetRetryAfter implements Protocol.
@@ -185,13 +185,13 @@
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return nil, "", err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
-	return a, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
 }
 
 // askAdapter sends one request for the adapter a of the base model m, and returns the answer's status.
@@ -201,10 +201,10 @@
 	q.Host = "site.example"
 	q.Header.Set("Id", "call-1")
 	q.Header.Set("Adapter", "m/a")
-	a, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(q)
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.Body.Close(), quicktest.IsNil)
-	return a.StatusCode
+	s.c.Assert(resp.Body.Close(), quicktest.IsNil)
+	return resp.StatusCode
 }
 
 func onceRoute(timeout time.Duration) topology.RouteSpec {
@@ -231,19 +231,19 @@
 
 func TestWithoutAConfigurationCallersAreAskedToComeBack(t *testing.T) {
 	s := newSite(t)
-	a, _, err := s.ask("/x/")
+	resp, _, err := s.ask("/x/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "1s")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "1s")
 }
 
 func TestAPathWithoutARouteIsNotFound(t *testing.T) {
 	r := onceRoute(time.Second)
 	r.Prefix = "/known/"
 	s := newSite(t, r)
-	a, _, err := s.ask("/unknown/")
+	resp, _, err := s.ask("/unknown/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusNotFound)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusNotFound)
 }
 
 func TestARequestArrivesAsItWasSent(t *testing.T) {
@@ -256,9 +256,9 @@
 		body = string(raw)
 		answerOK(w, r)
 	})
-	a, text, err := s.ask("/a//b/%2f/?q=1&&p=%20")
+	resp, text, err := s.ask("/a//b/%2f/?q=1&&p=%20")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(text, quicktest.Equals, "fine")
 	s.c.Assert(got.RequestURI, quicktest.Equals, "/a//b/%2f/?q=1&&p=%20")
 	s.c.Assert(got.Host, quicktest.Equals, "site.example")
@@ -273,10 +273,10 @@
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	a.Body.Close()
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
+	resp.Body.Close()
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
@@ -285,9 +285,9 @@
 	refused := s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
 	for range 10 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 	s.c.Assert(ran.Load(), quicktest.Equals, int64(10))
 	s.c.Assert(refused.Load() > 0, quicktest.IsTrue)
@@ -297,9 +297,9 @@
 	s := newSite(t, onceRoute(2*time.Second))
 	first := s.endpoint(t, dropConnection)
 	second := s.endpoint(t, dropConnection)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have run
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have run
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
@@ -308,9 +308,9 @@
 	s.endpoint(t, dropConnection)
 	s.endpoint(t, answerOK)
 	for range 4 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 }
 
@@ -323,10 +323,10 @@
 	first := s.endpoint(t, fail)
 	second := s.endpoint(t, fail)
 	for calls := range int64(2) {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusInternalServerError)
-		s.c.Assert(a.Header.Get("Signed"), quicktest.Equals, "yes")
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
+		s.c.Assert(resp.Header.Get("Signed"), quicktest.Equals, "yes")
 		s.c.Assert(first.Load()+second.Load(), quicktest.Equals, calls+1)
 	}
 }
@@ -337,9 +337,9 @@
 		w.Header().Set("Id", "another")
 		answerOK(w, r)
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "fine")
 }
 
@@ -351,9 +351,9 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "half")
 }
 
@@ -363,10 +363,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "its own words")
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusInternalServerError)
-	s.c.Assert(a.Header.Get("Signed"), quicktest.Equals, "yes")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
+	s.c.Assert(resp.Header.Get("Signed"), quicktest.Equals, "yes")
 	s.c.Assert(text, quicktest.Equals, "its own words")
 }
 
@@ -376,7 +376,7 @@
 		_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the connection close
 		<-r.Context().Done()
 	})
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusGatewayTimeout)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusGatewayTimeout)
 }
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -18,10 +18,10 @@
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host, r.Header = "site.example", h
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.Body.Close(), quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.Body.Close(), quicktest.IsNil)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	return <-got
 }
 
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -23,12 +23,12 @@
 
 // observeLimit records the rate limit that a response announces. Any response of the endpoint may announce
 // one, but only a signed one to this request shows that there is none.
-func (g *Gateway) observeLimit(q *request, t target, v Response) {
+func (g *Gateway) observeLimit(q *request, t target, head Response) {
 	switch {
-	case v.LimitErr != nil:
-		g.Limits.InvalidLimit(t.endpoint.ID(), v.LimitErr)
-	case v.Limit.Named() || (v.MatchesCall && v.Signed):
-		g.Limits.ObserveLimit(t.endpoint.ID(), v.Limit, q.sentAt)
+	case head.LimitErr != nil:
+		g.Limits.InvalidLimit(t.endpoint.ID(), head.LimitErr)
+	case head.Limit.Named() || (head.MatchesCall && head.Signed):
+		g.Limits.ObserveLimit(t.endpoint.ID(), head.Limit, q.sentAt)
 	}
 }
 
@@ -57,19 +57,19 @@
 // acquireCapacity reserves one request of an endpoint's rate limit, and waits for its turn. If that is
 // denied the request does not go to the endpoint again, unless limitRequest asks for more.
 func (g *Gateway) acquireCapacity(ctx context.Context, q *request, e *topology.Endpoint) bool {
-	a := g.limitRequest(q, e)
-	r := g.Limits.Acquire(ctx, e, a)
-	if !r.OK {
+	ask := g.limitRequest(q, e)
+	result := g.Limits.Acquire(ctx, e, ask)
+	if !result.OK {
 		if q.limitDenials == nil {
 			q.limitDenials = make(map[string]limitDenial)
 		}
-		q.limitDenials[e.ID()] = limitDenial{request: a, wait: r.Wait}
+		q.limitDenials[e.ID()] = limitDenial{request: ask, wait: result.Wait}
 		return false
 	}
-	if r.Wait > 0 {
+	if result.Wait > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(r.Wait):
+		case <-time.After(result.Wait):
 		}
 	}
 	return true
@@ -84,26 +84,26 @@
 // wasDenied reports whether an endpoint denied the request, and would deny it again. A request asks for more
 // than before, not only for spare capacity, once its alternatives have failed.
 func (g *Gateway) wasDenied(q *request, e *topology.Endpoint) bool {
-	n, asked := q.limitDenials[e.ID()]
-	return asked && !g.limitRequest(q, e).Before(n.request)
+	denial, denied := q.limitDenials[e.ID()]
+	return denied && !g.limitRequest(q, e).Before(denial.request)
 }
 
 // limitRequest returns what the request asks of an endpoint with a rate limit: spare capacity if an endpoint
 // without a limit could serve it, or else any capacity after a short wait.
 func (g *Gateway) limitRequest(q *request, e *topology.Endpoint) ratelimit.Ask {
-	a := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
+	ask := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
 	others := g.View.Endpoints(q.service.Name())
 	if q.call.Adapter.Name != "" && q.service.Engine() != nil {
 		others = intersect(g.View.Holders(q.call.Adapter), others)
 	}
-	for _, o := range g.untried(others, q.tried, clock.Now()) {
-		if o.ID() != e.ID() && !g.Limits.HasLimit(o.ID()) {
-			a.Spare = true
-			return a
+	for _, other := range g.untried(others, q.tried, clock.Now()) {
+		if other.ID() != e.ID() && !g.Limits.HasLimit(other.ID()) {
+			ask.Spare = true
+			return ask
 		}
 	}
-	a.Patience = time.Duration(limitWaitFraction * float64(q.route.Target()))
-	return a
+	ask.Patience = time.Duration(limitWaitFraction * float64(q.route.Target()))
+	return ask
 }
 
 // withCapacity returns the endpoints that have not denied the request.
@@ -111,37 +111,37 @@
 	if len(q.limitDenials) == 0 {
 		return list
 	}
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if g.wasDenied(q, e) {
 			continue
 		}
 		if len(q.limitDenials) < maxLimitDenials || !g.Limits.HasLimit(e.ID()) {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
 // withoutLimit returns the endpoints without a rate limit.
 func (g *Gateway) withoutLimit(list []*topology.Endpoint) []*topology.Endpoint {
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if !g.Limits.HasLimit(e.ID()) {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
 // limitRefusal refuses a request that all endpoints denied. Its caller may come back when the first of them
 // has capacity.
 func (q *request) limitRefusal() *Refusal {
-	var back time.Duration
+	var retryAfter time.Duration
 	for _, n := range q.limitDenials {
-		if back == 0 || n.wait < back {
-			back = n.wait
+		if retryAfter == 0 || n.wait < retryAfter {
+			retryAfter = n.wait
 		}
 	}
-	return &Refusal{Code: CodeEndpointLimit, RetryAfter: back, Detail: "the endpoints that could serve the request have reached their rate limits"}
+	return &Refusal{Code: CodeEndpointLimit, RetryAfter: retryAfter, Detail: "the endpoints that could serve the request have reached their rate limits"}
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -73,9 +73,9 @@
 	needy, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 0})
 	for range 10 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 	s.c.Assert([]int64{needy.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 10})
 }
@@ -86,9 +86,9 @@
 	s.limit(map[string]int{"e1": 2})
 	var statuses []int
 	for range 3 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		statuses = append(statuses, a.StatusCode)
+		statuses = append(statuses, resp.StatusCode)
 	}
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{200, 200, 503})
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(2))
@@ -102,11 +102,11 @@
 	}
 	l := s.limit(map[string]int{"e1": 0, "e2": 0, "e3": 0})
 	begun := time.Now()
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "endpoint_limit\n")
-	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "300ms")
+	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "300ms")
 	s.c.Assert(len(l.asked), quicktest.Equals, 3)
 	s.c.Assert(time.Since(begun) < 10*time.Second, quicktest.IsTrue)
 }
@@ -119,9 +119,9 @@
 		left[fmt.Sprintf("e%d", i+1)] = 0
 	}
 	l := s.limit(left)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(len(l.asked), quicktest.Equals, maxLimitDenials)
 }
 
@@ -134,9 +134,9 @@
 	s.setDataCentre("e2", "far")
 	l := s.limit(map[string]int{"e1": 1})
 	l.noneSpare = true
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(1))
 	s.c.Assert(l.asked, quicktest.DeepEquals, []string{"e1", "e1"})
 }
@@ -177,9 +177,9 @@
 	needy := s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
 	s.limit(map[string]int{"e2": 0})
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusInternalServerError)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -27,14 +27,14 @@
 
 // observeResponse applies what the head of a response announces of the endpoint. It ignores a response of
 // another endpoint at the address.
-func (g *Gateway) observeResponse(q *request, u *upstream, t target, v Response) {
-	u.setIdleTimeout(v.IdleTimeout)
-	if v.WrongEndpoint {
+func (g *Gateway) observeResponse(q *request, u *upstream, t target, head Response) {
+	u.setIdleTimeout(head.IdleTimeout)
+	if head.WrongEndpoint {
 		return
 	}
-	g.observeLimit(q, t, v)
-	n := v.Notice
-	n.Draining = n.Draining && v.MatchesCall // draining is final for this incarnation, so only a response to this very request may announce it
+	g.observeLimit(q, t, head)
+	n := head.Notice
+	n.Draining = n.Draining && head.MatchesCall // draining is final for this incarnation, so only a response to this very request may announce it
 	g.ObserveNotice(t.endpoint.ID(), n)
 }
 
@@ -136,10 +136,10 @@
 func (n *noticeTable) setDraining(endpoint string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.entryLocked(endpoint)
-	news := !k.draining
-	k.draining = true
-	return news
+	entry := n.entryLocked(endpoint)
+	isNew := !entry.draining
+	entry.draining = true
+	return isNew
 }
 
 // setBackoff records a back-off; it reports whether the endpoint was in use before.
@@ -158,11 +158,11 @@
 func (n *noticeTable) mayLogInvalid(endpoint string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.entryLocked(endpoint)
-	if !k.invalidLoggedAt.IsZero() && now.Sub(k.invalidLoggedAt) < invalidLogInterval {
+	entry := n.entryLocked(endpoint)
+	if !entry.invalidLoggedAt.IsZero() && now.Sub(entry.invalidLoggedAt) < invalidLogInterval {
 		return false
 	}
-	k.invalidLoggedAt = now
+	entry.invalidLoggedAt = now
 	return true
 }
 
@@ -170,8 +170,8 @@
 func (n *noticeTable) recordSent(endpoint string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if k := n.byEndpoint[endpoint]; k != nil && (k.draining || n.backoffs.Left(endpoint, now) > 0) {
-		k.ignored++
+	if entry := n.byEndpoint[endpoint]; entry != nil && (entry.draining || n.backoffs.Left(endpoint, now) > 0) {
+		entry.ignored++
 	}
 }
 
@@ -192,12 +192,12 @@
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	list := make(map[string]NoticeCounts, len(g.notices.byEndpoint))
-	for id, k := range g.notices.byEndpoint {
+	for id, entry := range g.notices.byEndpoint {
 		list[id] = NoticeCounts{
-			Draining:         k.draining,
-			Backoffs:         k.backoffs,
+			Draining:         entry.draining,
+			Backoffs:         entry.backoffs,
 			BackoffRemaining: g.BackoffRemaining(id, now).Milliseconds(),
-			Ignored:          k.ignored,
+			Ignored:          entry.ignored,
 		}
 	}
 	return list
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -27,9 +27,9 @@
 	needy, other := s.endpoint(t, withHeader("Back-Off", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far") // the other one goes first
 	for range 5 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 	s.c.Assert([]int64{needy.Load(), other.Load()}, quicktest.DeepEquals, []int64{1, 5})
 	s.c.Assert(s.gateway.Notices()["e1"].Backoffs, quicktest.Equals, int64(1))
@@ -51,9 +51,9 @@
 	for s.gateway.BackoffRemaining("e1", time.Now()) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(2))
 }
 
@@ -62,22 +62,22 @@
 func TestWhereAllEndpointsWantNothingTheCallerIsToldWhenTheFirstDoes(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	near, far := s.endpoint(t, withHeader("Back-Off", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Back-Off", "10", refuseNotExecuted))
-	a, _, err := s.ask("/") // finds it out
+	resp, _, err := s.ask("/") // finds it out
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	assertRetryAfter(s.c, a)
-	a, text, err := s.ask("/")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	assertRetryAfter(s.c, resp)
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "endpoint_backoff\n")
-	assertRetryAfter(s.c, a)
+	assertRetryAfter(s.c, resp)
 	s.c.Assert([]int64{near.Load(), far.Load()}, quicktest.DeepEquals, []int64{1, 1})
 }
 
 // assertRetryAfter checks the time that a caller is told where the first endpoint wants nothing for ten seconds.
-func assertRetryAfter(c *quicktest.C, a *http.Response) {
+func assertRetryAfter(c *quicktest.C, resp *http.Response) {
 	c.Helper()
-	back, err := time.ParseDuration(a.Header.Get("Come-Back"))
+	back, err := time.ParseDuration(resp.Header.Get("Come-Back"))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(back > 5*time.Second && back <= 12500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", back))
 }
@@ -86,12 +86,12 @@
 func TestAnEndpointThatLeavesIsNotWaitedFor(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	leaving := s.endpoint(t, withHeader("Leaving", "1", answerOK))
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
-	a, text, err := s.ask("/")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "no_endpoint\n")
 	s.c.Assert(leaving.Load(), quicktest.Equals, int64(1))
 }
@@ -182,9 +182,9 @@
 	s.setDataCentre("e2", "far")
 	s.setDataCentre("e3", "far")
 	s.gateway.ObserveNotice("e2", Notice{Backoff: time.Minute})
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
@@ -209,9 +209,9 @@
 	left, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
 	s.gateway.Limits = drainingLimits{view: s.gateway.View}
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert([]int64{left.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 1})
 }
 
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -53,16 +53,16 @@
 	calls := s.endpoint(t, answerOK)
 	k := &keeper{left: 40 * time.Minute}
 	s.gateway.Quarantine = k
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "40m0s")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "40m0s")
 	s.c.Assert(text, quicktest.Equals, string(CodeQuarantined)+"\n")
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 	k.keep(0)
-	a, _, err = s.ask("/")
+	resp, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 }
 
 // The word of another box may come while a request waits, here while its first endpoint refuses it.
@@ -75,9 +75,9 @@
 		refuseNotExecuted(w, r)
 	}
 	first, second := s.endpoint(t, refuse), s.endpoint(t, refuse)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
@@ -91,9 +91,9 @@
 		dropConnection(w, r)
 	}
 	first, second := s.endpoint(t, cut), s.endpoint(t, cut)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
--- a/forward/record.go
+++ b/forward/record.go
@@ -70,25 +70,25 @@
 	if q.call.Adapter.Name == "" || q.firstTokenAt.IsZero() {
 		return
 	}
-	seen := q.firstTokenAt.Sub(q.sentAt)
-	if seen > q.predictedFirstToken {
-		g.Stats.PredictionError.Observe("later", seen-q.predictedFirstToken)
+	actual := q.firstTokenAt.Sub(q.sentAt)
+	if actual > q.predictedFirstToken {
+		g.Stats.PredictionError.Observe("later", actual-q.predictedFirstToken)
 		return
 	}
-	g.Stats.PredictionError.Observe("sooner", q.predictedFirstToken-seen)
+	g.Stats.PredictionError.Observe("sooner", q.predictedFirstToken-actual)
 }
 
 // recordAttempt logs and counts an attempt without a usable response.
-func (g *Gateway) recordAttempt(q *request, what, detail string) {
+func (g *Gateway) recordAttempt(q *request, outcome, detail string) {
 	took := clock.Since(q.sentAt)
-	g.Stats.FailedAttempts.Observe(what, took)
+	g.Stats.FailedAttempts.Observe(outcome, took)
 	g.Log.Info("Attempt failed", "request", q.call.ID, "route", q.route.Name(), "endpoint", q.sentTo.ID(),
-		"content", q.content.String(), "outcome", what, "attempt", q.attempts, "adapter", q.call.Adapter.String(), "adapter_version", q.version,
+		"content", q.content.String(), "outcome", outcome, "attempt", q.attempts, "adapter", q.call.Adapter.String(), "adapter_version", q.version,
 		"took_ms", took.Milliseconds(), "cause", detail)
 }
 
 // recordFailure logs and counts the final response to a request that was not served.
-func (g *Gateway) recordFailure(q *request, f *Refusal, begun bool) {
+func (g *Gateway) recordFailure(q *request, f *Refusal, started bool) {
 	took := clock.Since(q.received)
 	g.Stats.Refusals.Observe(string(f.Code), took)
 	if q.organisation != nil {
@@ -105,7 +105,7 @@
 		endpoint = q.sentTo.ID()
 	}
 	g.Log.Info("Request failed", "request", q.call.ID, "content", q.content.String(), "route", route, "organisation", q.organisationName(), "reason", string(f.Code),
-		"status", f.status(), "may_have_run", f.MayHaveRun, "begun", begun, "adapter", q.call.Adapter.String(),
+		"status", f.status(), "may_have_run", f.MayHaveRun, "begun", started, "adapter", q.call.Adapter.String(),
 		"endpoint", endpoint, "attempts", q.attempts, "retry_withheld", q.retryWithheld, "config", version, "waited_ms", q.placementTime.Milliseconds(),
 		"took_ms", took.Milliseconds(), "retry_ms", f.RetryAfter.Milliseconds(), "cause", f.Detail)
 }
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -56,10 +56,10 @@
 			var l logLines
 			k.site.gateway.Log = funcr.New(l.add, funcr.Options{})
 			k.site.gateway.MaxInFlight = k.held
-			a, _, err := k.site.ask("/")
+			resp, _, err := k.site.ask("/")
 			c := quicktest.New(t)
 			c.Assert(err, quicktest.IsNil)
-			c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+			c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 			failed := l.containing("Request failed")
 			c.Assert(failed, quicktest.HasLen, 1)
 			c.Assert(failed[0], quicktest.Contains, `"request"="call-1"`)
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -103,9 +103,9 @@
 	}
 	serves := s.endpoint(t, answerOK)
 	s.setDataCentre(fmt.Sprintf("e%d", s.count), "far") // the last one to be tried
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(serves.Load(), quicktest.Equals, int64(1))
 }
 
--- a/forward/select.go
+++ b/forward/select.go
@@ -22,47 +22,47 @@
 // a connection recently are left out if there are others. Those that perform badly are left out too, but
 // only if they are fewer than half: otherwise the cause is likely not the endpoints.
 func (g *Gateway) usable(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
-	serving := g.candidates(list, tried, now)
-	var up, good []*topology.Endpoint
-	least := 1.0
-	for _, e := range serving {
-		least = min(least, g.upstreams.get(e).health(now).failureRate)
+	untried := g.candidates(list, tried, now)
+	var reachable, healthy []*topology.Endpoint
+	lowest := 1.0
+	for _, e := range untried {
+		lowest = min(lowest, g.upstreams.get(e).health(now).failureRate)
 	}
-	for _, e := range serving {
+	for _, e := range untried {
 		h := g.upstreams.get(e).health(now)
 		if h.down {
 			continue
 		}
-		up = append(up, e)
-		if h.silentRequests < silentThreshold && !h.shedding && h.failureRate < least+failureRateMargin {
-			good = append(good, e)
+		reachable = append(reachable, e)
+		if h.silentRequests < silentThreshold && !h.shedding && h.failureRate < lowest+failureRateMargin {
+			healthy = append(healthy, e)
 		}
 	}
 	switch {
-	case len(up) == 0:
-		return serving
-	case 2*len(good) <= len(up):
-		return up
+	case len(reachable) == 0:
+		return untried
+	case 2*len(healthy) <= len(reachable):
+		return reachable
 	}
-	return good
+	return healthy
 }
 
 // untried returns the endpoints that accept new requests and that the request has not tried.
 func (g *Gateway) untried(list []*topology.Endpoint, tried map[string]bool, now time.Time) []*topology.Endpoint {
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if g.isAvailable(e, now) && !tried[e.ID()] {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
 // leastLoaded returns the endpoint with the least load, preferring the own data
 // centre; nil for an empty list.
 func (g *Gateway) leastLoaded(list []*topology.Endpoint, now time.Time) *topology.Endpoint {
 	var best *topology.Endpoint
-	most := 0.0
+	lowest := 0.0
 	for _, e := range list {
 		h := g.upstreams.get(e).health(now)
 		score := float64(h.inFlight)/float64(e.Slots()) + failurePenalty*h.failureRate + rand.Float64()*0.01
@@ -72,8 +72,8 @@
 		if h.down || h.silentRequests >= silentThreshold {
 			score += failurePenalty
 		}
-		if best == nil || score < most {
-			best, most = e, score
+		if best == nil || score < lowest {
+			best, lowest = e, score
 		}
 	}
 	return best
@@ -81,25 +81,25 @@
 
 // rendezvousEndpoint returns where an adapter that no endpoint holds should be loaded: all boxes
 // that see the same endpoints choose the same one.
-func rendezvousEndpoint(a topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
+func rendezvousEndpoint(adapter topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
 	names := make([]string, len(list))
 	byName := make(map[string]*topology.Endpoint, len(list))
 	for i, e := range list {
 		names[i] = e.ID()
 		byName[e.ID()] = e
 	}
-	return byName[policy.First(a.String(), names)]
+	return byName[policy.First(adapter.String(), names)]
 }
 
 // withModel returns the endpoints that have the base model.
 func withModel(list []*topology.Endpoint, model string) []*topology.Endpoint {
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		if e.HasModel(model) {
-			some = append(some, e)
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
 // candidates returns the untried endpoints in data centres that this box can reach: the network to
@@ -113,19 +113,19 @@
 // withoutAvoided returns the endpoints of the own data centre and of those not avoided; if there
 // are none it returns the whole list.
 func (g *Gateway) withoutAvoided(list []*topology.Endpoint, avoided func(centre string) bool) []*topology.Endpoint {
-	avoid := make(map[string]bool)
-	var some []*topology.Endpoint
+	isAvoided := make(map[string]bool)
+	var filtered []*topology.Endpoint
 	for _, e := range list {
 		c := e.DataCentre()
-		if _, known := avoid[c]; !known {
-			avoid[c] = c != g.DataCentre && avoided(c)
+		if _, known := isAvoided[c]; !known {
+			isAvoided[c] = c != g.DataCentre && avoided(c)
 		}
-		if !avoid[c] {
-			some = append(some, e)
+		if !isAvoided[c] {
+			filtered = append(filtered, e)
 		}
 	}
-	if len(some) == 0 {
+	if len(filtered) == 0 {
 		return list
 	}
-	return some
+	return filtered
 }
--- a/forward/select_test.go
+++ b/forward/select_test.go
@@ -184,9 +184,9 @@
 	}
 	s.endpoint(t, answerOK)
 	for range 3 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 }
 
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -93,10 +93,10 @@
 	if q.service.Engine() != nil && q.call.Adapter.Model != "" {
 		list = withModel(list, q.call.Adapter.Model)
 	}
-	able := list
-	list = g.usable(able, q.tried, now) // filtered after withModel, since usable avoids endpoints only if others are left
+	capable := list
+	list = g.usable(capable, q.tried, now) // filtered after withModel, since usable avoids endpoints only if others are left
 	if len(list) == 0 {
-		return target{}, g.noEndpoint(able, now)
+		return target{}, g.noEndpoint(capable, now)
 	}
 	list = g.withCapacity(q, list)
 	if len(list) == 0 {
@@ -110,8 +110,8 @@
 
 // noEndpoint refuses a request that no endpoint can serve. If all of them are in a back-off the caller
 // is told when the first one ends.
-func (g *Gateway) noEndpoint(able []*topology.Endpoint, now time.Time) *Refusal {
-	if after, known := g.earliestAvailable(able, now); known && after > 0 {
+func (g *Gateway) noEndpoint(capable []*topology.Endpoint, now time.Time) *Refusal {
+	if after, known := g.earliestAvailable(capable, now); known && after > 0 {
 		return &Refusal{Code: CodeBackoff, RetryAfter: after, Detail: "all endpoints that could serve the request are in a back-off"}
 	}
 	return &Refusal{Code: CodeNoEndpoint, RetryAfter: unavailableRetryAfter, Detail: "no usable endpoint of the service is left"}
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -60,9 +60,9 @@
 	p := s.addProxy(t)
 	status := make(chan int, kept)
 	ask := func() {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Check(err, quicktest.IsNil)
-		status <- a.StatusCode
+		status <- resp.StatusCode
 	}
 	for range kept {
 		go ask()
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -19,16 +19,16 @@
 // maxEventBytes limits the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-func isStream(a *http.Response) bool {
-	return a.StatusCode == http.StatusOK && strings.HasPrefix(a.Header.Get("Content-Type"), streamType)
+func isStream(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType)
 }
 
 // relayStream relays complete events as they arrive. A stream that breaks off is resumed at another endpoint
 // if its route allows that.
-func (g *Gateway) relayStream(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, a *http.Response) *Refusal {
+func (g *Gateway) relayStream(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, resp *http.Response) *Refusal {
 	u := d.upstream
 	s := &eventRelay{out: out, lastID: q.call.LastEventID}
-	err := s.copy(a, d.partReceived)
+	err := s.copy(resp, d.partReceived)
 	u.recordOutcome(err != nil && ctx.Err() == nil)
 	if err == nil {
 		return nil
@@ -76,18 +76,18 @@
 	d := g.newDispatch(q, t)
 	defer d.finish()
 	u := d.upstream
-	a, f := g.send(ctx, q, u, t, s.lastID)
+	resp, f := g.send(ctx, q, u, t, s.lastID)
 	if f != nil {
 		q.retryReserved = f.Unsent
 		return false
 	}
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	q.executions++
 	q.tried[t.endpoint.ID()] = true
-	if !isStream(a) {
+	if !isStream(resp) {
 		return false
 	}
-	err := s.copy(a, d.partReceived)
+	err := s.copy(resp, d.partReceived)
 	u.recordOutcome(err != nil && ctx.Err() == nil)
 	if err != nil && ctx.Err() == nil {
 		g.reportBroken(u, q)
@@ -105,29 +105,29 @@
 // copy relays complete events until the end of the stream, for which it returns nil. It drops an event
 // that was cut off, and calls heard for each
 // complete one.
-func (s *eventRelay) copy(a *http.Response, heard func()) error {
-	in := bufio.NewReaderSize(a.Body, 4<<10)
+func (s *eventRelay) copy(resp *http.Response, heard func()) error {
+	in := bufio.NewReaderSize(resp.Body, 4<<10)
 	var event []byte
-	begun := 0 // start of the last line: a long one arrives in pieces
+	lineStart := 0 // start of the last line: a long one arrives in pieces
 	for {
-		piece, err := in.ReadSlice('\n')
-		event = append(event, piece...)
+		chunk, err := in.ReadSlice('\n')
+		event = append(event, chunk...)
 		if len(event) > maxEventBytes {
-			return s.finish(a, event, bufio.ErrBufferFull)
+			return s.finish(resp, event, bufio.ErrBufferFull)
 		}
 		if err == bufio.ErrBufferFull {
 			continue
 		}
 		if err != nil {
-			return s.finish(a, event, err)
+			return s.finish(resp, event, err)
 		}
-		line := event[begun:]
-		if begun = len(event); len(bytes.TrimRight(line, "\r\n")) > 0 {
+		line := event[lineStart:]
+		if lineStart = len(event); len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
-		begun = 0
+		lineStart = 0
 		heard()
-		s.relay(a, event)
+		s.relay(resp, event)
 		event = event[:0]
 		if s.out.callerGone {
 			return io.ErrClosedPipe
@@ -140,7 +140,7 @@
 
 // finish returns nil if the end of the body is the end of the stream. It flushes the events relayed
 // before.
-func (s *eventRelay) finish(a *http.Response, partial []byte, err error) error {
+func (s *eventRelay) finish(resp *http.Response, partial []byte, err error) error {
 	if s.out.started {
 		s.out.flush()
 	}
@@ -151,20 +151,20 @@
 		return io.ErrUnexpectedEOF
 	}
 	if !s.out.started {
-		s.out.writeHead(a, -1)
+		s.out.writeHead(resp, -1)
 	}
 	s.out.flush()
 	return nil
 }
 
 // relay sends one event to the caller, unless an earlier run already delivered it.
-func (s *eventRelay) relay(a *http.Response, event []byte) {
+func (s *eventRelay) relay(resp *http.Response, event []byte) {
 	id := eventID(event)
 	if id != "" && !isAfter(id, s.lastID) {
 		return
 	}
 	if !s.out.started {
-		s.out.writeHead(a, -1)
+		s.out.writeHead(resp, -1)
 	}
 	if id != "" {
 		s.lastID = id
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -66,14 +66,14 @@
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	defer a.Body.Close()
+	defer resp.Body.Close()
 	first := make([]byte, len("id: 1\ndata: piece 1\n\n"))
-	_, err = io.ReadFull(a.Body, first) // would wait for ever if the stream were held back
+	_, err = io.ReadFull(resp.Body, first) // would wait for ever if the stream were held back
 	s.c.Assert(err, quicktest.IsNil)
 	close(gate)
-	rest, err := io.ReadAll(a.Body)
+	rest, err := io.ReadAll(resp.Body)
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(string(rest), quicktest.Contains, "piece 2")
 }
--- a/forward/turned_away_test.go
+++ b/forward/turned_away_test.go
@@ -28,9 +28,9 @@
 	refused, ran := s.endpoint(t, refuseNotExecuted), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
 	s.gateway.dataCentres.avoid("far", time.Now().Add(time.Minute))
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert([]int64{refused.Load(), ran.Load()}, quicktest.DeepEquals, []int64{1, 1})
 }
 
@@ -41,9 +41,9 @@
 	ran := s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
 	s.gateway.Unreachable = func(centre string) bool { return centre == "far" }
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(ran.Load(), quicktest.Equals, int64(0))
 }
 
@@ -67,11 +67,11 @@
 	caller := s.sendRaw(t, rawRequest)
 	s.await(r.started)
 	for range 7 {
-		a, err := http.ReadResponse(bufio.NewReader(s.sendRaw(t, rawRequest)), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(s.sendRaw(t, rawRequest)), nil)
 		s.c.Assert(err, quicktest.IsNil)
-		a.Body.Close()
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, overloadRetryAfter.String())
+		resp.Body.Close()
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+		s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, overloadRetryAfter.String())
 	}
 	s.c.Assert(s.calls["e1"].Load(), quicktest.Equals, int64(1))
 	s.c.Assert(caller.Close(), quicktest.IsNil)
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -83,14 +83,14 @@
 
 // setUserTimeout sets TCP_USER_TIMEOUT, which closes a connection whose peer no longer acknowledges data.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
 func (u *upstream) client() *http.Client {
@@ -124,7 +124,7 @@
 
 // startRequest counts a request in flight, and returns how many prompt tokens the endpoint has not read
 // then.
-func (u *upstream) startRequest(tokens int) (reading int) {
+func (u *upstream) startRequest(tokens int) (unread int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.inFlight++
@@ -162,10 +162,10 @@
 // closeIdleIfSilent closes the idle connections if no data at all came from the endpoint since sent: they
 // may be as dead as the one that a request has been waiting on. Those in use may still deliver a
 // response.
-func (u *upstream) closeIdleIfSilent(sent time.Time) {
+func (u *upstream) closeIdleIfSilent(since time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.lastActivity.After(sent) {
+	if !u.lastActivity.After(since) {
 		u.transport.CloseIdleConnections()
 	}
 }
