--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -63,7 +63,7 @@
 
 // While the lead of a data centre changed, every request whose adapter had its home there
 // was refused, though the other data centres could have loaded it.
-func TestAnAdapterWhoseHomeHasNoOwnerIsLoadedInAnotherDataCentre(t *testing.T) {
+func TestAdapterIsLoadedInDataCentreWithOwner(t *testing.T) {
 	for _, settled := range []string{"dc", "far"} {
 		s, statuses := askAdapters(t, ownerChangePlacer{settled: settled}, "2s", "a", "b", "c", "d", "e", "f")
 		for _, status := range statuses {
@@ -73,14 +73,14 @@
 }
 
 // A request was refused at once while nobody decided, though somebody would soon.
-func TestWhileNobodyDecidesARequestWaits(t *testing.T) {
+func TestRequestWaitsForOwner(t *testing.T) {
 	for _, left := range []string{"2s", "1500ms"} { // at first, and after a refusal
 		s, statuses := askAdapters(t, ownerChangePlacer{settled: "far", after: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
 		s.c.Assert(statuses[0], quicktest.Equals, http.StatusOK)
 	}
 }
 
-func TestARequestThatCannotBeServedInTimeDoesNotWait(t *testing.T) {
+func TestRequestDoesNotWaitBeyondItsDeadline(t *testing.T) {
 	begun := time.Now()
 	s, statuses := askAdapters(t, ownerChangePlacer{retry: time.Minute}, "2s", "a", "b", "c")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable})
@@ -89,7 +89,7 @@
 
 // Adapters were loaded in the data centre that their names gave, whether its endpoints had
 // slots to spare or none.
-func TestAnAdapterIsLoadedInTheDataCentreWhereItCostsLeast(t *testing.T) {
+func TestAdapterIsLoadedAtLowestCost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, f := range map[string]struct {
 		levels map[string]time.Duration
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -86,7 +86,7 @@
 	return resp.StatusCode, resp.Header.Get("Come-Back")
 }
 
-func TestOnlyCallersWithAKnownKeyAreServed(t *testing.T) {
+func TestUnknownKeyIsRejected(t *testing.T) {
 	s, _ := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	var payer string
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +103,7 @@
 	s.c.Assert(payer, quicktest.Equals, "org")
 }
 
-func TestAPublicRouteAsksForNoKey(t *testing.T) {
+func TestPublicRouteNeedsNoKey(t *testing.T) {
 	r := onceRoute(time.Second)
 	r.Public = true
 	s, a := newKeyedSite(t, r, access.Quota{Rate: 1})
@@ -122,7 +122,7 @@
 
 // What a box knows of keys is as old as the last word of the source. Where a key that was taken away
 // since may not be served any more, the box serves nobody by keys, and says that nothing ran.
-func TestByWordThatIsTooOldNoKeyIsServedAndNoneIsDenied(t *testing.T) {
+func TestStaleKeysNeitherAcceptNorReject(t *testing.T) {
 	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	calls := s.endpoint(t, answerOK)
 	a.keysUnusable = true
@@ -141,7 +141,7 @@
 
 // A request waited for its adapter; meanwhile its key was taken away, or the box stood still until
 // what it knew of keys was too old. The send that followed asked nobody.
-func TestTheKeyIsLookedAtAgainBeforeEachSend(t *testing.T) {
+func TestKeyIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, change := range map[string]func(*testSite, *fakeAdmission){
 		"taken away": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
 		"too old": func(_ *testSite, a *fakeAdmission) {
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestWhatIsBeyondAQuotaIsToldSoAndReachesNoEndpoint(t *testing.T) {
+func TestRequestOverQuotaReachesNoEndpoint(t *testing.T) {
 	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{Rate: 10})
 	calls := s.endpoint(t, answerOK)
 	a.left = 2
@@ -184,7 +184,7 @@
 	s.c.Assert(a.refunded, quicktest.Equals, 0.0)
 }
 
-func TestEachRunCountsAndWhatDidNotRunIsGivenBack(t *testing.T) {
+func TestQuotaChargesExecutionsOnly(t *testing.T) {
 	for name, k := range map[string]struct {
 		handler        http.HandlerFunc
 		again, returns float64
--- a/forward/budget_test.go
+++ b/forward/budget_test.go
@@ -16,7 +16,7 @@
 //
 // The evidence: of 174 requests that ended with a refusal within 13 s of a day of 195 boxes, each
 // had a retry withheld; 430 extra ones and a fifth of 6,500 requests are allowed in 10 s.
-func TestABusyBoxSendsAgainWhatItsRequestsEarned(t *testing.T) {
+func TestBusyBoxUsesEarnedRetries(t *testing.T) {
 	c := quicktest.New(t)
 	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }}
@@ -58,7 +58,7 @@
 
 // Whatever the number of boxes and of their requests, also where those come to an end or have
 // just begun: all boxes together send again at most what a window allows.
-func TestAllBoxesTogetherKeepTheBudgetInTheWorstWindow(t *testing.T) {
+func TestRetryLimitsHoldInWorstWindow(t *testing.T) {
 	for _, boxes := range []int{1, 3, 7, 39, 79, 195, 233, 404} {
 		for _, extra := range []float64{52, 182, 430} {
 			if extra*shareFactor < float64(boxes) {
@@ -81,7 +81,7 @@
 // In the first second of traffic after a start of all boxes endpoints held no adapters yet and
 // refused many; each box had run for seconds, and had no retry saved: its share counted from its
 // first request.
-func TestABoxSavesItsShareBeforeItsFirstRequest(t *testing.T) {
+func TestBudgetFillsBeforeFirstRequest(t *testing.T) {
 	c := quicktest.New(t)
 	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
 	g := &Gateway{RetryLimits: func() RetryLimits { return limits }}
--- a/forward/caller_conn_test.go
+++ b/forward/caller_conn_test.go
@@ -33,7 +33,7 @@
 const rawHead = "POST / HTTP/1.1\r\nHost: site.example\r\nId: call-1\r\n"
 
 // A caller sent the head of a request and half of its body, and then nothing for good.
-func TestABodyThatStaysAwayEndsAtTheDeadline(t *testing.T) {
+func TestMissingBodyTimesOutAtDeadline(t *testing.T) {
 	s := newSite(t, onceRoute(200*time.Millisecond))
 	calls := s.endpoint(t, answerOK)
 	c := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
@@ -46,7 +46,7 @@
 
 // The answer to a body that was late by seconds was written after the time that bounds
 // requests of which nothing is known, and the caller got a closed connection.
-func TestABodyThatIsLateBySecondsGetsItsAnswer(t *testing.T) {
+func TestLateBodyGetsResponse(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, onceRoute(unadmittedTimeout+500*time.Millisecond))
 	s.endpoint(t, answerOK)
@@ -59,7 +59,7 @@
 
 // What bounds the reading of a body went on while the request ran, and looked like a caller
 // that leaves.
-func TestARequestMayRunLongerThanItsBodyMayTake(t *testing.T) {
+func TestBodyTimeoutDoesNotEndExecution(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, onceRoute(time.Minute))
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -77,7 +77,7 @@
 
 // A caller fell silent in the middle of its stream. The box waited for ever to write on, and
 // held the request for as long.
-func TestACallerThatReadsNoMoreIsGivenUpAfterTheDeadline(t *testing.T) {
+func TestCallerThatStopsReadingIsDropped(t *testing.T) {
 	s := newSite(t, resumableRoute(200*time.Millisecond))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -109,7 +109,7 @@
 }
 
 // A fault of the program in a handler closed the caller's connection without an answer.
-func TestAPanicBeforeTheRequestIsSentIsAnsweredAsNotRun(t *testing.T) {
+func TestPanicBeforeSendIsNotExecuted(t *testing.T) {
 	s, statuses := askAdapters(t, panickingPlacer{}, "2s", "a")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable})
 }
@@ -120,7 +120,7 @@
 // ParseResponse implements Protocol.
 func (panickingProtocol) ParseResponse(*http.Response, Call, string) Response { panic("a fault") }
 
-func TestAPanicAfterTheRequestWasSentIsNotAnsweredAsNotRun(t *testing.T) {
+func TestPanicAfterSendMayHaveExecuted(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
 	s.gateway.Protocol = panickingProtocol{}
@@ -130,7 +130,7 @@
 }
 
 // The body of a request was so much longer than allowed that most of it was never read.
-func TestABodyFarTooLongGetsItsAnswer(t *testing.T) {
+func TestOversizedBodyGetsResponse(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 5 {
 		r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 1<<20)))
@@ -144,7 +144,7 @@
 }
 
 // A stop's time was over while requests were held; their connections were closed.
-func TestWhatIsHeldWhenTheBoxEndsIsAnswered(t *testing.T) {
+func TestRequestInFlightAtShutdownGetsResponse(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	base, end := context.WithCancelCause(context.Background())
 	s.server.Close()
--- a/forward/caller_gone_test.go
+++ b/forward/caller_gone_test.go
@@ -44,7 +44,7 @@
 
 const rawRequest = rawHead + "Content-Length: 0\r\n\r\n"
 
-func TestAStreamIsLeftWhenItsCallerLeaves(t *testing.T) {
+func TestStreamIsCancelledWithCaller(t *testing.T) {
 	for name, begin := range map[string]func(http.ResponseWriter){
 		"before its first event": func(http.ResponseWriter) {},
 		"after its head": func(w http.ResponseWriter) {
@@ -74,7 +74,7 @@
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(1))
 }
 
-func TestARepeatableRequestIsNotRepeatedForACallerThatLeft(t *testing.T) {
+func TestNoRetryAfterCallerLeft(t *testing.T) {
 	s := newSite(t, repeatableRoute(time.Minute))
 	r := newEndpointRuns()
 	for range 2 {
@@ -83,7 +83,7 @@
 	s.assertCallerGone(t, r)
 }
 
-func TestACallerThatLeavesInItsBodyIsLeft(t *testing.T) {
+func TestCallerLeavesDuringBody(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	calls := s.endpoint(t, answerOK)
 	caller := s.sendRaw(t, rawHead+"Content-Length: 8\r\n\r\nhalf")
@@ -105,7 +105,7 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-func TestARequestThatWaitsForAnAdapterIsLeftWithItsCaller(t *testing.T) {
+func TestPlacementIsCancelledWithCaller(t *testing.T) {
 	p := blockingPlacer{asked: make(chan struct{}), told: make(chan struct{})}
 	s, _ := askAdapters(t, p, "2s")
 	caller := s.sendRaw(t, rawHead+"Adapter: m/a\r\nContent-Length: 0\r\n\r\n")
@@ -118,7 +118,7 @@
 
 // What came on the connection after the request ends net/http's watch for its close: such a
 // caller is noticed when something is written to it, as here, or at its deadline.
-func TestACallerWithBytesAfterItsRequestIsLeftAtTheNextEvent(t *testing.T) {
+func TestPipeliningCallerIsDetectedOnWrite(t *testing.T) {
 	s := newSite(t, resumableRoute(time.Minute))
 	r := newEndpointRuns()
 	more := make(chan struct{})
--- a/forward/drain_test.go
+++ b/forward/drain_test.go
@@ -12,7 +12,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestTheEndpointIsLeftWhenItsCallerLeaves(t *testing.T) {
+func TestRequestIsCancelledWithCaller(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	begun, left := make(chan struct{}), make(chan struct{})
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -37,7 +37,7 @@
 	<-left // the test does not end while the endpoint works on
 }
 
-func TestABoxThatLeavesAnswersAndAsksForAnotherConnection(t *testing.T) {
+func TestDrainClosesConnections(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	calls := s.endpoint(t, answerOK)
 	s.gateway.Drain()
--- a/forward/events_fuzz_test.go
+++ b/forward/events_fuzz_test.go
@@ -74,7 +74,7 @@
 // taken for two, the second of them empty, so that the event counted as whole. The caller got
 // the first part of it, and where the stream then broke, the run that went on at another
 // endpoint left the rest out.
-func TestALineAsLongAsTheBufferDoesNotEndItsEvent(t *testing.T) {
+func TestLineOfBufferSizeDoesNotEndEvent(t *testing.T) {
 	c := quicktest.New(t)
 	for _, long := range []int{4 << 10, 8 << 10} {
 		got, s, err := relayEvents([]byte("id: 1\ndata: "+strings.Repeat("x", long-len("data: "))+"\ndata: cut"), false)
@@ -85,7 +85,7 @@
 }
 
 // An event of many lines grew without bound: the bound was asked for single lines alone.
-func TestAnEventOfManyLinesIsBounded(t *testing.T) {
+func TestEventSizeIsLimited(t *testing.T) {
 	c := quicktest.New(t)
 	_, _, err := relayEvents([]byte(strings.Repeat("data: x\n", maxEventBytes/4)+"\n"), false)
 	c.Check(err, quicktest.IsNotNil)
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -229,7 +229,7 @@
 // dropConnection reads the request and closes the connection.
 func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func TestWithoutAConfigurationCallersAreAskedToComeBack(t *testing.T) {
+func TestNoConfiguration(t *testing.T) {
 	s := newSite(t)
 	resp, _, err := s.ask("/x/")
 	s.c.Assert(err, quicktest.IsNil)
@@ -237,7 +237,7 @@
 	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "1s")
 }
 
-func TestAPathWithoutARouteIsNotFound(t *testing.T) {
+func TestUnknownRoute(t *testing.T) {
 	r := onceRoute(time.Second)
 	r.Prefix = "/known/"
 	s := newSite(t, r)
@@ -246,7 +246,7 @@
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusNotFound)
 }
 
-func TestARequestArrivesAsItWasSent(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var got *http.Request
 	var body string
@@ -267,7 +267,7 @@
 	s.c.Assert(body, quicktest.Equals, "the body")
 }
 
-func TestABodyThatIsTooLongIsRefused(t *testing.T) {
+func TestBodyLimit(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	calls := s.endpoint(t, answerOK)
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
@@ -280,7 +280,7 @@
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
-func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
+func TestRejectedRequestIsRetried(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	refused := s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
@@ -293,7 +293,7 @@
 	s.c.Assert(refused.Load() > 0, quicktest.IsTrue)
 }
 
-func TestARequestThatMayRunOnceIsNotSentAgain(t *testing.T) {
+func TestOnceRequestIsNotRetried(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	first := s.endpoint(t, dropConnection)
 	second := s.endpoint(t, dropConnection)
@@ -303,7 +303,7 @@
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-func TestARequestThatMayRepeatIsSentToAnotherEndpoint(t *testing.T) {
+func TestRepeatableRequestIsRetried(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
 	s.endpoint(t, dropConnection)
 	s.endpoint(t, answerOK)
@@ -316,7 +316,7 @@
 
 // An endpoint failed a repeatable request, the budget of retries kept it from a second one,
 // and its caller got an answer of the box's own in place of the endpoint's.
-func TestAFailureThatIsNotTriedElsewhereIsPassedOn(t *testing.T) {
+func TestFailureIsRelayedIfRetryIsDenied(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
@@ -331,7 +331,7 @@
 	}
 }
 
-func TestAnAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
+func TestResponseToAnotherRequestIsDropped(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", "another")
@@ -343,7 +343,7 @@
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "fine")
 }
 
-func TestAnAnswerThatBreaksOffIsNotPassedOn(t *testing.T) {
+func TestTruncatedResponseIsDropped(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -357,7 +357,7 @@
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "half")
 }
 
-func TestAnEndpointsOwnFailureIsPassedOnUnchanged(t *testing.T) {
+func TestEndpointErrorIsRelayedUnchanged(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -370,7 +370,7 @@
 	s.c.Assert(text, quicktest.Equals, "its own words")
 }
 
-func TestARequestThatIsHeldTooLongGetsItsAnswerAtTheRoutesTimeout(t *testing.T) {
+func TestRouteTimeout(t *testing.T) {
 	s := newSite(t, onceRoute(200*time.Millisecond))
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the connection close
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -25,12 +25,12 @@
 	return <-got
 }
 
-func TestInstructionsOfCallersDoNotReachEndpoints(t *testing.T) {
+func TestDirectivesOfCallersAreRemoved(t *testing.T) {
 	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "order-endpoint": {"a"}, "Order-Endpoint": {"b", "c"}, "Connection": {"order-endpoint"}})
 	quicktest.Assert(t, h["Order-Endpoint"], quicktest.HasLen, 0)
 }
 
-func TestACallersConnectionHeaderTakesNothingFromTheCall(t *testing.T) {
+func TestConnectionHeaderDoesNotRemoveCallHeaders(t *testing.T) {
 	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "Adapter": {"m/a1"}, "Mine": {"x"}, "Connection": {"adapter, id, mine"}})
 	quicktest.Assert(t, h.Get("Id"), quicktest.Equals, "call-1")
 	quicktest.Assert(t, h.Get("Adapter"), quicktest.Equals, "m/a1")
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -68,7 +68,7 @@
 	return l
 }
 
-func TestARequestGoesElsewhereWhereAnEndpointTakesNoMore(t *testing.T) {
+func TestRequestAvoidsEndpointAtLimit(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 0})
@@ -80,7 +80,7 @@
 	s.c.Assert([]int64{needy.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 10})
 }
 
-func TestAnEndpointThatNamesALimitGetsWhatItTakes(t *testing.T) {
+func TestEndpointGetsRequestsUpToLimit(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy := s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 2})
@@ -95,7 +95,7 @@
 }
 
 // Where none has room the caller is told at once when the first one has.
-func TestWhereNoEndpointHasRoomTheCallerComesBackWhenTheFirstHas(t *testing.T) {
+func TestAllEndpointsAtLimit(t *testing.T) {
 	s := newSite(t, onceRoute(20*time.Second))
 	for range 3 {
 		s.endpoint(t, answerOK)
@@ -111,7 +111,7 @@
 	s.c.Assert(time.Since(begun) < 10*time.Second, quicktest.IsTrue)
 }
 
-func TestARequestAsksFewEndpointsForRoom(t *testing.T) {
+func TestLimitDenialsAreBounded(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	left := make(map[string]int)
 	for i := range 3 * maxLimitDenials {
@@ -127,7 +127,7 @@
 
 // A request that another endpoint could serve was offered what is left of a limit, and got nothing. Then
 // the other one turned it away, and it was refused, though the first one had room for it.
-func TestARequestAsksForMoreOnceTheOthersHaveFailed(t *testing.T) {
+func TestRequestAsksForFullCapacityAfterFailures(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy := s.endpoint(t, answerOK)
 	s.endpoint(t, refuseNotExecuted)
@@ -142,7 +142,7 @@
 }
 
 // A retry and a stream that goes on are sends like the first one: both take from the limit.
-func TestARetryAndAStreamThatGoesOnTakeFromTheLimit(t *testing.T) {
+func TestRetriesAndResumedStreamsCountTowardsLimit(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		route topology.RouteSpec
@@ -171,7 +171,7 @@
 
 // An endpoint failed a request that may be repeated, and the only other one has a limit: its failure is
 // what the caller gets, since nothing better is certain.
-func TestAFailureIsPassedOnWhereOthersMayHaveNoRoom(t *testing.T) {
+func TestFailureIsRelayedIfOthersHaveLimits(t *testing.T) {
 	s := newSite(t, repeatableRoute(time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
 	needy := s.endpoint(t, answerOK)
@@ -212,7 +212,7 @@
 //
 // The evidence: 3 of 103 refusals, on a day on which four of twelve endpoints were taken to name limits, say
 // that there is no room, and none where the box says that its request goes elsewhere.
-func TestAnAdapterIsLoadedElsewhereWhereItsHolderTakesNoMore(t *testing.T) {
+func TestAdapterIsLoadedElsewhereIfHolderIsAtLimit(t *testing.T) {
 	p := &recordingPlacer{}
 	s, _ := askAdapters(t, p, "2s")
 	p.requested, p.holder = nil, "e1"
@@ -224,7 +224,7 @@
 
 // An answer of another life at the address says nothing of this one; one that can't be trusted to be
 // the endpoint's own may name a limit and end none.
-func TestOnlyAnEndpointsOwnAnswerEndsALimit(t *testing.T) {
+func TestOnlySignedMatchingResponseRemovesLimit(t *testing.T) {
 	c := quicktest.New(t)
 	l := &fakeLimits{}
 	g := &Gateway{Limits: l, Log: logr.Discard()}
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestAnEndpointThatAskedForABackOffIsNotAsked(t *testing.T) {
+func TestEndpointInBackoffIsSkipped(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy, other := s.endpoint(t, withHeader("Back-Off", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far") // the other one goes first
@@ -36,7 +36,7 @@
 	s.c.Assert(s.gateway.Notices()["e1"].Ignored, quicktest.Equals, int64(0))
 }
 
-func TestAnEndpointIsUsedAgainAfterItsBackOff(t *testing.T) {
+func TestEndpointIsUsedAfterBackoff(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var asked atomic.Bool
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 
 // Where all endpoints want nothing the caller is told at once when the first takes requests again: it is
 // not held until its deadline, and no endpoint is asked all the same.
-func TestWhereAllEndpointsWantNothingTheCallerIsToldWhenTheFirstDoes(t *testing.T) {
+func TestAllEndpointsInBackoff(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	near, far := s.endpoint(t, withHeader("Back-Off", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Back-Off", "10", refuseNotExecuted))
 	resp, _, err := s.ask("/") // finds it out
@@ -83,7 +83,7 @@
 }
 
 // An endpoint that leaves is no way out where the others want nothing.
-func TestAnEndpointThatLeavesIsNotWaitedFor(t *testing.T) {
+func TestDrainingEndpointIsNotWaitedFor(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	leaving := s.endpoint(t, withHeader("Leaving", "1", answerOK))
 	resp, _, err := s.ask("/")
@@ -98,7 +98,7 @@
 
 // What another endpoint at the address says is none of this one's; an answer to another request of this box
 // may ask for a back-off, and can't end the use of an endpoint.
-func TestOnlyAnAnswerToThisRequestSaysThatAnEndpointLeaves(t *testing.T) {
+func TestOnlyMatchingResponseAnnouncesDraining(t *testing.T) {
 	for _, x := range []struct {
 		name    string
 		answer  Response
@@ -122,7 +122,7 @@
 }
 
 // An endpoint that leaves is told to others once, by whichever answer says so.
-func TestThatAnEndpointLeavesIsToldOnce(t *testing.T) {
+func TestDrainingIsReportedOnce(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var told []string
 	s.gateway.OnDraining = func(e string) { told = append(told, e) }
@@ -151,7 +151,7 @@
 
 // A request that waited for a load goes to another endpoint where this one asked for a back-off meanwhile,
 // and whoever decides there hears which one to avoid.
-func TestARequestThatWaitedDoesNotGoToAnEndpointThatAskedForABackOff(t *testing.T) {
+func TestBackoffDuringPlacement(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 	p := &backoffPlacer{gateway: s.gateway}
 	s.gateway.Placer = p
@@ -164,7 +164,7 @@
 
 // A leader of an older version names an endpoint that asked this box for a back-off, and the request is
 // refused at once instead.
-func TestALeadersWordDoesNotBringARequestToAnEndpointThatAskedForABackOff(t *testing.T) {
+func TestPlacementAtEndpointInBackoffIsRefused(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	holder := s.endpoint(t, answerOK)
 	s.setDataCentre("e3", "dc")
@@ -174,7 +174,7 @@
 }
 
 // A stream goes on at an endpoint that takes requests, and at no other.
-func TestAStreamDoesNotGoOnWhereABackOffWasAskedFor(t *testing.T) {
+func TestStreamIsNotResumedAtEndpointInBackoff(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) })
 	needy := s.endpoint(t, answerOK)
@@ -204,7 +204,7 @@
 	return AcquireResult{OK: true, Wait: time.Millisecond}
 }
 
-func TestARequestThatWaitedForItsTurnDoesNotGoToAnEndpointThatLeaves(t *testing.T) {
+func TestDrainingDuringLimitWait(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	left, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
@@ -216,7 +216,7 @@
 }
 
 // An endpoint's entry lapses while the source is away, and comes back: the same life wants nothing still.
-func TestABackOffOutlastsAnEntryThatLapses(t *testing.T) {
+func TestBackoffOutlastsEntry(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
 	e := s.gateway.View.Endpoint("e1")
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -48,7 +48,7 @@
 	return k.ended[endpoint]
 }
 
-func TestARequestInQuarantineIsRefusedAtOnceAndToldWhenToComeBack(t *testing.T) {
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	calls := s.endpoint(t, answerOK)
 	k := &keeper{left: 40 * time.Minute}
@@ -66,7 +66,7 @@
 }
 
 // The word of another box may come while a request waits, here while its first endpoint refuses it.
-func TestARequestThatComesIntoQuarantineIsSentNoMore(t *testing.T) {
+func TestQuarantineDuringRequest(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
@@ -82,7 +82,7 @@
 }
 
 // It has run, so its caller is not told that it has not.
-func TestARequestThatRanBeforeItsQuarantineIsNotCalledUnrun(t *testing.T) {
+func TestQuarantineAfterExecution(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
@@ -97,7 +97,7 @@
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-func TestAnEndIsToldWithTheRequestsThatRanThere(t *testing.T) {
+func TestEndIsReportedWithItsRequests(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
@@ -115,7 +115,7 @@
 
 // Endpoints of a rack end together while each runs a page that all callers open. It was answered
 // again and again before, so it is not what they ended under.
-func TestARequestThatWasAnsweredLatelyIsNotSuspect(t *testing.T) {
+func TestRecentlyServedRequestIsNotSuspect(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
 	s.gateway.Quarantine = k
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -42,7 +42,7 @@
 }
 
 // A caller complained of a request that was refused for overload, and no line had its ID.
-func TestARequestThatIsRefusedAtOnceIsLoggedByItsID(t *testing.T) {
+func TestEarlyRefusalIsLoggedWithRequestID(t *testing.T) {
 	for _, k := range []struct {
 		name  string
 		site  *testSite
@@ -77,7 +77,7 @@
 }
 
 // While a leader changed each waiting request wrote the same line ten times a second.
-func TestARequestThatNobodyAnswersIsLoggedOnce(t *testing.T) {
+func TestMissingOwnerIsLoggedOnce(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var l logLines
 	s.gateway.Log = funcr.New(l.add, funcr.Options{})
--- a/forward/turned_away_test.go
+++ b/forward/rejected_test.go
@@ -23,7 +23,7 @@
 // moment. The endpoint beside the box turned a request away, and the request was refused,
 // though endpoints of the other one were empty: it was avoided as long as there was any
 // endpoint here, those that the request had tried too.
-func TestARequestThatWasTurnedAwayIsOfferedToADataCentreThatIsAvoided(t *testing.T) {
+func TestRejectedRequestGoesToAvoidedDataCentre(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	refused, ran := s.endpoint(t, refuseNotExecuted), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
@@ -35,7 +35,7 @@
 }
 
 // A data centre that is out of touch is not waited for by a request that was turned away.
-func TestARequestThatWasTurnedAwayIsNotOfferedToADataCentreThatIsCutOff(t *testing.T) {
+func TestRejectedRequestSkipsUnreachableDataCentre(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
@@ -49,7 +49,7 @@
 
 // A data centre was avoided, no endpoint beside the box held the base model, and the request
 // was refused.
-func TestARequestIsOfferedWhereItsModelIsThoughThatIsAvoided(t *testing.T) {
+func TestModelInAvoidedDataCentre(t *testing.T) {
 	s, _ := askAdapters(t, ownerChangePlacer{settled: "far"}, "2s")
 	s.setDataCentre("e1", "dc")
 	s.gateway.dataCentres.avoid("far", time.Now().Add(time.Minute))
@@ -59,7 +59,7 @@
 
 // A box that holds as many requests as it may still takes new connections, and says at once
 // when to come back.
-func TestABoxThatHoldsItsMostAnswersOnNewConnections(t *testing.T) {
+func TestOverloadedBoxRefusesImmediately(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	s.gateway.MaxInFlight = 1
 	r := newEndpointRuns()
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -23,7 +23,7 @@
 //
 // The evidence: 89 of 668 attempts that were turned away went to an endpoint that had turned the same
 // request away before; with the mend taken out the endpoint here gets four.
-func TestARetryDoesNotGoBackToTheEndpointThatTurnedItAway(t *testing.T) {
+func TestRetryAvoidsRejectingEndpoint(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	holder := s.endpoint(t, refuseNotExecuted)
 	s.setDataCentre("e3", "dc")
@@ -42,7 +42,7 @@
 //
 // The evidence: on such a day 1,144 attempts were turned away, and 747 requests were refused for want of a retry;
 // with the mend 7 in 1,000 are refused, in three days of three.
-func TestAnEndpointThatTurnsRequestsAwayInARowIsPassedOver(t *testing.T) {
+func TestSheddingEndpointIsAvoided(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 3 {
 		s.endpoint(t, answerOK)
@@ -73,7 +73,7 @@
 }
 
 // All endpoints of a service that is overloaded turn requests away: they are asked all the same.
-func TestWhereMostEndpointsTurnRequestsAwayNoneIsPassedOver(t *testing.T) {
+func TestSheddingByMostEndpointsIsIgnored(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 4 {
 		s.endpoint(t, answerOK)
@@ -96,7 +96,7 @@
 //
 // The evidence: four lines of one request, "not reached: connection refused", the first and the last for the same
 // endpoint; 5 of 8 runs on a busy machine.
-func TestARequestThatReachesNobodyGoesOnToAnEndpointThatServes(t *testing.T) {
+func TestUnreachableEndpointsDoNotUseUpAttempts(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	for range maxUnsent - 1 {
 		s.addRefusing(t)
@@ -109,7 +109,7 @@
 	s.c.Assert(serves.Load(), quicktest.Equals, int64(1))
 }
 
-func TestARequestIsNotBroughtBackToAnEndpointThatItDidNotReach(t *testing.T) {
+func TestPlacementAtUnreachableEndpointIsRefused(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	s.addRefusing(t)
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusServiceUnavailable)
--- a/forward/select_test.go
+++ b/forward/select_test.go
@@ -14,7 +14,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestTheBudgetBoundsRetries(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	c := quicktest.New(t)
 	limits := RetryLimits{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
@@ -32,7 +32,7 @@
 }
 
 // Each of 75 boxes had saved ten retries, and spent them in the same window.
-func TestManyBoxesSaveNoMoreRetriesThanAWindowAllows(t *testing.T) {
+func TestSavedRetriesOfManyBoxes(t *testing.T) {
 	c := quicktest.New(t)
 	const boxes, requests = 75, 50 // in a window, of each box
 	limits := RetryLimits{Ratio: 0.2, Extra: 190, Window: 10 * time.Second}
@@ -58,7 +58,7 @@
 	c.Assert(float64(taken*boxes) <= limits.Ratio*requests*boxes+limits.Extra, quicktest.IsTrue, quicktest.Commentf("%d", taken))
 }
 
-func TestAnEndpointInADataCentreOutOfReachIsNotUsed(t *testing.T) {
+func TestUnreachableDataCentreIsNotUsed(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	s.gateway.Unreachable = func(c string) bool { return c == "cut" }
 	near := topology.NewEndpoint(topology.EndpointSpec{ID: "near", Service: "app", DataCentre: "dc", Slots: 1})
@@ -68,7 +68,7 @@
 	s.c.Assert(got[0].ID(), quicktest.Equals, "near")
 }
 
-func TestSeveralUnreachableEndpointsMakeTheirDataCentreAvoided(t *testing.T) {
+func TestFailuresMakeDataCentreAvoided(t *testing.T) {
 	c := quicktest.New(t)
 	var a dataCentres
 	now := time.Unix(100, 0)
@@ -89,7 +89,7 @@
 
 // A cut showed only by the heartbeats of boxes, 1.2 s later; every request into it until
 // then was lost.
-func TestSeveralRequestsIntoSilenceMakeTheirDataCentreAvoided(t *testing.T) {
+func TestSilenceMakesDataCentreAvoided(t *testing.T) {
 	c := quicktest.New(t)
 	var a dataCentres
 	sent := time.Unix(100, 0)
@@ -126,7 +126,7 @@
 
 // A request that waited two seconds for a load reached an endpoint that had begun to
 // leave meanwhile.
-func TestARequestThatWaitedDoesNotGoToAnEndpointThatLeaves(t *testing.T) {
+func TestDrainingDuringPlacement(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	engine := &topology.EngineSpec{AdapterSlots: 2}
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: engine})}
@@ -157,7 +157,7 @@
 	return PlacementResult{Ready: true, Endpoint: string(p)}, nil
 }
 
-func TestARequestGoesWhereItsAdapterWasLoaded(t *testing.T) {
+func TestRequestFollowsPlacement(t *testing.T) {
 	for _, id := range []string{"e1", "e2"} {
 		s, statuses := askAdapters(t, fixedPlacer(id), "2s", "a", "b", "c", "d")
 		s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusOK, http.StatusOK, http.StatusOK, http.StatusOK})
@@ -176,7 +176,7 @@
 
 // While a data centre was cut off, its boxes refused requests that had reached nobody,
 // since the budget of retries was used up, though an endpoint beside them served.
-func TestARequestThatReachedNobodyNeedsNoBudget(t *testing.T) {
+func TestUnsentAttemptNeedsNoBudget(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	for range 2 {
@@ -192,7 +192,7 @@
 
 // Two of three endpoints were cut off, and were asked again and again, since no more than
 // half of a service is avoided.
-func TestEndpointsThatRefuseConnectionsAreAvoidedAsLongAsOthersServe(t *testing.T) {
+func TestRefusingEndpointsAreAvoided(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	now := time.Now()
 	for range 2 {
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -44,7 +44,7 @@
 
 // All kept connections to an endpoint fell silent for good, without a reset, while new ones
 // worked. A request waited on one until its deadline, and so did each later one on another.
-func TestOneRequestOnASilentConnectionIsEnough(t *testing.T) {
+func TestSilentConnectionClosesIdleOnes(t *testing.T) {
 	const kept = 3
 	s := newSite(t, onceRoute(4*silenceTimeout))
 	var together sync.WaitGroup // so that each of the first requests has its connection
@@ -81,7 +81,7 @@
 // A stand-in acknowledges what it loses, so what the system itself finds is shown by what it
 // is told: bytes that stay without an acknowledgement, and a peer that has gone while a
 // connection rests.
-func TestConnectionsToEndpointsEndWhenTheyAreSilent(t *testing.T) {
+func TestTCPTimeouts(t *testing.T) {
 	c := quicktest.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAStreamThatBreaksOffDoesNotLookWhole(t *testing.T) {
+func TestBrokenStreamIsNotCompleted(t *testing.T) {
 	r := resumableRoute(2 * time.Second)
 	r.Resumable = false
 	s := newSite(t, r)
@@ -39,7 +39,7 @@
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "99")
 }
 
-func TestAResumableStreamGoesOnElsewhereWithoutGapOrRepeat(t *testing.T) {
+func TestResumedStreamHasNoGapOrRepeat(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	serve := func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Last") == "" {
@@ -55,7 +55,7 @@
 	s.c.Assert(text, quicktest.Equals, "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n")
 }
 
-func TestEventsArePassedOnAsTheyCome(t *testing.T) {
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	s := newSite(t, resumableRoute(5*time.Second))
 	gate := make(chan struct{})
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +85,7 @@
 // next have ended too; each refuses the connection, so nothing is sent, and the next is tried at once.
 //
 // The evidence: ten lines of one request, attempts 2 to 10, "not reached: connection refused".
-func TestAStreamThatReachesNobodyTakesOneRetryAndFewAttempts(t *testing.T) {
+func TestUnreachableResumeUsesOneRetry(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		for i := range 2 * maxAttempts {
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -24,7 +24,7 @@
 
 // A box was suspended while it held a request. Its timers and its steady clock stood still, so it
 // gave the request to an endpoint long after its caller had left.
-func TestARequestWhoseTimePassedInASuspensionIsNotSent(t *testing.T) {
+func TestDeadlinePassedDuringSuspension(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
 	r := onceRoute(2 * time.Second)
--- a/forward/endings_test.go
+++ b/forward/termination_test.go
@@ -56,7 +56,7 @@
 	s.c.Fatalf("counted %+v, not %+v", s.gateway.Ends(), want)
 }
 
-func TestAnEndpointThatEndedIsToldFromAnAnswerThatBrokeOff(t *testing.T) {
+func TestEndedEndpointIsDetected(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.runGateway(t)
 	s.endpoint(t, dropConnection)
