--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -14,10 +14,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// ownerChangePlacer decides for the endpoints of one data centre only.
+// ownerChangePlacer owns the endpoints of one data centre; those of others have no owner.
 type ownerChangePlacer struct {
 	settled string
-	after   time.Time // nobody decides for any endpoint before
+	after   time.Time // no endpoint has an owner before
 	retry   time.Duration
 }
 
@@ -29,8 +29,8 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// askAdapters asks for adapters that nobody holds, at a site with an endpoint in each of
-// two data centres, and returns the statuses; left is what each caller has left of 2 s.
+// askAdapters requests adapters that no endpoint holds, at a site with an endpoint in each of two data
+// centres, and returns the statuses. left is the callers' deadline; the route's timeout is 2 s.
 func askAdapters(t *testing.T, p Placer, left string, adapters ...string) (*testSite, []int) {
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
@@ -61,8 +61,8 @@
 	return s, statuses
 }
 
-// While the lead of a data centre changed, every request whose adapter had its home there
-// was refused, though the other data centres could have loaded it.
+// While the leader of a data centre changed, every request whose adapter had its preferred endpoint
+// there was refused, though the other data centres could have loaded it.
 func TestAdapterIsLoadedInDataCentreWithOwner(t *testing.T) {
 	for _, settled := range []string{"dc", "far"} {
 		s, statuses := askAdapters(t, ownerChangePlacer{settled: settled}, "2s", "a", "b", "c", "d", "e", "f")
@@ -72,9 +72,9 @@
 	}
 }
 
-// A request was refused at once while nobody decided, though somebody would soon.
+// A request was refused at once while no endpoint had an owner, though one was expected soon.
 func TestRequestWaitsForOwner(t *testing.T) {
-	for _, left := range []string{"2s", "1500ms"} { // at first, and after a refusal
+	for _, left := range []string{"2s", "1500ms"} { // a first attempt, and a retry
 		s, statuses := askAdapters(t, ownerChangePlacer{settled: "far", after: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
 		s.c.Assert(statuses[0], quicktest.Equals, http.StatusOK)
 	}
@@ -84,11 +84,11 @@
 	begun := time.Now()
 	s, statuses := askAdapters(t, ownerChangePlacer{retry: time.Minute}, "2s", "a", "b", "c")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable, http.StatusServiceUnavailable, http.StatusServiceUnavailable})
-	s.c.Assert(time.Since(begun) < 3*time.Second, quicktest.IsTrue) // each would have waited for two: no bound on speed, but on the rule
+	s.c.Assert(time.Since(begun) < 3*time.Second, quicktest.IsTrue) // each would have waited for 2 s; this checks the rule, not the speed
 }
 
-// Adapters were loaded in the data centre that their names gave, whether its endpoints had
-// slots to spare or none.
+// Adapters were loaded in the data centre that is first in their rendezvous order, whether its
+// endpoints had free slots or not.
 func TestAdapterIsLoadedAtLowestCost(t *testing.T) {
 	const ms = time.Millisecond
 	for name, f := range map[string]struct {
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -15,7 +15,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// fakeAdmission grants what is left.
+// fakeAdmission grants the units that are left.
 type fakeAdmission struct {
 	mu                         sync.Mutex
 	keysUnusable, keysOutdated bool
@@ -51,7 +51,7 @@
 // Refund implements Admission.
 func (a *fakeAdmission) Refund(_ *access.Organisation, units float64) { a.refunded += units }
 
-// newKeyedSite is a site whose callers need keys: organisation "org" has the key "good".
+// newKeyedSite returns a site whose callers need keys: organisation "org" has the key "good".
 func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*testSite, *fakeAdmission) {
 	s := newSite(t, r)
 	s.setOrganisations(access.Spec{Name: "org", Keys: []access.Digest{access.KeyDigest("good")}, Quota: q})
@@ -60,7 +60,7 @@
 	return s, a
 }
 
-// setOrganisations brings a configuration into force whose only organisations these are.
+// setOrganisations applies a configuration with just these organisations.
 func (s *testSite) setOrganisations(specs ...access.Spec) {
 	d, err := access.NewDirectory(specs)
 	s.c.Assert(err, quicktest.IsNil)
@@ -71,7 +71,7 @@
 	s.gateway.View.SetConfig(n.WithCallers(d))
 }
 
-// askWithKey sends one request with a key and returns the status and the time to come back.
+// askWithKey sends one request with a key and returns the status and the Retry-After.
 func (s *testSite) askWithKey(key string) (status int, back string) {
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
@@ -120,8 +120,8 @@
 	}
 }
 
-// What a box knows of keys is as old as the last word of the source. Where a key that was taken away
-// since may not be served any more, the box serves nobody by keys, and says that nothing ran.
+// A box may miss a revocation if its copy of the keys is too old. It then refuses all requests with keys,
+// with a status that says that nothing was executed.
 func TestStaleKeysNeitherAcceptNorReject(t *testing.T) {
 	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	calls := s.endpoint(t, answerOK)
@@ -132,15 +132,15 @@
 		s.c.Assert(back, quicktest.Equals, unavailableRetryAfter.String())
 	}
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	a.keysUnusable, a.keysOutdated = false, true // recent enough to serve by, not to deny by
+	a.keysUnusable, a.keysOutdated = false, true // recent enough to accept a key, but not to reject one
 	status, _ := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusOK)
 	status, _ = s.askWithKey("new")
 	s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
 }
 
-// A request waited for its adapter; meanwhile its key was taken away, or the box stood still until
-// what it knew of keys was too old. The send that followed asked nobody.
+// While a request waited for its adapter its key was revoked, or the box was suspended until its copy of the
+// keys was too old. The next attempt did not check the key again.
 func TestKeyIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, change := range map[string]func(*testSite, *fakeAdmission){
 		"taken away": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
@@ -160,7 +160,7 @@
 			status, _ := s.askWithKey("good")
 			s.c.Assert(status >= 400, quicktest.IsTrue)
 			s.c.Assert(one.Load()+two.Load(), quicktest.Equals, int64(1))
-			s.c.Assert(a.refunded, quicktest.Equals, 1.0) // it never ran
+			s.c.Assert(a.refunded, quicktest.Equals, 1.0) // it was never executed
 		})
 	}
 }
--- a/forward/budget_test.go
+++ b/forward/budget_test.go
@@ -10,18 +10,16 @@
 	"github.com/frankban/quicktest"
 )
 
-// An endpoint with a full queue refused four requests of one box within a second. The box could
-// save one retry: three of its callers were refused, though all boxes together made a tenth of
-// the retries that the service allows.
-//
-// The evidence: of 174 requests that ended with a refusal within 13 s of a day of 195 boxes, each
-// had a retry withheld; 430 extra ones and a fifth of 6,500 requests are allowed in 10 s.
+// An endpoint with a full queue rejected four requests of one box within a second. The box could save up
+// only one retry, so three of its callers were refused, though all boxes together used a tenth of the
+// retries that the limits allow. In a scenario with 195 boxes 174 requests failed that way within 13 s, while
+// the limits allowed 430 extra retries and a fifth of 6,500 requests in 10 s.
 func TestBusyBoxUsesEarnedRetries(t *testing.T) {
 	c := quicktest.New(t)
 	limits := RetryLimits{Ratio: 0.2, Extra: 430, Window: 10 * time.Second}
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }}
 	now := time.Unix(1000, 0)
-	for range 100 { // in ten seconds
+	for range 100 { // in 10 s
 		now = now.Add(100 * time.Millisecond)
 		b.RecordFirst(now)
 	}
@@ -30,9 +28,9 @@
 	}
 }
 
-// worstWindow returns how many retries one of so many boxes makes in the worst window: callers
-// sent so many requests in the window before and in this one, it has saved what it may, and each
-// request that it could send again it does.
+// worstWindow returns how many retries one box of many makes in the worst window: its callers sent before
+// requests in each of the two windows before and send within requests in this one, its budget is full, and
+// it retries whenever it can.
 func worstWindow(limits RetryLimits, boxes, before, within int) int {
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }}
 	now := time.Unix(1000, 0)
@@ -56,13 +54,13 @@
 	return ask(within, true)
 }
 
-// Whatever the number of boxes and of their requests, also where those come to an end or have
-// just begun: all boxes together send again at most what a window allows.
+// For any number of boxes and requests, also when traffic stops or starts, all boxes together make at most
+// the retries that a window allows.
 func TestRetryLimitsHoldInWorstWindow(t *testing.T) {
 	for _, boxes := range []int{1, 3, 7, 39, 79, 195, 233, 404} {
 		for _, extra := range []float64{52, 182, 430} {
 			if extra*shareFactor < float64(boxes) {
-				continue // a box makes one retry or none: more boxes than extra retries are an open point
+				continue // not covered: with more boxes than extra retries a box makes one retry or none
 			}
 			limits := RetryLimits{Ratio: 0.2, Extra: extra, Window: 10 * time.Second}
 			for _, before := range []int{0, 1, 10, 33, 400} {
@@ -78,8 +76,8 @@
 	}
 }
 
-// In the first second of traffic after a start of all boxes endpoints held no adapters yet and
-// refused many; each box had run for seconds, and had no retry saved: its share counted from its
+// In the first second of traffic after all boxes started, endpoints held no adapters yet and rejected many
+// requests. The boxes had run for seconds but had saved up no retries, since their shares counted from the
 // first request.
 func TestBudgetFillsBeforeFirstRequest(t *testing.T) {
 	c := quicktest.New(t)
--- a/forward/caller_conn_test.go
+++ b/forward/caller_conn_test.go
@@ -16,10 +16,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// testTimeout is how long a test waits for what must come.
+// testTimeout is how long a test waits for an event.
 const testTimeout = 10 * time.Second
 
-// sendRaw opens a connection and writes on it.
+// sendRaw opens a connection to the site and writes text to it.
 func (s *testSite) sendRaw(t *testing.T, text string) net.Conn {
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	s.c.Assert(err, quicktest.IsNil)
@@ -32,7 +32,7 @@
 
 const rawHead = "POST / HTTP/1.1\r\nHost: site.example\r\nId: call-1\r\n"
 
-// A caller sent the head of a request and half of its body, and then nothing for good.
+// A caller sent the headers of a request and half of its body, and then nothing.
 func TestMissingBodyTimesOutAtDeadline(t *testing.T) {
 	s := newSite(t, onceRoute(200*time.Millisecond))
 	calls := s.endpoint(t, answerOK)
@@ -40,12 +40,12 @@
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	s.c.Assert(err, quicktest.IsNil)
 	resp.Body.Close()
-	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestTimeout) // a promise: it has not run
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestTimeout) // this status guarantees that it was not executed
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
-// The answer to a body that was late by seconds was written after the time that bounds
-// requests of which nothing is known, and the caller got a closed connection.
+// The response to a late body was written after unadmittedTimeout, and the caller got a closed
+// connection.
 func TestLateBodyGetsResponse(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, onceRoute(unadmittedTimeout+500*time.Millisecond))
@@ -57,8 +57,8 @@
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestTimeout)
 }
 
-// What bounds the reading of a body went on while the request ran, and looked like a caller
-// that leaves.
+// The read deadline for the body stayed in force while the request was executed, and its expiry looked like
+// a caller that left.
 func TestBodyTimeoutDoesNotEndExecution(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, onceRoute(time.Minute))
@@ -75,8 +75,8 @@
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 }
 
-// A caller fell silent in the middle of its stream. The box waited for ever to write on, and
-// held the request for as long.
+// A caller stopped reading in the middle of its stream. The box blocked in a write forever, and the request
+// stayed in flight.
 func TestCallerThatStopsReadingIsDropped(t *testing.T) {
 	s := newSite(t, resumableRoute(200*time.Millisecond))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -93,14 +93,14 @@
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 }
 
-// eventually waits until what must come has come.
+// eventually waits until done returns true.
 func (s *testSite) eventually(done func() bool) {
 	for until := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
 		s.c.Assert(time.Now().Before(until), quicktest.IsTrue, quicktest.Commentf("it has not come"))
 	}
 }
 
-// panickingPlacer panics.
+// panickingPlacer panics in Place.
 type panickingPlacer struct{}
 
 // Place implements Placer.
@@ -108,13 +108,13 @@
 	panic("a fault")
 }
 
-// A fault of the program in a handler closed the caller's connection without an answer.
+// A panic in a handler closed the caller's connection without a response.
 func TestPanicBeforeSendIsNotExecuted(t *testing.T) {
 	s, statuses := askAdapters(t, panickingPlacer{}, "2s", "a")
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{http.StatusServiceUnavailable})
 }
 
-// panickingProtocol panics over the head of an answer.
+// panickingProtocol panics when it parses the head of a response.
 type panickingProtocol struct{ plainProtocol }
 
 // ParseResponse implements Protocol.
@@ -129,7 +129,7 @@
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 }
 
-// The body of a request was so much longer than allowed that most of it was never read.
+// The body of a request was so large that most of it was never read.
 func TestOversizedBodyGetsResponse(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 5 {
@@ -143,7 +143,7 @@
 	}
 }
 
-// A stop's time was over while requests were held; their connections were closed.
+// The shutdown grace period ended while requests were in flight, and their connections were closed.
 func TestRequestInFlightAtShutdownGetsResponse(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	base, end := context.WithCancelCause(context.Background())
@@ -164,5 +164,5 @@
 	}()
 	s.eventually(func() bool { return calls.Load() == 1 })
 	end(ErrShutdown)
-	s.c.Assert(<-status, quicktest.Equals, http.StatusBadGateway) // it may have run
+	s.c.Assert(<-status, quicktest.Equals, http.StatusBadGateway) // it may have been executed
 }
--- a/forward/caller_gone_test.go
+++ b/forward/caller_gone_test.go
@@ -12,28 +12,28 @@
 	"github.com/frankban/quicktest"
 )
 
-// endpointRuns is an endpoint's work on requests.
+// endpointRuns signals when an endpoint starts a request and when it is cancelled.
 type endpointRuns struct{ started, cancelled chan struct{} }
 
 func newEndpointRuns() endpointRuns {
 	return endpointRuns{started: make(chan struct{}, 8), cancelled: make(chan struct{}, 8)}
 }
 
-// handler reads the request, begins its answer as told, and works until its caller leaves.
+// handler reads the request, starts the response with begin, and runs until its caller leaves.
 func (r endpointRuns) handler(begin func(http.ResponseWriter)) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
-		_, _ = io.Copy(io.Discard, q.Body) // a server notices that its caller leaves only after the body
+		_, _ = io.Copy(io.Discard, q.Body) // net/http detects a closed connection only after the body
 		begin(w)
 		r.started <- struct{}{}
 		select {
 		case <-q.Context().Done():
 			r.cancelled <- struct{}{}
-		case <-time.After(2 * testTimeout): // so that the test that fails ends
+		case <-time.After(2 * testTimeout): // ends a failing test
 		}
 	}
 }
 
-// await fails the test where what must come stays away.
+// await fails the test unless the channel receives in time.
 func (s *testSite) await(what <-chan struct{}) {
 	select {
 	case <-what:
@@ -57,14 +57,14 @@
 			s := newSite(t, resumableRoute(time.Minute))
 			r := newEndpointRuns()
 			s.endpoint(t, r.handler(begin))
-			s.endpoint(t, r.handler(begin)) // it may be resumed there, but not for nobody
+			s.endpoint(t, r.handler(begin)) // the stream could be resumed here, but its caller has left
 			s.assertCallerGone(t, r)
 		})
 	}
 }
 
-// assertCallerGone checks that a caller that leaves while the first endpoint works is left
-// there, and that the second one is not asked.
+// assertCallerGone checks that the endpoint's request is cancelled when its caller leaves, and that the
+// second endpoint gets none.
 func (s *testSite) assertCallerGone(t *testing.T, r endpointRuns) {
 	caller := s.sendRaw(t, rawRequest)
 	s.await(r.started)
@@ -93,8 +93,8 @@
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
-// blockingPlacer has an adapter ready long after its caller left; it says when it is asked, and
-// when it hears that nobody waits any more.
+// blockingPlacer reports when it is called and when its context ends; the adapter is ready only after the
+// caller left.
 type blockingPlacer struct{ asked, told chan struct{} }
 
 // Place implements Placer.
@@ -116,8 +116,8 @@
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(0))
 }
 
-// What came on the connection after the request ends net/http's watch for its close: such a
-// caller is noticed when something is written to it, as here, or at its deadline.
+// Bytes that follow the request on the connection stop net/http's detection of a closed connection. Such a
+// caller is detected at the next write, as here, or at its deadline.
 func TestPipeliningCallerIsDetectedOnWrite(t *testing.T) {
 	s := newSite(t, resumableRoute(time.Minute))
 	r := newEndpointRuns()
@@ -126,7 +126,7 @@
 		sendEvents(w, 1, 1, false)
 		r.started <- struct{}{}
 		<-more
-		for i := 2; q.Context().Err() == nil; i++ { // the first is answered with a reset, a later one fails
+		for i := 2; q.Context().Err() == nil; i++ { // the first write is answered with a reset, a later one fails
 			sendEvents(w, i, i, false)
 			time.Sleep(time.Millisecond)
 		}
--- a/forward/drain_test.go
+++ b/forward/drain_test.go
@@ -16,7 +16,7 @@
 	s := newSite(t, onceRoute(time.Minute))
 	begun, left := make(chan struct{}), make(chan struct{})
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // a server notices that its caller leaves only after the body
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body
 		close(begun)
 		<-r.Context().Done()
 		close(left)
@@ -34,7 +34,7 @@
 	<-begun
 	leave()
 	s.c.Assert(<-ended, quicktest.IsNotNil)
-	<-left // the test does not end while the endpoint works on
+	<-left // the endpoint's handler has returned
 }
 
 func TestDrainClosesConnections(t *testing.T) {
--- a/forward/events_fuzz_test.go
+++ b/forward/events_fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// relayEvents returns what a caller gets of a stream, and the end of it.
+// relayEvents returns what a caller gets of a stream, and how the stream ended.
 func relayEvents(raw []byte, pieces bool) (string, *eventRelay, error) {
 	var body io.Reader = bytes.NewReader(raw)
 	if pieces {
@@ -27,7 +27,7 @@
 	return w.Body.String(), s, err
 }
 
-// completeEvents returns the events of a stream that are whole: lines up to an empty one.
+// completeEvents returns the complete events of a stream: lines up to an empty one.
 func completeEvents(raw []byte) (whole [][]byte, rest []byte) {
 	for line := range bytes.Lines(raw) {
 		rest = append(rest, line...)
@@ -38,8 +38,8 @@
 	return whole, rest
 }
 
-// FuzzEvents: a caller gets every event that is whole and not one byte of another, however
-// the bytes come.
+// FuzzEvents: a caller gets every complete event and no byte of another, however the stream is split into
+// reads.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
 	f.Add([]byte("id: 2\r\ndata: a\r\n\r\nid: 1\ndata: again\n\ndata: cut"))
@@ -70,10 +70,9 @@
 	})
 }
 
-// Found by the fuzzing of streams: a line that filled the reader's buffer but for its end was
-// taken for two, the second of them empty, so that the event counted as whole. The caller got
-// the first part of it, and where the stream then broke, the run that went on at another
-// endpoint left the rest out.
+// Found by fuzzing: a line as long as the reader's buffer was taken for two lines, the second of them empty,
+// so the event counted as complete. The caller got its first part, and after a resume at another endpoint the
+// rest was missing.
 func TestLineOfBufferSizeDoesNotEndEvent(t *testing.T) {
 	c := quicktest.New(t)
 	for _, long := range []int{4 << 10, 8 << 10} {
@@ -84,7 +83,7 @@
 	}
 }
 
-// An event of many lines grew without bound: the bound was asked for single lines alone.
+// The size limit applied to single lines only, so an event of many lines grew without limit.
 func TestEventSizeIsLimited(t *testing.T) {
 	c := quicktest.New(t)
 	_, _, err := relayEvents([]byte(strings.Repeat("data: x\n", maxEventBytes/4)+"\n"), false)
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -22,7 +22,7 @@
 	"github.com/go-logr/logr"
 )
 
-// plainProtocol is a protocol with names of its own.
+// plainProtocol is a protocol with its own header names.
 type plainProtocol struct{}
 
 // ParseCall implements Protocol.
@@ -82,7 +82,7 @@
 // Ended implements Quarantine.
 func (noQuarantine) Ended(string, []quarantine.Content) {}
 
-// noLimits knows of no endpoint that names a limit.
+// noLimits has no endpoints with rate limits.
 type noLimits struct{}
 
 // HasLimit implements Limits.
@@ -115,7 +115,7 @@
 // Finished implements Run.
 func (noRun) Finished() {}
 
-// testSite is a gateway before endpoints.
+// testSite is a gateway with endpoints behind it.
 type testSite struct {
 	c       *quicktest.C
 	gateway *Gateway
@@ -157,7 +157,7 @@
 	return &testSite{c: quicktest.New(t), gateway: g, server: front, calls: make(map[string]*atomic.Int64)}
 }
 
-// endpoint adds one that answers by h, and returns its count of requests.
+// endpoint adds an endpoint with handler h, and returns its count of requests.
 func (s *testSite) endpoint(t *testing.T, h http.HandlerFunc) *atomic.Int64 {
 	var calls atomic.Int64
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -179,7 +179,7 @@
 	return &calls
 }
 
-// ask sends one request and returns the answer with its whole body.
+// ask sends one request and returns the response and its whole body.
 func (s *testSite) ask(path string) (*http.Response, string, error) {
 	r, err := http.NewRequest(http.MethodPost, s.server.URL+path, strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
@@ -194,7 +194,7 @@
 	return resp, string(body), err
 }
 
-// askAdapter sends one request for the adapter a of the base model m, and returns the answer's status.
+// askAdapter sends one request for the adapter a of the base model m, and returns the response's status.
 func (s *testSite) askAdapter() int {
 	q, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
@@ -226,7 +226,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// dropConnection reads the request and closes the connection.
+// dropConnection closes the connection without a response.
 func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func TestNoConfiguration(t *testing.T) {
@@ -299,7 +299,7 @@
 	second := s.endpoint(t, dropConnection)
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have run
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have been executed
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
@@ -314,8 +314,8 @@
 	}
 }
 
-// An endpoint failed a repeatable request, the budget of retries kept it from a second one,
-// and its caller got an answer of the box's own in place of the endpoint's.
+// An endpoint failed a repeatable request, the retry budget denied a second attempt, and the caller got a
+// response of the box's own instead of the endpoint's.
 func TestFailureIsRelayedIfRetryIsDenied(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
@@ -373,7 +373,7 @@
 func TestRouteTimeout(t *testing.T) {
 	s := newSite(t, onceRoute(200*time.Millisecond))
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the connection close
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body
 		<-r.Context().Done()
 	})
 	resp, _, err := s.ask("/")
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// receivedHeaders returns the headers that an endpoint gets of a request with these.
+// receivedHeaders returns the headers that an endpoint gets for a request with headers h.
 func receivedHeaders(t *testing.T, h http.Header) http.Header {
 	s := newSite(t, onceRoute(time.Second))
 	got := make(chan http.Header, 1)
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -16,15 +16,15 @@
 	"github.com/go-logr/logr"
 )
 
-// fakeLimits knows endpoints that name limits, and hands out so many requests for each.
+// fakeLimits grants a given number of requests for each endpoint with a rate limit.
 type fakeLimits struct {
 	noLimits
 
-	noneSpare bool // for requests that others can serve
+	noneSpare bool // nothing for requests that other endpoints can serve
 
 	mu        sync.Mutex
-	available map[string]int // of an endpoint that names a limit
-	asked     []string       // endpoints that were asked for
+	available map[string]int // by endpoint with a rate limit
+	asked     []string       // endpoints of Acquire calls
 	observed  []ratelimit.Limit
 }
 
@@ -55,7 +55,7 @@
 	l.observed = append(l.observed, s)
 }
 
-// allow lets an endpoint take so many requests.
+// allow lets an endpoint take so many more requests.
 func (l *fakeLimits) allow(endpoint string, requests int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(2))
 }
 
-// Where none has room the caller is told at once when the first one has.
+// If no endpoint has capacity the caller is told at once when the first one has.
 func TestAllEndpointsAtLimit(t *testing.T) {
 	s := newSite(t, onceRoute(20*time.Second))
 	for range 3 {
@@ -125,8 +125,8 @@
 	s.c.Assert(len(l.asked), quicktest.Equals, maxLimitDenials)
 }
 
-// A request that another endpoint could serve was offered what is left of a limit, and got nothing. Then
-// the other one turned it away, and it was refused, though the first one had room for it.
+// A request that another endpoint could serve asked for spare capacity only, and got none. The other endpoint
+// then rejected it, and it was refused, though the first endpoint had capacity for it.
 func TestRequestAsksForFullCapacityAfterFailures(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy := s.endpoint(t, answerOK)
@@ -141,7 +141,7 @@
 	s.c.Assert(l.asked, quicktest.DeepEquals, []string{"e1", "e1"})
 }
 
-// A retry and a stream that goes on are sends like the first one: both take from the limit.
+// Retries and resumed streams take from the rate limit like first attempts.
 func TestRetriesAndResumedStreamsCountTowardsLimit(t *testing.T) {
 	for _, x := range []struct {
 		name  string
@@ -155,9 +155,9 @@
 			s := newSite(t, x.route)
 			s.endpoint(t, x.fails)
 			needy := s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
-			s.setDataCentre("e2", "far") // the next one, not the first
+			s.setDataCentre("e2", "far") // selected second
 			l := s.limit(map[string]int{"e2": 0})
-			_, _, _ = s.ask("/") // its answer is a failure, or broken off
+			_, _, _ = s.ask("/") // the response is a failure or breaks off
 			s.c.Check(needy.Load(), quicktest.Equals, int64(0))
 			l.allow("e2", 1)
 			_, text, err := s.ask("/")
@@ -169,8 +169,8 @@
 	}
 }
 
-// An endpoint failed a request that may be repeated, and the only other one has a limit: its failure is
-// what the caller gets, since nothing better is certain.
+// An endpoint failed a repeatable request, and the only other one has a rate limit and may have no capacity:
+// the failure is relayed.
 func TestFailureIsRelayedIfOthersHaveLimits(t *testing.T) {
 	s := newSite(t, repeatableRoute(time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
@@ -183,8 +183,8 @@
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
-// recordingPlacer notes where an adapter is asked for, and says that it is ready there; at its holder, where
-// the request does not say that there was no room for it.
+// recordingPlacer records the requested endpoints and reports the adapter ready there, or at its holder unless
+// the request has AvoidLimited set.
 type recordingPlacer struct {
 	holder string
 
@@ -203,15 +203,11 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID(), Version: 1}, nil
 }
 
-// Some callers of adapters that only an endpoint in need held were refused while others had room for a
-// copy.
-//
-// The order of events: the endpoint takes no more, so the box asks the leader for the adapter elsewhere.
-// By then the endpoint takes one more again, and the leader names it, as it holds the adapter. The box,
-// which was told that there is no room, refuses.
-//
-// The evidence: 3 of 103 refusals, on a day on which four of twelve endpoints were taken to name limits, say
-// that there is no room, and none where the box says that its request goes elsewhere.
+// Callers of an adapter that is held only by an endpoint at its rate limit were refused, though others could
+// load a copy. The box asked the leader to load the adapter elsewhere. By then the endpoint had capacity
+// again, and the leader named it as the holder, but the box had already been denied there and refused the
+// request. 3 of 103 refusals in a scenario in which four of twelve endpoints had limits came about like
+// this, and none once requests set AvoidLimited.
 func TestAdapterIsLoadedElsewhereIfHolderIsAtLimit(t *testing.T) {
 	p := &recordingPlacer{}
 	s, _ := askAdapters(t, p, "2s")
@@ -222,8 +218,8 @@
 	s.c.Assert(p.requested, quicktest.DeepEquals, []string{"e2"})
 }
 
-// An answer of another life at the address says nothing of this one; one that can't be trusted to be
-// the endpoint's own may name a limit and end none.
+// A response of another incarnation at the address says nothing about this endpoint. One that may not be the
+// endpoint's own can set a limit, but not remove one.
 func TestOnlySignedMatchingResponseRemovesLimit(t *testing.T) {
 	c := quicktest.New(t)
 	l := &fakeLimits{}
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -14,7 +14,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// withHeader answers by h, and writes a header into the answer besides.
+// withHeader adds a header to the responses of h.
 func withHeader(header, value string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(header, value)
@@ -25,7 +25,7 @@
 func TestEndpointInBackoffIsSkipped(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	needy, other := s.endpoint(t, withHeader("Back-Off", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
-	s.setDataCentre("e2", "far") // the other one goes first
+	s.setDataCentre("e2", "far") // the other one is selected first
 	for range 5 {
 		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
@@ -57,12 +57,12 @@
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(2))
 }
 
-// Where all endpoints want nothing the caller is told at once when the first takes requests again: it is
-// not held until its deadline, and no endpoint is asked all the same.
+// If all endpoints are in a back-off the caller is told at once when the first one ends. The request does not
+// wait, and no endpoint gets it.
 func TestAllEndpointsInBackoff(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	near, far := s.endpoint(t, withHeader("Back-Off", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Back-Off", "10", refuseNotExecuted))
-	resp, _, err := s.ask("/") // finds it out
+	resp, _, err := s.ask("/") // starts the back-offs
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	assertRetryAfter(s.c, resp)
@@ -74,7 +74,7 @@
 	s.c.Assert([]int64{near.Load(), far.Load()}, quicktest.DeepEquals, []int64{1, 1})
 }
 
-// assertRetryAfter checks the time that a caller is told where the first endpoint wants nothing for ten seconds.
+// assertRetryAfter checks the Retry-After of a refusal if the first back-off ends after ten seconds.
 func assertRetryAfter(c *quicktest.C, resp *http.Response) {
 	c.Helper()
 	back, err := time.ParseDuration(resp.Header.Get("Come-Back"))
@@ -82,7 +82,7 @@
 	c.Assert(back > 5*time.Second && back <= 12500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", back))
 }
 
-// An endpoint that leaves is no way out where the others want nothing.
+// A draining endpoint is no alternative to endpoints in a back-off.
 func TestDrainingEndpointIsNotWaitedFor(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	leaving := s.endpoint(t, withHeader("Leaving", "1", answerOK))
@@ -96,8 +96,8 @@
 	s.c.Assert(leaving.Load(), quicktest.Equals, int64(1))
 }
 
-// What another endpoint at the address says is none of this one's; an answer to another request of this box
-// may ask for a back-off, and can't end the use of an endpoint.
+// A response of another endpoint at the address announces nothing of this one. A response to another request of
+// this box may announce a back-off, but not draining.
 func TestOnlyMatchingResponseAnnouncesDraining(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -121,7 +121,7 @@
 	}
 }
 
-// An endpoint that leaves is told to others once, by whichever answer says so.
+// OnDraining is called once per endpoint, whichever response announces draining.
 func TestDrainingIsReportedOnce(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var told []string
@@ -133,10 +133,10 @@
 	s.c.Assert(told, quicktest.DeepEquals, []string{"e1"})
 }
 
-// backoffPlacer has the endpoint that it is asked for ask its box for a back-off, and then names it.
+// backoffPlacer starts a back-off of the first endpoint that it is asked for, and then names that endpoint.
 type backoffPlacer struct {
 	gateway *Gateway
-	named   []string // endpoints that it was asked for
+	named   []string // endpoints of Place calls
 	avoid   [][]string
 }
 
@@ -149,8 +149,8 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// A request that waited for a load goes to another endpoint where this one asked for a back-off meanwhile,
-// and whoever decides there hears which one to avoid.
+// A request that waited for a load goes to another endpoint if the chosen one asked for a back-off meanwhile,
+// and the owner there is told to avoid it.
 func TestBackoffDuringPlacement(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 	p := &backoffPlacer{gateway: s.gateway}
@@ -162,8 +162,8 @@
 	s.c.Assert(s.calls[p.named[1]].Load(), quicktest.Equals, int64(1))
 }
 
-// A leader of an older version names an endpoint that asked this box for a back-off, and the request is
-// refused at once instead.
+// An owner of an older version names an endpoint that is in a back-off, and the request is refused at
+// once.
 func TestPlacementAtEndpointInBackoffIsRefused(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	holder := s.endpoint(t, answerOK)
@@ -173,7 +173,7 @@
 	s.c.Assert(holder.Load(), quicktest.Equals, int64(0))
 }
 
-// A stream goes on at an endpoint that takes requests, and at no other.
+// A stream is resumed only at an endpoint that accepts requests.
 func TestStreamIsNotResumedAtEndpointInBackoff(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) })
@@ -188,7 +188,7 @@
 	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
 }
 
-// drainingLimits grants a request after a time in which the endpoint begins to leave.
+// drainingLimits grants a request after a wait in which the endpoint begins to drain.
 type drainingLimits struct {
 	noLimits
 
@@ -215,7 +215,8 @@
 	s.c.Assert([]int64{left.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 1})
 }
 
-// An endpoint's entry lapses while the source is away, and comes back: the same life wants nothing still.
+// An endpoint's entry expires while the source is unavailable, and comes back: the incarnation is still in
+// its back-off.
 func TestBackoffOutlastsEntry(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	s.endpoint(t, answerOK)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -12,10 +12,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// keeper keeps requests away as a test says, and remembers what ended.
+// keeper is a Quarantine that holds all requests or none, and records ended endpoints.
 type keeper struct {
 	mu    sync.Mutex
-	left  time.Duration // for every request; zero: none is kept away
+	left  time.Duration // of every request's quarantine; zero: none
 	ended map[string][]quarantine.Content
 }
 
@@ -65,7 +65,7 @@
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 }
 
-// The word of another box may come while a request waits, here while its first endpoint refuses it.
+// Another box may quarantine a request while it waits, here while its first endpoint rejects it.
 func TestQuarantineDuringRequest(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
@@ -81,7 +81,7 @@
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-// It has run, so its caller is not told that it has not.
+// The request has been executed, so the refusal must not say that it has not.
 func TestQuarantineAfterExecution(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
 	k := &keeper{}
@@ -113,8 +113,8 @@
 	s.c.Assert(k.of("e1"), quicktest.DeepEquals, []quarantine.Content{want})
 }
 
-// Endpoints of a rack end together while each runs a page that all callers open. It was answered
-// again and again before, so it is not what they ended under.
+// Several endpoints end together while all of them run a popular request. It has recently been served, so it
+// is not suspected.
 func TestRecentlyServedRequestIsNotSuspect(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	k := &keeper{}
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// logLines keeps a gateway's lines.
+// logLines collects a gateway's log lines.
 type logLines struct {
 	mu    sync.Mutex
 	lines []string
@@ -28,7 +28,7 @@
 	l.lines = append(l.lines, line)
 }
 
-// containing returns the lines that hold a text.
+// containing returns the lines that contain text.
 func (l *logLines) containing(text string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,7 +41,7 @@
 	return some
 }
 
-// A caller complained of a request that was refused for overload, and no line had its ID.
+// A request was refused for overload, and no log line had its ID.
 func TestEarlyRefusalIsLoggedWithRequestID(t *testing.T) {
 	for _, k := range []struct {
 		name  string
@@ -68,7 +68,7 @@
 	}
 }
 
-// failingPlacer reaches nobody.
+// failingPlacer returns an error, as if no leader answered.
 type failingPlacer struct{}
 
 // Place implements Placer.
@@ -76,7 +76,7 @@
 	return PlacementResult{}, errors.New("nobody answers")
 }
 
-// While a leader changed each waiting request wrote the same line ten times a second.
+// While a leader changed each waiting request logged the same line ten times a second.
 func TestMissingOwnerIsLoggedOnce(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	var l logLines
--- a/forward/rejected_test.go
+++ b/forward/rejected_test.go
@@ -12,17 +12,17 @@
 	"github.com/frankban/quicktest"
 )
 
-// setDataCentre puts the site's endpoint into a data centre, with base models.
+// setDataCentre moves an endpoint of the site to a data centre, and sets its base models.
 func (s *testSite) setDataCentre(id, centre string, models ...string) {
 	s.gateway.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
 		ID: id, Service: "app", Address: s.gateway.View.Endpoint(id).Address(), DataCentre: centre, Slots: 4, Models: models,
 	}))
 }
 
-// Another data centre was avoided, since three of its endpoints had not answered for a
-// moment. The endpoint beside the box turned a request away, and the request was refused,
-// though endpoints of the other one were empty: it was avoided as long as there was any
-// endpoint here, those that the request had tried too.
+// Another data centre was avoided, since three of its endpoints had not responded for a moment. The endpoint in
+// the own data centre rejected a request, and the request was refused, though the endpoints of the other data
+// centre were idle: that one was avoided as long as the own one had any endpoint, even if the request had tried
+// them all.
 func TestRejectedRequestGoesToAvoidedDataCentre(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	refused, ran := s.endpoint(t, refuseNotExecuted), s.endpoint(t, answerOK)
@@ -34,7 +34,7 @@
 	s.c.Assert([]int64{refused.Load(), ran.Load()}, quicktest.DeepEquals, []int64{1, 1})
 }
 
-// A data centre that is out of touch is not waited for by a request that was turned away.
+// A rejected request does not go to an unreachable data centre.
 func TestRejectedRequestSkipsUnreachableDataCentre(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, refuseNotExecuted)
@@ -47,8 +47,8 @@
 	s.c.Assert(ran.Load(), quicktest.Equals, int64(0))
 }
 
-// A data centre was avoided, no endpoint beside the box held the base model, and the request
-// was refused.
+// A data centre was avoided, no endpoint of the own one had the base model, and the request was
+// refused.
 func TestModelInAvoidedDataCentre(t *testing.T) {
 	s, _ := askAdapters(t, ownerChangePlacer{settled: "far"}, "2s")
 	s.setDataCentre("e1", "dc")
@@ -57,8 +57,8 @@
 	s.c.Assert(s.calls["e2"].Load(), quicktest.Equals, int64(1))
 }
 
-// A box that holds as many requests as it may still takes new connections, and says at once
-// when to come back.
+// A box with the maximum of requests in flight still accepts connections, and refuses their requests at once
+// with a Retry-After.
 func TestOverloadedBoxRefusesImmediately(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
 	s.gateway.MaxInFlight = 1
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -11,18 +11,12 @@
 	"github.com/frankban/quicktest"
 )
 
-// Users saw a request reach the endpoint that had just turned it away again, up to four times within 30 ms,
-// and be refused; each time it used up one of the retries that all boxes share.
-//
-// The order of events: the only endpoint that holds an adapter turns a request away. Its box leaves that
-// endpoint out, and asks a leader to load the adapter at another one. The leader knows nothing of the
-// refusal, and names the endpoint that holds the adapter.
-//
-// The cause: what a box leaves out stayed with the box, and the leader's word went before it. Leaders are told
-// what to avoid; one of an older version is not, so its word is looked at again.
-//
-// The evidence: 89 of 668 attempts that were turned away went to an endpoint that had turned the same
-// request away before; with the mend taken out the endpoint here gets four.
+// A retry went back to the endpoint that had just rejected the request, up to four times within 30 ms, and used
+// up the shared retry budget: the box had excluded the endpoint, which was the only holder of the adapter, and
+// asked a leader for a load elsewhere, but the leader did not know of the rejection and named the holder. In a
+// scenario run 89 of 668 rejected attempts were repeats of this kind. The box now sends the endpoints to avoid, and
+// checks the answer, since leaders of older versions ignore them. Without the fix the endpoint here gets four
+// requests.
 func TestRetryAvoidsRejectingEndpoint(t *testing.T) {
 	s, _ := askAdapters(t, fixedPlacer("e3"), "2s")
 	holder := s.endpoint(t, refuseNotExecuted)
@@ -31,17 +25,10 @@
 	s.c.Assert(holder.Load(), quicktest.Equals, int64(1))
 }
 
-// Users lost 36 in 1,000 requests while a third of the endpoints turned nine requests in ten away, and the others
-// served.
-//
-// The order of events: an endpoint turns a request away and does not say for how long it takes none. It works
-// on nothing of the box, so it looks the emptiest, and is asked first by the next request. The retries that all
-// boxes share are used up within a second.
-//
-// The cause: an answer that turns a request away changed nothing that the choice among endpoints goes by.
-//
-// The evidence: on such a day 1,144 attempts were turned away, and 747 requests were refused for want of a retry;
-// with the mend 7 in 1,000 are refused, in three days of three.
+// While a third of the endpoints rejected nine in ten requests, 36 in 1,000 requests failed, though the other
+// endpoints served: an endpoint that rejects requests has none in flight, so it looked the least loaded and was
+// selected first, and the retry budget ran out within a second. In that scenario there were 1,144 rejected attempts,
+// and 747 requests were refused for want of a retry. With the fix 7 in 1,000 fail, in three runs of three.
 func TestSheddingEndpointIsAvoided(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 3 {
@@ -52,10 +39,10 @@
 	now := time.Now()
 	count := func(after time.Duration) int { return len(s.gateway.usable(list, nil, now.Add(after))) }
 	sheds.recordRefusal(now)
-	s.c.Assert(count(0), quicktest.Equals, 3) // it may be full just now
+	s.c.Assert(count(0), quicktest.Equals, 3) // it may only be full at the moment
 	sheds.recordRefusal(now)
 	s.c.Assert(count(0), quicktest.Equals, 2)
-	sheds.recordRefusal(now) // one that was sent before
+	sheds.recordRefusal(now) // of a request sent before
 	s.c.Assert(count(minShedTime), quicktest.Equals, 3)
 	sheds.recordRefusal(now.Add(minShedTime))
 	s.c.Assert(count(2*minShedTime), quicktest.Equals, 2)
@@ -66,13 +53,13 @@
 		last += maxShedTime
 	}
 	s.c.Assert(count(last-1), quicktest.Equals, 2)
-	s.c.Assert(count(last), quicktest.Equals, 3) // never for longer
+	s.c.Assert(count(last), quicktest.Equals, 3) // the limit of the time
 	sheds.recordOutcome(false)
 	sheds.recordRefusal(now.Add(last))
-	s.c.Assert(count(last), quicktest.Equals, 3) // it has served since
+	s.c.Assert(count(last), quicktest.Equals, 3) // a served request resets it
 }
 
-// All endpoints of a service that is overloaded turn requests away: they are asked all the same.
+// If most endpoints of an overloaded service reject requests they are used all the same.
 func TestSheddingByMostEndpointsIsIgnored(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
 	for range 4 {
@@ -87,22 +74,18 @@
 	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 4)
 }
 
-// An innocent request was refused while an endpoint served: three others had just ended, and a box that had not
-// heard of it tried each of them, and the first one again, by the word of a leader. That were four attempts,
-// as many as a request gets.
-//
-// The cause: attempts that reach nobody counted like those that endpoints turn away, and a leader was not told
-// which endpoints the request had not reached.
-//
-// The evidence: four lines of one request, "not reached: connection refused", the first and the last for the same
-// endpoint; 5 of 8 runs on a busy machine.
+// A request was refused though an endpoint served. Three others had just ended; the box tried each of them, and
+// the first one again since a leader named it, which made four attempts, the maximum. Attempts of which nothing
+// was sent counted like rejected ones, and the leader was not told which endpoints to avoid. It showed as four
+// log lines of one request with "not reached: connection refused", the first and last for the same endpoint, in
+// 5 of 8 runs on a busy machine.
 func TestUnreachableEndpointsDoNotUseUpAttempts(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	for range maxUnsent - 1 {
 		s.addRefusing(t)
 	}
 	serves := s.endpoint(t, answerOK)
-	s.setDataCentre(fmt.Sprintf("e%d", s.count), "far") // the last one to be tried
+	s.setDataCentre(fmt.Sprintf("e%d", s.count), "far") // selected last
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
--- a/forward/select_test.go
+++ b/forward/select_test.go
@@ -20,7 +20,7 @@
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
 	now := time.Unix(0, 0)
 	taken := 0
-	for range 1000 { // one window, 100 requests a second, each of which would like a retry
+	for range 1000 { // one window with 100 requests a second, each of which wants a retry
 		now = now.Add(10 * time.Millisecond)
 		b.RecordFirst(now)
 		if b.TryRetry(now, 5) {
@@ -31,10 +31,10 @@
 	c.Assert(taken > 100, quicktest.IsTrue)
 }
 
-// Each of 75 boxes had saved ten retries, and spent them in the same window.
+// Each of 75 boxes had saved up ten retries, and all spent them in the same window.
 func TestSavedRetriesOfManyBoxes(t *testing.T) {
 	c := quicktest.New(t)
-	const boxes, requests = 75, 50 // in a window, of each box
+	const boxes, requests = 75, 50 // per window and box
 	limits := RetryLimits{Ratio: 0.2, Extra: 190, Window: 10 * time.Second}
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
 	now := time.Unix(0, 0)
@@ -48,7 +48,7 @@
 	calm()
 	calm()
 	taken := 0
-	for range requests { // all of them would like a retry
+	for range requests { // each wants a retry
 		now = now.Add(limits.Window / requests)
 		b.RecordFirst(now)
 		for b.TryRetry(now, boxes) {
@@ -74,10 +74,10 @@
 	now := time.Unix(100, 0)
 	for i := range failureThreshold - 1 {
 		a.recordFailure("far", fmt.Sprint(i), now)
-		a.recordFailure("far", "0", now) // the same one again is no more than one
+		a.recordFailure("far", "0", now) // counts once per endpoint
 	}
 	c.Assert(a.isAvoided("far", now), quicktest.IsFalse)
-	late := now.Add(2 * failureWindow) // the others are long ago
+	late := now.Add(2 * failureWindow) // outside the window of the other failures
 	a.recordFailure("far", "9", late)
 	c.Assert(a.isAvoided("far", late), quicktest.IsFalse)
 	for i := range failureThreshold {
@@ -87,14 +87,14 @@
 	c.Assert(a.isAvoided("far", late.Add(2*avoidDuration)), quicktest.IsFalse)
 }
 
-// A cut showed only by the heartbeats of boxes, 1.2 s later; every request into it until
-// then was lost.
+// A network partition was detected by the boxes' heartbeats only, after 1.2 s; until then every request to the
+// other side was lost.
 func TestSilenceMakesDataCentreAvoided(t *testing.T) {
 	c := quicktest.New(t)
 	var a dataCentres
 	sent := time.Unix(100, 0)
 	late := sent.Add(silenceTimeout)
-	a.recordActivity("far", sent.Add(time.Millisecond)) // of another request there
+	a.recordActivity("far", sent.Add(time.Millisecond)) // from another request
 	for i := range failureThreshold {
 		a.recordSilence("far", fmt.Sprint(i), sent, late)
 	}
@@ -107,7 +107,7 @@
 	c.Assert(a.isAvoided("far", late), quicktest.IsTrue)
 }
 
-// drainingPlacer makes the first endpoint that it is asked for leave meanwhile.
+// drainingPlacer makes the first endpoint that it is asked for drain meanwhile.
 type drainingPlacer struct {
 	view *topology.View
 	left string
@@ -124,8 +124,8 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// A request that waited two seconds for a load reached an endpoint that had begun to
-// leave meanwhile.
+// A request that waited two seconds for a load was sent to an endpoint that had begun to drain
+// meanwhile.
 func TestDrainingDuringPlacement(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	engine := &topology.EngineSpec{AdapterSlots: 2}
@@ -149,7 +149,7 @@
 	s.c.Assert(calls[p.left].Load(), quicktest.Equals, int64(0))
 }
 
-// fixedPlacer has every adapter loaded at one endpoint, whichever it is asked for.
+// fixedPlacer reports every adapter ready at one endpoint.
 type fixedPlacer string
 
 // Place implements Placer.
@@ -174,8 +174,8 @@
 	return id
 }
 
-// While a data centre was cut off, its boxes refused requests that had reached nobody,
-// since the budget of retries was used up, though an endpoint beside them served.
+// While a data centre was cut off, requests to it used up the retry budget though nothing of them was sent, and
+// were refused, though an endpoint in the own data centre served.
 func TestUnsentAttemptNeedsNoBudget(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
@@ -190,8 +190,8 @@
 	}
 }
 
-// Two of three endpoints were cut off, and were asked again and again, since no more than
-// half of a service is avoided.
+// Two of three endpoints were cut off, and were tried again and again, since no more than half of the endpoints
+// of a service were avoided.
 func TestRefusingEndpointsAreAvoided(t *testing.T) {
 	s := newSite(t, onceRoute(5*time.Second))
 	now := time.Now()
@@ -199,7 +199,7 @@
 		s.gateway.upstreams.get(s.gateway.View.Endpoint(s.addRefusing(t))).markDown(now)
 	}
 	list := s.gateway.View.Endpoints("app")
-	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 2) // nothing else is there
+	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 2) // there are no others
 	s.endpoint(t, answerOK)
 	list = s.gateway.View.Endpoints("app")
 	s.c.Assert(s.gateway.usable(list, nil, now), quicktest.HasLen, 1)
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// addProxy moves the site's latest endpoint behind a proxy that can make its connections
-// silent.
+// addProxy moves the site's latest endpoint behind a proxy that can silence its
+// connections.
 func (s *testSite) addProxy(t *testing.T) *standin.SilentProxy {
 	e := s.gateway.View.All()[0]
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,12 +42,12 @@
 	return p
 }
 
-// All kept connections to an endpoint fell silent for good, without a reset, while new ones
-// worked. A request waited on one until its deadline, and so did each later one on another.
+// All idle connections to an endpoint went dead without a reset, while new ones worked. A request waited on one
+// until its deadline, and so did later ones on the others.
 func TestSilentConnectionClosesIdleOnes(t *testing.T) {
 	const kept = 3
 	s := newSite(t, onceRoute(4*silenceTimeout))
-	var together sync.WaitGroup // so that each of the first requests has its connection
+	var together sync.WaitGroup // gives each of the first requests its own connection
 	together.Add(kept)
 	var count atomic.Int64
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -73,14 +73,14 @@
 	p.Silence()
 	go ask()
 	time.Sleep(2 * silenceTimeout)
-	ask() // the one that is answered first is this one
+	ask() // finishes before the one on the dead connection
 	s.c.Assert(<-status, quicktest.Equals, http.StatusOK)
 	s.c.Assert(<-status, quicktest.Equals, http.StatusGatewayTimeout)
 }
 
-// A stand-in acknowledges what it loses, so what the system itself finds is shown by what it
-// is told: bytes that stay without an acknowledgement, and a peer that has gone while a
-// connection rests.
+// The stand-in proxy acknowledges the data that it drops, so it can't trigger the kernel's timeouts. This test
+// checks the socket options instead: the limit for unacknowledged data, and keep-alive probes on idle
+// connections.
 func TestTCPTimeouts(t *testing.T) {
 	c := quicktest.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -14,7 +14,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// sendEvents writes events with the IDs from first to last, and breaks off or ends.
+// sendEvents writes events with the IDs from first to last, and then breaks off or ends.
 func sendEvents(w http.ResponseWriter, first, last int, breaks bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := first; i <= last; i++ {
@@ -22,7 +22,7 @@
 		_ = http.NewResponseController(w).Flush()
 	}
 	if breaks {
-		_, _ = io.WriteString(w, "id: 99\ndata: ha") // an event that is cut inside
+		_, _ = io.WriteString(w, "id: 99\ndata: ha") // an incomplete event
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
@@ -46,7 +46,7 @@
 			sendEvents(w, 1, 2, true)
 		}
 		s.c.Check(r.Header.Get("Last"), quicktest.Equals, "2")
-		sendEvents(w, 2, 4, false) // one that the caller has already
+		sendEvents(w, 2, 4, false) // the first one is a repeat
 	}
 	s.endpoint(t, serve)
 	s.endpoint(t, serve)
@@ -70,7 +70,7 @@
 	s.c.Assert(err, quicktest.IsNil)
 	defer resp.Body.Close()
 	first := make([]byte, len("id: 1\ndata: piece 1\n\n"))
-	_, err = io.ReadFull(resp.Body, first) // would wait for ever if the stream were held back
+	_, err = io.ReadFull(resp.Body, first) // would block if events were buffered
 	s.c.Assert(err, quicktest.IsNil)
 	close(gate)
 	rest, err := io.ReadAll(resp.Body)
@@ -78,13 +78,10 @@
 	s.c.Assert(string(rest), quicktest.Contains, "piece 2")
 }
 
-// A stream that was cut off when its endpoint ended was sent ten times within 20 ms to nobody, and
-// took a retry from the budget each time.
-//
-// The order of events: the endpoint ends in the middle of the stream. The endpoints that the box tries
-// next have ended too; each refuses the connection, so nothing is sent, and the next is tried at once.
-//
-// The evidence: ten lines of one request, attempts 2 to 10, "not reached: connection refused".
+// A stream was cut when its endpoint ended. The endpoints tried next had ended too and refused connections, so
+// each attempt to resume failed at once: ten attempts within 20 ms, each of which took a retry from the
+// budget, though nothing was sent. It showed as log lines of attempts 2 to 10 with "not reached: connection
+// refused".
 func TestUnreachableResumeUsesOneRetry(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -101,7 +98,7 @@
 	s.c.Assert(counts.Unsent <= maxAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts that reached nobody", counts.Unsent))
 }
 
-// addUnreachable adds an endpoint at whose address nobody listens.
+// addUnreachable adds an endpoint at an address without a listener.
 func (s *testSite) addUnreachable(id string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	s.c.Check(err, quicktest.IsNil)
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -13,7 +13,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// suspendingPlacer has the machine suspended while a request waits for its adapter.
+// suspendingPlacer suspends the machine while a request waits for its adapter.
 type suspendingPlacer struct{ pass time.Duration }
 
 // Place implements Placer.
@@ -22,8 +22,8 @@
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// A box was suspended while it held a request. Its timers and its steady clock stood still, so it
-// gave the request to an endpoint long after its caller had left.
+// A box was suspended while a request was in flight. Timers and the monotonic clock stood still, so it sent the
+// request to an endpoint long after its caller had left.
 func TestDeadlinePassedDuringSuspension(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
--- a/forward/termination_test.go
+++ b/forward/termination_test.go
@@ -16,7 +16,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// addCrashing adds an endpoint that ends when it begins to run a request whose body holds a text.
+// addCrashing adds an endpoint that ends when it gets a request whose body contains text.
 func (s *testSite) addCrashing(t *testing.T, id, text string) {
 	var server *httptest.Server
 	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// awaitEnds waits until the gateway counted as many ends.
+// awaitEnds waits until the gateway's counts are as wanted.
 func (s *testSite) awaitEnds(want quarantine.Ends) {
 	for range 500 {
 		if s.gateway.Ends() == want {
