--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -16,22 +16,22 @@
 
 // ownerChangePlacer owns the endpoints of one data centre; those of others have no owner.
 type ownerChangePlacer struct {
-	settled string
-	after   time.Time // no endpoint has an owner before
-	retry   time.Duration
+	owned     string
+	ownedFrom time.Time // no endpoint has an owner before
+	retry     time.Duration
 }
 
 // Place implements Placer.
 func (p ownerChangePlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
-	if w.Endpoint.DataCentre() != p.settled || time.Now().Before(p.after) {
+	if w.Endpoint.DataCentre() != p.owned || time.Now().Before(p.ownedFrom) {
 		return PlacementResult{OwnerChanging: true, RetryAfter: p.retry, Reason: "changing"}, nil
 	}
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 // askAdapters requests adapters that no endpoint holds, at a site with an endpoint in each of two data
-// centres, and returns the statuses. left is the callers' deadline; the route's timeout is 2 s.
-func askAdapters(t *testing.T, p Placer, left string, adapters ...string) (*testSite, []int) {
+// centres, and returns the statuses. deadline is the callers' deadline; the route's timeout is 2 s.
+func askAdapters(t *testing.T, placer Placer, deadline string, adapters ...string) (*testSite, []int) {
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
 	r := onceRoute(2 * time.Second)
@@ -44,7 +44,7 @@
 			ID: id, Service: "app", Address: s.gateway.View.Endpoint(id).Address(), DataCentre: centre, Slots: 4, Models: []string{"m"},
 		}))
 	}
-	s.gateway.Placer = p
+	s.gateway.Placer = placer
 	var statuses []int
 	for _, a := range adapters {
 		q, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
@@ -52,7 +52,7 @@
 		q.Host = "site.example"
 		q.Header.Set("Id", "call-1")
 		q.Header.Set("Adapter", "m/"+a)
-		q.Header.Set("Within", left)
+		q.Header.Set("Test-Deadline", deadline)
 		resp, err := http.DefaultClient.Do(q)
 		s.c.Assert(err, quicktest.IsNil)
 		resp.Body.Close()
@@ -65,7 +65,7 @@
 // there was refused, though the other data centres could have loaded it.
 func TestAdapterIsLoadedInDataCentreWithOwner(t *testing.T) {
 	for _, settled := range []string{"dc", "far"} {
-		s, statuses := askAdapters(t, ownerChangePlacer{settled: settled}, "2s", "a", "b", "c", "d", "e", "f")
+		s, statuses := askAdapters(t, ownerChangePlacer{owned: settled}, "2s", "a", "b", "c", "d", "e", "f")
 		for _, status := range statuses {
 			s.c.Assert(status, quicktest.Equals, http.StatusOK)
 		}
@@ -75,7 +75,7 @@
 // A request was refused at once while no endpoint had an owner, though one was expected soon.
 func TestRequestWaitsForOwner(t *testing.T) {
 	for _, left := range []string{"2s", "1500ms"} { // a first attempt, and a retry
-		s, statuses := askAdapters(t, ownerChangePlacer{settled: "far", after: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
+		s, statuses := askAdapters(t, ownerChangePlacer{owned: "far", ownedFrom: time.Now().Add(400 * time.Millisecond), retry: 200 * time.Millisecond}, left, "a")
 		s.c.Assert(statuses[0], quicktest.Equals, http.StatusOK)
 	}
 }
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -83,14 +83,14 @@
 	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
 	defer resp.Body.Close()
-	return resp.StatusCode, resp.Header.Get("Come-Back")
+	return resp.StatusCode, resp.Header.Get("Test-Retry-After")
 }
 
 func TestUnknownKeyIsRejected(t *testing.T) {
 	s, _ := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	var payer string
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
-		payer = r.Header.Get("Payer")
+		payer = r.Header.Get("Test-Organisation")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad"} {
@@ -110,7 +110,7 @@
 	a.keysUnusable = true
 	var payer string
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
-		payer = r.Header.Get("Payer")
+		payer = r.Header.Get("Test-Organisation")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad", "good"} {
--- a/forward/caller_gone_test.go
+++ b/forward/caller_gone_test.go
@@ -95,23 +95,23 @@
 
 // blockingPlacer reports when it is called and when its context ends; the adapter is ready only after the
 // caller left.
-type blockingPlacer struct{ asked, told chan struct{} }
+type blockingPlacer struct{ called, cancelled chan struct{} }
 
 // Place implements Placer.
 func (p blockingPlacer) Place(ctx context.Context, w AdapterRequest) (PlacementResult, error) {
-	close(p.asked)
+	close(p.called)
 	<-ctx.Done()
-	close(p.told)
+	close(p.cancelled)
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
 func TestPlacementIsCancelledWithCaller(t *testing.T) {
-	p := blockingPlacer{asked: make(chan struct{}), told: make(chan struct{})}
+	p := blockingPlacer{called: make(chan struct{}), cancelled: make(chan struct{})}
 	s, _ := askAdapters(t, p, "2s")
 	caller := s.sendRaw(t, rawHead+"Adapter: m/a\r\nContent-Length: 0\r\n\r\n")
-	s.await(p.asked)
+	s.await(p.called)
 	s.c.Assert(caller.Close(), quicktest.IsNil)
-	s.await(p.told)
+	s.await(p.cancelled)
 	s.eventually(func() bool { return s.gateway.InFlight() == 0 })
 	s.c.Assert(s.calls["e1"].Load()+s.calls["e2"].Load(), quicktest.Equals, int64(0))
 }
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -22,14 +22,14 @@
 	"github.com/go-logr/logr"
 )
 
-// plainProtocol is a protocol with its own header names.
+// plainProtocol is a protocol with its own header names, so that tests notice uses of fixed ones.
 type plainProtocol struct{}
 
 // ParseCall implements Protocol.
 func (plainProtocol) ParseCall(h http.Header) (Call, error) {
-	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEventID: h.Get("Last")}
+	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEventID: h.Get("Test-Last-Event-Id")}
 	c.Credential = access.Show(h.Values("Key"))
-	if d, err := time.ParseDuration(h.Get("Within")); err == nil {
+	if d, err := time.ParseDuration(h.Get("Test-Deadline")); err == nil {
 		c.Deadline = d
 	}
 	return c, nil
@@ -38,10 +38,10 @@
 // SetDirectives implements Protocol.
 func (plainProtocol) SetDirectives(h http.Header, i Directives) {
 	h.Del("Order-Endpoint")
-	h.Set("Life", i.Endpoint)
-	h.Set("Payer", i.Organisation)
+	h.Set("Test-Endpoint", i.Endpoint)
+	h.Set("Test-Organisation", i.Organisation)
 	if i.LastEventID != "" {
-		h.Set("Last", i.LastEventID)
+		h.Set("Test-Last-Event-Id", i.LastEventID)
 	}
 }
 
@@ -53,18 +53,18 @@
 	head := Response{
 		MatchesCall:      resp.Header.Get("Id") == c.ID,
 		Signed:           resp.Header.Get("Signed") != "",
-		NotExecuted:      resp.Header.Get("Not-Run") != "",
-		AdapterNotLoaded: resp.Header.Get("Not-Held") != "",
-		WrongEndpoint:    resp.Header.Get("Elsewhere") != "",
+		NotExecuted:      resp.Header.Get("Test-Not-Executed") != "",
+		AdapterNotLoaded: resp.Header.Get("Test-Adapter-Not-Loaded") != "",
+		WrongEndpoint:    resp.Header.Get("Test-Wrong-Endpoint") != "",
 	}
-	head.Draining = resp.Header.Get("Leaving") != ""
-	head.Backoff, head.BackoffErr = backoff.Parse(resp.Header.Values("Back-Off"))
+	head.Draining = resp.Header.Get("Test-Draining") != ""
+	head.Backoff, head.BackoffErr = backoff.Parse(resp.Header.Values("Test-Backoff"))
 	return head
 }
 
 // SetRetryAfter implements Protocol.
 func (plainProtocol) SetRetryAfter(h http.Header, after time.Duration) {
-	h.Set("Come-Back", after.String())
+	h.Set("Test-Retry-After", after.String())
 }
 
 type noPlacer struct{}
@@ -222,7 +222,7 @@
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") }
 
 func refuseNotExecuted(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Not-Run", "1")
+	w.Header().Set("Test-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
@@ -234,7 +234,7 @@
 	resp, _, err := s.ask("/x/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "1s")
+	s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, "1s")
 }
 
 func TestUnknownRoute(t *testing.T) {
@@ -263,7 +263,7 @@
 	s.c.Assert(got.RequestURI, quicktest.Equals, "/a//b/%2f/?q=1&&p=%20")
 	s.c.Assert(got.Host, quicktest.Equals, "site.example")
 	s.c.Assert(got.Method, quicktest.Equals, http.MethodPost)
-	s.c.Assert(got.Header.Get("Life"), quicktest.Equals, "e1")
+	s.c.Assert(got.Header.Get("Test-Endpoint"), quicktest.Equals, "e1")
 	s.c.Assert(body, quicktest.Equals, "the body")
 }
 
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestConnectionHeaderDoesNotRemoveCallHeaders(t *testing.T) {
-	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "Adapter": {"m/a1"}, "Mine": {"x"}, "Connection": {"adapter, id, mine"}})
+	h := receivedHeaders(t, http.Header{"Id": {"call-1"}, "Adapter": {"m/a1"}, "Custom": {"x"}, "Connection": {"adapter, id, custom"}})
 	quicktest.Assert(t, h.Get("Id"), quicktest.Equals, "call-1")
 	quicktest.Assert(t, h.Get("Adapter"), quicktest.Equals, "m/a1")
-	quicktest.Assert(t, h["Mine"], quicktest.HasLen, 0)
+	quicktest.Assert(t, h["Custom"], quicktest.HasLen, 0)
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -70,19 +70,19 @@
 
 func TestRequestAvoidsEndpointAtLimit(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	needy, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
+	limited, other := s.endpoint(t, answerOK), s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 0})
 	for range 10 {
 		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
 		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
-	s.c.Assert([]int64{needy.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 10})
+	s.c.Assert([]int64{limited.Load(), other.Load()}, quicktest.DeepEquals, []int64{0, 10})
 }
 
 func TestEndpointGetsRequestsUpToLimit(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	needy := s.endpoint(t, answerOK)
+	limited := s.endpoint(t, answerOK)
 	s.limit(map[string]int{"e1": 2})
 	var statuses []int
 	for range 3 {
@@ -91,7 +91,7 @@
 		statuses = append(statuses, resp.StatusCode)
 	}
 	s.c.Assert(statuses, quicktest.DeepEquals, []int{200, 200, 503})
-	s.c.Assert(needy.Load(), quicktest.Equals, int64(2))
+	s.c.Assert(limited.Load(), quicktest.Equals, int64(2))
 }
 
 // If no endpoint has capacity the caller is told at once when the first one has.
@@ -106,7 +106,7 @@
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(text, quicktest.Equals, "endpoint_limit\n")
-	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "300ms")
+	s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, "300ms")
 	s.c.Assert(len(l.asked), quicktest.Equals, 3)
 	s.c.Assert(time.Since(begun) < 10*time.Second, quicktest.IsTrue)
 }
@@ -129,7 +129,7 @@
 // then rejected it, and it was refused, though the first endpoint had capacity for it.
 func TestRequestAsksForFullCapacityAfterFailures(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	needy := s.endpoint(t, answerOK)
+	limited := s.endpoint(t, answerOK)
 	s.endpoint(t, refuseNotExecuted)
 	s.setDataCentre("e2", "far")
 	l := s.limit(map[string]int{"e1": 1})
@@ -137,7 +137,7 @@
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
-	s.c.Assert(needy.Load(), quicktest.Equals, int64(1))
+	s.c.Assert(limited.Load(), quicktest.Equals, int64(1))
 	s.c.Assert(l.asked, quicktest.DeepEquals, []string{"e1", "e1"})
 }
 
@@ -154,16 +154,16 @@
 		t.Run(x.name, func(t *testing.T) {
 			s := newSite(t, x.route)
 			s.endpoint(t, x.fails)
-			needy := s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
+			limited := s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
 			s.setDataCentre("e2", "far") // selected second
 			l := s.limit(map[string]int{"e2": 0})
 			_, _, _ = s.ask("/") // the response is a failure or breaks off
-			s.c.Check(needy.Load(), quicktest.Equals, int64(0))
+			s.c.Check(limited.Load(), quicktest.Equals, int64(0))
 			l.allow("e2", 1)
 			_, text, err := s.ask("/")
 			s.c.Check(err, quicktest.IsNil)
 			s.c.Check(text, quicktest.Contains, "piece 4")
-			s.c.Check(needy.Load(), quicktest.Equals, int64(1))
+			s.c.Check(limited.Load(), quicktest.Equals, int64(1))
 			s.c.Check(l.asked, quicktest.DeepEquals, []string{"e2", "e2"})
 		})
 	}
@@ -174,13 +174,13 @@
 func TestFailureIsRelayedIfOthersHaveLimits(t *testing.T) {
 	s := newSite(t, repeatableRoute(time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) })
-	needy := s.endpoint(t, answerOK)
+	limited := s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far")
 	s.limit(map[string]int{"e2": 0})
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
-	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
+	s.c.Assert(limited.Load(), quicktest.Equals, int64(0))
 }
 
 // recordingPlacer records the requested endpoints and reports the adapter ready there, or at its holder unless
@@ -225,13 +225,13 @@
 	l := &fakeLimits{}
 	g := &Gateway{Limits: l, Log: logr.Discard()}
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1"})
-	hear := func(a Response) { g.observeResponse(&request{}, newUpstream(e), target{endpoint: e}, a) }
-	hear(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.Of(3)}})
-	hear(Response{MatchesCall: true})
-	hear(Response{MatchesCall: true, Signed: true, Notice: Notice{LimitErr: http.ErrBodyNotAllowed}})
+	observe := func(a Response) { g.observeResponse(&request{}, newUpstream(e), target{endpoint: e}, a) }
+	observe(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.Of(3)}})
+	observe(Response{MatchesCall: true})
+	observe(Response{MatchesCall: true, Signed: true, Notice: Notice{LimitErr: http.ErrBodyNotAllowed}})
 	c.Check(l.observed, quicktest.HasLen, 0)
-	hear(Response{Notice: Notice{Limit: ratelimit.Of(3)}})
-	hear(Response{MatchesCall: true, Signed: true})
+	observe(Response{Notice: Notice{Limit: ratelimit.Of(3)}})
+	observe(Response{MatchesCall: true, Signed: true})
 	c.Check(l.observed, quicktest.HasLen, 2)
 	c.Check([]bool{l.observed[0].Named(), l.observed[1].Named()}, quicktest.DeepEquals, []bool{true, false})
 }
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -24,14 +24,14 @@
 
 func TestEndpointInBackoffIsSkipped(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	needy, other := s.endpoint(t, withHeader("Back-Off", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
+	inBackoff, other := s.endpoint(t, withHeader("Test-Backoff", "60", refuseNotExecuted)), s.endpoint(t, answerOK)
 	s.setDataCentre("e2", "far") // the other one is selected first
 	for range 5 {
 		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
 		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
-	s.c.Assert([]int64{needy.Load(), other.Load()}, quicktest.DeepEquals, []int64{1, 5})
+	s.c.Assert([]int64{inBackoff.Load(), other.Load()}, quicktest.DeepEquals, []int64{1, 5})
 	s.c.Assert(s.gateway.Notices()["e1"].Backoffs, quicktest.Equals, int64(1))
 	s.c.Assert(s.gateway.Notices()["e1"].Ignored, quicktest.Equals, int64(0))
 }
@@ -41,7 +41,7 @@
 	var asked atomic.Bool
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		if !asked.Swap(true) {
-			withHeader("Back-Off", "0.05", refuseNotExecuted)(w, r)
+			withHeader("Test-Backoff", "0.05", refuseNotExecuted)(w, r)
 			return
 		}
 		answerOK(w, r)
@@ -61,7 +61,7 @@
 // wait, and no endpoint gets it.
 func TestAllEndpointsInBackoff(t *testing.T) {
 	s := newSite(t, onceRoute(time.Minute))
-	near, far := s.endpoint(t, withHeader("Back-Off", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Back-Off", "10", refuseNotExecuted))
+	near, far := s.endpoint(t, withHeader("Test-Backoff", "30", refuseNotExecuted)), s.endpoint(t, withHeader("Test-Backoff", "10", refuseNotExecuted))
 	resp, _, err := s.ask("/") // starts the back-offs
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
@@ -77,7 +77,7 @@
 // assertRetryAfter checks the Retry-After of a refusal if the first back-off ends after ten seconds.
 func assertRetryAfter(c *quicktest.C, resp *http.Response) {
 	c.Helper()
-	back, err := time.ParseDuration(resp.Header.Get("Come-Back"))
+	back, err := time.ParseDuration(resp.Header.Get("Test-Retry-After"))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(back > 5*time.Second && back <= 12500*time.Millisecond, quicktest.IsTrue, quicktest.Commentf("%v", back))
 }
@@ -85,7 +85,7 @@
 // A draining endpoint is no alternative to endpoints in a back-off.
 func TestDrainingEndpointIsNotWaitedFor(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	leaving := s.endpoint(t, withHeader("Leaving", "1", answerOK))
+	leaving := s.endpoint(t, withHeader("Test-Draining", "1", answerOK))
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
@@ -126,7 +126,7 @@
 	s := newSite(t, onceRoute(time.Second))
 	var told []string
 	s.gateway.OnDraining = func(e string) { told = append(told, e) }
-	s.endpoint(t, withHeader("Leaving", "1", answerOK))
+	s.endpoint(t, withHeader("Test-Draining", "1", answerOK))
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.gateway.ObserveNotice("e1", Notice{Draining: true})
@@ -135,15 +135,15 @@
 
 // backoffPlacer starts a back-off of the first endpoint that it is asked for, and then names that endpoint.
 type backoffPlacer struct {
-	gateway *Gateway
-	named   []string // endpoints of Place calls
-	avoid   [][]string
+	gateway   *Gateway
+	requested []string // endpoints of Place calls
+	avoid     [][]string
 }
 
 // Place implements Placer.
 func (p *backoffPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
-	p.named, p.avoid = append(p.named, w.Endpoint.ID()), append(p.avoid, w.Avoid)
-	if len(p.named) == 1 {
+	p.requested, p.avoid = append(p.requested, w.Endpoint.ID()), append(p.avoid, w.Avoid)
+	if len(p.requested) == 1 {
 		p.gateway.ObserveNotice(w.Endpoint.ID(), Notice{Backoff: time.Minute})
 	}
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
@@ -156,10 +156,10 @@
 	p := &backoffPlacer{gateway: s.gateway}
 	s.gateway.Placer = p
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
-	s.c.Assert(p.named, quicktest.HasLen, 2)
-	s.c.Assert(p.avoid, quicktest.DeepEquals, [][]string{nil, {p.named[0]}})
-	s.c.Assert(s.calls[p.named[0]].Load(), quicktest.Equals, int64(0))
-	s.c.Assert(s.calls[p.named[1]].Load(), quicktest.Equals, int64(1))
+	s.c.Assert(p.requested, quicktest.HasLen, 2)
+	s.c.Assert(p.avoid, quicktest.DeepEquals, [][]string{nil, {p.requested[0]}})
+	s.c.Assert(s.calls[p.requested[0]].Load(), quicktest.Equals, int64(0))
+	s.c.Assert(s.calls[p.requested[1]].Load(), quicktest.Equals, int64(1))
 }
 
 // An owner of an older version names an endpoint that is in a back-off, and the request is refused at
@@ -177,7 +177,7 @@
 func TestStreamIsNotResumedAtEndpointInBackoff(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 1, 2, true) })
-	needy := s.endpoint(t, answerOK)
+	inBackoff := s.endpoint(t, answerOK)
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) { sendEvents(w, 3, 4, false) })
 	s.setDataCentre("e2", "far")
 	s.setDataCentre("e3", "far")
@@ -185,7 +185,7 @@
 	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
-	s.c.Assert(needy.Load(), quicktest.Equals, int64(0))
+	s.c.Assert(inBackoff.Load(), quicktest.Equals, int64(0))
 }
 
 // drainingLimits grants a request after a wait in which the endpoint begins to drain.
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -12,22 +12,22 @@
 	"github.com/frankban/quicktest"
 )
 
-// keeper is a Quarantine that holds all requests or none, and records ended endpoints.
-type keeper struct {
-	mu    sync.Mutex
-	left  time.Duration // of every request's quarantine; zero: none
-	ended map[string][]quarantine.Content
+// fakeQuarantine is a Quarantine that holds all requests or none, and records ended endpoints.
+type fakeQuarantine struct {
+	mu        sync.Mutex
+	remaining time.Duration // of every request's quarantine; zero: none
+	ended     map[string][]quarantine.Content
 }
 
 // Remaining implements Quarantine.
-func (k *keeper) Remaining(quarantine.Content, time.Time) (time.Duration, bool) {
+func (k *fakeQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.left, k.left > 0
+	return k.remaining, k.remaining > 0
 }
 
 // Ended implements Quarantine.
-func (k *keeper) Ended(endpoint string, contents []quarantine.Content) {
+func (k *fakeQuarantine) Ended(endpoint string, contents []quarantine.Content) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended == nil {
@@ -36,13 +36,13 @@
 	k.ended[endpoint] = append(k.ended[endpoint], contents...)
 }
 
-func (k *keeper) keep(left time.Duration) {
+func (k *fakeQuarantine) hold(left time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.left = left
+	k.remaining = left
 }
 
-func (k *keeper) of(endpoint string) []quarantine.Content {
+func (k *fakeQuarantine) endedUnder(endpoint string) []quarantine.Content {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended[endpoint]
@@ -51,15 +51,15 @@
 func TestQuarantinedRequestIsRefused(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
 	calls := s.endpoint(t, answerOK)
-	k := &keeper{left: 40 * time.Minute}
+	k := &fakeQuarantine{remaining: 40 * time.Minute}
 	s.gateway.Quarantine = k
 	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, "40m0s")
+	s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, "40m0s")
 	s.c.Assert(text, quicktest.Equals, string(CodeQuarantined)+"\n")
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	k.keep(0)
+	k.hold(0)
 	resp, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
@@ -68,10 +68,10 @@
 // Another box may quarantine a request while it waits, here while its first endpoint rejects it.
 func TestQuarantineDuringRequest(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
-	k := &keeper{}
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	refuse := func(w http.ResponseWriter, r *http.Request) {
-		k.keep(time.Hour)
+		k.hold(time.Hour)
 		refuseNotExecuted(w, r)
 	}
 	first, second := s.endpoint(t, refuse), s.endpoint(t, refuse)
@@ -84,10 +84,10 @@
 // The request has been executed, so the refusal must not say that it has not.
 func TestQuarantineAfterExecution(t *testing.T) {
 	s := newSite(t, repeatableRoute(2*time.Second))
-	k := &keeper{}
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	cut := func(w http.ResponseWriter, r *http.Request) {
-		k.keep(time.Hour)
+		k.hold(time.Hour)
 		dropConnection(w, r)
 	}
 	first, second := s.endpoint(t, cut), s.endpoint(t, cut)
@@ -99,25 +99,25 @@
 
 func TestEndIsReportedWithItsRequests(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
-	k := &keeper{}
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	s.runGateway(t)
 	s.addCrashing(t, "e1", "the body")
 	_, _, err := s.ask("/x?y")
 	s.c.Assert(err, quicktest.IsNil)
 	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
-	for k.of("e1") == nil {
+	for k.endedUnder("e1") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	want := quarantine.ContentOf(http.MethodPost, "site.example", "/x?y", "", []byte("the body"))
-	s.c.Assert(k.of("e1"), quicktest.DeepEquals, []quarantine.Content{want})
+	s.c.Assert(k.endedUnder("e1"), quicktest.DeepEquals, []quarantine.Content{want})
 }
 
 // Several endpoints end together while all of them run a popular request. It has recently been served, so it
 // is not suspected.
 func TestRecentlyServedRequestIsNotSuspect(t *testing.T) {
 	s := newSite(t, onceRoute(2*time.Second))
-	k := &keeper{}
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	s.runGateway(t)
 	s.endpoint(t, answerOK)
@@ -128,5 +128,5 @@
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
-	s.c.Assert(k.of("e2"), quicktest.HasLen, 0)
+	s.c.Assert(k.endedUnder("e2"), quicktest.HasLen, 0)
 }
--- a/forward/rejected_test.go
+++ b/forward/rejected_test.go
@@ -50,7 +50,7 @@
 // A data centre was avoided, no endpoint of the own one had the base model, and the request was
 // refused.
 func TestModelInAvoidedDataCentre(t *testing.T) {
-	s, _ := askAdapters(t, ownerChangePlacer{settled: "far"}, "2s")
+	s, _ := askAdapters(t, ownerChangePlacer{owned: "far"}, "2s")
 	s.setDataCentre("e1", "dc")
 	s.gateway.dataCentres.avoid("far", time.Now().Add(time.Minute))
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
@@ -71,7 +71,7 @@
 		s.c.Assert(err, quicktest.IsNil)
 		resp.Body.Close()
 		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(resp.Header.Get("Come-Back"), quicktest.Equals, overloadRetryAfter.String())
+		s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, overloadRetryAfter.String())
 	}
 	s.c.Assert(s.calls["e1"].Load(), quicktest.Equals, int64(1))
 	s.c.Assert(caller.Close(), quicktest.IsNil)
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -14,7 +14,7 @@
 // A retry went back to the endpoint that had just rejected the request, up to four times within 30 ms, and used
 // up the shared retry budget: the box had excluded the endpoint, which was the only holder of the adapter, and
 // asked a leader for a load elsewhere, but the leader did not know of the rejection and named the holder. In a
-// scenario run 89 of 668 rejected attempts were repeats of this kind. The box now sends the endpoints to avoid, and
+// scenario run, 89 of 668 rejected attempts were repeats of this kind. The box now sends the endpoints to avoid, and
 // checks the answer, since leaders of older versions ignore them. Without the fix the endpoint here gets four
 // requests.
 func TestRetryAvoidsRejectingEndpoint(t *testing.T) {
@@ -35,27 +35,27 @@
 		s.endpoint(t, answerOK)
 	}
 	list := s.gateway.View.Endpoints("app")
-	sheds := s.gateway.upstreams.get(list[0])
+	shedding := s.gateway.upstreams.get(list[0])
 	now := time.Now()
 	count := func(after time.Duration) int { return len(s.gateway.usable(list, nil, now.Add(after))) }
-	sheds.recordRefusal(now)
+	shedding.recordRefusal(now)
 	s.c.Assert(count(0), quicktest.Equals, 3) // it may only be full at the moment
-	sheds.recordRefusal(now)
+	shedding.recordRefusal(now)
 	s.c.Assert(count(0), quicktest.Equals, 2)
-	sheds.recordRefusal(now) // of a request sent before
+	shedding.recordRefusal(now) // of a request sent before
 	s.c.Assert(count(minShedTime), quicktest.Equals, 3)
-	sheds.recordRefusal(now.Add(minShedTime))
+	shedding.recordRefusal(now.Add(minShedTime))
 	s.c.Assert(count(2*minShedTime), quicktest.Equals, 2)
 	s.c.Assert(count(3*minShedTime), quicktest.Equals, 3)
 	last := 3 * minShedTime
 	for range 20 {
-		sheds.recordRefusal(now.Add(last))
+		shedding.recordRefusal(now.Add(last))
 		last += maxShedTime
 	}
 	s.c.Assert(count(last-1), quicktest.Equals, 2)
 	s.c.Assert(count(last), quicktest.Equals, 3) // the limit of the time
-	sheds.recordOutcome(false)
-	sheds.recordRefusal(now.Add(last))
+	shedding.recordOutcome(false)
+	shedding.recordRefusal(now.Add(last))
 	s.c.Assert(count(last), quicktest.Equals, 3) // a served request resets it
 }
 
--- a/forward/select_test.go
+++ b/forward/select_test.go
@@ -38,15 +38,15 @@
 	limits := RetryLimits{Ratio: 0.2, Extra: 190, Window: 10 * time.Second}
 	b := &RetryBudget{Limits: func() RetryLimits { return limits }, tokens: 1}
 	now := time.Unix(0, 0)
-	calm := func() {
+	recordFirsts := func() {
 		for range requests {
 			now = now.Add(limits.Window / requests)
 			b.RecordFirst(now)
 		}
 	}
 	b.TryRetry(now, boxes)
-	calm()
-	calm()
+	recordFirsts()
+	recordFirsts()
 	taken := 0
 	for range requests { // each wants a retry
 		now = now.Add(limits.Window / requests)
@@ -109,16 +109,16 @@
 
 // drainingPlacer makes the first endpoint that it is asked for drain meanwhile.
 type drainingPlacer struct {
-	view *topology.View
-	left string
+	view    *topology.View
+	drained string
 }
 
 // Place implements Placer.
 func (p *drainingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
-	if p.left == "" {
-		p.left = w.Endpoint.ID()
+	if p.drained == "" {
+		p.drained = w.Endpoint.ID()
 		p.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
-			ID: p.left, Service: "app", Address: w.Endpoint.Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"}, Draining: true,
+			ID: p.drained, Service: "app", Address: w.Endpoint.Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"}, Draining: true,
 		}))
 	}
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
@@ -146,7 +146,7 @@
 	p := &drainingPlacer{view: s.gateway.View}
 	s.gateway.Placer = p
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
-	s.c.Assert(calls[p.left].Load(), quicktest.Equals, int64(0))
+	s.c.Assert(calls[p.drained].Load(), quicktest.Equals, int64(0))
 }
 
 // fixedPlacer reports every adapter ready at one endpoint.
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -42,10 +42,10 @@
 func TestResumedStreamHasNoGapOrRepeat(t *testing.T) {
 	s := newSite(t, resumableRoute(2*time.Second))
 	serve := func(w http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("Last") == "" {
+		if r.Header.Get("Test-Last-Event-Id") == "" {
 			sendEvents(w, 1, 2, true)
 		}
-		s.c.Check(r.Header.Get("Last"), quicktest.Equals, "2")
+		s.c.Check(r.Header.Get("Test-Last-Event-Id"), quicktest.Equals, "2")
 		sendEvents(w, 2, 4, false) // the first one is a repeat
 	}
 	s.endpoint(t, serve)
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -14,11 +14,11 @@
 )
 
 // suspendingPlacer suspends the machine while a request waits for its adapter.
-type suspendingPlacer struct{ pass time.Duration }
+type suspendingPlacer struct{ duration time.Duration }
 
 // Place implements Placer.
 func (p suspendingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
-	clock.Suspend(p.pass)
+	clock.Suspend(p.duration)
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
@@ -35,7 +35,7 @@
 		ID: "e1", Service: "app", Address: s.gateway.View.Endpoint("e1").Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"},
 	}))
 	pass := 5 * time.Second
-	s.gateway.Placer = suspendingPlacer{pass: pass}
+	s.gateway.Placer = suspendingPlacer{duration: pass}
 	t.Cleanup(func() { clock.Suspend(-pass) })
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusGatewayTimeout)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
