--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -96,12 +96,12 @@
 		latest string // endpoint
 		want   string // data centre
 	}{
-		"the first by name, of equals":      {levels: map[string]time.Duration{"dc": 300 * ms, "far": 300 * ms}, want: policy.First("m/a", []string{"dc", "far"})},
-		"another one that costs much less":  {levels: map[string]time.Duration{"dc": 900 * ms, "far": 300 * ms}, want: "far"},
-		"not one whose leader says nothing": {levels: map[string]time.Duration{"far": 300 * ms}, want: "far"},
-		"where it was held last":            {levels: map[string]time.Duration{"dc": 300 * ms, "far": 600 * ms}, latest: "e2", want: "far"},
-		"not there if that costs much more": {levels: map[string]time.Duration{"dc": 300 * ms, "far": 1200 * ms}, latest: "e2", want: "dc"},
-		"the first if nobody says anything": {want: policy.First("m/a", []string{"dc", "far"})},
+		"first in rendezvous order if costs are equal":  {levels: map[string]time.Duration{"dc": 300 * ms, "far": 300 * ms}, want: policy.First("m/a", []string{"dc", "far"})},
+		"another one at a much lower cost":              {levels: map[string]time.Duration{"dc": 900 * ms, "far": 300 * ms}, want: "far"},
+		"not one with an unknown cost":                  {levels: map[string]time.Duration{"far": 300 * ms}, want: "far"},
+		"the last holder's":                             {levels: map[string]time.Duration{"dc": 300 * ms, "far": 600 * ms}, latest: "e2", want: "far"},
+		"not the last holder's at a much higher cost":   {levels: map[string]time.Duration{"dc": 300 * ms, "far": 1200 * ms}, latest: "e2", want: "dc"},
+		"first in rendezvous order if no cost is known": {want: policy.First("m/a", []string{"dc", "far"})},
 	} {
 		s, _ := askAdapters(t, fixedPlacer("e1"), "2s")
 		s.gateway.LoadCost = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -143,8 +143,8 @@
 // keys was too old. The next attempt did not check the key again.
 func TestKeyIsCheckedBeforeEachAttempt(t *testing.T) {
 	for name, change := range map[string]func(*testSite, *fakeAdmission){
-		"taken away": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
-		"too old": func(_ *testSite, a *fakeAdmission) {
+		"revoked": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
+		"keys too old": func(_ *testSite, a *fakeAdmission) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
 			a.keysUnusable = true
@@ -189,9 +189,9 @@
 		handler        http.HandlerFunc
 		again, returns float64
 	}{
-		"runs":         {answerOK, 0, 0},
-		"never runs":   {refuseNotExecuted, 0, 1},
-		"breaks twice": {dropConnection, 1, 0},
+		"executed":       {answerOK, 0, 0},
+		"never executed": {refuseNotExecuted, 0, 1},
+		"fails twice":    {dropConnection, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, a := newKeyedSite(t, repeatableRoute(2*time.Second), access.Quota{Rate: 10})
--- a/forward/caller_conn_test.go
+++ b/forward/caller_conn_test.go
@@ -96,7 +96,7 @@
 // eventually waits until done returns true.
 func (s *testSite) eventually(done func() bool) {
 	for until := time.Now().Add(testTimeout); !done(); time.Sleep(time.Millisecond) {
-		s.c.Assert(time.Now().Before(until), quicktest.IsTrue, quicktest.Commentf("it has not come"))
+		s.c.Assert(time.Now().Before(until), quicktest.IsTrue, quicktest.Commentf("condition not reached in time"))
 	}
 }
 
--- a/forward/caller_gone_test.go
+++ b/forward/caller_gone_test.go
@@ -38,7 +38,7 @@
 	select {
 	case <-what:
 	case <-time.After(testTimeout):
-		s.c.Fatal("it has not come")
+		s.c.Fatal("no signal in time")
 	}
 }
 
--- a/forward/events_fuzz_test.go
+++ b/forward/events_fuzz_test.go
@@ -61,10 +61,10 @@
 		for _, pieces := range []bool{false, true} {
 			got, s, err := relayEvents(raw, pieces)
 			if got != want.String() || s.lastID != last {
-				t.Fatalf("passed %q up to %q, want %q up to %q", got, s.lastID, want.String(), last)
+				t.Fatalf("relayed %q up to ID %q, want %q up to ID %q", got, s.lastID, want.String(), last)
 			}
 			if (err != nil) != (len(rest) > 0) {
-				t.Fatalf("the end is %v after a rest of %q", err, rest)
+				t.Fatalf("stream ended with %v after the incomplete event %q", err, rest)
 			}
 		}
 	})
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -69,7 +69,7 @@
 	// endpoints unchanged, even if Connection lists them.
 	IsCallHeader(name string) bool
 	// ParseResponse reads the head of the endpoint's response to c.
-	ParseResponse(a *http.Response, c Call, endpoint string) Response
+	ParseResponse(resp *http.Response, c Call, endpoint string) Response
 	// SetRetryAfter tells a refused caller when to try again.
 	SetRetryAfter(h http.Header, after time.Duration)
 }
@@ -106,7 +106,7 @@
 // Placer has adapters loaded. It returns when the adapter is ready, or as soon as it
 // is known that the adapter won't be ready in time.
 type Placer interface {
-	Place(ctx context.Context, w AdapterRequest) (PlacementResult, error)
+	Place(ctx context.Context, r AdapterRequest) (PlacementResult, error)
 }
 
 // Observer tracks where adapters are used.
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -71,7 +71,7 @@
 
 // Place implements Placer.
 func (noPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
-	return PlacementResult{RetryAfter: time.Second, Reason: "nobody loads here"}, nil
+	return PlacementResult{RetryAfter: time.Second, Reason: "no placer"}, nil
 }
 
 type noQuarantine struct{}
@@ -361,13 +361,13 @@
 	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
-		_, _ = io.WriteString(w, "its own words")
+		_, _ = io.WriteString(w, "endpoint error")
 	})
 	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
 	s.c.Assert(resp.Header.Get("Signed"), quicktest.Equals, "yes")
-	s.c.Assert(text, quicktest.Equals, "its own words")
+	s.c.Assert(text, quicktest.Equals, "endpoint error")
 }
 
 func TestRouteTimeout(t *testing.T) {
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -41,11 +41,11 @@
 		if f != nil {
 			return t, f
 		}
-		if g.wasDenied(q, t.endpoint) { // owners know no other endpoint
+		if g.wasDenied(q, t.endpoint) { // the owner chose it again, though it has no capacity
 			return t, q.limitRefusal()
 		}
-		hasRoom := !g.Limits.HasLimit(t.endpoint.ID()) || g.acquireCapacity(ctx, q, t.endpoint)
-		if now := clock.Now(); hasRoom && g.accepts(t.endpoint.ID(), now) { // it may have changed while the request waited
+		acquired := !g.Limits.HasLimit(t.endpoint.ID()) || g.acquireCapacity(ctx, q, t.endpoint)
+		if now := clock.Now(); acquired && g.accepts(t.endpoint.ID(), now) { // it may have changed while the request waited
 			return t, g.maySend(q, now)
 		}
 		if ctx.Err() != nil {
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -105,9 +105,9 @@
 		leaving bool
 		backoff bool
 	}{
-		{name: "its own", answer: Response{MatchesCall: true}, leaving: true, backoff: true},
+		{name: "to this request", answer: Response{MatchesCall: true}, leaving: true, backoff: true},
 		{name: "to another request", answer: Response{}, backoff: true},
-		{name: "of another endpoint", answer: Response{MatchesCall: true, WrongEndpoint: true}},
+		{name: "from another endpoint", answer: Response{MatchesCall: true, WrongEndpoint: true}},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := newSite(t, onceRoute(time.Second))
--- a/forward/record_test.go
+++ b/forward/record_test.go
@@ -73,7 +73,7 @@
 
 // Place implements Placer.
 func (failingPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
-	return PlacementResult{}, errors.New("nobody answers")
+	return PlacementResult{}, errors.New("no leader answers")
 }
 
 // While a leader changed each waiting request logged the same line ten times a second.
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -95,7 +95,7 @@
 	s.c.Assert(text, quicktest.Contains, "piece 2")
 	counts := s.gateway.RetryCounts()["app"]
 	s.c.Assert(counts.Made, quicktest.Equals, int64(1))
-	s.c.Assert(counts.Unsent <= maxAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts that reached nobody", counts.Unsent))
+	s.c.Assert(counts.Unsent <= maxAttempts, quicktest.IsTrue, quicktest.Commentf("%d attempts of which nothing was sent", counts.Unsent))
 }
 
 // addUnreachable adds an endpoint at an address without a listener.
--- a/forward/termination_test.go
+++ b/forward/termination_test.go
@@ -53,7 +53,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	s.c.Fatalf("counted %+v, not %+v", s.gateway.Ends(), want)
+	s.c.Fatalf("got %+v, want %+v", s.gateway.Ends(), want)
 }
 
 func TestEndedEndpointIsDetected(t *testing.T) {
