--- a/edge/listen.go
+++ b/edge/listen.go
@@ -14,7 +14,7 @@
 )
 
 // serveHTTP serves until ctx ends, then closes connections as they rest, at most
-// for so long. Requests that are held even then end with forward.ErrEnding just before.
+// for so long. Requests that are held even then end with forward.ErrShutdown just before.
 func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, most time.Duration) error {
 	base, endRequests := context.WithCancelCause(context.Background())
 	defer endRequests(nil)
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -34,7 +34,7 @@
 	for q.hasAttempts() {
 		t, f := g.nextTarget(ctx, q)
 		if f != nil {
-			return g.withExecution(q, f)
+			return g.markMayHaveRun(q, f)
 		}
 		f = g.attempt(ctx, q, out, t)
 		if f == nil {
@@ -45,11 +45,11 @@
 			break
 		}
 	}
-	return g.withExecution(q, last)
+	return g.markMayHaveRun(q, last)
 }
 
-// withExecution marks a refusal of a request of which any attempt may have been executed.
-func (g *Gateway) withExecution(q *request, f *Refusal) *Refusal {
+// markMayHaveRun marks a refusal of a request of which any attempt may have been executed.
+func (g *Gateway) markMayHaveRun(q *request, f *Refusal) *Refusal {
 	if q.mayHaveRun {
 		f.MayHaveRun = true
 	}
