--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -160,7 +160,7 @@
 		}
 		if g.isExcluded(q, e.ID(), now) { // owners of an older version ignore AdapterRequest.Avoid
 			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(unavailableRetryAfter, backoff.ComeBack(g.BackoffRemaining(e.ID(), now))),
-				Detail: "the chosen endpoint rejected the request or is in a back-off"}
+				Detail: "the chosen endpoint has failed the request or is in a back-off"}
 		}
 	}
 	if !g.accepts(e.ID(), now) {
@@ -197,14 +197,14 @@
 
 func (g *Gateway) adapterRequest(q *request, e *topology.Endpoint) AdapterRequest {
 	now := clock.Now()
-	answers := g.predictFirstToken(q.call.PromptTokens)
+	firstToken := g.predictFirstToken(q.call.PromptTokens)
 	return AdapterRequest{
 		RequestID:    q.call.ID,
 		Endpoint:     e,
 		Adapter:      q.call.Adapter,
 		Version:      g.View.Newest(q.call.Adapter),
-		TargetWait:   q.route.Target() - now.Sub(q.received) - answers,
-		MaxWait:      q.usefulTime(now) - answers,
+		TargetWait:   q.route.Target() - now.Sub(q.received) - firstToken,
+		MaxWait:      q.usefulTime(now) - firstToken,
 		Priority:     q.config.Rank(q.route, q.organisation),
 		Value:        float64(q.call.PromptTokens + outputWeight*q.call.MaxOutputTokens),
 		Retried:      q.isRetry(),
