--- a/edge/listen.go
+++ b/edge/listen.go
@@ -14,7 +14,7 @@
 )
 
 // serveHTTP serves until ctx ends, then shuts down gracefully: connections are closed once they are idle, the others
-// after the given time. Requests still in flight are cancelled with forward.ErrEnding shortly before that.
+// after the given time. Requests still in flight are cancelled with forward.ErrShutdown shortly before that.
 func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, timeout time.Duration) error {
 	base, cancelRequests := context.WithCancelCause(context.Background())
 	defer cancelRequests(nil)
@@ -28,7 +28,7 @@
 	}
 	shutdown, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	cancelTimer := time.AfterFunc(timeout-answerTime, func() { cancelRequests(forward.ErrEnding) })
+	cancelTimer := time.AfterFunc(timeout-answerTime, func() { cancelRequests(forward.ErrShutdown) })
 	defer cancelTimer.Stop()
 	err := s.Shutdown(shutdown)
 	<-served
--- a/edge/node.go
+++ b/edge/node.go
@@ -101,30 +101,30 @@
 		Owns:        n.owns,
 		AskToResign: n.peers.takeOver,
 		Headroom:    n.room,
-		PrefillTime: func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
+		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
 	n.loader.Init()
 	n.gateway = &forward.Gateway{
-		DataCentre: s.DataCentre,
-		View:       n.view,
-		Protocol:   n.Protocol,
-		Placer:     placer{node: n},
-		Observer:   n.usage,
-		Admission:  admission{node: n},
-		Quarantine: n.quarantine,
-		Limits:     n.limits,
-		Boxes:      func() int { return n.peers.budgetBoxes(clock.Now()) },
-		Level:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
-		Cut:        func(centre string) bool { return n.peers.clusterView().unreachable[centre] },
-		Budget:     func() forward.BudgetLimits { return n.current.Load().Budget },
-		Leaving:    n.departures.observe,
-		MostHeld:   max(s.Limits.Descriptors, descriptorsPerRequest*64) / descriptorsPerRequest,
-		Log:        n.Log,
-		Pressed:    n.Lines.Pressed,
-		Stats:      forward.NewStats(),
+		DataCentre:    s.DataCentre,
+		View:          n.view,
+		Protocol:      n.Protocol,
+		Placer:        placer{node: n},
+		Observer:      n.usage,
+		Admission:     admission{node: n},
+		Quarantine:    n.quarantine,
+		Limits:        n.limits,
+		Boxes:         func() int { return n.peers.budgetBoxes(clock.Now()) },
+		LoadCost:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
+		Unreachable:   func(centre string) bool { return n.peers.clusterView().unreachable[centre] },
+		RetryLimits:   func() forward.RetryLimits { return n.current.Load().Budget },
+		OnDraining:    n.departures.observe,
+		MaxInFlight:   max(s.Limits.Descriptors, descriptorsPerRequest*64) / descriptorsPerRequest,
+		Log:           n.Log,
+		LogBacklogged: n.Lines.Pressed,
+		Stats:         forward.NewStats(),
 	}
 }
 
@@ -186,7 +186,7 @@
 // HandleNotice processes what an endpoint announces about itself, draining or a back-off, in the response to a command
 // or a status query. Call it only while Run serves.
 func (n *Node) HandleNotice(endpoint string, said forward.Notice) {
-	n.gateway.HearNotice(endpoint, said)
+	n.gateway.ObserveNotice(endpoint, said)
 }
 
 // room returns an endpoint's remaining rate limit, which the loader uses to decide where to load adapters. An endpoint
@@ -194,7 +194,7 @@
 // requests for the adapter.
 func (n *Node) room(endpoint string, now time.Time) ratelimit.Room {
 	r := n.limits.room(endpoint, now)
-	if !r.Limited && n.gateway.BackoffLeft(endpoint, now) > 0 {
+	if !r.Limited && n.gateway.BackoffRemaining(endpoint, now) > 0 {
 		return ratelimit.Room{Limited: true}
 	}
 	return r
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -24,7 +24,7 @@
 	Seeds      []string
 	Limits     Limits
 	Bounds     Bounds
-	Budget     forward.BudgetLimits
+	Budget     forward.RetryLimits
 	Rate       placement.RateLimits
 
 	DataCentres int           // how many exist; zero: count those that have boxes
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -10,116 +10,116 @@
 	"cairnwick.example/clock"
 )
 
-// Admission knows what holds for organisations over all boxes.
+// Admission checks keys and quotas, which hold for all boxes together.
 type Admission interface {
-	// Trusted tells whether what this box knows of keys is recent enough to serve by: a key that
-	// was taken away since may not be served for long.
-	Trusted(now time.Time) bool
-	// Current tells whether it is recent enough to say that a key stands for nobody: one that was
-	// put in since does.
-	Current(now time.Time) bool
-	// Spend takes units from an organisation's quota. It waits as long as p says.
-	Spend(ctx context.Context, o *access.Organisation, units float64, p Patience) Spent
-	// SpendAgain takes units that are used in any case.
-	SpendAgain(o *access.Organisation, units float64)
-	// Return gives back units of a request that did not run.
-	Return(o *access.Organisation, units float64)
+	// KeysUsable reports whether this box's copy of the keys is recent enough to accept one. A key
+	// that was revoked since must soon be rejected.
+	KeysUsable(now time.Time) bool
+	// KeysCurrent reports whether the copy is recent enough to reject a key. One that was added since
+	// is valid.
+	KeysCurrent(now time.Time) bool
+	// Charge takes units from an organisation's quota. It waits at most as long as p allows.
+	Charge(ctx context.Context, o *access.Organisation, units float64, p QuotaTimeouts) ChargeResult
+	// ChargeUnchecked takes units whether or not the quota has them.
+	ChargeUnchecked(o *access.Organisation, units float64)
+	// Refund returns the units of a request that was not executed.
+	Refund(o *access.Organisation, units float64)
 }
 
-// Patience is how long a request waits for a quota.
-type Patience struct {
-	Over    time.Duration // where the quota is used up and known to have room again within it
-	Unknown time.Duration // for somebody who counts the quota
+// QuotaTimeouts limits how long a request waits for a quota.
+type QuotaTimeouts struct {
+	Exceeded    time.Duration // if the quota is used up, and is known to have units again within that time
+	Unavailable time.Duration // if no leader that counts the quota answers
 }
 
-// Spent is what became of a request for units of a quota.
-type Spent struct {
-	OK    bool
-	Over  bool          // not OK: the quota is used up; else nobody who counts it answers
-	Retry time.Duration // not OK: when it is likely granted
+// ChargeResult is the answer to Admission.Charge.
+type ChargeResult struct {
+	OK         bool
+	Exceeded   bool          // not OK: the quota is used up; otherwise no leader that counts it answered
+	RetryAfter time.Duration // not OK: until the units are likely granted
 }
 
-// overPart is the part of a route's target that a request waits for a quota that is used up: what is
-// beyond a quota is told so at once, and a wait that others of the same organisation may use up is not
-// worth more of the time in which it must be answered.
-const overPart = 0.125
+// quotaWaitFraction is the part of a route's target latency that a request waits for a quota that is used up.
+// Callers over their quota are told so soon. A longer wait is not worth the time that the response needs,
+// since other requests of the same organisation may use up the units that become free.
+const quotaWaitFraction = 0.125
 
-// identify finds whose request it is, by the configuration that is in force now. It is asked
-// before each send: a key may have been taken away, and this box may have stood still, since the
-// request came.
-func (g *Gateway) identify(q *request, now time.Time) *Refusal {
-	d := g.View.Config().Callers()
-	if d == nil || q.route.Public() {
+// authenticate finds the organisation of a request in the current configuration. It is called before each
+// attempt: since the request came its key may have been revoked, and this box may have been
+// suspended.
+func (g *Gateway) authenticate(q *request, now time.Time) *Refusal {
+	directory := g.View.Config().Callers()
+	if directory == nil || q.route.Public() {
 		q.organisation = nil
 		return nil
 	}
-	c := q.call.Credential
-	if !c.Given() {
-		return &Refusal{Code: CodeNoKey, Detail: "the caller shows no key, or several"}
+	credential := q.call.Credential
+	if !credential.Given() {
+		return &Refusal{Code: CodeKeyUnknown, Detail: "the request has no key, or several"}
 	}
-	if !g.Admission.Trusted(now) {
-		return &Refusal{Code: CodeOldWord, Retry: noneRetry, Detail: "a key that was taken away may not be known here"}
+	if !g.Admission.KeysUsable(now) {
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "this box's copy of the keys is too old to accept one"}
 	}
-	o := d.Find(c)
+	o := directory.Find(credential)
 	if o != nil {
 		q.organisation = o
 		return nil
 	}
-	if !g.Admission.Current(now) {
-		return &Refusal{Code: CodeOldWord, Retry: noneRetry, Detail: "a key that was put in may not be known here"}
+	if !g.Admission.KeysCurrent(now) {
+		return &Refusal{Code: CodeKeysStale, RetryAfter: unavailableRetryAfter, Detail: "this box's copy of the keys is too old to reject one"}
 	}
-	return &Refusal{Code: CodeNoKey, Detail: "no organisation has the key"}
+	return &Refusal{Code: CodeKeyUnknown, Detail: "no organisation has the key"}
 }
 
-// payer returns the name of the organisation whose request it is; empty for nobody's.
-func (q *request) payer() string {
+// organisationName returns the name of the request's organisation; empty for none.
+func (q *request) organisationName() string {
 	if q.organisation == nil {
 		return ""
 	}
 	return q.organisation.Name()
 }
 
-// limited tells whether the request counts against a quota.
-func (q *request) limited() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
+// hasQuota reports whether the request counts towards a quota.
+func (q *request) hasQuota() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
 
-// cost returns what one run of the request counts.
-func (q *request) cost() float64 {
-	return q.organisation.Quota().Cost(q.call.TokensIn+q.call.TokensOut, q.call.TokensStated)
+// quotaCost returns the units of one execution of the request.
+func (q *request) quotaCost() float64 {
+	return q.organisation.Quota().Cost(q.call.PromptTokens+q.call.MaxOutputTokens, q.call.TokensStated)
 }
 
-// spend takes a run of the request from its organisation's quota, before anything else is used
-// for it: what is beyond a quota costs the others no slot, load or retry.
-func (g *Gateway) spend(ctx context.Context, q *request) *Refusal {
-	if !q.limited() {
+// chargeQuota charges one execution of the request to its organisation's quota. It comes before anything else
+// is used, so that requests over a quota cost the other organisations no slots, loads or retries.
+func (g *Gateway) chargeQuota(ctx context.Context, q *request) *Refusal {
+	if !q.hasQuota() {
 		return nil
 	}
-	s := g.Admission.Spend(ctx, q.organisation, q.cost(), Patience{
-		Over:    time.Duration(overPart * float64(q.route.Target())),
-		Unknown: q.useful(clock.Now()) - g.predict(q.call.TokensIn), // boxes agree anew within a second on who counts
+	result := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
+		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.Target())),
+		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // leaders change within a second
 	})
 	switch {
-	case s.OK:
-		q.spent = q.cost()
+	case result.OK:
+		q.charged = q.quotaCost()
 		return nil
-	case s.Over:
-		return &Refusal{Code: CodeOverQuota, Retry: s.Retry, Detail: "the organisation asks more than its quota"}
+	case result.Exceeded:
+		return &Refusal{Code: CodeQuotaExceeded, RetryAfter: result.RetryAfter, Detail: "the organisation's quota is used up"}
 	}
-	return &Refusal{Code: CodeQuotaUnknown, Retry: s.Retry, Detail: "nobody who counts the organisation's quota answers"}
+	return &Refusal{Code: CodeQuotaUnknown, RetryAfter: result.RetryAfter, Detail: "no leader that counts the organisation's quota answered"}
 }
 
-// spendAgain takes one more run from the quota where the one before began.
-func (g *Gateway) spendAgain(q *request) {
-	if !q.limited() || q.spent > 0 {
+// rechargeQuota charges another execution if the one before has begun.
+func (g *Gateway) rechargeQuota(q *request) {
+	if !q.hasQuota() || q.charged > 0 {
 		return
 	}
-	q.spent = q.cost()
-	g.Admission.SpendAgain(q.organisation, q.spent)
+	q.charged = q.quotaCost()
+	g.Admission.ChargeUnchecked(q.organisation, q.charged)
 }
 
-// giveBack returns what was spent for a run that never began.
-func (g *Gateway) giveBack(q *request) {
-	if q.spent > 0 && q.organisation != nil {
-		g.Admission.Return(q.organisation, q.spent)
-		q.spent = 0
+// refundQuota returns the units of an execution that never began.
+func (g *Gateway) refundQuota(q *request) {
+	if q.charged > 0 && q.organisation != nil {
+		g.Admission.Refund(q.organisation, q.charged)
+		q.charged = 0
 	}
 }
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -15,53 +15,53 @@
 	"github.com/frankban/quicktest"
 )
 
-// fakeAdmission grants what is left.
+// fakeAdmission grants the units that are left.
 type fakeAdmission struct {
-	mu             sync.Mutex
-	old, outdated  bool
-	left           float64
-	again, returns float64
-	noLeader       bool
+	mu                         sync.Mutex
+	keysUnusable, keysOutdated bool
+	left                       float64
+	charged, refunded          float64
+	noLeader                   bool
 }
 
-// Trusted implements Admission.
-func (a *fakeAdmission) Trusted(time.Time) bool {
+// KeysUsable implements Admission.
+func (a *fakeAdmission) KeysUsable(time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return !a.old
+	return !a.keysUnusable
 }
 
-// Current implements Admission.
-func (a *fakeAdmission) Current(time.Time) bool { return !a.outdated }
+// KeysCurrent implements Admission.
+func (a *fakeAdmission) KeysCurrent(time.Time) bool { return !a.keysOutdated }
 
-// Spend implements Admission.
-func (a *fakeAdmission) Spend(_ context.Context, _ *access.Organisation, units float64, _ Patience) Spent {
+// Charge implements Admission.
+func (a *fakeAdmission) Charge(_ context.Context, _ *access.Organisation, units float64, _ QuotaTimeouts) ChargeResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.noLeader || a.left < units {
-		return Spent{Over: !a.noLeader, Retry: 300 * time.Millisecond}
+		return ChargeResult{Exceeded: !a.noLeader, RetryAfter: 300 * time.Millisecond}
 	}
 	a.left -= units
-	return Spent{OK: true}
+	return ChargeResult{OK: true}
 }
 
-// SpendAgain implements Admission.
-func (a *fakeAdmission) SpendAgain(_ *access.Organisation, units float64) { a.again += units }
+// ChargeUnchecked implements Admission.
+func (a *fakeAdmission) ChargeUnchecked(_ *access.Organisation, units float64) { a.charged += units }
 
-// Return implements Admission.
-func (a *fakeAdmission) Return(_ *access.Organisation, units float64) { a.returns += units }
+// Refund implements Admission.
+func (a *fakeAdmission) Refund(_ *access.Organisation, units float64) { a.refunded += units }
 
-// newKeyedSite is a site whose callers need keys: organisation "org" has the key "good".
-func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*site, *fakeAdmission) {
+// newKeyedSite returns a site whose callers need keys: organisation "org" has the key "good".
+func newKeyedSite(t *testing.T, r topology.RouteSpec, q access.Quota) (*testSite, *fakeAdmission) {
 	s := newSite(t, r)
-	s.allow(access.Spec{Name: "org", Keys: []access.Digest{access.KeyDigest("good")}, Quota: q})
+	s.setOrganisations(access.Spec{Name: "org", Keys: []access.Digest{access.KeyDigest("good")}, Quota: q})
 	a := &fakeAdmission{left: 1e9}
 	s.gateway.Admission = a
 	return s, a
 }
 
-// allow brings a configuration into force whose only organisations these are.
-func (s *site) allow(specs ...access.Spec) {
+// setOrganisations applies a configuration with just these organisations.
+func (s *testSite) setOrganisations(specs ...access.Spec) {
 	d, err := access.NewDirectory(specs)
 	s.c.Assert(err, quicktest.IsNil)
 	old := s.gateway.View.Config()
@@ -71,135 +71,135 @@
 	s.gateway.View.SetConfig(n.WithCallers(d))
 }
 
-// askWith sends one request with a key and returns the status and the time to come back.
-func (s *site) askWith(key string) (status int, back string) {
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", strings.NewReader("the body"))
+// askWithKey sends one request with a key and returns the status and the Retry-After.
+func (s *testSite) askWithKey(key string) (status int, back string) {
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
 	if key != "" {
 		r.Header.Set("Key", key)
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	defer a.Body.Close()
-	return a.StatusCode, a.Header.Get("Come-Back")
+	defer resp.Body.Close()
+	return resp.StatusCode, resp.Header.Get("Test-Retry-After")
 }
 
-func TestOnlyCallersWithAKnownKeyAreServed(t *testing.T) {
-	s, _ := newKeyedSite(t, once(time.Second), access.Quota{})
+func TestUnknownKeyIsRejected(t *testing.T) {
+	s, _ := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	var payer string
 	calls := s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
-		payer = r.Header.Get("Payer")
+		payer = r.Header.Get("Test-Organisation")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad"} {
-		status, _ := s.askWith(key)
+		status, _ := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusUnauthorized)
 	}
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	status, _ := s.askWith("good")
+	status, _ := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusOK)
 	s.c.Assert(payer, quicktest.Equals, "org")
 }
 
-func TestAPublicRouteAsksForNoKey(t *testing.T) {
-	r := once(time.Second)
+func TestPublicRouteNeedsNoKey(t *testing.T) {
+	r := onceRoute(time.Second)
 	r.Public = true
 	s, a := newKeyedSite(t, r, access.Quota{Rate: 1})
-	a.old = true
+	a.keysUnusable = true
 	var payer string
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
-		payer = r.Header.Get("Payer")
+		payer = r.Header.Get("Test-Organisation")
 		answerOK(w, r)
 	})
 	for _, key := range []string{"", "bad", "good"} {
-		status, _ := s.askWith(key)
+		status, _ := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusOK)
 		s.c.Assert(payer, quicktest.Equals, "")
 	}
 }
 
-// What a box knows of keys is as old as the last word of the source. Where a key that was taken away
-// since may not be served any more, the box serves nobody by keys, and says that nothing ran.
-func TestByWordThatIsTooOldNoKeyIsServedAndNoneIsDenied(t *testing.T) {
-	s, a := newKeyedSite(t, once(time.Second), access.Quota{})
+// A box may miss a revocation if its copy of the keys is too old. It then refuses all requests with keys,
+// with a status that says that nothing was executed.
+func TestStaleKeysNeitherAcceptNorReject(t *testing.T) {
+	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{})
 	calls := s.endpoint(t, answerOK)
-	a.old = true
+	a.keysUnusable = true
 	for _, key := range []string{"good", "bad"} {
-		status, back := s.askWith(key)
+		status, back := s.askWithKey(key)
 		s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
-		s.c.Assert(back, quicktest.Equals, noneRetry.String())
+		s.c.Assert(back, quicktest.Equals, unavailableRetryAfter.String())
 	}
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	a.old, a.outdated = false, true // recent enough to serve by, not to deny by
-	status, _ := s.askWith("good")
+	a.keysUnusable, a.keysOutdated = false, true // recent enough to accept a key, but not to reject one
+	status, _ := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusOK)
-	status, _ = s.askWith("new")
+	status, _ = s.askWithKey("new")
 	s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
 }
 
-// A request waited for its adapter; meanwhile its key was taken away, or the box stood still until
-// what it knew of keys was too old. The send that followed asked nobody.
-func TestTheKeyIsLookedAtAgainBeforeEachSend(t *testing.T) {
-	for name, change := range map[string]func(*site, *fakeAdmission){
-		"taken away": func(s *site, _ *fakeAdmission) { s.allow(access.Spec{Name: "org"}) },
-		"too old": func(_ *site, a *fakeAdmission) {
+// While a request waited for its adapter its key was revoked, or the box was suspended until its copy of the
+// keys was too old. The next attempt did not check the key again.
+func TestKeyIsCheckedBeforeEachAttempt(t *testing.T) {
+	for name, change := range map[string]func(*testSite, *fakeAdmission){
+		"revoked": func(s *testSite, _ *fakeAdmission) { s.setOrganisations(access.Spec{Name: "org"}) },
+		"keys too old": func(_ *testSite, a *fakeAdmission) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.old = true
+			a.keysUnusable = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, a := newKeyedSite(t, repeatable(2*time.Second), access.Quota{Rate: 1})
+			s, a := newKeyedSite(t, repeatableRoute(2*time.Second), access.Quota{Rate: 1})
 			first := func(w http.ResponseWriter, r *http.Request) {
 				change(s, a)
-				refuseUnrun(w, r)
+				refuseNotExecuted(w, r)
 			}
 			one, two := s.endpoint(t, first), s.endpoint(t, first)
-			status, _ := s.askWith("good")
+			status, _ := s.askWithKey("good")
 			s.c.Assert(status >= 400, quicktest.IsTrue)
 			s.c.Assert(one.Load()+two.Load(), quicktest.Equals, int64(1))
-			s.c.Assert(a.returns, quicktest.Equals, 1.0) // it never ran
+			s.c.Assert(a.refunded, quicktest.Equals, 1.0) // it was never executed
 		})
 	}
 }
 
-func TestWhatIsBeyondAQuotaIsToldSoAndReachesNoEndpoint(t *testing.T) {
-	s, a := newKeyedSite(t, once(time.Second), access.Quota{Rate: 10})
+func TestRequestOverQuotaReachesNoEndpoint(t *testing.T) {
+	s, a := newKeyedSite(t, onceRoute(time.Second), access.Quota{Rate: 10})
 	calls := s.endpoint(t, answerOK)
 	a.left = 2
 	for range 2 {
-		status, _ := s.askWith("good")
+		status, _ := s.askWithKey("good")
 		s.c.Assert(status, quicktest.Equals, http.StatusOK)
 	}
-	status, back := s.askWith("good")
+	status, back := s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusTooManyRequests)
 	s.c.Assert(back, quicktest.Equals, "300ms")
 	a.noLeader = true
-	status, back = s.askWith("good")
+	status, back = s.askWithKey("good")
 	s.c.Assert(status, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(back, quicktest.Equals, "300ms")
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(2))
-	s.c.Assert(a.returns, quicktest.Equals, 0.0)
+	s.c.Assert(a.refunded, quicktest.Equals, 0.0)
 }
 
-func TestEachRunCountsAndWhatDidNotRunIsGivenBack(t *testing.T) {
+func TestQuotaChargesExecutionsOnly(t *testing.T) {
 	for name, k := range map[string]struct {
 		handler        http.HandlerFunc
 		again, returns float64
 	}{
-		"runs":         {answerOK, 0, 0},
-		"never runs":   {refuseUnrun, 0, 1},
-		"breaks twice": {hangUp, 1, 0},
+		"executed":       {answerOK, 0, 0},
+		"never executed": {refuseNotExecuted, 0, 1},
+		"fails twice":    {dropConnection, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, a := newKeyedSite(t, repeatable(2*time.Second), access.Quota{Rate: 10})
+			s, a := newKeyedSite(t, repeatableRoute(2*time.Second), access.Quota{Rate: 10})
 			s.endpoint(t, k.handler)
 			s.endpoint(t, k.handler)
-			s.askWith("good")
-			s.c.Assert(a.again, quicktest.Equals, k.again)
-			s.c.Assert(a.returns, quicktest.Equals, k.returns)
+			s.askWithKey("good")
+			s.c.Assert(a.charged, quicktest.Equals, k.again)
+			s.c.Assert(a.refunded, quicktest.Equals, k.returns)
 		})
 	}
 }
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -22,109 +22,109 @@
 	"github.com/go-logr/logr"
 )
 
-// plainProtocol is a protocol with names of its own.
+// plainProtocol is a protocol with its own header names, so that tests notice uses of fixed ones.
 type plainProtocol struct{}
 
-// ReadCall implements Protocol.
-func (plainProtocol) ReadCall(h http.Header) (Call, error) {
-	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEvent: h.Get("Last")}
+// ParseCall implements Protocol.
+func (plainProtocol) ParseCall(h http.Header) (Call, error) {
+	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEventID: h.Get("Test-Last-Event-Id")}
 	c.Credential = access.Show(h.Values("Key"))
-	if d, err := time.ParseDuration(h.Get("Within")); err == nil {
+	if d, err := time.ParseDuration(h.Get("Test-Deadline")); err == nil {
 		c.Deadline = d
 	}
 	return c, nil
 }
 
-// Instruct implements Protocol.
-func (plainProtocol) Instruct(h http.Header, i Instruction) {
+// SetDirectives implements Protocol.
+func (plainProtocol) SetDirectives(h http.Header, i Directives) {
 	h.Del("Order-Endpoint")
-	h.Set("Life", i.Endpoint)
-	h.Set("Payer", i.Organisation)
-	if i.LastEvent != "" {
-		h.Set("Last", i.LastEvent)
+	h.Set("Test-Endpoint", i.Endpoint)
+	h.Set("Test-Organisation", i.Organisation)
+	if i.LastEventID != "" {
+		h.Set("Test-Last-Event-Id", i.LastEventID)
 	}
 }
 
-// Describes implements Protocol.
-func (plainProtocol) Describes(name string) bool { return name == "Id" || name == "Adapter" }
-
-// ReadAnswer implements Protocol.
-func (plainProtocol) ReadAnswer(a *http.Response, c Call, _ string) Answer {
-	v := Answer{
-		Own:       a.Header.Get("Id") == c.ID,
-		Signed:    a.Header.Get("Signed") != "",
-		NotRun:    a.Header.Get("Not-Run") != "",
-		NotHeld:   a.Header.Get("Not-Held") != "",
-		Elsewhere: a.Header.Get("Elsewhere") != "",
+// IsCallHeader implements Protocol.
+func (plainProtocol) IsCallHeader(name string) bool { return name == "Id" || name == "Adapter" }
+
+// ParseResponse implements Protocol.
+func (plainProtocol) ParseResponse(resp *http.Response, c Call, _ string) Response {
+	head := Response{
+		MatchesCall:      resp.Header.Get("Id") == c.ID,
+		Signed:           resp.Header.Get("Signed") != "",
+		NotExecuted:      resp.Header.Get("Test-Not-Executed") != "",
+		AdapterNotLoaded: resp.Header.Get("Test-Adapter-Not-Loaded") != "",
+		WrongEndpoint:    resp.Header.Get("Test-Wrong-Endpoint") != "",
 	}
-	v.Leaving = a.Header.Get("Leaving") != ""
-	v.Backoff, v.BackoffUnread = backoff.Parse(a.Header.Values("Back-Off"))
-	return v
+	head.Draining = resp.Header.Get("Test-Draining") != ""
+	head.Backoff, head.BackoffErr = backoff.Parse(resp.Header.Values("Test-Backoff"))
+	return head
 }
 
-// ComeBack implements Protocol.
-func (plainProtocol) ComeBack(h http.Header, after time.Duration) {
-	h.Set("Come-Back", after.String())
+// SetRetryAfter implements Protocol.
+func (plainProtocol) SetRetryAfter(h http.Header, after time.Duration) {
+	h.Set("Test-Retry-After", after.String())
 }
 
 type noPlacer struct{}
 
-// Want implements Placer.
-func (noPlacer) Want(context.Context, Wanted) (Placed, error) {
-	return Placed{Retry: time.Second, Reason: "nobody loads here"}, nil
+// Place implements Placer.
+func (noPlacer) Place(context.Context, AdapterRequest) (PlacementResult, error) {
+	return PlacementResult{RetryAfter: time.Second, Reason: "no placer"}, nil
 }
 
 type noQuarantine struct{}
 
-// Left implements Quarantine.
-func (noQuarantine) Left(quarantine.Content, time.Time) (time.Duration, bool) { return 0, false }
+// Remaining implements Quarantine.
+func (noQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) { return 0, false }
 
 // Ended implements Quarantine.
 func (noQuarantine) Ended(string, []quarantine.Content) {}
 
-// noLimits knows of no endpoint that names a limit.
+// noLimits has no endpoints with rate limits.
 type noLimits struct{}
 
-// Limited implements Limits.
-func (noLimits) Limited(string) bool { return false }
+// HasLimit implements Limits.
+func (noLimits) HasLimit(string) bool { return false }
 
-// Take implements Limits.
-func (noLimits) Take(context.Context, *topology.Endpoint, ratelimit.Ask) Taken {
-	return Taken{OK: true}
+// Acquire implements Limits.
+func (noLimits) Acquire(context.Context, *topology.Endpoint, ratelimit.Ask) AcquireResult {
+	return AcquireResult{OK: true}
 }
 
-// Sent implements Limits.
-func (noLimits) Sent(string) {}
+// RequestSent implements Limits.
+func (noLimits) RequestSent(string) {}
 
-// Said implements Limits.
-func (noLimits) Said(string, ratelimit.Limit, time.Time) {}
+// ObserveLimit implements Limits.
+func (noLimits) ObserveLimit(string, ratelimit.Limit, time.Time) {}
 
-// Unread implements Limits.
-func (noLimits) Unread(string, error) {}
+// InvalidLimit implements Limits.
+func (noLimits) InvalidLimit(string, error) {}
 
 type noObserver struct{}
 
-// Begun implements Observer.
-func (noObserver) Begun(*topology.Endpoint, Call) Run { return noRun{} }
+// RequestStarted implements Observer.
+func (noObserver) RequestStarted(*topology.Endpoint, Call) Run { return noRun{} }
 
 type noRun struct{}
 
-// Read implements Run.
-func (noRun) Read() {}
+// PromptRead implements Run.
+func (noRun) PromptRead() {}
 
-// Ended implements Run.
-func (noRun) Ended() {}
+// Finished implements Run.
+func (noRun) Finished() {}
 
-// site is a gateway before endpoints.
-type site struct {
+// testSite is a gateway with endpoints behind it.
+type testSite struct {
 	c       *quicktest.C
 	gateway *Gateway
-	front   *httptest.Server
+	server  *httptest.Server
 	count   int
 	calls   map[string]*atomic.Int64 // by endpoint
 }
 
-func newSite(t *testing.T, routes ...topology.RouteSpec) *site {
+func newSite(t *testing.T, routes ...topology.RouteSpec) *testSite {
 	v := topology.NewView()
 	if len(routes) > 0 {
 		var list []*topology.Route
@@ -136,29 +136,29 @@
 		v.SetConfig(topology.NewConfig(1, list, services, topology.Limits{BodyBytes: 1 << 10}))
 	}
 	g := &Gateway{
-		DataCentre: "dc",
-		View:       v,
-		Protocol:   plainProtocol{},
-		Placer:     noPlacer{},
-		Observer:   noObserver{},
-		Quarantine: noQuarantine{},
-		Limits:     noLimits{},
-		Boxes:      func() int { return 1 },
-		Level:      func(string) (time.Duration, bool) { return 0, false },
-		Cut:        func(string) bool { return false },
-		Budget:     func() BudgetLimits { return BudgetLimits{Ratio: 0.2, Extra: 1e6, Window: 10 * time.Second} },
-		MostHeld:   100,
-		Log:        logr.Discard(),
-		Pressed:    func() bool { return false },
-		Stats:      NewStats(),
+		DataCentre:    "dc",
+		View:          v,
+		Protocol:      plainProtocol{},
+		Placer:        noPlacer{},
+		Observer:      noObserver{},
+		Quarantine:    noQuarantine{},
+		Limits:        noLimits{},
+		Boxes:         func() int { return 1 },
+		LoadCost:      func(string) (time.Duration, bool) { return 0, false },
+		Unreachable:   func(string) bool { return false },
+		RetryLimits:   func() RetryLimits { return RetryLimits{Ratio: 0.2, Extra: 1e6, Window: 10 * time.Second} },
+		MaxInFlight:   100,
+		Log:           logr.Discard(),
+		LogBacklogged: func() bool { return false },
+		Stats:         NewStats(),
 	}
 	front := httptest.NewServer(g)
 	t.Cleanup(front.Close)
-	return &site{c: quicktest.New(t), gateway: g, front: front, calls: make(map[string]*atomic.Int64)}
+	return &testSite{c: quicktest.New(t), gateway: g, server: front, calls: make(map[string]*atomic.Int64)}
 }
 
-// endpoint adds one that answers by h, and returns its count of requests.
-func (s *site) endpoint(t *testing.T, h http.HandlerFunc) *atomic.Int64 {
+// endpoint adds an endpoint with handler h, and returns its count of requests.
+func (s *testSite) endpoint(t *testing.T, h http.HandlerFunc) *atomic.Int64 {
 	var calls atomic.Int64
 	e := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
@@ -179,75 +179,75 @@
 	return &calls
 }
 
-// ask sends one request and returns the answer with its whole body.
-func (s *site) ask(path string) (*http.Response, string, error) {
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+path, strings.NewReader("the body"))
+// ask sends one request and returns the response and its whole body.
+func (s *testSite) ask(path string) (*http.Response, string, error) {
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+path, strings.NewReader("the body"))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
 	r.Header.Set("Id", "call-1")
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return nil, "", err
 	}
-	defer a.Body.Close()
-	body, err := io.ReadAll(a.Body)
-	return a, string(body), err
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
 }
 
-// askAdapter sends one request for the adapter a of the base model m, and returns the answer's status.
-func (s *site) askAdapter() int {
-	q, err := http.NewRequest(http.MethodPost, s.front.URL+"/", nil)
+// askAdapter sends one request for the adapter a of the base model m, and returns the response's status.
+func (s *testSite) askAdapter() int {
+	q, err := http.NewRequest(http.MethodPost, s.server.URL+"/", nil)
 	s.c.Assert(err, quicktest.IsNil)
 	q.Host = "site.example"
 	q.Header.Set("Id", "call-1")
 	q.Header.Set("Adapter", "m/a")
-	a, err := http.DefaultClient.Do(q)
+	resp, err := http.DefaultClient.Do(q)
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.Body.Close(), quicktest.IsNil)
-	return a.StatusCode
+	s.c.Assert(resp.Body.Close(), quicktest.IsNil)
+	return resp.StatusCode
 }
 
-func once(timeout time.Duration) topology.RouteSpec {
+func onceRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "once", Prefix: "/", Kind: topology.Once, Timeout: timeout, Target: timeout, MaxAttempts: 1}
 }
 
-func repeatable(timeout time.Duration) topology.RouteSpec {
+func repeatableRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "rep", Prefix: "/", Kind: topology.Repeatable, Timeout: timeout, Target: timeout, MaxAttempts: 2}
 }
 
-func resumable(timeout time.Duration) topology.RouteSpec {
+func resumableRoute(timeout time.Duration) topology.RouteSpec {
 	return topology.RouteSpec{Name: "res", Prefix: "/", Kind: topology.Stream, Timeout: timeout, Target: timeout, MaxAttempts: 2, Resumable: true}
 }
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") }
 
-func refuseUnrun(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Not-Run", "1")
+func refuseNotExecuted(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Test-Not-Executed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// hangUp reads the request and closes the connection.
-func hangUp(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection closes the connection without a response.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func TestWithoutAConfigurationCallersAreAskedToComeBack(t *testing.T) {
+func TestNoConfiguration(t *testing.T) {
 	s := newSite(t)
-	a, _, err := s.ask("/x/")
+	resp, _, err := s.ask("/x/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "1s")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, "1s")
 }
 
-func TestAPathWithoutARouteIsNotFound(t *testing.T) {
-	r := once(time.Second)
+func TestUnknownRoute(t *testing.T) {
+	r := onceRoute(time.Second)
 	r.Prefix = "/known/"
 	s := newSite(t, r)
-	a, _, err := s.ask("/unknown/")
+	resp, _, err := s.ask("/unknown/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusNotFound)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusNotFound)
 }
 
-func TestARequestArrivesAsItWasSent(t *testing.T) {
-	s := newSite(t, once(time.Second))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	s := newSite(t, onceRoute(time.Second))
 	var got *http.Request
 	var body string
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
@@ -256,127 +256,127 @@
 		body = string(raw)
 		answerOK(w, r)
 	})
-	a, text, err := s.ask("/a//b/%2f/?q=1&&p=%20")
+	resp, text, err := s.ask("/a//b/%2f/?q=1&&p=%20")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	s.c.Assert(text, quicktest.Equals, "fine")
 	s.c.Assert(got.RequestURI, quicktest.Equals, "/a//b/%2f/?q=1&&p=%20")
 	s.c.Assert(got.Host, quicktest.Equals, "site.example")
 	s.c.Assert(got.Method, quicktest.Equals, http.MethodPost)
-	s.c.Assert(got.Header.Get("Life"), quicktest.Equals, "e1")
+	s.c.Assert(got.Header.Get("Test-Endpoint"), quicktest.Equals, "e1")
 	s.c.Assert(body, quicktest.Equals, "the body")
 }
 
-func TestABodyThatIsTooLongIsRefused(t *testing.T) {
-	s := newSite(t, once(time.Second))
+func TestBodyLimit(t *testing.T) {
+	s := newSite(t, onceRoute(time.Second))
 	calls := s.endpoint(t, answerOK)
-	r, err := http.NewRequest(http.MethodPost, s.front.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
+	r, err := http.NewRequest(http.MethodPost, s.server.URL+"/", strings.NewReader(strings.Repeat("x", 2<<10)))
 	s.c.Assert(err, quicktest.IsNil)
 	r.Host = "site.example"
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	s.c.Assert(err, quicktest.IsNil)
-	a.Body.Close()
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
+	resp.Body.Close()
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusRequestEntityTooLarge)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
 
-func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	refused := s.endpoint(t, refuseUnrun)
+func TestRejectedRequestIsRetried(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
+	refused := s.endpoint(t, refuseNotExecuted)
 	ran := s.endpoint(t, answerOK)
 	for range 10 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 	s.c.Assert(ran.Load(), quicktest.Equals, int64(10))
 	s.c.Assert(refused.Load() > 0, quicktest.IsTrue)
 }
 
-func TestARequestThatMayRunOnceIsNotSentAgain(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	first := s.endpoint(t, hangUp)
-	second := s.endpoint(t, hangUp)
-	a, _, err := s.ask("/")
+func TestOnceRequestIsNotRetried(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
+	first := s.endpoint(t, dropConnection)
+	second := s.endpoint(t, dropConnection)
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have run
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway) // not 503: it may have been executed
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-func TestARequestThatMayRepeatIsSentToAnotherEndpoint(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
-	s.endpoint(t, hangUp)
+func TestRepeatableRequestIsRetried(t *testing.T) {
+	s := newSite(t, repeatableRoute(2*time.Second))
+	s.endpoint(t, dropConnection)
 	s.endpoint(t, answerOK)
 	for range 4 {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 	}
 }
 
-// An endpoint failed a repeatable request, the budget of retries kept it from a second one,
-// and its caller got an answer of the box's own in place of the endpoint's.
-func TestAFailureThatIsNotTriedElsewhereIsPassedOn(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
-	s.gateway.Budget = func() BudgetLimits { return BudgetLimits{Window: time.Second} }
+// An endpoint failed a repeatable request, the retry budget denied a second attempt, and the caller got a
+// response of the box's own instead of the endpoint's.
+func TestFailureIsRelayedIfRetryIsDenied(t *testing.T) {
+	s := newSite(t, repeatableRoute(2*time.Second))
+	s.gateway.RetryLimits = func() RetryLimits { return RetryLimits{Window: time.Second} }
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 	first := s.endpoint(t, fail)
 	second := s.endpoint(t, fail)
 	for calls := range int64(2) {
-		a, _, err := s.ask("/")
+		resp, _, err := s.ask("/")
 		s.c.Assert(err, quicktest.IsNil)
-		s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusInternalServerError)
-		s.c.Assert(a.Header.Get("Signed"), quicktest.Equals, "yes")
+		s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
+		s.c.Assert(resp.Header.Get("Signed"), quicktest.Equals, "yes")
 		s.c.Assert(first.Load()+second.Load(), quicktest.Equals, calls+1)
 	}
 }
 
-func TestAnAnswerToAnotherRequestIsNotPassedOn(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+func TestResponseToAnotherRequestIsDropped(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", "another")
 		answerOK(w, r)
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "fine")
 }
 
-func TestAnAnswerThatBreaksOffIsNotPassedOn(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+func TestTruncatedResponseIsDropped(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(text, quicktest.Not(quicktest.Contains), "half")
 }
 
-func TestAnEndpointsOwnFailureIsPassedOnUnchanged(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+func TestEndpointErrorIsRelayedUnchanged(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
 	s.endpoint(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
-		_, _ = io.WriteString(w, "its own words")
+		_, _ = io.WriteString(w, "endpoint error")
 	})
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusInternalServerError)
-	s.c.Assert(a.Header.Get("Signed"), quicktest.Equals, "yes")
-	s.c.Assert(text, quicktest.Equals, "its own words")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusInternalServerError)
+	s.c.Assert(resp.Header.Get("Signed"), quicktest.Equals, "yes")
+	s.c.Assert(text, quicktest.Equals, "endpoint error")
 }
 
-func TestARequestThatIsHeldTooLongGetsItsAnswerAtTheRoutesTimeout(t *testing.T) {
-	s := newSite(t, once(200*time.Millisecond))
+func TestRouteTimeout(t *testing.T) {
+	s := newSite(t, onceRoute(200*time.Millisecond))
 	s.endpoint(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // only then does the server see the connection close
+		_, _ = io.Copy(io.Discard, r.Body) // net/http detects a closed connection only after the body
 		<-r.Context().Done()
 	})
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusGatewayTimeout)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusGatewayTimeout)
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -12,22 +12,22 @@
 	"github.com/frankban/quicktest"
 )
 
-// keeper keeps requests away as a test says, and remembers what ended.
-type keeper struct {
-	mu    sync.Mutex
-	left  time.Duration // for every request; zero: none is kept away
-	ended map[string][]quarantine.Content
+// fakeQuarantine is a Quarantine that holds all requests or none, and records ended endpoints.
+type fakeQuarantine struct {
+	mu        sync.Mutex
+	remaining time.Duration // of every request's quarantine; zero: none
+	ended     map[string][]quarantine.Content
 }
 
-// Left implements Quarantine.
-func (k *keeper) Left(quarantine.Content, time.Time) (time.Duration, bool) {
+// Remaining implements Quarantine.
+func (k *fakeQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.left, k.left > 0
+	return k.remaining, k.remaining > 0
 }
 
 // Ended implements Quarantine.
-func (k *keeper) Ended(endpoint string, contents []quarantine.Content) {
+func (k *fakeQuarantine) Ended(endpoint string, contents []quarantine.Content) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended == nil {
@@ -36,97 +36,97 @@
 	k.ended[endpoint] = append(k.ended[endpoint], contents...)
 }
 
-func (k *keeper) keep(left time.Duration) {
+func (k *fakeQuarantine) hold(left time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.left = left
+	k.remaining = left
 }
 
-func (k *keeper) of(endpoint string) []quarantine.Content {
+func (k *fakeQuarantine) endedUnder(endpoint string) []quarantine.Content {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended[endpoint]
 }
 
-func TestARequestInQuarantineIsRefusedAtOnceAndToldWhenToComeBack(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+func TestQuarantinedRequestIsRefused(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
 	calls := s.endpoint(t, answerOK)
-	k := &keeper{left: 40 * time.Minute}
+	k := &fakeQuarantine{remaining: 40 * time.Minute}
 	s.gateway.Quarantine = k
-	a, text, err := s.ask("/")
+	resp, text, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
-	s.c.Assert(a.Header.Get("Come-Back"), quicktest.Equals, "40m0s")
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.Header.Get("Test-Retry-After"), quicktest.Equals, "40m0s")
 	s.c.Assert(text, quicktest.Equals, string(CodeQuarantined)+"\n")
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
-	k.keep(0)
-	a, _, err = s.ask("/")
+	k.hold(0)
+	resp, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusOK)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusOK)
 }
 
-// The word of another box may come while a request waits, here while its first endpoint refuses it.
-func TestARequestThatComesIntoQuarantineIsSentNoMore(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	k := &keeper{}
+// Another box may quarantine a request while it waits, here while its first endpoint rejects it.
+func TestQuarantineDuringRequest(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	refuse := func(w http.ResponseWriter, r *http.Request) {
-		k.keep(time.Hour)
-		refuseUnrun(w, r)
+		k.hold(time.Hour)
+		refuseNotExecuted(w, r)
 	}
 	first, second := s.endpoint(t, refuse), s.endpoint(t, refuse)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusServiceUnavailable)
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-// It has run, so its caller is not told that it has not.
-func TestARequestThatRanBeforeItsQuarantineIsNotCalledUnrun(t *testing.T) {
-	s := newSite(t, repeatable(2*time.Second))
-	k := &keeper{}
+// The request has been executed, so the refusal must not say that it has not.
+func TestQuarantineAfterExecution(t *testing.T) {
+	s := newSite(t, repeatableRoute(2*time.Second))
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
 	cut := func(w http.ResponseWriter, r *http.Request) {
-		k.keep(time.Hour)
-		hangUp(w, r)
+		k.hold(time.Hour)
+		dropConnection(w, r)
 	}
 	first, second := s.endpoint(t, cut), s.endpoint(t, cut)
-	a, _, err := s.ask("/")
+	resp, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.c.Assert(a.StatusCode, quicktest.Equals, http.StatusBadGateway)
+	s.c.Assert(resp.StatusCode, quicktest.Equals, http.StatusBadGateway)
 	s.c.Assert(first.Load()+second.Load(), quicktest.Equals, int64(1))
 }
 
-func TestAnEndIsToldWithTheRequestsThatRanThere(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	k := &keeper{}
+func TestEndIsReportedWithItsRequests(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
-	s.runs(t)
-	s.fragile(t, "e1", "the body")
+	s.runGateway(t)
+	s.addCrashing(t, "e1", "the body")
 	_, _, err := s.ask("/x?y")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Endpoints: 1, Requests: 1})
-	for k.of("e1") == nil {
+	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
+	for k.endedUnder("e1") == nil {
 		time.Sleep(time.Millisecond)
 	}
 	want := quarantine.ContentOf(http.MethodPost, "site.example", "/x?y", "", []byte("the body"))
-	s.c.Assert(k.of("e1"), quicktest.DeepEquals, []quarantine.Content{want})
+	s.c.Assert(k.endedUnder("e1"), quicktest.DeepEquals, []quarantine.Content{want})
 }
 
-// Endpoints of a rack end together while each runs a page that all callers open. It was answered
-// again and again before, so it is not what they ended under.
-func TestARequestThatWasAnsweredLatelyIsNotSuspect(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
-	k := &keeper{}
+// Several endpoints end together while all of them run a popular request. It has recently been served, so it
+// is not suspected.
+func TestRecentlyServedRequestIsNotSuspect(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
+	k := &fakeQuarantine{}
 	s.gateway.Quarantine = k
-	s.runs(t)
+	s.runGateway(t)
 	s.endpoint(t, answerOK)
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.gateway.View.RemoveEndpoint("e1")
-	s.fragile(t, "e2", "the body")
+	s.addCrashing(t, "e2", "the body")
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.sees(quarantine.Ends{Endpoints: 1, Requests: 1})
-	s.c.Assert(k.of("e2"), quicktest.HasLen, 0)
+	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
+	s.c.Assert(k.endedUnder("e2"), quicktest.HasLen, 0)
 }
--- a/forward/record.go
+++ b/forward/record.go
@@ -7,92 +7,92 @@
 	"cairnwick.example/metrics"
 )
 
-// sampleEvery is how many ordinary successes share one log line.
-const sampleEvery = 32
+// sampleInterval is the number of ordinary successes per log line.
+const sampleInterval = 32
 
-// mostRoutes bounds the histograms by route.
-const mostRoutes = 64
+// maxRoutes limits the number of histograms by route.
+const maxRoutes = 64
 
-// mostOrganisations bounds the histograms by organisation; the rest share one. A histogram takes
-// 25 KB of heap, so that both families stay below 4 MB.
-const mostOrganisations = 64
+// maxOrganisations limits the number of histograms by organisation; the rest share one. A histogram takes
+// 25 KB of heap, so both families stay below 4 MB.
+const maxOrganisations = 64
 
-// Stats are the gateway's histograms.
+// Stats holds the gateway's histograms.
 type Stats struct {
-	Routes   *metrics.Family // time to the end of served requests, by route
-	First    *metrics.Family // time to the first byte, by route
-	Refusals *metrics.Family // time to the refusal, by code
-	Attempts *metrics.Family // time of failed attempts, by what became of them
-	Error    *metrics.Family // how far the predicted time to the first token was off, by which way
+	Routes          *metrics.Family // latency of served requests, by route
+	FirstByte       *metrics.Family // time to first byte, by route
+	Refusals        *metrics.Family // time to the refusal, by code
+	FailedAttempts  *metrics.Family // duration of failed attempts, by outcome
+	PredictionError *metrics.Family // of the time to first token, by direction
 
-	Organisations *metrics.Family // time to the end of served requests, by organisation
-	Unserved      *metrics.Family // time to the refusal, by organisation and code
+	Organisations        *metrics.Family // latency of served requests, by organisation
+	OrganisationRefusals *metrics.Family // time to the refusal, by organisation and code
 }
 
 // NewStats returns empty histograms.
 func NewStats() *Stats {
 	return &Stats{
-		Routes:   metrics.NewFamily(mostRoutes),
-		First:    metrics.NewFamily(mostRoutes),
-		Refusals: metrics.NewFamily(mostRoutes),
-		Attempts: metrics.NewFamily(mostRoutes),
-		Error:    metrics.NewFamily(mostRoutes),
+		Routes:          metrics.NewFamily(maxRoutes),
+		FirstByte:       metrics.NewFamily(maxRoutes),
+		Refusals:        metrics.NewFamily(maxRoutes),
+		FailedAttempts:  metrics.NewFamily(maxRoutes),
+		PredictionError: metrics.NewFamily(maxRoutes),
 
-		Organisations: metrics.NewFamily(mostOrganisations),
-		Unserved:      metrics.NewFamily(mostOrganisations),
+		Organisations:        metrics.NewFamily(maxOrganisations),
+		OrganisationRefusals: metrics.NewFamily(maxOrganisations),
 	}
 }
 
-// note records a request that was served.
-func (g *Gateway) note(q *request, out *answer) {
+// recordSuccess logs and counts a served request.
+func (g *Gateway) recordSuccess(q *request, out *callerResponse) {
 	now := clock.Now()
 	g.watch().Answered(q.content, now)
 	g.Stats.Routes.Observe(q.route.Name(), now.Sub(q.received))
-	g.Stats.First.Observe(q.route.Name(), out.first.Sub(q.received))
+	g.Stats.FirstByte.Observe(q.route.Name(), out.firstByteAt.Sub(q.received))
 	if q.organisation != nil {
-		g.Stats.Organisations.Observe(q.payer(), now.Sub(q.received))
+		g.Stats.Organisations.Observe(q.organisationName(), now.Sub(q.received))
 	}
-	plain := q.attempts == 1 && out.status < 300 && out.first.Sub(q.received) <= q.route.Target()
-	g.notePrediction(q)
-	if g.Pressed() || (plain && g.sampled.Add(1)%sampleEvery != 0 && !g.Log.V(1).Enabled()) {
+	plain := q.attempts == 1 && out.status < 300 && out.firstByteAt.Sub(q.received) <= q.route.Target()
+	g.recordPrediction(q)
+	if g.LogBacklogged() || (plain && g.sampleCount.Add(1)%sampleInterval != 0 && !g.Log.V(1).Enabled()) {
 		return
 	}
-	g.Log.Info("Request was answered", "request", q.call.ID, "route", q.route.Name(), "organisation", q.payer(), "endpoint", q.sentTo.ID(),
+	g.Log.Info("Request was answered", "request", q.call.ID, "route", q.route.Name(), "organisation", q.organisationName(), "endpoint", q.sentTo.ID(),
 		"adapter", q.call.Adapter.String(), "adapter_version", q.version, "config", q.config.Version(),
-		"status", out.status, "attempts", q.attempts, "waited_ms", q.waited.Milliseconds(), "queued_ms", q.queued.Milliseconds(),
-		"sent_ms", q.sentAt.Sub(q.received).Milliseconds(), "predicted_ms", q.predicted.Milliseconds(),
-		"first_ms", out.first.Sub(q.received).Milliseconds(), "target_ms", q.route.Target().Milliseconds(),
-		"pause_ms", q.pause.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
+		"status", out.status, "attempts", q.attempts, "waited_ms", q.placementTime.Milliseconds(), "queued_ms", q.queueTime.Milliseconds(),
+		"sent_ms", q.sentAt.Sub(q.received).Milliseconds(), "predicted_ms", q.predictedFirstToken.Milliseconds(),
+		"first_ms", out.firstByteAt.Sub(q.received).Milliseconds(), "target_ms", q.route.Target().Milliseconds(),
+		"pause_ms", q.maxEventGap.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
 }
 
-// notePrediction records how far off the predicted time to the first token was.
-func (g *Gateway) notePrediction(q *request) {
-	if q.call.Adapter.Name == "" || q.firstAt.IsZero() {
+// recordPrediction records the error of the predicted time to first token.
+func (g *Gateway) recordPrediction(q *request) {
+	if q.call.Adapter.Name == "" || q.firstTokenAt.IsZero() {
 		return
 	}
-	seen := q.firstAt.Sub(q.sentAt)
-	if seen > q.predicted {
-		g.Stats.Error.Observe("later", seen-q.predicted)
+	actual := q.firstTokenAt.Sub(q.sentAt)
+	if actual > q.predictedFirstToken {
+		g.Stats.PredictionError.Observe("later", actual-q.predictedFirstToken)
 		return
 	}
-	g.Stats.Error.Observe("sooner", q.predicted-seen)
+	g.Stats.PredictionError.Observe("sooner", q.predictedFirstToken-actual)
 }
 
-// recordAttempt records an attempt that brought no answer.
-func (g *Gateway) recordAttempt(q *request, what, detail string) {
+// recordAttempt logs and counts an attempt without a usable response.
+func (g *Gateway) recordAttempt(q *request, outcome, detail string) {
 	took := clock.Since(q.sentAt)
-	g.Stats.Attempts.Observe(what, took)
+	g.Stats.FailedAttempts.Observe(outcome, took)
 	g.Log.Info("Attempt failed", "request", q.call.ID, "route", q.route.Name(), "endpoint", q.sentTo.ID(),
-		"content", q.content.String(), "outcome", what, "attempt", q.attempts, "adapter", q.call.Adapter.String(), "adapter_version", q.version,
+		"content", q.content.String(), "outcome", outcome, "attempt", q.attempts, "adapter", q.call.Adapter.String(), "adapter_version", q.version,
 		"took_ms", took.Milliseconds(), "cause", detail)
 }
 
-// recordFailure records the final answer of a request that was not served.
-func (g *Gateway) recordFailure(q *request, f *Refusal, begun bool) {
+// recordFailure logs and counts the final response to a request that was not served.
+func (g *Gateway) recordFailure(q *request, f *Refusal, started bool) {
 	took := clock.Since(q.received)
 	g.Stats.Refusals.Observe(string(f.Code), took)
 	if q.organisation != nil {
-		g.Stats.Unserved.Observe(q.payer()+" "+string(f.Code), took)
+		g.Stats.OrganisationRefusals.Observe(q.organisationName()+" "+string(f.Code), took)
 	}
 	route, version, endpoint := "", uint64(0), ""
 	if q.route != nil {
@@ -104,8 +104,8 @@
 	if q.sentTo != nil {
 		endpoint = q.sentTo.ID()
 	}
-	g.Log.Info("Request failed", "request", q.call.ID, "content", q.content.String(), "route", route, "organisation", q.payer(), "reason", string(f.Code),
-		"status", f.status(), "may_have_run", f.Ran, "begun", begun, "adapter", q.call.Adapter.String(),
-		"endpoint", endpoint, "attempts", q.attempts, "retry_withheld", q.withheld, "config", version, "waited_ms", q.waited.Milliseconds(),
-		"took_ms", took.Milliseconds(), "retry_ms", f.Retry.Milliseconds(), "cause", f.Detail)
+	g.Log.Info("Request failed", "request", q.call.ID, "content", q.content.String(), "route", route, "organisation", q.organisationName(), "reason", string(f.Code),
+		"status", f.status(), "may_have_run", f.MayHaveRun, "begun", started, "adapter", q.call.Adapter.String(),
+		"endpoint", endpoint, "attempts", q.attempts, "retry_withheld", q.retryWithheld, "config", version, "waited_ms", q.placementTime.Milliseconds(),
+		"took_ms", took.Milliseconds(), "retry_ms", f.RetryAfter.Milliseconds(), "cause", f.Detail)
 }
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -8,94 +8,94 @@
 	"time"
 )
 
-// Code names why a request got no answer of an endpoint.
+// Code names the reason why a request got no response of an endpoint.
 type Code string
 
-// The codes.
+// The codes of refusals.
 const (
-	CodeBadRequest  Code = "bad_request"
-	CodeBodyTooLong Code = "body_too_large"
-	CodeNoConfig    Code = "no_configuration"
-	CodeNoRoute     Code = "no_route"
-	CodeOverloaded  Code = "overloaded"
-	CodeNoEndpoint  Code = "no_endpoint"
-	CodeNotLoaded   Code = "adapter_not_loaded"
-	CodeShed        Code = "refused_by_endpoint"
-	CodeLost        Code = "answer_lost"
-	CodeSpoilt      Code = "answer_spoilt"
-	CodeCut         Code = "answer_cut"
-	CodeTimeout     Code = "timeout"
-	CodeCallerGone  Code = "caller_gone"
-	CodeBodyLate    Code = "body_too_late" // the body was not there by the request's deadline
-	CodeEnding      Code = "box_ends"      // the time that the box had to stop is over
-	CodeFault       Code = "fault"         // of this program
-	CodeQuarantined Code = "quarantined"   // endpoints ended while they ran such a request
-	// CodeEndpointLimit: the endpoints that could serve it name limits, and take no more.
+	CodeBadRequest        Code = "bad_request"
+	CodeBodyTooLarge      Code = "body_too_large"
+	CodeNoConfig          Code = "no_configuration"
+	CodeNoRoute           Code = "no_route"
+	CodeOverloaded        Code = "overloaded"
+	CodeNoEndpoint        Code = "no_endpoint"
+	CodeNotLoaded         Code = "adapter_not_loaded"
+	CodeRefusedByEndpoint Code = "refused_by_endpoint"
+	CodeNoAnswer          Code = "answer_lost"
+	CodeInvalidResponse   Code = "answer_spoilt"
+	CodeTruncated         Code = "answer_cut"
+	CodeTimeout           Code = "timeout"
+	CodeCallerGone        Code = "caller_gone"
+	CodeBodyTimeout       Code = "body_too_late" // the body did not arrive before the request's deadline
+	CodeShutdown          Code = "box_ends"      // the shutdown grace period is over
+	CodeInternal          Code = "fault"         // a panic in this program
+	CodeQuarantined       Code = "quarantined"   // endpoints ended while they ran such a request
+	// CodeEndpointLimit: the endpoints that could serve the request have reached their rate limits.
 	CodeEndpointLimit Code = "endpoint_limit"
-	// CodeBackoff: the endpoints that could serve it asked this box to send nothing for a while.
+	// CodeBackoff: the endpoints that could serve the request are in a back-off.
 	CodeBackoff Code = "endpoint_backoff"
 
-	CodeNoKey        Code = "key_unknown"      // the caller shows no key that stands for an organisation
-	CodeOldWord      Code = "keys_not_current" // what this box knows of keys is too old to go by
-	CodeOverQuota    Code = "quota_used_up"    // of the caller's organisation
-	CodeQuotaUnknown Code = "quota_not_known"  // nobody who counts the organisation's quota answers
+	CodeKeyUnknown    Code = "key_unknown"      // the caller sent no key of an organisation
+	CodeKeysStale     Code = "keys_not_current" // this box's copy of the keys is too old
+	CodeQuotaExceeded Code = "quota_used_up"
+	CodeQuotaUnknown  Code = "quota_not_known" // no leader that counts the organisation's quota answers
 )
 
-// Refusal is the final answer to a request that got none of an endpoint.
+// Refusal is the final response to a request that got none from an endpoint.
 type Refusal struct {
-	Code   Code
-	Ran    bool          // it may have run
-	Unsent bool          // no byte of it left this box
-	Retry  time.Duration // when to come back; zero: nothing better is known than soon
-	Detail string
+	Code       Code
+	MayHaveRun bool          // the request may have been executed
+	Unsent     bool          // no byte of the request left this box
+	RetryAfter time.Duration // for the caller; zero: minRetryAfter
+	Detail     string
 }
 
 func (f *Refusal) Error() string {
-	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.Ran, f.Detail)
+	return fmt.Sprintf("forward: %s (may have run: %t): %s", f.Code, f.MayHaveRun, f.Detail)
 }
 
-// soonest is the shortest time that a refused caller is told.
-const soonest = 50 * time.Millisecond
+// minRetryAfter is the shortest Retry-After that a refused caller gets.
+const minRetryAfter = 50 * time.Millisecond
 
-// status is 503 only where the request has provably not run.
+// status returns 503 only if the request has provably not been executed.
 func (f *Refusal) status() int {
 	switch f.Code {
 	case CodeBadRequest:
 		return http.StatusBadRequest
-	case CodeBodyTooLong:
+	case CodeBodyTooLarge:
 		return http.StatusRequestEntityTooLarge
 	case CodeNoRoute:
 		return http.StatusNotFound
-	case CodeNoKey:
-		if !f.Ran {
+	case CodeKeyUnknown:
+		if !f.MayHaveRun {
 			return http.StatusUnauthorized
 		}
-	case CodeOverQuota:
-		if !f.Ran {
+	case CodeQuotaExceeded:
+		if !f.MayHaveRun {
 			return http.StatusTooManyRequests
 		}
-	case CodeBodyLate:
+	case CodeBodyTimeout:
 		return http.StatusRequestTimeout
 	case CodeTimeout:
 		return http.StatusGatewayTimeout
 	}
-	if f.Ran {
+	if f.MayHaveRun {
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
 }
 
-// refuse answers at once.
+// refuse sends the refusal to the caller.
 func (g *Gateway) refuse(w http.ResponseWriter, q *request, f *Refusal) {
 	g.recordFailure(q, f, false)
 	status := f.status()
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		g.Protocol.ComeBack(h, max(f.Retry, soonest))
+		g.Protocol.SetRetryAfter(h, max(f.RetryAfter, minRetryAfter))
 	}
-	if f.Code == CodeOldWord {
-		h.Set("Connection", "close") // another box may know more
+	if f.Code == CodeKeysStale {
+		h.Set("Connection", "close") // a box with a newer copy may answer
 	}
 	w.WriteHeader(status)
 	_, _ = fmt.Fprintf(w, "%s\n", f.Code) // the caller may be gone
--- a/forward/request.go
+++ b/forward/request.go
@@ -19,74 +19,73 @@
 	"github.com/pkg/errors"
 )
 
-// request is one try of a caller, held until its final answer.
+// request is one attempt of a caller, until its final response.
 type request struct {
 	inbound       *http.Request
-	caller        caller
+	connection    callerConn
 	call          Call
 	received      time.Time
-	deadline      time.Time // of the caller or of the route, whichever is first
+	deadline      time.Time // the earlier of the caller's and the route's
 	route         *topology.Route
 	config        *topology.Config
 	service       *topology.Service
-	organisation  *access.Organisation // nil: the route asks for no key
-	spent         float64              // of the organisation's quota, for a run that has not begun
+	organisation  *access.Organisation // nil: the route is public
+	charged       float64              // units of the organisation's quota for an execution that has not begun
 	body          []byte
-	content       quarantine.Content // zero: the body has not been read
-	attempts      int                // requests sent to endpoints
-	unreached     int                // of these, those that reached nobody
-	ran           int                // of these, those that may have run
-	tried         map[string]bool    // endpoints that failed it
-	refused       map[string]bool    // of these, those that turned it away or were not there: nobody is to bring it there again
-	full          map[string]noRoom  // endpoints that name a limit and had no room for it
-	mayHaveRun    bool               // an attempt may have run
-	noOwnerLogged bool               // a line tells that nobody answered for an endpoint that should load its adapter
-	budgeted      bool               // the next attempt has been taken from the budget of retries already
-	withheld      bool               // the budget kept it from another attempt
-	denied        string             // the endpoint that said it does not hold the adapter
-	sentAt        time.Time          // of the last attempt
+	content       quarantine.Content     // zero: the body has not been read
+	attempts      int                    // requests sent to endpoints
+	unsent        int                    // of these, those of which no byte was sent
+	executions    int                    // of these, those that may have been executed
+	tried         map[string]bool        // endpoints that failed it
+	excluded      map[string]bool        // of these, those that rejected it or refused the connection: placement must not choose them again
+	limitDenials  map[string]limitDenial // by endpoint with a rate limit
+	mayHaveRun    bool                   // an attempt may have been executed
+	noOwnerLogged bool                   // logNoOwner has logged
+	retryReserved bool                   // the next attempt has already been taken from the retry budget
+	retryWithheld bool                   // the retry budget denied another attempt
+	notLoadedAt   string                 // endpoint that reported that it does not hold the adapter
+	sentAt        time.Time              // of the last attempt
 	sentTo        *topology.Endpoint
 	version       int64         // of the adapter at the last attempt; zero: any
-	queued        time.Duration // of waited, until the load began
-	waited        time.Duration // until its adapter was ready somewhere, or was found not to be
-	// predicted is how long the endpoint of the last attempt was expected to take to its
-	// first token.
-	predicted time.Duration
-	pause     time.Duration // the longest between two events of its stream
-	firstAt   time.Time     // when the endpoint of the last attempt began to answer; zero: it has not
+	queueTime     time.Duration // part of placementTime before the load began
+	placementTime time.Duration // from receipt until the adapter was ready, or was found not to be
+	// predictedFirstToken is the predicted time to the first token of the last attempt.
+	predictedFirstToken time.Duration
+	maxEventGap         time.Duration // the longest time between two events of its stream
+	firstTokenAt        time.Time     // of the last attempt; zero: no response yet
 }
 
-func (q *request) left(now time.Time) time.Duration { return q.deadline.Sub(now) }
+func (q *request) remaining(now time.Time) time.Duration { return q.deadline.Sub(now) }
 
-// hasAttempts tells whether the request may be sent once more.
+// hasAttempts reports whether the request may be sent once more.
 func (q *request) hasAttempts() bool {
-	return q.attempts-q.unreached < mostAttempts && q.unreached < mostUnreached
+	return q.attempts-q.unsent < maxAttempts && q.unsent < maxUnsent
 }
 
-// usedBefore is how much less time than the route gives a caller must have left to
-// have come back: more than clocks and the way here explain.
-const usedBefore = 40 * time.Millisecond
+// retryMargin is how much shorter than the route's timeout a caller's deadline must be to
+// indicate a retry: more than network delay explains.
+const retryMargin = 40 * time.Millisecond
 
-// returned tells whether the caller spent some of its time before this try.
-func (q *request) returned() bool {
-	return q.call.Deadline > 0 && q.call.Deadline+usedBefore < q.route.Timeout()
+// isRetry reports whether the caller has used up some of its time in earlier attempts.
+func (q *request) isRetry() bool {
+	return q.call.Deadline > 0 && q.call.Deadline+retryMargin < q.route.Timeout()
 }
 
-// useful is how much longer the first part of an answer is of use to the caller: it leaves
-// when it has heard nothing for some time, long before its deadline.
-func (q *request) useful(now time.Time) time.Duration {
-	left := q.left(now)
+// usefulTime is how much longer the first byte of a response is of use to the caller, which
+// gives up after the route's patience, long before its deadline.
+func (q *request) usefulTime(now time.Time) time.Duration {
+	left := q.remaining(now)
 	if p := q.route.Patience(); p > 0 {
 		left = min(left, q.received.Add(p).Sub(now))
 	}
 	return left
 }
 
-// admit finds a request's route and reads its body; malformed is what is wrong with its head.
+// admit routes a request and reads its body; malformed is the error in its headers.
 func (g *Gateway) admit(w http.ResponseWriter, q *request, malformed error) *Refusal {
 	q.config = g.View.Config()
 	if q.config == nil {
-		return &Refusal{Code: CodeNoConfig, Retry: time.Second}
+		return &Refusal{Code: CodeNoConfig, RetryAfter: time.Second}
 	}
 	if malformed != nil {
 		return &Refusal{Code: CodeBadRequest, Detail: malformed.Error()}
@@ -95,49 +94,49 @@
 	if q.route == nil {
 		return &Refusal{Code: CodeNoRoute, Detail: q.inbound.Host + q.inbound.RequestURI}
 	}
-	if f := g.identify(q, clock.Now()); f != nil {
+	if f := g.authenticate(q, clock.Now()); f != nil {
 		return f
 	}
 	q.deadline = q.received.Add(q.route.Timeout())
 	if d := q.call.Deadline; d > 0 && d < q.route.Timeout() {
 		q.deadline = q.received.Add(d)
 	}
-	q.service = q.config.Service(q.route.Split(share(q.call.ID)))
+	q.service = q.config.Service(q.route.Split(hashFraction(q.call.ID)))
 	if q.service == nil {
-		return &Refusal{Code: CodeNoEndpoint, Retry: time.Second, Detail: "the route's service is not configured"}
+		return &Refusal{Code: CodeNoEndpoint, RetryAfter: time.Second, Detail: "the route's service is not configured"}
 	}
 	if f := g.readBody(w, q); f != nil {
 		return f
 	}
-	return g.quarantined(q, clock.Now())
+	return g.checkQuarantine(q, clock.Now())
 }
 
-// maySend tells whether a request may be given to an endpoint now: a configuration, or the word of
-// another box, may have come while it waited. Its context does not end while the machine is suspended,
-// so its time is looked at too.
+// maySend checks whether a request may be sent now: the configuration or the quarantine may have
+// changed while it waited. The deadline is checked too, since the request's context does not expire
+// while the machine is suspended.
 func (g *Gateway) maySend(q *request, now time.Time) *Refusal {
-	if q.left(now) <= 0 {
-		return &Refusal{Code: CodeTimeout, Detail: "its time was over before it could be sent"}
+	if q.remaining(now) <= 0 {
+		return &Refusal{Code: CodeTimeout, Detail: "deadline passed before the request could be sent"}
 	}
-	if f := g.quarantined(q, now); f != nil {
+	if f := g.checkQuarantine(q, now); f != nil {
 		return f
 	}
-	return g.identify(q, now)
+	return g.authenticate(q, now)
 }
 
-// quarantined refuses a request under which endpoints ended. The next endpoint would end too, with
-// the requests of others that it runs.
-func (g *Gateway) quarantined(q *request, now time.Time) *Refusal {
-	left, kept := g.Quarantine.Left(q.content, now)
+// checkQuarantine refuses a request under which endpoints ended. The next endpoint would end too, and
+// with it the other requests that it runs.
+func (g *Gateway) checkQuarantine(q *request, now time.Time) *Refusal {
+	left, kept := g.Quarantine.Remaining(q.content, now)
 	if !kept {
 		return nil
 	}
-	return &Refusal{Code: CodeQuarantined, Retry: left, Detail: "endpoints ended while they ran such a request"}
+	return &Refusal{Code: CodeQuarantined, RetryAfter: left, Detail: "endpoints ended while they ran requests with this content"}
 }
 
-// readBody takes the body whole, so that it can be sent again.
+// readBody buffers the body, so that it can be sent again.
 func (g *Gateway) readBody(w http.ResponseWriter, q *request) *Refusal {
-	q.caller.bodyBy(clock.Timer(q.deadline))
+	q.connection.limitBodyRead(clock.Timer(q.deadline))
 	limit := q.config.Limits().BodyBytes
 	var buffer bytes.Buffer
 	if n := q.inbound.ContentLength; n > 0 && n <= limit {
@@ -146,24 +145,24 @@
 	_, err := buffer.ReadFrom(http.MaxBytesReader(w, q.inbound.Body, limit))
 	if err == nil {
 		q.body = buffer.Bytes()
-		q.content = quarantine.ContentOf(q.inbound.Method, hostOf(q.inbound), q.inbound.RequestURI, q.payer(), q.body)
+		q.content = quarantine.ContentOf(q.inbound.Method, hostOf(q.inbound), q.inbound.RequestURI, q.organisationName(), q.body)
 		return nil
 	}
-	if tooLong(err) {
-		return &Refusal{Code: CodeBodyTooLong}
+	if isBodyTooLarge(err) {
+		return &Refusal{Code: CodeBodyTooLarge}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return &Refusal{Code: CodeBodyLate, Detail: err.Error()}
+		return &Refusal{Code: CodeBodyTimeout, Detail: err.Error()}
 	}
 	return &Refusal{Code: CodeCallerGone, Detail: err.Error()}
 }
 
-func tooLong(err error) bool {
+func isBodyTooLarge(err error) bool {
 	_, ok := err.(*http.MaxBytesError)
 	return ok
 }
 
-// hostOf returns the host that the caller named, without a port.
+// hostOf returns the host of the request, without a port.
 func hostOf(r *http.Request) string {
 	if h, _, err := net.SplitHostPort(r.Host); err == nil {
 		return h
@@ -171,19 +170,19 @@
 	return r.Host
 }
 
-// pathOf returns the path as the caller wrote it.
+// pathOf returns the path as the caller sent it.
 func pathOf(r *http.Request) string {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return path
 }
 
-// share turns an ID into a number in [0, 1).
-func share(id string) float64 {
+// hashFraction maps an ID to a number in [0, 1).
+func hashFraction(id string) float64 {
 	return float64(xxhash.Sum64String(id)>>11) / (1 << 53)
 }
 
-// onceReader is a body that net/http cannot send a second time by itself.
-type onceReader struct{ io.Reader }
+// singleUseBody is a body that net/http can't send again on its own.
+type singleUseBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceReader) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -16,29 +16,29 @@
 
 const streamType = "text/event-stream"
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-func isStream(a *http.Response) bool {
-	return a.StatusCode == http.StatusOK && strings.HasPrefix(a.Header.Get("Content-Type"), streamType)
+func isStream(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), streamType)
 }
 
-// passStream hands whole events on as they come. A stream that breaks off goes on
-// at another endpoint where its route allows that.
-func (g *Gateway) passStream(ctx context.Context, q *request, out *answer, d *dispatch, t target, a *http.Response) *Refusal {
+// relayStream relays complete events as they arrive. A stream that breaks off is resumed at another endpoint
+// if its route allows that.
+func (g *Gateway) relayStream(ctx context.Context, q *request, out *callerResponse, d *dispatch, t target, resp *http.Response) *Refusal {
 	u := d.upstream
-	s := &events{out: out, last: q.call.LastEvent}
-	err := s.copy(a, d.heard)
-	u.outcome(err != nil && ctx.Err() == nil)
+	s := &eventRelay{out: out, lastID: q.call.LastEventID}
+	err := s.copy(resp, d.partReceived)
+	u.recordOutcome(err != nil && ctx.Err() == nil)
 	if err == nil {
 		return nil
 	}
-	q.ran++
+	q.executions++
 	q.mayHaveRun = true
 	q.tried[t.endpoint.ID()] = true
 	if ctx.Err() == nil {
-		u.dropIdle()
-		g.wasCut(u, q)
+		u.resetConnections()
+		g.reportBroken(u, q)
 	}
 	g.recordAttempt(q, "cut", err.Error())
 	for g.mayResume(ctx, q, out) {
@@ -46,90 +46,90 @@
 			return nil
 		}
 	}
-	return &Refusal{Code: CodeCut, Ran: true, Detail: err.Error()}
+	return &Refusal{Code: CodeTruncated, MayHaveRun: true, Detail: err.Error()}
 }
 
-func (g *Gateway) mayResume(ctx context.Context, q *request, out *answer) bool {
-	if out.gone || ctx.Err() != nil || !q.route.MayRepeat() || q.ran >= q.route.MaxAttempts() || q.attempts >= mostAttempts {
+func (g *Gateway) mayResume(ctx context.Context, q *request, out *callerResponse) bool {
+	if out.callerGone || ctx.Err() != nil || !q.route.MayRepeat() || q.executions >= q.route.MaxAttempts() || q.attempts >= maxAttempts {
 		return false
 	}
 	now := clock.Now()
-	if q.left(now) <= firstByte {
+	if q.remaining(now) <= firstByteTime {
 		return false
 	}
-	if q.budgeted { // the attempt before reached nobody
-		q.budgeted = false
-		g.budget(q.service.Name()).Unsent()
+	if q.retryReserved { // nothing of the previous attempt was sent
+		q.retryReserved = false
+		g.retryBudget(q.service.Name()).RecordUnsent()
 		return true
 	}
-	return g.mayRetry(q, now)
+	return g.takeRetry(q, now)
 }
 
-// resume goes on with a broken stream at another endpoint, after the last event
-// that the caller got; it tells whether the stream came to its end.
-func (g *Gateway) resume(ctx context.Context, q *request, s *events) bool {
-	t, f := g.find(ctx, q)
+// resume continues a broken stream at another endpoint, after the last event that the caller received. It
+// reports whether the stream is complete.
+func (g *Gateway) resume(ctx context.Context, q *request, s *eventRelay) bool {
+	t, f := g.nextTarget(ctx, q)
 	if f != nil {
-		q.ran = q.route.MaxAttempts() // nowhere to go
+		q.executions = q.route.MaxAttempts() // no endpoint to resume at
 		return false
 	}
-	d := g.dispatchTo(q, t)
-	defer d.ended()
+	d := g.newDispatch(q, t)
+	defer d.finish()
 	u := d.upstream
-	a, f := g.send(ctx, q, u, t, s.last)
+	resp, f := g.send(ctx, q, u, t, s.lastID)
 	if f != nil {
-		q.budgeted = f.Unsent
+		q.retryReserved = f.Unsent
 		return false
 	}
-	defer a.Body.Close()
-	q.ran++
+	defer resp.Body.Close()
+	q.executions++
 	q.tried[t.endpoint.ID()] = true
-	if !isStream(a) {
+	if !isStream(resp) {
 		return false
 	}
-	err := s.copy(a, d.heard)
-	u.outcome(err != nil && ctx.Err() == nil)
+	err := s.copy(resp, d.partReceived)
+	u.recordOutcome(err != nil && ctx.Err() == nil)
 	if err != nil && ctx.Err() == nil {
-		g.wasCut(u, q)
+		g.reportBroken(u, q)
 	}
 	return err == nil
 }
 
-// events passes the events of one answer on, from one run or, where a run went
-// on elsewhere, several.
-type events struct {
-	out  *answer
-	last string // ID of the last event that was passed on; empty: none
+// eventRelay relays the events of one response, which may come from several runs if the stream was
+// resumed.
+type eventRelay struct {
+	out    *callerResponse
+	lastID string // ID of the last relayed event; empty: none
 }
 
-// copy passes whole events on until the stream's end, which it returns as nil.
-// What is left of an event that was cut inside is not passed on. Each event is told to
-// heard.
-func (s *events) copy(a *http.Response, heard func()) error {
-	in := bufio.NewReaderSize(a.Body, 4<<10)
+// copy relays complete events until the end of the stream, for which it returns nil. It drops an event
+// that was cut off, and calls heard for each
+// complete one.
+func (s *eventRelay) copy(resp *http.Response, heard func()) error {
+	in := bufio.NewReaderSize(resp.Body, 4<<10)
 	var event []byte
-	begun := 0 // where the last line begins: a long one comes in pieces
+	lineStart := 0 // start of the last line: a long one arrives in pieces
 	for {
-		piece, err := in.ReadSlice('\n')
-		event = append(event, piece...)
-		if len(event) > maxEvent {
-			return s.ended(a, event, bufio.ErrBufferFull)
+		chunk, err := in.ReadSlice('\n')
+		event = append(event, chunk...)
+		if len(event) > maxEventBytes {
+			return s.finish(resp, event, bufio.ErrBufferFull)
 		}
 		if err == bufio.ErrBufferFull {
 			continue
 		}
 		if err != nil {
-			return s.ended(a, event, err)
+			return s.finish(resp, event, err)
 		}
-		line := event[begun:]
-		if begun = len(event); len(bytes.TrimRight(line, "\r\n")) > 0 {
+		line := event[lineStart:]
+		if lineStart = len(event); len(bytes.TrimRight(line, "\r\n")) > 0 {
 			continue
 		}
-		begun = 0
+		lineStart = 0
 		heard()
-		s.pass(a, event)
+		s.relay(resp, event)
 		event = event[:0]
-		if s.out.gone {
+		if s.out.callerGone {
 			return io.ErrClosedPipe
 		}
 		if in.Buffered() == 0 {
@@ -138,10 +138,10 @@
 	}
 }
 
-// ended tells whether the end of the body is the end of the stream. What was passed
-// on before reaches the caller in any case.
-func (s *events) ended(a *http.Response, partial []byte, err error) error {
-	if s.out.begun {
+// finish returns nil if the end of the body is the end of the stream. It flushes the events relayed
+// before.
+func (s *eventRelay) finish(resp *http.Response, partial []byte, err error) error {
+	if s.out.started {
 		s.out.flush()
 	}
 	if err != io.EOF {
@@ -150,31 +150,31 @@
 	if len(partial) > 0 {
 		return io.ErrUnexpectedEOF
 	}
-	if !s.out.begun {
-		s.out.head(a, -1)
+	if !s.out.started {
+		s.out.writeHead(resp, -1)
 	}
 	s.out.flush()
 	return nil
 }
 
-// pass hands one event on, unless an earlier run gave it already.
-func (s *events) pass(a *http.Response, event []byte) {
+// relay sends one event to the caller, unless an earlier run already delivered it.
+func (s *eventRelay) relay(resp *http.Response, event []byte) {
 	id := eventID(event)
-	if id != "" && !after(id, s.last) {
+	if id != "" && !isAfter(id, s.lastID) {
 		return
 	}
-	if !s.out.begun {
-		s.out.head(a, -1)
+	if !s.out.started {
+		s.out.writeHead(resp, -1)
 	}
 	if id != "" {
-		s.last = id
+		s.lastID = id
 	}
 	s.out.write(event)
 }
 
 var idField = []byte("id:")
 
-// eventID returns the ID of an event; empty when it has none.
+// eventID returns the ID of an event; empty if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if bytes.HasPrefix(line, idField) {
@@ -184,8 +184,8 @@
 	return ""
 }
 
-// after tells whether an event's ID comes after another's; IDs rise as numbers.
-func after(id, last string) bool {
+// isAfter reports whether event id comes after last. IDs are ascending numbers.
+func isAfter(id, last string) bool {
 	if last == "" {
 		return true
 	}
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -13,21 +13,21 @@
 	"github.com/frankban/quicktest"
 )
 
-// sleepyPlacer has the machine suspended while a request waits for its adapter.
-type sleepyPlacer struct{ pass time.Duration }
+// suspendingPlacer suspends the machine while a request waits for its adapter.
+type suspendingPlacer struct{ duration time.Duration }
 
-// Want implements Placer.
-func (p sleepyPlacer) Want(_ context.Context, w Wanted) (Placed, error) {
-	clock.Suspend(p.pass)
-	return Placed{Ready: true, Endpoint: w.Endpoint.ID()}, nil
+// Place implements Placer.
+func (p suspendingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
+	clock.Suspend(p.duration)
+	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
-// A box was suspended while it held a request. Its timers and its steady clock stood still, so it
-// gave the request to an endpoint long after its caller had left.
-func TestARequestWhoseTimePassedInASuspensionIsNotSent(t *testing.T) {
-	s := newSite(t, once(2*time.Second))
+// A box was suspended while a request was in flight. Timers and the monotonic clock stood still, so it sent the
+// request to an endpoint long after its caller had left.
+func TestDeadlinePassedDuringSuspension(t *testing.T) {
+	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
-	r := once(2 * time.Second)
+	r := onceRoute(2 * time.Second)
 	r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
 	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
 	calls := s.endpoint(t, answerOK)
@@ -35,7 +35,7 @@
 		ID: "e1", Service: "app", Address: s.gateway.View.Endpoint("e1").Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"},
 	}))
 	pass := 5 * time.Second
-	s.gateway.Placer = sleepyPlacer{pass: pass}
+	s.gateway.Placer = suspendingPlacer{duration: pass}
 	t.Cleanup(func() { clock.Suspend(-pass) })
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusGatewayTimeout)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
--- a/placement/copies_test.go
+++ b/placement/copies_test.go
@@ -71,7 +71,7 @@
 		l.owned[id] = &ownedEndpoint{endpoint: e, phase: owning, slots: make(map[topology.Adapter]*slot), models: map[string]bool{model: true}}
 	}
 	for range 5 { // one more than fill an endpoint
-		_, _ = l.tryPlace(&waiter{Wanted: forward.Wanted{Endpoint: b.endpoint, Adapter: adapter(1)}}, time.Now(), time.Now())
+		_, _ = l.tryPlace(&waiter{AdapterRequest: forward.AdapterRequest{Endpoint: b.endpoint, Adapter: adapter(1)}}, time.Now(), time.Now())
 	}
 	c.Assert(l.pendingLoads, quicktest.HasLen, 2)
 }
--- a/placement/ended_test.go
+++ b/placement/ended_test.go
@@ -68,8 +68,8 @@
 	b.loader.Ended("e1", time.Now().Add(time.Minute))
 	p, err := b.want(adapter(1), 5*time.Second)
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(p.Settling, quicktest.IsTrue)
-	c.Assert(p.Retry > 50*time.Second, quicktest.IsTrue)
+	c.Assert(p.OwnerChanging, quicktest.IsTrue)
+	c.Assert(p.RetryAfter > 50*time.Second, quicktest.IsTrue)
 	b.loader.Ended("unknown", time.Now().Add(time.Minute))
 }
 
@@ -90,15 +90,15 @@
 func TestARequestIsNotBroughtToAnEndpointThatItAvoids(t *testing.T) {
 	c, b := newFixtureWithHolder(t)
 	other := b.loader.View.Endpoint("e2")
-	w := forward.Wanted{Endpoint: other, Adapter: adapter(1), Wait: 5 * time.Second, Most: 5 * time.Second, Avoid: []string{"e1"}}
+	w := forward.AdapterRequest{Endpoint: other, Adapter: adapter(1), TargetWait: 5 * time.Second, MaxWait: 5 * time.Second, Avoid: []string{"e1"}}
 	for range 2 { // the first request loads it there, the second finds it
-		p, err := b.loader.Want(context.Background(), w)
+		p, err := b.loader.Place(context.Background(), w)
 		c.Assert(err, quicktest.IsNil)
 		c.Assert(p.Ready, quicktest.IsTrue)
 		c.Assert(p.Endpoint, quicktest.Equals, "e2")
 	}
 	w.Adapter = adapter(2) // not loaded: its load costs the same on both
-	p, err := b.loader.Want(context.Background(), w)
+	p, err := b.loader.Place(context.Background(), w)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.Endpoint, quicktest.Equals, "e2")
 }
@@ -114,7 +114,7 @@
 	b.loader.mu.Lock()
 	defer b.loader.mu.Unlock()
 	b.loader.pendingLoads[placementKey{endpoint: "e1", adapter: adapter(1)}] = &pendingLoad{done: make(chan struct{})}
-	w := &waiter{Wanted: forward.Wanted{Adapter: adapter(1)}}
+	w := &waiter{AdapterRequest: forward.AdapterRequest{Adapter: adapter(1)}}
 	c.Assert(b.loader.pendingEndpointLocked(w, "dc", now), quicktest.Equals, b.loader.owned["e1"])
 	w.Avoid = []string{"e1"}
 	c.Assert(b.loader.pendingEndpointLocked(w, "dc", now), quicktest.IsNil)
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -50,7 +50,7 @@
 
 // waiter is a request that needs an adapter.
 type waiter struct {
-	forward.Wanted
+	forward.AdapterRequest
 
 	requestedAt time.Time
 	counted     bool           // its demand has been counted
@@ -70,19 +70,19 @@
 	return s.loadBegan.Sub(w.requestedAt)
 }
 
-// Want implements forward.Placer for the endpoints of this box. A request waits while its
+// Place implements forward.Placer for the endpoints of this box. A request waits while its
 // load is expected to complete in time to be useful to the caller. The expectation changes with
 // the other pending loads, so it is re-evaluated periodically; when the load would come too
 // late, the caller is told when to retry instead.
-func (l *Loader) Want(ctx context.Context, w forward.Wanted) (forward.Placed, error) {
+func (l *Loader) Place(ctx context.Context, w forward.AdapterRequest) (forward.PlacementResult, error) {
 	l.Init()
 	now := clock.Now()
-	limit := now.Add(max(w.Most, 0))
-	for q := (&waiter{Wanted: w, requestedAt: now}); ; q.counted = true {
+	limit := now.Add(max(w.MaxWait, 0))
+	for q := (&waiter{AdapterRequest: w, requestedAt: now}); ; q.counted = true {
 		p, wait := l.tryPlace(q, clock.Now(), limit)
 		if wait == nil {
-			l.Log.V(1).Info("Adapter requested", "request", w.Request, "adapter", w.Adapter.String(),
-				"endpoint", w.Endpoint.ID(), "ready", p.Ready, "reason", p.Reason, "retry_ms", p.Retry.Milliseconds())
+			l.Log.V(1).Info("Adapter requested", "request", w.RequestID, "adapter", w.Adapter.String(),
+				"endpoint", w.Endpoint.ID(), "ready", p.Ready, "reason", p.Reason, "retry_ms", p.RetryAfter.Milliseconds())
 			return p, nil
 		}
 		timer := time.NewTimer(min(clock.Until(limit), recheckInterval))
@@ -90,12 +90,12 @@
 		case <-ctx.Done():
 			timer.Stop()
 			l.cancelWait(q)
-			return forward.Placed{}, ctx.Err()
+			return forward.PlacementResult{}, ctx.Err()
 		case <-timer.C:
 		case <-wait:
 			timer.Stop()
 		}
-		q.Denied = false
+		q.NotLoaded = false
 	}
 }
 
@@ -121,7 +121,7 @@
 }
 
 // tryPlace answers a request, or returns a channel to wait on.
-func (l *Loader) tryPlace(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
+func (l *Loader) tryPlace(w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setWaitTargetLocked(w, nil)
@@ -135,16 +135,16 @@
 }
 
 // tryPlaceLocked answers a request, or returns a channel to wait on and the endpoint of the load.
-func (l *Loader) tryPlaceLocked(w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}, *ownedEndpoint) {
+func (l *Loader) tryPlaceLocked(w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}, *ownedEndpoint) {
 	o := l.owned[w.Endpoint.ID()]
 	if o == nil || o.phase != owning {
-		return forward.Placed{Settling: true, Retry: l.settleDelayLocked(w.Endpoint, o, now), Reason: "the endpoint's owner has not settled"}, nil, nil
+		return forward.PlacementResult{OwnerChanging: true, RetryAfter: l.settleDelayLocked(w.Endpoint, o, now), Reason: "the endpoint's owner has not settled"}, nil, nil
 	}
 	if o.endpoint.Draining() {
-		return forward.Placed{Retry: retryMargin, Reason: "the endpoint leaves"}, nil, nil
+		return forward.PlacementResult{RetryAfter: retryMargin, Reason: "the endpoint leaves"}, nil, nil
 	}
 	var denied *ownedEndpoint
-	if w.Denied {
+	if w.NotLoaded {
 		denied = o
 	}
 	if at, s := l.findHolderLocked(o, w, denied, now); s != nil {
@@ -154,17 +154,17 @@
 		}
 		if !s.evicting || l.cancelEvictionLocked(at, w.Adapter) {
 			s.lastUsed, s.lastAnnounced = now, now
-			at.announcedTokens.Add(float64(w.Tokens), now, announcedHalfLife)
-			return forward.Placed{Ready: true, Endpoint: at.endpoint.ID(), Version: s.version, Queued: w.queueTime(s)}, nil, nil
+			at.announcedTokens.Add(float64(w.PromptTokens), now, announcedHalfLife)
+			return forward.PlacementResult{Ready: true, Endpoint: at.endpoint.ID(), Version: s.version, QueueTime: w.queueTime(s)}, nil, nil
 		}
 	}
 	if at := l.pendingEndpointLocked(w, o.endpoint.DataCentre(), now); at != nil {
 		o = at
-	} else if !w.Denied {
+	} else if !w.NotLoaded {
 		o = l.chooseEndpointLocked(w.Adapter, o, w.Avoid, now)
 	}
 	if !o.isAvailable(now) { // no endpoint of this data centre is available; one in another data centre may be
-		return forward.Placed{Settling: true, Retry: o.endedUntil.Sub(now), Reason: "the endpoint ended"}, nil, nil
+		return forward.PlacementResult{OwnerChanging: true, RetryAfter: o.endedUntil.Sub(now), Reason: "the endpoint ended"}, nil, nil
 	}
 	answer, done := l.enqueueLocked(o, w, now, limit)
 	return answer, done, o
@@ -192,21 +192,21 @@
 
 // waitOrRetry lets a request wait when the wait ends before limit, and otherwise returns
 // when to retry.
-func (l *Loader) waitOrRetry(remaining time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.Placed, <-chan struct{}) {
+func (l *Loader) waitOrRetry(remaining time.Duration, done <-chan struct{}, now, limit time.Time, reason string) (forward.PlacementResult, <-chan struct{}) {
 	remaining = max(remaining, 0)
 	if now.Add(remaining).Before(limit) {
-		return forward.Placed{}, done
+		return forward.PlacementResult{}, done
 	}
-	return forward.Placed{Retry: remaining + retryMargin, Reason: reason}, nil
+	return forward.PlacementResult{RetryAfter: remaining + retryMargin, Reason: reason}, nil
 }
 
 // enqueueLocked records that an adapter is needed, and lets the request wait when the
 // load will complete before limit.
-func (l *Loader) enqueueLocked(o *ownedEndpoint, w *waiter, now, limit time.Time) (forward.Placed, <-chan struct{}) {
+func (l *Loader) enqueueLocked(o *ownedEndpoint, w *waiter, now, limit time.Time) (forward.PlacementResult, <-chan struct{}) {
 	key := placementKey{endpoint: o.endpoint.ID(), adapter: w.Adapter}
 	q := l.pendingLoads[key]
 	if q == nil {
-		if s := o.slots[w.Adapter]; s != nil && w.Denied {
+		if s := o.slots[w.Adapter]; s != nil && w.NotLoaded {
 			s.ready = false // until the endpoint confirms again that it holds the adapter
 		}
 		q = &pendingLoad{done: make(chan struct{})}
@@ -215,11 +215,11 @@
 	}
 	q.version = max(q.version, w.Version)
 	q.lastRequested = now
-	if t := w.requestedAt.Add(w.Wait); t.After(q.deadline) {
+	if t := w.requestedAt.Add(w.TargetWait); t.After(q.deadline) {
 		q.deadline = t
 	}
 	if !w.counted {
-		q.demand.Add(l.requestWeightLocked(w.Wanted), now, demandHalfLife)
+		q.demand.Add(l.requestWeightLocked(w.AdapterRequest), now, demandHalfLife)
 		l.countRequestsLocked(w.Adapter, 1, now)
 		q.unservedRequests++
 		l.requestCopiesForDemandLocked(o, q, w.Adapter, now)
@@ -261,18 +261,18 @@
 
 // requestWeightLocked returns how much an unserved request counts: more the more work it
 // represents compared to others of its priority.
-func (l *Loader) requestWeightLocked(w forward.Wanted) float64 {
-	if w.Worth <= 0 {
+func (l *Loader) requestWeightLocked(w forward.AdapterRequest) float64 {
+	if w.Value <= 0 {
 		return 1
 	}
 	mean := l.meanWorth[w.Priority]
 	if mean == 0 {
-		mean = w.Worth
+		mean = w.Value
 	}
-	mean += (w.Worth - mean) / worthSmoothing
+	mean += (w.Value - mean) / worthSmoothing
 	l.meanWorth[w.Priority] = mean
-	weight := min(minRequestWeight+(1-minRequestWeight)*w.Worth/mean, maxRequestWeight)
-	if w.Returned {
+	weight := min(minRequestWeight+(1-minRequestWeight)*w.Value/mean, maxRequestWeight)
+	if w.Retried {
 		return weight * retryWeight
 	}
 	return weight
--- a/placement/prefill.go
+++ b/placement/prefill.go
@@ -17,9 +17,9 @@
 // setWaitTargetLocked records at which endpoint a request waits for a load; nil: none.
 func (l *Loader) setWaitTargetLocked(w *waiter, o *ownedEndpoint) {
 	if w.target != nil {
-		w.target.waitingTokens -= w.Tokens
+		w.target.waitingTokens -= w.PromptTokens
 	}
 	if w.target = o; o != nil {
-		o.waitingTokens += w.Tokens
+		o.waitingTokens += w.PromptTokens
 	}
 }
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -135,7 +135,7 @@
 
 // loads reports whether an adapter gets loaded for a request that can wait.
 func (b *fixture) loads(i int) bool {
-	p, err := b.loader.Want(context.Background(), b.patientRequest(i))
+	p, err := b.loader.Place(context.Background(), b.patientRequest(i))
 	return err == nil && p.Ready
 }
 
@@ -154,9 +154,9 @@
 	after, _, _ := f.count()
 	c.Assert(after, quicktest.Equals, reports) // the handover made a report unnecessary
 	c.Assert(second.loader.View.Holders(adapter(1)), quicktest.HasLen, 1)
-	p, err := first.loader.Want(context.Background(), first.patientRequest(3))
+	p, err := first.loader.Place(context.Background(), first.patientRequest(3))
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(p.Settling, quicktest.IsTrue)
+	c.Assert(p.OwnerChanging, quicktest.IsTrue)
 	time.Sleep(2 * ownershipInterval)
 	_, most, holders := f.count()
 	c.Assert(holders, quicktest.DeepEquals, []string{"first", "second"}) // the boxes did not alternate
@@ -184,7 +184,7 @@
 	f.mu.Lock()
 	f.respond = make(chan struct{})
 	f.mu.Unlock()
-	go func() { _, _ = first.loader.Want(context.Background(), first.patientRequest(2)) }() // its result is not needed
+	go func() { _, _ = first.loader.Place(context.Background(), first.patientRequest(2)) }() // its result is not needed
 	c.Assert(first.eventually(func() bool { return f.holds(adapter(2)) }), quicktest.IsTrue)
 	handed := make(chan Handover, 1)
 	go func() { handed <- first.loader.Resign(context.Background(), "e1") }()
@@ -252,9 +252,9 @@
 			first := newLeavingLoader(t, c, f)
 			k.do(f, first)
 			c.Assert(first.loader.Resign(context.Background(), "e1"), quicktest.DeepEquals, Handover{})
-			p, err := first.loader.Want(context.Background(), first.patientRequest(3)) // it gives no more orders either
+			p, err := first.loader.Place(context.Background(), first.patientRequest(3)) // it gives no more orders either
 			c.Assert(err, quicktest.IsNil)
-			c.Assert(p.Settling, quicktest.IsTrue)
+			c.Assert(p.OwnerChanging, quicktest.IsTrue)
 		})
 	}
 }
@@ -290,7 +290,7 @@
 	}
 	second.start(t)
 	for i := 2; first.loader.OrdersWhileLeaving("e1"); i++ {
-		_, _ = first.loader.Want(context.Background(), forward.Wanted{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused once its endpoint is full
+		_, _ = first.loader.Place(context.Background(), forward.AdapterRequest{Endpoint: first.endpoint, Adapter: adapter(i)}) // refused once its endpoint is full
 		time.Sleep(ownershipInterval / 4)
 	}
 	second.awaitOwned()
--- a/placement/site.go
+++ b/placement/site.go
@@ -136,7 +136,7 @@
 		if t == nil || p == denied || w.avoids(id) || !p.isAvailable(now) || p.endpoint.DataCentre() != centre {
 			continue
 		}
-		if (w.Elsewhere && l.isSaturated(id, now) || l.isThrottled(p, now)) && l.hasAlternativeLocked(a, centre, now) {
+		if (w.AvoidLimited && l.isSaturated(id, now) || l.isThrottled(p, now)) && l.hasAlternativeLocked(a, centre, now) {
 			continue // a copy elsewhere serves the requests that exceed the limit
 		}
 		serves := t.ready && t.version >= w.Version && !(t.evicting && (t.unloading || t.outdated))
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -37,7 +37,7 @@
 
 // patientWaiter returns a request for an adapter that asks at an endpoint and can wait long.
 func patientWaiter(o *ownedEndpoint, i int) *waiter {
-	return &waiter{Wanted: forward.Wanted{Endpoint: o.endpoint, Adapter: adapter(i), Wait: time.Minute, Most: time.Minute}}
+	return &waiter{AdapterRequest: forward.AdapterRequest{Endpoint: o.endpoint, Adapter: adapter(i), TargetWait: time.Minute, MaxWait: time.Minute}}
 }
 
 // A request waited at its adapter's usual endpoint, where every slot was in use, although another
@@ -86,7 +86,7 @@
 	list["e2"].slots[adapter(1)] = &slot{ready: true, version: 3}
 	p, wait := l.tryPlace(patientWaiter(list["e1"], 1), time.Now(), time.Now())
 	c.Assert(wait, quicktest.IsNil)
-	c.Assert(p, quicktest.Equals, forward.Placed{Ready: true, Endpoint: "e2", Version: 3})
+	c.Assert(p, quicktest.Equals, forward.PlacementResult{Ready: true, Endpoint: "e2", Version: 3})
 }
 
 // Two long prompts waited for loads on the same endpoint, and were prefilled one after the other.
@@ -95,7 +95,7 @@
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
 	first, second := patientWaiter(list["e1"], 1), patientWaiter(list["e1"], 2)
-	first.Tokens, second.Tokens = 9000, 9000
+	first.PromptTokens, second.PromptTokens = 9000, 9000
 	for _, w := range []*waiter{first, second} {
 		_, wait := l.tryPlace(w, now, now.Add(time.Minute))
 		c.Assert(wait, quicktest.IsNotNil)
