--- a/edge/limits.go
+++ b/edge/limits.go
@@ -155,29 +155,29 @@
 // Take implements forward.Limits.
 func (s *limits) Take(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.Taken {
 	now := clock.Now()
-	word, denied := s.cached(e.ID(), want, now)
-	if denied > 0 {
-		return forward.Taken{Wait: denied}
+	latest, wait := s.cached(e.ID(), want, now)
+	if wait > 0 {
+		return forward.Taken{Wait: wait}
 	}
 	q := &wire.TakeRequest{
 		Box:            s.node.peers.box,
-		Word:           wire.NewLimitWord(e.ID(), word, now),
+		Word:           wire.NewLimitWord(e.ID(), latest, now),
 		Rank:           int32(want.Rank),
 		PatienceMicros: want.Patience.Microseconds(),
 		Spare:          want.Spare,
 	}
 	a := s.askLeader(ctx, e.DataCentre(), q)
-	return s.applyReply(e.ID(), word, a, want, clock.Now())
+	return s.applyReply(e.ID(), latest, a, want, clock.Now())
 }
 
 // cached returns the latest known limit of an endpoint and, if an earlier denial applies to the request, how long it
 // has to wait. If that is zero the leader has to be asked.
-func (s *limits) cached(endpoint string, want ratelimit.Ask, now time.Time) (w ratelimit.Word, denied time.Duration) {
+func (s *limits) cached(endpoint string, want ratelimit.Ask, now time.Time) (latest ratelimit.Word, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
-		return w, 0
+		return latest, 0
 	}
 	if now.Before(k.denied.until) && !want.Before(k.denied.ask) {
 		k.counts.Denied++
@@ -207,7 +207,7 @@
 
 // applyReply records the leader's answer to a request. While an endpoint has no leader the request is denied, since
 // a single box does not know how many requests the others send.
-func (s *limits) applyReply(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.Taken {
+func (s *limits) applyReply(endpoint string, sent ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.Taken {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 		k.denied = denial{until: now.Add(noLeaderDenialTime), retryAt: now.Add(noLeaderDenialTime)}
 		return forward.Taken{Wait: noLeaderDenialTime}
 	case !a.GetLimited():
-		if k.latest == asked { // the leader knows that the limit has ended
+		if k.latest == sent { // the leader knows that the limit has ended
 			k.latest = ratelimit.Word{At: now}
 		}
 		return forward.Taken{OK: true}
@@ -230,11 +230,11 @@
 		return forward.Taken{OK: true, Wait: wait}
 	}
 	k.counts.Denied++
-	again := min(wait, maxDenialTime)
+	reuse := min(wait, maxDenialTime)
 	if want.Spare {
-		again = spareDenialTime
+		reuse = spareDenialTime
 	}
-	k.denied = denial{until: now.Add(again), retryAt: now.Add(wait), ask: want}
+	k.denied = denial{until: now.Add(reuse), retryAt: now.Add(wait), ask: want}
 	return forward.Taken{Wait: wait}
 }
 
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -77,11 +77,11 @@
 	}
 	o := s.slots.reports[id]
 	if o == nil || o.term < term {
-		most := -1
+		highest := -1
 		if o != nil {
-			most = o.highest
+			highest = o.highest
 		}
-		o = &ownerReport{term: term, held: make(map[int]slot), highest: most}
+		o = &ownerReport{term: term, held: make(map[int]slot), highest: highest}
 		s.slots.reports[id] = o
 	}
 	o.highest = max(o.highest, number)
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -198,7 +198,7 @@
 		s.node.Log.Info("Callers with keys are served", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
 		return
 	}
-	s.node.Log.Info("Callers with keys are refused: a newer configuration may have taken keys away", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
+	s.node.Log.Info("Callers with keys are refused: a newer configuration may have revoked keys", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
 }
 
 // countsCallers returns whether there are organisations, whose requests are counted and whose keys are checked.
@@ -301,9 +301,9 @@
 	if o == nil {
 		return
 	}
-	float := s.maxOwed(o.Quota())
-	a.Forgive(float, s.node.current.Load().Quota.Window, now)
-	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, float, 1) {
+	maxOwed := s.maxOwed(o.Quota())
+	a.Forgive(maxOwed, s.node.current.Load().Quota.Window, now)
+	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, maxOwed, 1) {
 		a.resolve(a.waiting[0], forward.Spent{OK: true})
 	}
 }
--- a/edge/usage.go
+++ b/edge/usage.go
@@ -98,10 +98,10 @@
 }
 
 // changeLocked adjusts the load of an entry and schedules a report to the leader.
-func (u *usage) changeLocked(k usageKey, requests, reading int) {
+func (u *usage) changeLocked(k usageKey, requests, unreadTokens int) {
 	w := u.inFlight[k]
 	w.requests += requests
-	w.unreadTokens += reading
+	w.unreadTokens += unreadTokens
 	u.inFlight[k] = w
 	if w.requests <= 0 {
 		delete(u.inFlight, k)
