--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -37,16 +37,16 @@
 	box string
 }
 
-// limitedEndpoint is a server that announces a rate limit in its responses if told to.
+// limitedEndpoint is a server that announces a rate limit in its responses if one is set.
 type limitedEndpoint struct {
 	address string
 
-	mu        sync.Mutex
-	header    string // of its responses; empty: none
-	value     string
-	refuses   bool                 // it refuses requests
-	firstTold map[string]time.Time // by box: its first response with the current header
-	arrivals  []arrival            // since the header was set
+	mu          sync.Mutex
+	header      string // of its responses; empty: none
+	value       string
+	refuses     bool                 // it refuses requests
+	announcedAt map[string]time.Time // by box: its first response with the current header
+	arrivals    []arrival            // since the header was set
 }
 
 // ServeHTTP implements http.Handler.
@@ -63,8 +63,8 @@
 		w.Header().Set("Not-Run", "yes")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	if _, known := e.firstTold[box]; !known {
-		e.firstTold[box] = time.Now()
+	if _, known := e.announcedAt[box]; !known {
+		e.announcedAt[box] = time.Now()
 	}
 }
 
@@ -73,7 +73,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.header, e.value, e.refuses = header, value, refuses
-	e.firstTold, e.arrivals = make(map[string]time.Time), nil
+	e.announcedAt, e.arrivals = make(map[string]time.Time), nil
 }
 
 // setLimit sets the announced limit; an empty string removes it.
@@ -85,13 +85,13 @@
 	e.setHeader("Limit", limit, false)
 }
 
-// maxInWindow returns the highest number of requests in a window from boxes that had been told in time.
+// maxInWindow returns the highest number of requests in a window from boxes that got the announcement in time.
 func (e *limitedEndpoint) maxInWindow() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var counted []time.Time
 	for _, a := range e.arrivals {
-		if told, known := e.firstTold[a.box]; known && a.at.Sub(told) >= reactionTime {
+		if announced, known := e.announcedAt[a.box]; known && a.at.Sub(announced) >= reactionTime {
 			counted = append(counted, a.at)
 		}
 	}
@@ -120,7 +120,7 @@
 	for range count {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, quicktest.IsNil)
-		e := &limitedEndpoint{address: l.Addr().String(), firstTold: make(map[string]time.Time)}
+		e := &limitedEndpoint{address: l.Addr().String(), announcedAt: make(map[string]time.Time)}
 		server := &http.Server{Handler: e}
 		done := make(chan error, 1)
 		go func() { done <- server.Serve(l) }()
@@ -364,7 +364,7 @@
 func TestLeaderReplyEndsALimit(t *testing.T) {
 	c := quicktest.New(t)
 	n, now := newLimitedNode(c)
-	word, _ := n.limits.cached("e1", ratelimit.Ask{}, now)
-	c.Check(n.limits.applyReply("e1", word, &wire.TakeReply{Leads: true}, ratelimit.Ask{}, now).OK, quicktest.IsTrue)
+	latest, _ := n.limits.cached("e1", ratelimit.Ask{}, now)
+	c.Check(n.limits.applyReply("e1", latest, &wire.TakeReply{Leads: true}, ratelimit.Ask{}, now).OK, quicktest.IsTrue)
 	c.Check(n.limits.Limited("e1"), quicktest.IsFalse)
 }
