--- a/edge/admission.go
+++ b/edge/admission.go
@@ -14,11 +14,11 @@
 type admission struct{ node *Node }
 
 // Trusted implements forward.Admission.
-func (a admission) Trusted(now time.Time) bool { return a.node.trustsKeys(now) }
+func (a admission) Trusted(now time.Time) bool { return a.node.keysAreCurrent(now) }
 
 // Current implements forward.Admission.
 func (a admission) Current(now time.Time) bool {
-	ago, ok := a.node.vouched.ago(now)
+	ago, ok := a.node.configFreshness.age(now)
 	return ok && ago <= a.node.behind()
 }
 
--- a/edge/ended_test.go
+++ b/edge/ended_test.go
@@ -123,7 +123,7 @@
 // List implements Source.
 func (f *fragile) List(_ context.Context, c Collection) (Batch, error) {
 	b := Batch{Revision: rev(1)}
-	if c == Settled {
+	if c == Configuration {
 		b.Facts = []Fact{{Key: "config", Revision: rev(1), Value: []byte("v")}}
 		return b, nil
 	}
--- a/edge/explore_test.go
+++ b/edge/explore_test.go
@@ -38,7 +38,7 @@
 		list = append(list, event{"restore", func(n *modelState) bool {
 			n.left.restores--
 			n.epoch++
-			n.copied = n.now
+			n.restoredAt = n.now
 			n.changes = n.changes[:len(n.changes)-1]
 			return true
 		}})
@@ -67,13 +67,13 @@
 	if w.silent {
 		return nil
 	}
-	if s.boxes[i].begun.IsZero() {
+	if s.boxes[i].callStarted.IsZero() {
 		list = append(list, event{"ask " + boxName(i), func(n *modelState) bool { return w.ask(n, i) }})
 	} else {
-		for name, err := range map[string]error{"answer ": nil, "fail ": errModelSource, "forget ": ErrForgotten{}} {
+		for name, err := range map[string]error{"answer ": nil, "fail ": errModelSource, "forget ": ErrHistoryLost{}} {
 			list = append(list, event{name + boxName(i), func(n *modelState) bool { return w.answer(n, i, err, false) }})
 		}
-		if s.boxes[i].begun.Before(s.now) {
+		if s.boxes[i].callStarted.Before(s.now) {
 			list = append(list, event{"late-answer " + boxName(i), func(n *modelState) bool { return w.answer(n, i, nil, true) }})
 		}
 	}
@@ -92,7 +92,7 @@
 	if l := &s.links[i]; l.down {
 		list = append(list, event{"connect " + boxName(i), func(n *modelState) bool { return w.connect(n, i) }})
 	} else if len(l.queue) > 0 {
-		list = append(list, event{"hear " + boxName(i), func(n *modelState) bool { return w.hear(n, i) }})
+		list = append(list, event{"hear " + boxName(i), func(n *modelState) bool { return w.deliver(n, i) }})
 	}
 	if s.left.breaks > 0 && !s.links[i].down {
 		list = append(list, event{"break " + boxName(i), func(n *modelState) bool {
@@ -110,21 +110,21 @@
 		return s.fault
 	}
 	for i := range s.boxes {
-		if fault := s.wentBack(was, i); fault != "" && i != restarted {
+		if fault := s.regression(was, i); fault != "" && i != restarted {
 			return fault
 		}
 		b := w.make(s, i, time.Since(s.now))
-		age, ok := b.node.readAgo()
+		age, ok := b.node.sourceAge()
 		if !ok {
 			continue
 		}
-		known := s.now.Add(-age - w.way(s, i, b))
-		if !known.After(s.copied) {
+		known := s.now.Add(-age - w.transitTime(s, i, b))
+		if !known.After(s.restoredAt) {
 			continue // it says nothing of the source since it was restored
 		}
 		knows := b.table.Get("e/1")
 		for r, c := range s.changes {
-			gone := (knows == nil || knows.GetRemoved()) && s.leftSince(r)
+			gone := (knows == nil || knows.GetRemoved()) && s.removedSince(r)
 			if c.at.Before(known) && revisionOf(knows) < revIn(c.epoch, uint64(r+1)) && !gone {
 				return fmt.Sprintf("%s says that it heard the source %v ago, and has not heard of revision %d of %v ago", boxName(i), age, r+1, s.now.Sub(c.at))
 			}
@@ -133,13 +133,13 @@
 	return ""
 }
 
-// leftSince reports whether a change, or one after it, took the endpoint away: a list after that has nothing of it.
-func (s *modelState) leftSince(revision int) bool {
+// removedSince reports whether a change, or one after it, took the endpoint away: a list after that has nothing of it.
+func (s *modelState) removedSince(revision int) bool {
 	return slices.ContainsFunc(s.changes[revision:], func(c modelChange) bool { return c.removed })
 }
 
-// wentBack tells whether a box knows something older than before, or lost it.
-func (s *modelState) wentBack(was *modelState, i int) string {
+// regression tells whether a box knows something older than before, or lost it.
+func (s *modelState) regression(was *modelState, i int) string {
 	now := make(map[string]*wire.Item)
 	for _, t := range s.boxes[i].items {
 		now[t.GetKey()] = t
@@ -161,12 +161,12 @@
 // isOfCopy reports whether a fact was published before one that a box knew, and is told as newer by a copy alone.
 // Where boxes start again they may know nothing of the one before.
 func (s *modelState) isOfCopy(before, now Revision) bool {
-	r := int(now.Count()) - 1
+	r := int(now.Number()) - 1
 	return s.left.restarts == 0 && now.Epoch() > before.Epoch() && !now.IsConfirmed() && s.changes[r].epoch <= before.Epoch()
 }
 
-// agesMost: what is older than every limit is as good as any older.
-const agesMost = 4 * time.Second
+// maxAge: what is older than every limit is as good as any older.
+const maxAge = 4 * time.Second
 
 // key names a state by what is known and how old it is.
 func (s *modelState) key() string {
@@ -175,7 +175,7 @@
 		if t.IsZero() {
 			return -1
 		}
-		return min(s.now.Sub(t), agesMost).Milliseconds()
+		return min(s.now.Sub(t), maxAge).Milliseconds()
 	}
 	items := func(list []*wire.Item) {
 		for _, i := range list {
@@ -185,18 +185,18 @@
 	for _, c := range s.changes {
 		fmt.Fprint(&k, age(c.at), c.epoch, ",")
 	}
-	fmt.Fprint(&k, s.left, s.epoch, age(s.copied))
+	fmt.Fprint(&k, s.left, s.epoch, age(s.restoredAt))
 	for _, b := range s.boxes {
-		fmt.Fprint(&k, "|", b.after, " ", b.listed, " ", age(b.asOf), b.failing, age(b.trusted), b.unsure, b.holding, age(b.answered), age(b.begun), age(b.failed), b.held, b.known.revision, age(b.known.asOf), b.relist, b.epoch, age(b.doubted), b.copyOf, ";")
+		fmt.Fprint(&k, "|", b.after, " ", b.listed, " ", age(b.asOf), b.failing, age(b.graceUntil), b.relistPending, b.deferring, age(b.answered), age(b.callStarted), age(b.failingSince), b.held, b.known.revision, age(b.known.asOf), b.needsList, b.epoch, age(b.confirmAfter), b.confirmEpoch, ";")
 		items(b.items)
-		for _, n := range slices.Sorted(maps.Keys(b.words)) {
-			fmt.Fprint(&k, n, age(b.words[n].received), " ", age(b.words[n].readAt), " ", b.words[n].first, " ", b.words[n].way)
+		for _, n := range slices.Sorted(maps.Keys(b.statuses)) {
+			fmt.Fprint(&k, n, age(b.statuses[n].received), " ", age(b.statuses[n].readAt), " ", b.statuses[n].first, " ", b.statuses[n].transit)
 		}
 	}
 	for _, l := range s.links {
-		fmt.Fprint(&k, "|", l.down, age(l.heard), " ", l.unsent)
+		fmt.Fprint(&k, "|", l.down, age(l.received), " ", l.unsent)
 		for _, m := range l.queue {
-			fmt.Fprint(&k, ";", m.reading, m.word, age(m.sent), " ", m.way)
+			fmt.Fprint(&k, ";", m.reading, m.status, age(m.sent), " ", m.way)
 			items(m.items)
 		}
 	}
@@ -216,7 +216,7 @@
 	now := time.Now()
 	s := &modelState{now: now, changes: []modelChange{{at: now.Add(-time.Minute)}}, left: left, links: make([]modelLink, len(w.parents))}
 	for i := range w.parents {
-		s.boxes = append(s.boxes, modelBox{words: make(map[string]modelWord)})
+		s.boxes = append(s.boxes, modelBox{statuses: make(map[string]modelStatus)})
 		s.links[i].down = true
 	}
 	return s
@@ -309,11 +309,11 @@
 	}
 }
 
-// wordDies is how long a word may live on between boxes that follow each other in a ring. A
+// maxStatusLife is how long a word may live on between boxes that follow each other in a ring. A
 // message of a stream says how old its word is when it is sent, and nobody knows how long it
 // takes; as long as that is no longer than a word rests at each box, its life is at most
 // doubled. The last tick is that of its end.
-const wordDies = 2*3*time.Second/2 + modelTick
+const maxStatusLife = 2*3*time.Second/2 + modelTick
 
 // Boxes that follow each other in a ring tell each other's word. It must not live by that.
 func TestAWordDiesInARing(t *testing.T) {
@@ -330,28 +330,28 @@
 			w := newModelWorld(k.parents, 0)
 			from := w.run(w.start(modelBudget{}), k.before)
 			w.silent = true
-			longest := w.lives(from)
-			c.Assert(longest < wordDies, quicktest.IsTrue, quicktest.Commentf("%v", longest))
+			longest := w.statusLife(from)
+			c.Assert(longest < maxStatusLife, quicktest.IsTrue, quicktest.Commentf("%v", longest))
 			t.Logf("%d boxes: %d states, a word lived for %v", len(k.parents), w.states, longest)
 		})
 	}
 }
 
-// lives visits the states in which any box goes by what it read or was told, and tells how long
+// statusLife visits the states in which any box goes by what it read or was told, and tells how long
 // after the first one the last one is.
-func (w *modelWorld) lives(from *modelState) time.Duration {
+func (w *modelWorld) statusLife(from *modelState) time.Duration {
 	seen := map[string]bool{}
 	var longest time.Duration
 	for level := []*modelState{from}; len(level) > 0; {
 		var next []*modelState
 		for _, s := range level {
 			k := s.key()
-			if seen[k] || !w.anyHears(s) {
+			if seen[k] || !w.anyRelies(s) {
 				continue
 			}
 			seen[k] = true
 			longest = max(longest, s.now.Sub(from.now))
-			if longest > 2*wordDies {
+			if longest > 2*maxStatusLife {
 				return longest
 			}
 			for _, e := range w.events(s) {
@@ -366,9 +366,9 @@
 	return longest
 }
 
-func (w *modelWorld) anyHears(s *modelState) bool {
+func (w *modelWorld) anyRelies(s *modelState) bool {
 	for i := range s.boxes {
-		if n := w.make(s, i, time.Since(s.now)).node; n.reads() || n.peers.informed(time.Now()) {
+		if n := w.make(s, i, time.Since(s.now)).node; n.readsSource() || n.peers.leaderIsCurrent(time.Now()) {
 			return true
 		}
 	}
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -77,7 +77,7 @@
 func (p *peers) follow(ctx context.Context, s source) {
 	q := &wire.FollowRequest{Box: p.box, Everything: s.everything}
 	c := wire.NewShareClient(p.dialer.Conn(s.address))
-	p.begin(s.name)
+	p.resetStream(s.name)
 	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, came time.Time) { p.apply(s, u, came) })
 	if ctx.Err() == nil {
 		p.log.Info("Stream from a box ended", "followed", s.name, "err", err.Error())
@@ -99,10 +99,10 @@
 	p.receiveStatus(s.name, said, came)
 }
 
-// begin records that a box is followed anew. It may have started again since, and listed the source without what had
+// resetStream records that a box is followed anew. It may have started again since, and listed the source without what had
 // left; it would never send the removal of what this box kept meanwhile. So its status counts once this box has read
 // the source up to the first one of the stream.
-func (p *peers) begin(name string) {
+func (p *peers) resetStream(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w, ok := p.statuses[name]; ok {
@@ -128,7 +128,7 @@
 		w.first = Revision(said.Endpoints)
 	}
 	p.statuses[name] = w
-	p.known.advance(Settled, checkpoint{revision: Revision(said.Settled), asOf: read})
+	p.known.advance(Configuration, checkpoint{revision: Revision(said.Settled), asOf: read})
 	if p.isComplete(w) {
 		p.known.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
 	}
@@ -144,18 +144,18 @@
 // long ago, where that box has sent nothing for long, or where this box leads.
 func (p *peers) statusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && w.isFresh(now, p.behind())
+	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && w.isFresh(now, p.behind())
 }
 
-// knowsEpoch reports whether a followed box has learned that the source was restored, as far as this box knows of it.
-func (p *peers) knowsEpoch(w leaderStatus) bool {
-	return w.settled.Epoch() >= p.known.of(Settled).revision.Epoch()
+// isOfCurrentEpoch reports whether a followed box has learned that the source was restored, as far as this box knows of it.
+func (p *peers) isOfCurrentEpoch(w leaderStatus) bool {
+	return w.settled.Epoch() >= p.known.of(Configuration).revision.Epoch()
 }
 
 // completeStatusAge returns the same where this box cannot have missed what left before.
 func (p *peers) completeStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && p.isComplete(w) && w.isFresh(now, p.behind())
+	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && p.isComplete(w) && w.isFresh(now, p.behind())
 }
 
 // latestStatusAge returns how long ago the source was read by the status of the followed box, however old; false where
@@ -176,8 +176,8 @@
 	return p.statuses[m.Name()], true
 }
 
-// informed reports whether this box receives what a leader that reads the source reads.
-func (p *peers) informed(now time.Time) bool {
+// leaderIsCurrent reports whether this box receives what a leader that reads the source reads.
+func (p *peers) leaderIsCurrent(now time.Time) bool {
 	_, ok := p.completeStatusAge(now)
 	return ok
 }
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -19,16 +19,16 @@
 // each step; so a status is at most 0.75 s old at the leader and 1.35 s two steps below it. At 1.5 s a box reads by
 // itself, 0.1 s later at most, which leaves 0.4 s for the call and for a leader whose link is slow.
 const (
-	watchParts = 3    // the time between two answers is a third of it
-	statusPart = 0.75 // a status that is older than this part of it is ignored
+	watchDivisor   = 3    // the time between two answers is a third of it
+	statusFraction = 0.75 // a status that is older than this part of it is ignored
 )
 
-// watchTime returns how long a box that reads goes without an answer.
-func watchTime(behind time.Duration) time.Duration { return behind / watchParts }
+// maxAnswerInterval returns how long a box that reads goes without an answer.
+func maxAnswerInterval(behind time.Duration) time.Duration { return behind / watchDivisor }
 
-// statusTime returns how old the status of a box that reads the source may be.
-func statusTime(behind time.Duration) time.Duration {
-	return time.Duration(float64(behind) * statusPart)
+// maxStatusAge returns how old the status of a box that reads the source may be.
+func maxStatusAge(behind time.Duration) time.Duration {
+	return time.Duration(float64(behind) * statusFraction)
 }
 
 // freshness is when the source last answered this box. A call that gets no answer says
@@ -38,8 +38,8 @@
 	answered map[Collection]time.Time // by collection; a missing one was never read, its last call failed, or its answer is held back
 }
 
-// note notes how a call for a collection went.
-func (f *freshness) note(c Collection, w readOutcome) {
+// record notes how a call for a collection went.
+func (f *freshness) record(c Collection, w readResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.answered == nil {
@@ -52,13 +52,13 @@
 	delete(f.answered, c)
 }
 
-// ago returns how long ago the collection was read whose last read is the oldest; false
+// age returns how long age the collection was read whose last read is the oldest; false
 // where one was not.
-func (f *freshness) ago(now time.Time) (time.Duration, bool) {
+func (f *freshness) age(now time.Time) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var most time.Duration
-	for _, c := range [...]Collection{Settled, Endpoints} {
+	for _, c := range [...]Collection{Configuration, Endpoints} {
 		at, ok := f.answered[c]
 		if !ok {
 			return 0, false
@@ -71,25 +71,25 @@
 // behind returns how far this box may be behind the source.
 func (n *Node) behind() time.Duration { return n.current.Load().Bounds.Behind() }
 
-// reads reports whether this box reads the source by itself.
-func (n *Node) reads() bool {
-	ago, ok := n.fresh.ago(clock.Now())
-	return ok && ago < statusTime(n.behind())
+// readsSource reports whether this box readsSource the source by itself.
+func (n *Node) readsSource() bool {
+	ago, ok := n.fresh.age(clock.Now())
+	return ok && ago < maxStatusAge(n.behind())
 }
 
-// noteRead notes how a call for a collection went.
-func (n *Node) noteRead(c Collection, w readOutcome) {
-	n.fresh.note(c, w)
+// recordRead notes how a call for a collection went.
+func (n *Node) recordRead(c Collection, w readResult) {
+	n.fresh.record(c, w)
 	if w.current {
 		n.checkpoints.advance(c, checkpoint{revision: w.revision, asOf: w.asOf})
 	}
-	if w.current && c == Settled && !n.state.unread() {
-		n.vouched.raise(w.begun)
+	if w.current && c == Configuration && !n.state.configUnreadable() {
+		n.configFreshness.advance(w.begun)
 	}
 }
 
-// noteListed notes the revision of a list of the source.
-func (n *Node) noteListed(c Collection, revision Revision) {
+// recordList notes the revision of a list of the source.
+func (n *Node) recordList(c Collection, revision Revision) {
 	if c == Endpoints {
 		n.listed.Store(uint64(revision))
 	}
@@ -104,10 +104,10 @@
 	return n.Decoder.Kind(i.GetKey()) == KindEndpoint && !i.GetRemoved() && i.GetVersion() <= n.listed.Load()
 }
 
-// readAgo returns how long ago this box, or one that it follows, read the source.
-func (n *Node) readAgo() (time.Duration, bool) {
+// sourceAge returns how long ago this box, or one that it follows, read the source.
+func (n *Node) sourceAge() (time.Duration, bool) {
 	now := clock.Now()
-	own, reads := n.fresh.ago(now)
+	own, reads := n.fresh.age(now)
 	received, informed := n.peers.completeStatusAge(now)
 	switch {
 	case reads && informed:
@@ -120,8 +120,8 @@
 
 // status returns how far this box has read the source, for those that follow it.
 func (n *Node) status() (share.Status, bool) {
-	settled, endpoints := n.checkpoints.of(Settled), n.checkpoints.of(Endpoints) // first: they hold at least up to then
-	age, ok := n.readAgo()
+	settled, endpoints := n.checkpoints.of(Configuration), n.checkpoints.of(Endpoints) // first: they hold at least up to then
+	age, ok := n.sourceAge()
 	return share.Status{Age: age, Settled: uint64(settled.revision), Endpoints: uint64(endpoints.revision)}, ok
 }
 
@@ -129,12 +129,12 @@
 // not send what it reads. Nothing that is settled is ever removed, so what a followed box sends of it is complete from
 // its first status on.
 func (n *Node) mustRead(c Collection) bool {
-	if c == Settled {
+	if c == Configuration {
 		now := clock.Now()
 		_, current := n.peers.statusAge(now)
-		return !current || n.mustVouch(now)
+		return !current || n.mustConfirmConfig(now)
 	}
-	return !n.peers.informed(clock.Now())
+	return !n.peers.leaderIsCurrent(clock.Now())
 }
 
 // sourceAges returns how long ago the source was read: by this box, and by its leader as the followed box reports; one
@@ -142,7 +142,7 @@
 func (n *Node) sourceAges() map[string]int64 {
 	now := clock.Now()
 	ages := make(map[string]int64)
-	if ago, ok := n.fresh.ago(now); ok {
+	if ago, ok := n.fresh.age(now); ok {
 		ages["own_ms"] = ago.Milliseconds()
 	}
 	if ago, ok := n.peers.latestStatusAge(now); ok {
--- a/edge/freshness_test.go
+++ b/edge/freshness_test.go
@@ -14,15 +14,15 @@
 	c := quicktest.New(t)
 	var f freshness
 	now := time.Unix(100, 0)
-	f.note(Settled, readOutcome{asOf: now, current: true})
-	_, ok := f.ago(now)
+	f.record(Configuration, readResult{asOf: now, current: true})
+	_, ok := f.age(now)
 	c.Assert(ok, quicktest.IsFalse) // endpoints were not heard
-	f.note(Endpoints, readOutcome{asOf: now.Add(time.Second), current: true})
-	ago, ok := f.ago(now.Add(3 * time.Second))
+	f.record(Endpoints, readResult{asOf: now.Add(time.Second), current: true})
+	ago, ok := f.age(now.Add(3 * time.Second))
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(ago, quicktest.Equals, 3*time.Second)
-	f.note(Settled, readOutcome{asOf: now})
-	_, ok = f.ago(now.Add(3 * time.Second))
+	f.record(Configuration, readResult{asOf: now})
+	_, ok = f.age(now.Add(3 * time.Second))
 	c.Assert(ok, quicktest.IsFalse)
 }
 
@@ -32,8 +32,8 @@
 	c := quicktest.New(t)
 	const call = 300 * time.Millisecond // to read the source, on a busy box
 	for _, behind := range []time.Duration{2 * time.Second, 3 * time.Second} {
-		c.Check(statusTime(behind)+standbyLook+call < behind, quicktest.IsTrue)
-		c.Check(watchTime(behind)+watchLeast+2*share.BeatPause < statusTime(behind), quicktest.IsTrue)
+		c.Check(maxStatusAge(behind)+standbyPollInterval+call < behind, quicktest.IsTrue)
+		c.Check(maxAnswerInterval(behind)+minWatchTimeout+2*share.BeatPause < maxStatusAge(behind), quicktest.IsTrue)
 	}
 }
 
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -69,7 +69,7 @@
 func (s *keyedSource) Watch(ctx context.Context, c Collection, after Revision, wait time.Duration) (Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c == Settled && len(s.changes) > 0 && !s.silent.Load() {
+	if c == Configuration && len(s.changes) > 0 && !s.silent.Load() {
 		f := s.changes[0]
 		s.changes = s.changes[1:]
 		return Batch{Facts: []Fact{f}, Revision: f.Revision}, nil
@@ -196,15 +196,15 @@
 	c := quicktest.New(t)
 	n := strictNode(c)
 	now := time.Now()
-	c.Assert(n.trustsKeys(now), quicktest.IsFalse) // no word yet
+	c.Assert(n.keysAreCurrent(now), quicktest.IsFalse) // no word yet
 	asked := now.Add(-4 * time.Second)
-	n.vouched.raise(asked.Add(-200 * time.Millisecond))
-	c.Assert(n.trustsKeys(now), quicktest.IsFalse)
-	n.vouched.raise(asked.Add(-time.Hour)) // an older answer changes nothing
-	c.Assert(n.trustsKeys(now.Add(-time.Second)), quicktest.IsTrue)
-	c.Assert(n.expectsKeys(now.Add(-time.Second)), quicktest.IsFalse) // callers are sent elsewhere before they are refused
-	c.Assert(n.expectsKeys(now.Add(-2*time.Second)), quicktest.IsTrue)
-	c.Assert(n.mustVouch(now.Add(-time.Second)), quicktest.IsTrue)
+	n.configFreshness.advance(asked.Add(-200 * time.Millisecond))
+	c.Assert(n.keysAreCurrent(now), quicktest.IsFalse)
+	n.configFreshness.advance(asked.Add(-time.Hour)) // an older answer changes nothing
+	c.Assert(n.keysAreCurrent(now.Add(-time.Second)), quicktest.IsTrue)
+	c.Assert(n.keysStayCurrent(now.Add(-time.Second)), quicktest.IsFalse) // callers are sent elsewhere before they are refused
+	c.Assert(n.keysStayCurrent(now.Add(-2*time.Second)), quicktest.IsTrue)
+	c.Assert(n.mustConfirmConfig(now.Add(-time.Second)), quicktest.IsTrue)
 }
 
 // flood has each box ask for one request of the organisation at each tick, and returns how many
@@ -281,7 +281,7 @@
 	table.OnChange = st.apply
 	a := topology.Adapter{Model: "m", Name: "a9"}
 	fact := func(revision uint64, value string) {
-		r.take([]Fact{{Key: "e/1", Revision: rev(revision), Value: []byte(value)}}, time.Now())
+		r.mergeFacts([]Fact{{Key: "e/1", Revision: rev(revision), Value: []byte(value)}}, time.Now())
 	}
 	fact(1, "one")
 	st.publish("dc", "one", 1<<40, map[topology.Adapter]topology.Held{a: {Version: 1, Ready: true}})
@@ -298,7 +298,7 @@
 	c.Assert(v.All(), quicktest.HasLen, 0)
 	fact(9, "two")
 	c.Assert(v.All(), quicktest.HasLen, 1)
-	r.take([]Fact{{Key: "e/1", Revision: rev(12), Removed: true}}, time.Now())
+	r.mergeFacts([]Fact{{Key: "e/1", Revision: rev(12), Removed: true}}, time.Now())
 	c.Assert(v.All(), quicktest.HasLen, 0)
 }
 
--- a/edge/leave.go
+++ b/edge/leave.go
@@ -39,7 +39,7 @@
 
 // isReady tells whether the box can serve callers.
 func (n *Node) isReady() bool {
-	return !n.leaving.Load() && n.view.Config() != nil && len(n.view.All()) > 0 && n.expectsKeys(clock.Now())
+	return !n.leaving.Load() && n.view.Config() != nil && len(n.view.All()) > 0 && n.keysStayCurrent(clock.Now())
 }
 
 func (n *Node) readiness() http.Handler {
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -136,7 +136,7 @@
 // List implements Source.
 func (s *needy) List(_ context.Context, c Collection) (Batch, error) {
 	b := Batch{Revision: rev(1)}
-	if c == Settled {
+	if c == Configuration {
 		b.Facts = []Fact{{Key: "config", Revision: rev(1), Value: []byte("v")}}
 		return b, nil
 	}
--- a/edge/model_source_test.go
+++ b/edge/model_source_test.go
@@ -9,11 +9,11 @@
 
 // stepSource answers one call after a time.
 type stepSource struct {
-	state *modelState
-	after time.Duration
-	fail  error
-	slow  bool // its answer is of some time ago: a list of the call's begin, a watch of the end of its time
-	never bool // it does not answer so
+	state      *modelState
+	after      time.Duration
+	fail       error
+	slow       bool // its answer is of some time ago: a list of the call's begin, a watch of the end of its time
+	impossible bool // it does not answer so
 }
 
 // facts are what changed after a revision, up to a time.
@@ -38,7 +38,7 @@
 	until := m.state.now
 	if m.slow {
 		until = until.Add(-m.after)
-		m.never = until.Before(m.state.copied)
+		m.impossible = until.Before(m.state.restoredAt)
 	}
 	b := m.facts(0, until)
 	if len(b.Facts) > 0 && b.Facts[0].Removed {
@@ -52,13 +52,13 @@
 	until := m.state.now
 	if after.Epoch() != m.state.epoch {
 		time.Sleep(m.after)
-		return Batch{}, ErrForgotten{}
+		return Batch{}, ErrHistoryLost{}
 	}
 	if m.slow {
 		until = until.Add(min(wait-m.after, 0))
 	}
 	b := m.facts(after, until)
-	m.never = m.slow && until.Before(m.state.copied) || m.fail == nil && len(b.Facts) == 0 && m.after < wait || m.slow && len(b.Facts) > 0
+	m.impossible = m.slow && until.Before(m.state.restoredAt) || m.fail == nil && len(b.Facts) == 0 && m.after < wait || m.slow && len(b.Facts) > 0
 	time.Sleep(m.after)
 	return b, m.fail
 }
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -27,50 +27,50 @@
 // errModelSource is a call that the source does not answer.
 var errModelSource = errors.New("the source does not answer")
 
-// modelWord is a word with the time that messages for it were on their way: nobody can tell
+// modelStatus is a word with the time that messages for it were on their way: nobody can tell
 // that time, so it is allowed for.
-type modelWord struct {
+type modelStatus struct {
 	leaderStatus
-	way time.Duration
+	transit time.Duration
 }
 
 // modelBox is what one box knows. Zero times are never.
 type modelBox struct {
-	items    []*wire.Item // oldest first
-	after    Revision
-	asOf     time.Time
-	failing  bool
-	trusted  time.Time
-	unsure   bool
-	holding  bool
-	listed   uint64
-	answered time.Time // as freshness keeps it; zero: not heard
-	words    map[string]modelWord
-	begun    time.Time  // of the call under way; zero: none
-	failed   time.Time  // when calls began to fail since it reads; zero: they do not
-	held     bool       // as unsure, at the answer before
-	known    checkpoint // of the endpoints
-	epoch    uint64     // of its last list
-	doubted  time.Time  // until when a copy's entry may be of an endpoint that is gone
-	copyOf   uint64     // the epoch of that copy
-	relist   bool       // only a list tells what it missed
+	items         []*wire.Item // oldest first
+	after         Revision
+	asOf          time.Time
+	failing       bool
+	graceUntil    time.Time
+	relistPending bool
+	deferring     bool
+	listed        uint64
+	answered      time.Time // as freshness keeps it; zero: not heard
+	statuses      map[string]modelStatus
+	callStarted   time.Time  // of the call under way; zero: none
+	failingSince  time.Time  // when calls began to fail since it reads; zero: they do not
+	held          bool       // as unsure, at the answer before
+	known         checkpoint // of the endpoints
+	epoch         uint64     // of its last list
+	confirmAfter  time.Time  // until when a copy's entry may be of an endpoint that is gone
+	confirmEpoch  uint64     // the epoch of that copy
+	needsList     bool       // only a list tells what it missed
 }
 
 // modelMessage is one message of a stream.
 type modelMessage struct {
 	items   []*wire.Item
 	reading bool
-	word    share.Status
+	status  share.Status
 	sent    time.Time
 	way     time.Duration
 }
 
 // modelLink is the stream from one box to the one that follows it.
 type modelLink struct {
-	down   bool
-	heard  time.Time // when the follower last heard anything on it
-	unsent int       // last items of the sender that it has not sent
-	queue  []modelMessage
+	down     bool
+	received time.Time // when the follower last heard anything on it
+	unsent   int       // last items of the sender that it has not sent
+	queue    []modelMessage
 }
 
 // modelChange is one change at the source; its number is its place, from 1.
@@ -82,15 +82,15 @@
 
 // modelState is everything. It is not changed once it was reached.
 type modelState struct {
-	now     time.Time
-	changes []modelChange // of the endpoint e/1
-	epoch   uint64        // of the source
-	copied  time.Time     // when it came back from a copy last
-	boxes   []modelBox
-	links   []modelLink // to the box of the same number
-	left    modelBudget
-	path    []string
-	fault   string // that an event showed
+	now        time.Time
+	changes    []modelChange // of the endpoint e/1
+	epoch      uint64        // of the source
+	restoredAt time.Time     // when it came back from a copy last
+	boxes      []modelBox
+	links      []modelLink // to the box of the same number
+	left       modelBudget
+	path       []string
+	fault      string // that an event showed
 }
 
 // modelBudget bounds what can happen besides time, calls and messages.
@@ -111,7 +111,7 @@
 	n.boxes = slices.Clone(s.boxes)
 	for i := range n.boxes {
 		n.boxes[i].items = slices.Clone(n.boxes[i].items)
-		n.boxes[i].words = maps.Clone(n.boxes[i].words)
+		n.boxes[i].statuses = maps.Clone(n.boxes[i].statuses)
 	}
 	n.links = slices.Clone(s.links)
 	for i := range n.links {
@@ -130,8 +130,8 @@
 	table  *share.Table
 }
 
-// moved is a time of the model as one of the bubble, or back.
-func moved(t time.Time, by time.Duration) time.Time {
+// shifted is a time of the model as one of the bubble, or back.
+func shifted(t time.Time, by time.Duration) time.Time {
 	if t.IsZero() {
 		return t
 	}
@@ -143,25 +143,25 @@
 	b := &s.boxes[i]
 	r, t := newReader(nil)
 	t.Merge(b.items...)
-	r.after, r.asOf, r.failing = b.after, moved(b.asOf, by), b.failing
-	r.trusted, r.uncertain, r.holding = moved(b.trusted, by), b.unsure, b.holding
+	r.after, r.asOf, r.failing = b.after, shifted(b.asOf, by), b.failing
+	r.graceUntil, r.relistPending, r.deferring = shifted(b.graceUntil, by), b.relistPending, b.deferring
 	n := &Node{Decoder: plainDecoder{}}
 	n.listed.Store(b.listed)
-	r.epoch, r.doubted, r.doubtedIn = b.epoch, moved(b.doubted, by), b.copyOf
+	r.epoch, r.confirmAfter, r.confirmEpoch = b.epoch, shifted(b.confirmAfter, by), b.confirmEpoch
 	t.Outlives = n.outlives
-	r.forgotten = b.relist
-	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: moved(b.known.asOf, by)})
+	r.historyLost = b.needsList
+	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: shifted(b.known.asOf, by)})
 	r.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
-	r.listed = func(revision Revision) { n.noteListed(Endpoints, revision) }
+	r.onList = func(revision Revision) { n.recordList(Endpoints, revision) }
 	t.HasEnded, t.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.current.Store(&Settings{}) // bounds as where none is set
 	if !b.answered.IsZero() {
-		n.fresh.note(Endpoints, readOutcome{asOf: moved(b.answered, by), current: true})
-		n.fresh.note(Settled, readOutcome{asOf: moved(s.now, by), current: true})
+		n.fresh.record(Endpoints, readResult{asOf: shifted(b.answered, by), current: true})
+		n.fresh.record(Configuration, readResult{asOf: shifted(s.now, by), current: true})
 	}
-	r.report = func(word readOutcome) {
-		n.noteRead(Endpoints, word)
-		n.fresh.note(Settled, readOutcome{asOf: time.Now(), current: true})
+	r.onRead = func(word readResult) {
+		n.recordRead(Endpoints, word)
+		n.fresh.record(Configuration, readResult{asOf: time.Now(), current: true})
 	}
 	v := &clusterView{until: time.Unix(math.MaxInt32, 0)}
 	if p := w.parents[i]; p >= 0 {
@@ -171,31 +171,31 @@
 	v.version = p.table.Version()
 	p.clusterViews.latest = v
 	p.statuses = make(map[string]leaderStatus)
-	for k, m := range b.words {
-		p.statuses[k] = leaderStatus{received: moved(m.received, by), readAt: moved(m.readAt, by), first: m.first}
+	for k, m := range b.statuses {
+		p.statuses[k] = leaderStatus{received: shifted(m.received, by), readAt: shifted(m.readAt, by), first: m.first}
 	}
 	p.known = &n.checkpoints
 	n.peers = p
 	return live{node: n, reader: r, table: t}
 }
 
-// keep notes what box i knows after an event.
-func (s *modelState) keep(i int, l live, by time.Duration) {
+// store notes what box i knows after an event.
+func (s *modelState) store(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
 	b.items, _, _ = l.table.Since(0)
 	r := l.reader
-	b.after, b.asOf, b.failing = r.after, moved(r.asOf, -by), r.failing
-	b.trusted, b.unsure, b.holding = moved(r.trusted, -by), r.uncertain, r.holding
-	b.relist = r.forgotten || r.afterOutage
-	b.epoch, b.doubted, b.copyOf = r.epoch, moved(r.doubted, -by), r.doubtedIn
+	b.after, b.asOf, b.failing = r.after, shifted(r.asOf, -by), r.failing
+	b.graceUntil, b.relistPending, b.deferring = shifted(r.graceUntil, -by), r.relistPending, r.deferring
+	b.needsList = r.historyLost || r.relistAfterOutage
+	b.epoch, b.confirmAfter, b.confirmEpoch = r.epoch, shifted(r.confirmAfter, -by), r.confirmEpoch
 	k := l.node.checkpoints.of(Endpoints)
-	b.known = checkpoint{revision: k.revision, asOf: moved(k.asOf, -by)}
+	b.known = checkpoint{revision: k.revision, asOf: shifted(k.asOf, -by)}
 	b.listed, b.answered = l.node.listed.Load(), time.Time{}
 	if at, ok := l.node.fresh.answered[Endpoints]; ok {
-		b.answered = moved(at, -by)
+		b.answered = shifted(at, -by)
 	}
 	for k, m := range l.node.peers.statuses {
-		b.words[k] = modelWord{leaderStatus: leaderStatus{received: moved(m.received, -by), readAt: moved(m.readAt, -by), first: m.first}, way: b.words[k].way}
+		b.statuses[k] = modelStatus{leaderStatus: leaderStatus{received: shifted(m.received, -by), readAt: shifted(m.readAt, -by), first: m.first}, transit: b.statuses[k].transit}
 	}
 }
 
@@ -207,24 +207,24 @@
 		if w.parents[i] < 0 || l.down {
 			continue
 		}
-		if n.now.Sub(l.heard) >= share.SilentAfter {
+		if n.now.Sub(l.received) >= share.SilentAfter {
 			*l = modelLink{down: true}
 			continue
 		}
-		w.say(n, i)
+		w.send(n, i)
 	}
 	return true
 }
 
-// say makes one message of the stream to box i, as share.Server does: the word first, then
+// send makes one message of the stream to box i, as share.Server does: the word first, then
 // the items.
-func (w *modelWorld) say(n *modelState, i int) {
+func (w *modelWorld) send(n *modelState, i int) {
 	p := w.parents[i]
 	by := time.Since(n.now)
 	b := w.make(n, p, by)
 	m := modelMessage{sent: n.now}
-	m.word, m.reading = b.node.status()
-	m.way = w.way(n, p, b)
+	m.status, m.reading = b.node.status()
+	m.way = w.transitTime(n, p, b)
 	items, _, _ := b.table.Since(0)
 	l := &n.links[i]
 	m.items = slices.Clone(items[len(items)-min(l.unsent, len(items)):])
@@ -232,13 +232,13 @@
 	l.queue = append(l.queue, m)
 }
 
-// way is how long the messages were on their way of the word that box i goes by.
-func (w *modelWorld) way(n *modelState, i int, b live) time.Duration {
+// transitTime is how long the messages were on their transitTime of the word that box i goes by.
+func (w *modelWorld) transitTime(n *modelState, i int, b live) time.Duration {
 	now := time.Now()
-	own, reads := b.node.fresh.ago(now)
+	own, reads := b.node.fresh.age(now)
 	told, informed := b.node.peers.completeStatusAge(now)
 	if informed && (!reads || told <= own) {
-		return n.boxes[i].words[boxName(w.parents[i])].way
+		return n.boxes[i].statuses[boxName(w.parents[i])].transit
 	}
 	return 0
 }
@@ -246,18 +246,18 @@
 func (w *modelWorld) connect(n *modelState, i int) bool {
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
-	b.node.peers.begin(boxName(w.parents[i]))
-	n.keep(i, b, by)
-	n.links[i] = modelLink{heard: n.now, unsent: math.MaxInt}
-	w.say(n, i)
+	b.node.peers.resetStream(boxName(w.parents[i]))
+	n.store(i, b, by)
+	n.links[i] = modelLink{received: n.now, unsent: math.MaxInt}
+	w.send(n, i)
 	return true
 }
 
-// hear lets a follower take the next message.
-func (w *modelWorld) hear(n *modelState, i int) bool {
+// deliver lets a follower take the next message.
+func (w *modelWorld) deliver(n *modelState, i int) bool {
 	l := &n.links[i]
 	m := l.queue[0]
-	l.queue, l.heard = l.queue[1:], n.now
+	l.queue, l.received = l.queue[1:], n.now
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
 	b.table.Receive(m.items...)
@@ -265,21 +265,21 @@
 	if m.reading {
 		old := b.node.peers.statuses[from]
 		now := time.Now()
-		b.node.peers.receiveStatus(from, m.word, now)
-		n.keep(i, b, by)
+		b.node.peers.receiveStatus(from, m.status, now)
+		n.store(i, b, by)
 		if b.node.peers.statuses[from].readAt.After(old.readAt) {
-			k := n.boxes[i].words[from]
-			k.way = m.way + n.now.Sub(m.sent)
-			n.boxes[i].words[from] = k
+			k := n.boxes[i].statuses[from]
+			k.transit = m.way + n.now.Sub(m.sent)
+			n.boxes[i].statuses[from] = k
 		}
 	}
-	n.keep(i, b, by)
-	w.changed(n, i, m.items)
+	n.store(i, b, by)
+	w.markUnsent(n, i, m.items)
 	return true
 }
 
-// changed counts what the followers of a box have not been sent.
-func (w *modelWorld) changed(n *modelState, i int, took []*wire.Item) {
+// markUnsent counts what the followers of a box have not been sent.
+func (w *modelWorld) markUnsent(n *modelState, i int, took []*wire.Item) {
 	if len(took) == 0 {
 		return
 	}
@@ -296,33 +296,33 @@
 	b := w.make(n, i, by)
 	if b.reader.after != 0 && !b.node.mustRead(Endpoints) {
 		b.reader.stopReading(time.Now())
-		n.keep(i, b, by)
-		n.boxes[i].failed, n.boxes[i].held = time.Time{}, false
+		n.store(i, b, by)
+		n.boxes[i].failingSince, n.boxes[i].held = time.Time{}, false
 		return true
 	}
-	n.boxes[i].begun = n.now
+	n.boxes[i].callStarted = n.now
 	return true
 }
 
 // answer ends the call of a box.
 func (w *modelWorld) answer(n *modelState, i int, err error, slow bool) bool {
-	begun := n.boxes[i].begun
+	begun := n.boxes[i].callStarted
 	by := time.Since(begun)
 	b := w.make(n, i, by)
 	m := &stepSource{state: n, after: n.now.Sub(begun), fail: err, slow: slow}
-	if errors.As(err, &ErrForgotten{}) && b.reader.after == 0 {
+	if errors.As(err, &ErrHistoryLost{}) && b.reader.after == 0 {
 		return false
 	}
 	b.reader.source = m
 	_, failed := b.reader.step(context.Background())
-	b.reader.note(failed)
-	if m.never {
+	b.reader.noteResult(failed)
+	if m.impossible {
 		return false
 	}
-	n.boxes[i].begun = time.Time{}
-	n.keep(i, b, by)
+	n.boxes[i].callStarted = time.Time{}
+	n.store(i, b, by)
 	n.outage(i, failed)
-	w.changed(n, i, n.boxes[i].items)
+	w.markUnsent(n, i, n.boxes[i].items)
 	return true
 }
 
@@ -330,21 +330,21 @@
 // may be kept for the sake of an outage.
 func (s *modelState) outage(i int, err error) {
 	b := &s.boxes[i]
-	if err != nil && !errors.As(err, &ErrForgotten{}) {
-		if b.failed.IsZero() {
-			b.failed = s.now
+	if err != nil && !errors.As(err, &ErrHistoryLost{}) {
+		if b.failingSince.IsZero() {
+			b.failingSince = s.now
 		}
 		return
 	}
-	if b.unsure && b.failed.IsZero() && !b.held && s.epoch == 0 {
+	if b.relistPending && b.failingSince.IsZero() && !b.held && s.epoch == 0 {
 		s.fault = boxName(i) + " holds removals back though no call had failed"
 	}
-	b.failed, b.held = time.Time{}, b.unsure
+	b.failingSince, b.held = time.Time{}, b.relistPending
 }
 
 func (w *modelWorld) restart(n *modelState, i int) bool {
 	n.left.restarts--
-	n.boxes[i] = modelBox{words: make(map[string]modelWord)}
+	n.boxes[i] = modelBox{statuses: make(map[string]modelStatus)}
 	for j, p := range w.parents {
 		if j == i || p == i {
 			n.links[j] = modelLink{down: true}
--- a/edge/node.go
+++ b/edge/node.go
@@ -52,14 +52,14 @@
 
 	departures departures
 
-	vouched     vouched
-	leaving     atomic.Bool
-	fresh       freshness
-	calls       calls
-	ignored     ignored
-	checkpoints checkpoints
-	away        atomic.Bool   // whether the source does not answer
-	listed      atomic.Uint64 // the Revision of the last list of endpoints
+	configFreshness configFreshness
+	leaving         atomic.Bool
+	fresh           freshness
+	calls           calls
+	ignored         ignored
+	checkpoints     checkpoints
+	away            atomic.Bool   // whether the source does not answer
+	listed          atomic.Uint64 // the Revision of the last list of endpoints
 }
 
 const (
@@ -99,7 +99,7 @@
 		Lease:       func() time.Duration { return n.current.Load().Bounds.Lease },
 		Leaders:     func() int { return len(n.peers.clusterView().centres) },
 		Owns:        n.owns,
-		AskToResign: n.peers.takeOver,
+		AskToResign: n.peers.requestHandover,
 		Room:        n.room,
 		Reads:       func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
@@ -145,7 +145,7 @@
 		items:   n.items,
 		log:     n.Log,
 		started: clock.Now(),
-		reads:   n.reads,
+		reads:   n.readsSource,
 		seeds:   func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
 		behind:  n.behind,
 		known:   &n.checkpoints,
@@ -220,9 +220,9 @@
 	wire.RegisterShareServer(server, shareServer{node: n})
 	held := n.Settings.Bounds.Grace - noticeFor - endMargin // what is held when the end begins has so long
 	tasks := []task{
-		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
+		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLeadership, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.borrow, n.outbox.run, n.limits.run,
-		n.reader(Settled).run, n.reader(Endpoints).run,
+		n.reader(Configuration).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
 		httpTask(n.gateway, listeners.callers, held, max(n.Settings.Limits.Descriptors/callerPart, mostAsking)),
 		httpTask(n.readiness(), listeners.ready, held, mostAsking),
@@ -259,21 +259,21 @@
 
 func (n *Node) reader(c Collection) *reader {
 	return &reader{
-		collection: c,
-		source:     n.Source,
-		decoder:    n.Decoder,
-		table:      n.items,
-		wanted:     func() bool { return n.mustRead(c) },
-		checkpoint: func() checkpoint { return n.checkpoints.of(c) },
-		leads:      func() bool { return n.peers.clusterView().steps == 0 && clock.Since(n.peers.started) > settleFor },
-		log:        n.Log,
-		ages:       n.sourceAges,
-		behind:     n.behind,
-		away:       &n.away,
-		lapse:      func() time.Duration { return n.current.Load().Bounds.Lapse },
-		report:     func(w readOutcome) { n.noteRead(c, w) },
-		listed:     func(revision Revision) { n.noteListed(c, revision) },
-		counted:    n.calls.count,
-		restored:   func() { n.ignored.restores.Add(1) },
+		collection:   c,
+		source:       n.Source,
+		decoder:      n.Decoder,
+		table:        n.items,
+		mustRead:     func() bool { return n.mustRead(c) },
+		checkpoint:   func() checkpoint { return n.checkpoints.of(c) },
+		leads:        func() bool { return n.peers.clusterView().steps == 0 && clock.Since(n.peers.started) > settleFor },
+		log:          n.Log,
+		sourceAges:   n.sourceAges,
+		maxStaleness: n.behind,
+		unreachable:  &n.away,
+		entryLapse:   func() time.Duration { return n.current.Load().Bounds.Lapse },
+		onRead:       func(w readResult) { n.recordRead(c, w) },
+		onList:       func(revision Revision) { n.recordList(c, revision) },
+		onCall:       n.calls.count,
+		onRestore:    func() { n.ignored.restores.Add(1) },
 	}
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -70,7 +70,7 @@
 
 // isFresh reports whether a status still counts at now.
 func (w leaderStatus) isFresh(now time.Time, behind time.Duration) bool {
-	return now.Sub(w.readAt) < statusTime(behind) && now.Sub(w.received) < share.SilentAfter
+	return now.Sub(w.readAt) < maxStatusAge(behind) && now.Sub(w.received) < share.SilentAfter
 }
 
 // leadership is who leads a data centre, and since when.
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -80,7 +80,7 @@
 	ago, ok := p.completeStatusAge(now)
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(ago, quicktest.Equals, 500*time.Millisecond)
-	late := now.Add(statusTime(defaultBehind) - 500*time.Millisecond)
+	late := now.Add(maxStatusAge(defaultBehind) - 500*time.Millisecond)
 	p.receiveStatus("b", share.Status{Age: late.Sub(now) + time.Second, Endpoints: 1}, late) // a word that took longer changes nothing
 	_, ok = p.completeStatusAge(late.Add(-time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
@@ -112,14 +112,14 @@
 	now := time.Now()
 	p.known.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
 	for _, revision := range []Revision{rev(7), rev(8)} { // it is followed, and followed anew
-		p.begin("b")
+		p.resetStream("b")
 		p.receiveStatus("b", share.Status{Age: 300 * time.Millisecond, Endpoints: uint64(revision)}, now)
-		c.Assert(p.informed(now), quicktest.IsFalse)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsFalse)
 		c.Assert(p.known.of(Endpoints).revision < revision, quicktest.IsTrue)
 		p.known.advance(Endpoints, checkpoint{revision: revision, asOf: now}) // by its own reading
-		c.Assert(p.informed(now), quicktest.IsTrue)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 		p.receiveStatus("b", share.Status{Endpoints: uint64(revision)}, now) // later words need no later reading
-		c.Assert(p.informed(now), quicktest.IsTrue)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 		now = now.Add(time.Second)
 	}
 }
@@ -142,10 +142,10 @@
 		now := time.Now()
 		p.known.advance(Endpoints, checkpoint{revision: rev(6), asOf: now.Add(-time.Second)})
 		s := source{name: "b", everything: everything}
-		p.begin("b")
+		p.resetStream("b")
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(6)), EndpointsRevision: uint64(rev(6))}, now)
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(9)), EndpointsRevision: uint64(rev(9))}, now)
-		c.Check(p.known.of(Settled).revision, quicktest.Equals, rev(9)) // that is told to all
+		c.Check(p.known.of(Configuration).revision, quicktest.Equals, rev(9)) // that is told to all
 		want := rev(6)
 		if everything {
 			want = rev(9)
@@ -161,9 +161,9 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.known.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
-	p.begin("b")
+	p.resetStream("b")
 	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(6))}, now)
-	c.Assert(p.informed(now), quicktest.IsTrue)
+	c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(9))}, now)
 	c.Assert(p.known.of(Endpoints).revision, quicktest.Equals, rev(9))
 }
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -87,7 +87,7 @@
 // answer hands out what a box asks, and says how recent the configuration is.
 func (s *spending) answer(q *wire.SettleRequest, now time.Time) *wire.SettleReply {
 	a := &wire.SettleReply{}
-	if ago, ok := s.node.vouched.ago(now); ok {
+	if ago, ok := s.node.configFreshness.age(now); ok {
 		a.Vouched, a.AgeMicros, a.Config = true, ago.Microseconds(), s.node.configVersion()
 	}
 	if q.GetDataCentre() != s.node.peers.centre || !s.leads(now) {
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -72,22 +72,22 @@
 func newReader(s Source) (*reader, *share.Table) {
 	t := share.NewTable()
 	return &reader{
-		collection: Endpoints,
-		source:     s,
-		decoder:    plainDecoder{},
-		table:      t,
-		wanted:     func() bool { return true },
-		checkpoint: func() checkpoint { return checkpoint{} },
-		leads:      func() bool { return true },
-		log:        logr.Discard(),
-		behind:     func() time.Duration { return defaultBehind },
-		away:       new(atomic.Bool),
-		lapse:      func() time.Duration { return time.Second },
-		report:     func(readOutcome) {},
-		ages:       func() map[string]int64 { return nil },
-		listed:     func(Revision) {},
-		counted:    func(string) {},
-		restored:   func() {},
+		collection:   Endpoints,
+		source:       s,
+		decoder:      plainDecoder{},
+		table:        t,
+		mustRead:     func() bool { return true },
+		checkpoint:   func() checkpoint { return checkpoint{} },
+		leads:        func() bool { return true },
+		log:          logr.Discard(),
+		maxStaleness: func() time.Duration { return defaultBehind },
+		unreachable:  new(atomic.Bool),
+		entryLapse:   func() time.Duration { return time.Second },
+		onRead:       func(readResult) {},
+		sourceAges:   func() map[string]int64 { return nil },
+		onList:       func(Revision) {},
+		onCall:       func(string) {},
+		onRestore:    func() {},
 	}, t
 }
 
@@ -101,10 +101,10 @@
 
 func step(r *reader) {
 	_, err := r.step(context.Background())
-	r.note(err)
+	r.noteResult(err)
 }
 
-func TestAnEndpointThatIsRemovedIsGoneAtOnce(t *testing.T) {
+func TestRemovedEndpointIsDroppedAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1", "e/2"), Revision: rev(5)}},
@@ -123,7 +123,7 @@
 	s := &script{
 		list: []Batch{{Facts: published("e/1", "e/2"), Revision: rev(5)}, {Facts: published("e/2"), Revision: rev(9)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, ErrForgotten{} },
+			func() (Batch, error) { return Batch{}, ErrHistoryLost{} },
 		},
 	}
 	r, table := newReader(s)
@@ -148,11 +148,11 @@
 	}
 	r, table := newReader(s)
 	step(r)
-	r.asOf = time.Now().Add(-r.lapse()) // the source is away for so long
-	step(r)                             // fails
-	step(r)                             // answers, and the endpoint has lapsed
+	r.asOf = time.Now().Add(-r.entryLapse()) // the source is away for so long
+	step(r)                                  // fails
+	step(r)                                  // answers, and the endpoint has lapsed
 	c.Assert(table.Keys(), quicktest.DeepEquals, []string{"e/1"})
-	r.trusted = time.Now().Add(-time.Millisecond) // the grace is over and it is still missing
+	r.graceUntil = time.Now().Add(-time.Millisecond) // the grace is over and it is still missing
 	step(r)
 	c.Assert(table.Keys(), quicktest.HasLen, 0)
 }
@@ -190,13 +190,13 @@
 	}
 	r, table := newReader(s)
 	step(r)
-	r.asOf = time.Now().Add(-r.lapse())
+	r.asOf = time.Now().Add(-r.entryLapse())
 	step(r) // fails
-	r.stopReading(time.Now().Add(-lapseGrace))
+	r.stopReading(time.Now().Add(-reappearGrace))
 	step(r) // lists, long after
 	c.Assert(table.Keys(), quicktest.HasLen, 0)
 	r.stopReading(time.Now())
-	c.Assert(r.failing || r.uncertain || r.holding, quicktest.IsFalse)
+	c.Assert(r.failing || r.relistPending || r.deferring, quicktest.IsFalse)
 }
 
 // The pause after a batch and the watch after it made a leader's word look old to the boxes
@@ -205,10 +205,10 @@
 	c := quicktest.New(t)
 	r, _ := newReader(&script{})
 	now := time.Unix(100, 0)
-	r.asOf = now.Add(-r.batchPause())
-	c.Assert(r.batchPause()+r.watchWait(now), quicktest.Equals, watchTime(r.behind()))
-	r.asOf = now.Add(-2 * watchTime(r.behind()))
-	c.Assert(r.watchWait(now), quicktest.Equals, watchLeast)
+	r.asOf = now.Add(-r.batchDelay())
+	c.Assert(r.batchDelay()+r.watchTimeout(now), quicktest.Equals, maxAnswerInterval(r.maxStaleness()))
+	r.asOf = now.Add(-2 * maxAnswerInterval(r.maxStaleness()))
+	c.Assert(r.watchTimeout(now), quicktest.Equals, minWatchTimeout)
 }
 
 // A leader that had been cut off from the source alone kept an endpoint that had left for
@@ -227,13 +227,13 @@
 	}
 	r, _ := newReader(s)
 	var heard []bool
-	r.report = func(w readOutcome) { heard = append(heard, w.current) }
+	r.onRead = func(w readResult) { heard = append(heard, w.current) }
 	step(r)
-	r.asOf = time.Now().Add(-r.lapse())
+	r.asOf = time.Now().Add(-r.entryLapse())
 	for range 3 {
 		step(r)
 	}
-	r.trusted = time.Now().Add(-time.Millisecond)
+	r.graceUntil = time.Now().Add(-time.Millisecond)
 	step(r)
 	c.Assert(heard, quicktest.DeepEquals, []bool{true, false, true, false, true})
 }
@@ -251,12 +251,12 @@
 	r, _ := newReader(s)
 	for range 4 {
 		step(r)
-		r.uncertain = false
+		r.relistPending = false
 	}
 	c.Assert(s.waits, quicktest.HasLen, 3)
-	c.Assert(s.waits[1], quicktest.Equals, watchShort)
+	c.Assert(s.waits[1], quicktest.Equals, retryWatchTimeout)
 	for _, i := range []int{0, 2} {
-		c.Assert(s.waits[i] > watchShort && s.waits[i] <= watchTime(defaultBehind), quicktest.IsTrue)
+		c.Assert(s.waits[i] > retryWatchTimeout && s.waits[i] <= maxAnswerInterval(defaultBehind), quicktest.IsTrue)
 	}
 }
 
@@ -268,11 +268,11 @@
 	r, _ := newReader(s)
 	looks := 0
 	r.leads = func() bool { return false }
-	r.wanted = func() bool {
+	r.mustRead = func() bool {
 		looks++
 		return looks < 3
 	}
-	ctx, end := context.WithTimeout(context.Background(), 2*leaderWait)
+	ctx, end := context.WithTimeout(context.Background(), 2*leaderSyncTimeout)
 	defer end()
 	c.Assert(r.run(ctx), quicktest.IsNil)
 	c.Assert(s.waits, quicktest.HasLen, 0)
@@ -309,11 +309,11 @@
 	ended := make(chan error, 2)
 	asked := new(atomic.Bool)
 	var heard [2]atomic.Int64 // when, in nanoseconds since s.back
-	for i, collection := range []Collection{Settled, Endpoints} {
+	for i, collection := range []Collection{Configuration, Endpoints} {
 		r, _ := newReader(s)
-		r.collection, r.away = collection, asked
+		r.collection, r.unreachable = collection, asked
 		r.leads = leads
-		r.report = func(w readOutcome) {
+		r.onRead = func(w readResult) {
 			if w.current {
 				heard[i].CompareAndSwap(0, int64(time.Since(s.back)))
 			}
@@ -340,12 +340,12 @@
 		c := quicktest.New(t)
 		const away = 8 * time.Second
 		calls, late := readAway(c, func() bool { return true }, away)
-		c.Check(calls >= 2*int64(away/failMost)-4, quicktest.IsTrue, quicktest.Commentf("%d calls of a leader", calls))
-		c.Check(late <= failMost, quicktest.IsTrue, quicktest.Commentf("a leader heard it %v late", late))
+		c.Check(calls >= 2*int64(away/maxRetryDelay)-4, quicktest.IsTrue, quicktest.Commentf("%d calls of a leader", calls))
+		c.Check(late <= maxRetryDelay, quicktest.IsTrue, quicktest.Commentf("a leader heard it %v late", late))
 		calls, late = readAway(c, func() bool { return false }, away)
 		t.Logf("%d calls of a box on whom nobody relies", calls)
 		c.Check(calls <= 6, quicktest.IsTrue, quicktest.Commentf("%d calls of another box", calls))
-		c.Check(late <= defaultBehind+2*standbyLook, quicktest.IsTrue, quicktest.Commentf("another box heard it %v late", late))
+		c.Check(late <= defaultBehind+2*standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("another box heard it %v late", late))
 	})
 }
 
@@ -357,7 +357,7 @@
 		begun := time.Now()
 		leads := func() bool { return time.Since(begun) > settleFor }
 		_, late := readAway(c, leads, time.Second)
-		c.Check(late <= failMost+standbyLook, quicktest.IsTrue, quicktest.Commentf("it heard the source %v late", late))
+		c.Check(late <= maxRetryDelay+standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("it heard the source %v late", late))
 	})
 }
 
@@ -372,7 +372,7 @@
 	c := quicktest.New(t)
 	n := &Node{Decoder: plainDecoder{}}
 	r, table := newReader(&script{list: []Batch{{Facts: published("e/2"), Revision: rev(5)}}})
-	r.listed = func(revision Revision) { n.noteListed(Endpoints, revision) }
+	r.onList = func(revision Revision) { n.recordList(Endpoints, revision) }
 	table.HasEnded = n.hasEnded
 	step(r)
 	table.Receive(&wire.Item{Key: "e/1", Version: uint64(rev(4))}, &wire.Item{Key: "e/3", Version: uint64(rev(6))})
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -30,7 +30,7 @@
 	case KindVersion:
 		stands = isHigher(n.adapterVersionOf, older, newer)
 	case KindEndpoint:
-		stands = n.isLaterOfEndpoint(older, newer, read)
+		stands = n.endpointOutlives(older, newer, read)
 	}
 	return uint64(b.Kept()), stands
 }
@@ -65,10 +65,10 @@
 	return uint64(v), err
 }
 
-// isLaterOfEndpoint reports whether a says something of an endpoint that b, an entry of a higher revision, can't take
+// endpointOutlives reports whether a says something of an endpoint that b, an entry of a higher revision, can't take
 // back: that the same life drains, that a later life has begun, or that the endpoint is gone. The last holds against
 // the copy alone, which other boxes judge by what they know themselves: read says that b was read from the source.
-func (n *Node) isLaterOfEndpoint(a, b *wire.Item, read bool) bool {
+func (n *Node) endpointOutlives(a, b *wire.Item, read bool) bool {
 	if b.GetRemoved() {
 		return false
 	}
@@ -86,9 +86,9 @@
 	return x.Draining() && !y.Draining()
 }
 
-// isBackInCopy reports whether a fact that was just read is of an endpoint that this box knew to be gone before the
+// isResurrected reports whether a fact that was just read is of an endpoint that this box knew to be gone before the
 // source was restored.
-func (r *reader) isBackInCopy(f Fact) bool {
+func (r *reader) isResurrected(f Fact) bool {
 	old := r.table.Get(f.Key)
 	if old == nil || !old.GetRemoved() || f.Removed || r.decoder.Kind(f.Key) != KindEndpoint {
 		return false
@@ -96,34 +96,34 @@
 	return revisionOf(old).Epoch() < f.Revision.Epoch() || revisionOf(old) == f.Revision.Kept()
 }
 
-// confirm marks the entries of a list that are true though this box knew the endpoint to be gone: they have outlived
+// confirmResurrected marks the entries of a list that are true though this box knew the endpoint to be gone: they have outlived
 // a lease since the source was restored. Others get the time for that.
-func (r *reader) confirm(b Batch, now time.Time) {
+func (r *reader) confirmResurrected(b Batch, now time.Time) {
 	for i, f := range b.Facts {
-		if !r.isBackInCopy(f) {
+		if !r.isResurrected(f) {
 			continue
 		}
-		if r.doubtedIn == b.Revision.Epoch() && r.begun.After(r.doubted) {
+		if r.confirmEpoch == b.Revision.Epoch() && r.callStarted.After(r.confirmAfter) {
 			b.Facts[i].Revision = f.Revision.Confirmed()
 			r.log.Info("Endpoint that was gone is back", "key", f.Key, "revision", f.Revision.String())
 			continue
 		}
-		r.doubt(b.Revision.Epoch(), now)
+		r.scheduleConfirm(b.Revision.Epoch(), now)
 		r.log.Info("Endpoint that was gone is in the restored copy and is not used", "key", f.Key, "revision", f.Revision.String())
 	}
 }
 
-// doubt lists the source again once the entries of endpoints that are gone have lapsed there.
-func (r *reader) doubt(epoch uint64, now time.Time) {
-	if r.doubtedIn != epoch {
-		r.doubtedIn, r.doubted = epoch, now.Add(copyLapses*r.lapse())
+// scheduleConfirm lists the source again once the entries of endpoints that are gone have lapsed there.
+func (r *reader) scheduleConfirm(epoch uint64, now time.Time) {
+	if r.confirmEpoch != epoch {
+		r.confirmEpoch, r.confirmAfter = epoch, now.Add(confirmLapses*r.entryLapse())
 	}
-	r.uncertain = true
-	r.trusted = later(r.trusted, r.doubted)
+	r.relistPending = true
+	r.graceUntil = later(r.graceUntil, r.confirmAfter)
 }
 
-// hasDoubted reports whether this box keeps an endpoint as gone that may be in a restored copy.
-func (r *reader) hasDoubted() bool {
+// hasUnconfirmed reports whether this box keeps an endpoint as gone that may be in a restored copy.
+func (r *reader) hasUnconfirmed() bool {
 	if r.collection != Endpoints {
 		return false
 	}
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -18,11 +18,11 @@
 	"github.com/pkg/errors"
 )
 
-// wordDecoder reads the values of testdata/restored.txt.
-type wordDecoder struct{}
+// textDecoder reads the values of testdata/restored.txt.
+type textDecoder struct{}
 
 // Kind implements Decoder.
-func (wordDecoder) Kind(key string) Kind {
+func (textDecoder) Kind(key string) Kind {
 	switch {
 	case key == "config":
 		return KindConfig
@@ -33,13 +33,13 @@
 }
 
 // Config implements Decoder.
-func (wordDecoder) Config(value []byte) (*topology.Config, error) {
+func (textDecoder) Config(value []byte) (*topology.Config, error) {
 	v, err := strconv.ParseUint(string(value), 10, 64)
 	return topology.NewConfig(v, nil, nil, topology.Limits{}), err
 }
 
 // Endpoint implements Decoder.
-func (wordDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
+func (textDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
 	state, second, _ := strings.Cut(string(value), "+")
 	spec := topology.EndpointSpec{ID: key, Draining: state == "draining"}
 	if second != "" {
@@ -53,7 +53,7 @@
 }
 
 // Version implements Decoder.
-func (wordDecoder) Version(value []byte) (topology.Adapter, int64, error) {
+func (textDecoder) Version(value []byte) (topology.Adapter, int64, error) {
 	v, err := strconv.ParseInt(string(value), 10, 64)
 	return topology.Adapter{Model: "m", Name: "a"}, v, err
 }
@@ -69,12 +69,12 @@
 func newRestoredBox() *restoredBox {
 	b := &restoredBox{source: &script{}}
 	b.reader, b.table = newReader(b.source)
-	b.reader.decoder = wordDecoder{}
-	n := &Node{Decoder: wordDecoder{}}
+	b.reader.decoder = textDecoder{}
+	n := &Node{Decoder: textDecoder{}}
 	b.node = n
 	b.table.Outlives, b.table.Same, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
 	b.reader.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
-	b.reader.listed = func(r Revision) { n.noteListed(Endpoints, r) }
+	b.reader.onList = func(r Revision) { n.recordList(Endpoints, r) }
 	return b
 }
 
@@ -96,7 +96,7 @@
 		return b.list(words[1], words[2:])
 	case "wait":
 		d, err := time.ParseDuration(words[1])
-		b.reader.trusted, b.reader.doubted = b.reader.trusted.Add(-d), b.reader.doubted.Add(-d)
+		b.reader.graceUntil, b.reader.confirmAfter = b.reader.graceUntil.Add(-d), b.reader.confirmAfter.Add(-d)
 		return err
 	case "want":
 		want, err := parseItem(words[2], words[1])
@@ -128,9 +128,9 @@
 	}
 	b.source.list = []Batch{batch}
 	b.reader.after = 0
-	b.reader.forgotten = true // so that it is no watch
+	b.reader.historyLost = true // so that it is no watch
 	_, err = b.reader.step(context.Background())
-	b.reader.note(err)
+	b.reader.noteResult(err)
 	return err
 }
 
@@ -224,11 +224,11 @@
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"receive", "2/150k", "e/1=gone"}), quicktest.IsNil)
 	b.node.checkpoints.advance(Endpoints, checkpoint{revision: revIn(2, 180), asOf: time.Now()})
-	b.reader.resume()
+	b.reader.resumeFromCheckpoint()
 	c.Assert(b.reader.after, quicktest.Equals, Revision(0))
 	c.Assert(b.do([]string{"receive", "2/190", "e/1=ready"}), quicktest.IsNil)
-	b.reader.afterOutage = false
-	b.reader.resume()
+	b.reader.relistAfterOutage = false
+	b.reader.resumeFromCheckpoint()
 	c.Assert(b.reader.after, quicktest.Equals, revIn(2, 180))
 }
 
@@ -240,13 +240,13 @@
 	hear := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
 	relies := func() bool {
 		_, told := p.statusAge(now)
-		return told && p.informed(now)
+		return told && p.leaderIsCurrent(now)
 	}
 	p.known.advance(Endpoints, checkpoint{revision: revIn(1, 200), asOf: now})
-	p.begin("b")
+	p.resetStream("b")
 	hear(revIn(1, 200))
 	c.Assert(relies(), quicktest.IsTrue)
-	for _, k := range []Collection{Settled, Endpoints} {
+	for _, k := range []Collection{Configuration, Endpoints} {
 		p.known.advance(k, checkpoint{revision: revIn(2, 150), asOf: now})
 	}
 	hear(revIn(1, 200))
--- a/edge/revision.go
+++ b/edge/revision.go
@@ -16,18 +16,18 @@
 
 // The parts of a Revision, from the highest bits to the lowest.
 const (
-	epochBits    = 18
-	countBits    = 44
-	standingBits = 2
+	epochBits  = 18
+	numberBits = 44
+	flagBits   = 2
 )
 
 // The standings of a fact at a revision, combined by or; none: it is as the source published it.
 const (
-	// keptStanding is of a fact that boxes knew before the source was restored, and that stays in place of what
+	// keptFlag is of a fact that boxes knew before the source was restored, and that stays in place of what
 	// the copy says at that revision.
-	keptStanding = 1
-	// confirmedStanding is of a fact of the copy that is true again, since its entry outlived a lease.
-	confirmedStanding = 2
+	keptFlag = 1
+	// confirmedFlag is of a fact of the copy that is true again, since its entry outlived a lease.
+	confirmedFlag = 2
 )
 
 // NewRevision returns a revision by the source's epoch, zero where it has none, and its own number.
@@ -35,33 +35,33 @@
 	if epoch >= 1<<epochBits {
 		return 0, errors.Errorf("source: epoch %d is above %d", epoch, 1<<epochBits-1)
 	}
-	if count >= 1<<countBits {
-		return 0, errors.Errorf("source: revision %d is above %d", count, uint64(1<<countBits-1))
+	if count >= 1<<numberBits {
+		return 0, errors.Errorf("source: revision %d is above %d", count, uint64(1<<numberBits-1))
 	}
-	return Revision(epoch<<(countBits+standingBits) | count<<standingBits), nil
+	return Revision(epoch<<(numberBits+flagBits) | count<<flagBits), nil
 }
 
 // Epoch returns how often the source was restored, by its own count.
-func (r Revision) Epoch() uint64 { return uint64(r) >> (countBits + standingBits) }
+func (r Revision) Epoch() uint64 { return uint64(r) >> (numberBits + flagBits) }
 
-// Count returns the source's own number.
-func (r Revision) Count() uint64 { return uint64(r) >> standingBits & (1<<countBits - 1) }
+// Number returns the source's own number.
+func (r Revision) Number() uint64 { return uint64(r) >> flagBits & (1<<numberBits - 1) }
 
 // Kept returns the revision of a fact that stays in place of the one published at r.
-func (r Revision) Kept() Revision { return r | keptStanding }
+func (r Revision) Kept() Revision { return r | keptFlag }
 
 // IsKept reports whether the fact stays in place of what the source says.
-func (r Revision) IsKept() bool { return r&keptStanding != 0 }
+func (r Revision) IsKept() bool { return r&keptFlag != 0 }
 
 // Confirmed returns the revision of a fact of a restored copy that is true again.
-func (r Revision) Confirmed() Revision { return r | confirmedStanding }
+func (r Revision) Confirmed() Revision { return r | confirmedFlag }
 
 // IsConfirmed reports whether a fact of a restored copy is true again.
-func (r Revision) IsConfirmed() bool { return r&confirmedStanding != 0 }
+func (r Revision) IsConfirmed() bool { return r&confirmedFlag != 0 }
 
 // String returns the source's number, with the epoch before it where there is one.
 func (r Revision) String() string {
-	text := strconv.FormatUint(r.Count(), 10)
+	text := strconv.FormatUint(r.Number(), 10)
 	if e := r.Epoch(); e != 0 {
 		text = fmt.Sprintf("%d/%s", e, text)
 	}
--- a/edge/revision_test.go
+++ b/edge/revision_test.go
@@ -43,7 +43,7 @@
 	r := revIn(3, 1<<40+5)
 	for _, r := range []Revision{r, r.Kept(), r.Confirmed(), r.Kept().Confirmed()} {
 		c.Check(r.Epoch(), quicktest.Equals, uint64(3))
-		c.Check(r.Count(), quicktest.Equals, uint64(1<<40+5))
+		c.Check(r.Number(), quicktest.Equals, uint64(1<<40+5))
 	}
 	c.Check(r.IsKept() || r.IsConfirmed(), quicktest.IsFalse)
 	c.Check(r.Kept().IsKept() && r.Confirmed().IsConfirmed(), quicktest.IsTrue)
--- a/edge/source.go
+++ b/edge/source.go
@@ -14,8 +14,8 @@
 
 // The collections.
 const (
-	Settled   Collection = iota + 1 // routes and services, and versions of adapters
-	Endpoints                       // lives of endpoints
+	Configuration Collection = iota + 1 // routes and services, and versions of adapters
+	Endpoints                           // lives of endpoints
 )
 
 // String names the collection.
@@ -37,11 +37,11 @@
 	Revision Revision
 }
 
-// ErrForgotten says that a source does not know what changed since a revision: its history is gone, or it was restored
+// ErrHistoryLost says that a source does not know what changed since a revision: its history is gone, or it was restored
 // from an older copy.
-type ErrForgotten struct{}
+type ErrHistoryLost struct{}
 
-func (ErrForgotten) Error() string { return "source: the history since that revision is gone" }
+func (ErrHistoryLost) Error() string { return "source: the history since that revision is gone" }
 
 // Source publishes configuration. It can only be read.
 type Source interface {
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -189,12 +189,12 @@
 
 // noteKeys logs when this box begins or ceases to serve callers by their keys.
 func (s *spending) noteKeys(now time.Time) {
-	serves := s.node.trustsKeys(now)
+	serves := s.node.keysAreCurrent(now)
 	if serves == s.serves {
 		return
 	}
 	s.serves = serves
-	ago, _ := s.node.vouched.ago(now)
+	ago, _ := s.node.configFreshness.age(now)
 	if serves {
 		s.node.Log.Info("Callers are served by their keys", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
 		return
@@ -331,7 +331,7 @@
 // askSelf answers this box's own settlement, and makes up for a source that it does not hear.
 func (s *spending) askSelf(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
 	a := s.answer(q, clock.Now())
-	if ago, ok := s.node.vouched.ago(clock.Now()); !ok || ago > askOthersAfter {
+	if ago, ok := s.node.configFreshness.age(clock.Now()); !ok || ago > askLeadersAfter {
 		s.askOthers(ctx)
 	}
 	return a, a.GetLeads()
@@ -346,8 +346,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.GetVouched() && s.node.configVersion() >= a.GetConfig() && !s.node.state.unread() {
-		s.node.vouched.raise(begun.Add(-time.Duration(a.GetAgeMicros()) * time.Microsecond))
+	if a.GetVouched() && s.node.configVersion() >= a.GetConfig() && !s.node.state.configUnreadable() {
+		s.node.configFreshness.advance(begun.Add(-time.Duration(a.GetAgeMicros()) * time.Microsecond))
 	}
 	return a, nil
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -28,12 +28,12 @@
 	tracker quarantine.Tracker // of requests under which endpoints ended
 
 	mu           sync.Mutex
-	lives        map[string]string // by the key of an endpoint's fact: the ID of the life that it named last
+	incarnations map[string]string // by the key of an endpoint's fact: the ID of the life that it named last
 	unreadConfig uint64            // revision of the latest configuration that can't be read; zero: the latest one could
 }
 
-// unread reports whether a newer configuration than that in force could not be read.
-func (s *state) unread() bool {
+// configUnreadable reports whether a newer configuration than that in force could not be read.
+func (s *state) configUnreadable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unreadConfig != 0
@@ -119,16 +119,16 @@
 // write there, and an endpoint that lives writes its own entry again within a heartbeat.
 func (s *state) applyEndpoint(i *wire.Item, value []byte) error {
 	if i.GetRemoved() {
-		s.endLife(i, "", "Endpoint is gone")
+		s.setIncarnation(i, "", "Endpoint is gone")
 		return nil
 	}
 	e, err := s.decoder.Endpoint(i.GetKey(), value)
 	if err != nil {
-		s.endLife(i, "", "Endpoint's entry can't be read; the endpoint is not used")
+		s.setIncarnation(i, "", "Endpoint's entry can't be read; the endpoint is not used")
 		return err
 	}
 	id := e.ID()
-	s.endLife(i, id, "Endpoint has started again")
+	s.setIncarnation(i, id, "Endpoint has started again")
 	old := s.view.Endpoint(id)
 	s.view.SetEndpoint(e)
 	if known := s.view.Endpoint(id); old == nil || old.Draining() != known.Draining() {
@@ -136,22 +136,22 @@
 			"draining", known.Draining(), "revision", revisionOf(i).String())
 	}
 	if !s.showSlots(id) {
-		s.view.SetHeld(id, heldLongAgo(e)) // better than nothing until its owner publishes
+		s.view.SetHeld(id, publishedAdapters(e)) // better than nothing until its owner publishes
 	}
 	return nil
 }
 
-// endLife records which life of an endpoint its key names now, empty for none. All that was
+// setIncarnation records which life of an endpoint its key names now, empty for none. All that was
 // known of the life before is forgotten: one that started again holds and runs nothing of it.
-func (s *state) endLife(i *wire.Item, id, why string) {
+func (s *state) setIncarnation(i *wire.Item, id, why string) {
 	s.mu.Lock()
-	if s.lives == nil {
-		s.lives = make(map[string]string)
+	if s.incarnations == nil {
+		s.incarnations = make(map[string]string)
 	}
-	before := s.lives[i.GetKey()]
-	s.lives[i.GetKey()] = id
+	before := s.incarnations[i.GetKey()]
+	s.incarnations[i.GetKey()] = id
 	if id == "" {
-		delete(s.lives, i.GetKey())
+		delete(s.incarnations, i.GetKey())
 	}
 	s.mu.Unlock()
 	if before == "" || before == id {
@@ -165,9 +165,9 @@
 	s.log.Info(why, "endpoint", before, "revision", revisionOf(i).String())
 }
 
-// heldLongAgo returns what an endpoint published that it holds. It may be wrong by
+// publishedAdapters returns what an endpoint published that it holds. It may be wrong by
 // now, which the endpoint says when it is asked.
-func heldLongAgo(e *topology.Endpoint) map[topology.Adapter]topology.Held {
+func publishedAdapters(e *topology.Endpoint) map[topology.Adapter]topology.Held {
 	held := make(map[topology.Adapter]topology.Held, len(e.Adapters()))
 	for a, v := range e.Adapters() {
 		held[a] = topology.Held{Version: v, Ready: true}
@@ -175,11 +175,11 @@
 	return held
 }
 
-// mostKeyLines bounds the lines about keys that one configuration brings.
-const mostKeyLines = 32
+// maxKeyChangeLines bounds the lines about keys that one configuration brings.
+const maxKeyChangeLines = 32
 
-// digestShown is how many bytes of a key's digest a log line shows: enough to find it by.
-const digestShown = 6
+// loggedDigestBytes is how many bytes of a key's digest a log line shows: enough to find it by.
+const loggedDigestBytes = 6
 
 // logKeys logs which keys came and went with a configuration.
 func (s *state) logKeys(before, after *topology.Config) {
@@ -189,11 +189,11 @@
 	}
 	changes := access.Changes(before.Callers(), after.Callers())
 	for i, c := range changes {
-		if i == mostKeyLines {
-			s.log.Info("Further keys came or went", "config", after.Version(), "keys", len(changes)-mostKeyLines)
+		if i == maxKeyChangeLines {
+			s.log.Info("Further keys came or went", "config", after.Version(), "keys", len(changes)-maxKeyChangeLines)
 			return
 		}
-		s.log.Info("Key stands for another organisation", "config", after.Version(), "key_digest", c.Key.Short(digestShown),
+		s.log.Info("Key stands for another organisation", "config", after.Version(), "key_digest", c.Key.Short(loggedDigestBytes),
 			"before", c.Before, "now", c.Now)
 	}
 }
--- a/edge/state_test.go
+++ b/edge/state_test.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// leavingDecoder reads from an endpoint's value whether it leaves.
-type leavingDecoder struct{ plainDecoder }
+// drainingDecoder reads from an endpoint's value whether it leaves.
+type drainingDecoder struct{ plainDecoder }
 
 // Endpoint implements Decoder.
-func (leavingDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
+func (drainingDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "s", Draining: string(value) == "leaves"}), nil
 }
 
@@ -40,9 +40,9 @@
 		},
 	}
 	r, table := newReader(s)
-	r.decoder = leavingDecoder{}
+	r.decoder = drainingDecoder{}
 	v := topology.NewView()
-	st := &state{view: v, table: table, decoder: leavingDecoder{}, fences: &placement.Fences{Box: 1}, log: logr.Discard()}
+	st := &state{view: v, table: table, decoder: drainingDecoder{}, fences: &placement.Fences{Box: 1}, log: logr.Discard()}
 	table.OnChange = st.apply
 	step(r)
 	c.Assert(v.Endpoint("e/1").Draining(), quicktest.IsFalse)
@@ -50,7 +50,7 @@
 	c.Assert(v.Endpoint("e/1").Draining(), quicktest.IsTrue)
 	for range 3 { // a failure, older news, and its entry lapses
 		_, err := r.step(context.Background())
-		r.note(err)
+		r.noteResult(err)
 		if e := v.Endpoint("e/1"); e != nil {
 			c.Assert(e.Draining(), quicktest.IsTrue)
 		}
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -22,12 +22,12 @@
 func TestAfterASuspensionABoxServesByNoKeyUntilItHasHeardAnew(t *testing.T) {
 	c := quicktest.New(t)
 	n := strictNode(c)
-	n.vouched.raise(clock.Now())
-	c.Assert(n.trustsKeys(clock.Now()), quicktest.IsTrue)
+	n.configFreshness.advance(clock.Now())
+	c.Assert(n.keysAreCurrent(clock.Now()), quicktest.IsTrue)
 	suspend(c, 4*time.Second)
-	c.Assert(n.trustsKeys(clock.Now()), quicktest.IsFalse)
-	n.vouched.raise(clock.Now())
-	c.Assert(n.trustsKeys(clock.Now()), quicktest.IsTrue)
+	c.Assert(n.keysAreCurrent(clock.Now()), quicktest.IsFalse)
+	n.configFreshness.advance(clock.Now())
+	c.Assert(n.keysAreCurrent(clock.Now()), quicktest.IsTrue)
 }
 
 // Endpoints left while a box was suspended. It may send to none by what it knew before, and must not
@@ -36,14 +36,14 @@
 	c := quicktest.New(t)
 	n := &Node{Settings: Settings{Bounds: Bounds{Drain: 2 * time.Second, Apply: 2 * time.Second}}}
 	n.current.Store(&n.Settings)
-	for _, k := range []Collection{Settled, Endpoints} {
-		n.fresh.note(k, readOutcome{current: true, asOf: clock.Now()})
+	for _, k := range []Collection{Configuration, Endpoints} {
+		n.fresh.record(k, readResult{current: true, asOf: clock.Now()})
 	}
-	c.Assert(n.reads(), quicktest.IsTrue)
+	c.Assert(n.readsSource(), quicktest.IsTrue)
 	told := leaderStatus{received: clock.Now(), readAt: clock.Now()}
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsTrue)
 	suspend(c, max(2*time.Second, share.SilentAfter))
-	c.Assert(n.reads(), quicktest.IsFalse)
+	c.Assert(n.readsSource(), quicktest.IsFalse)
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
 
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// resignMost is how long a box that leaves has to resign from an endpoint: its orders
+	// resignTimeout is how long a box that leaves has to resign from an endpoint: its orders
 	// under way take a few milliseconds, and what it tells must be used before a report
 	// would do.
-	resignMost = 300 * time.Millisecond
-	// keepMargin is how long a box's last order may be on its way: an endpoint answers in a
+	resignTimeout = 300 * time.Millisecond
+	// orderMargin is how long a box's last order may be on its way: an endpoint answers in a
 	// few milliseconds.
-	keepMargin = 200 * time.Millisecond
+	orderMargin = 200 * time.Millisecond
 )
 
-// watchLead has the loader look at what this box owns as soon as it leads other data centres
+// watchLeadership has the loader look at what this box owns as soon as it leads other data centres
 // than before, until ctx ends: who heard of it before gets no load meanwhile.
-func (n *Node) watchLead(ctx context.Context) error {
+func (n *Node) watchLeadership(ctx context.Context) error {
 	var before []string
 	for ctx.Err() == nil {
 		changed := n.peers.table.Changed()
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// takeOver asks the boxes that leave to resign from an endpoint. Any of its data centre may
+// requestHandover asks the boxes that leave to resign from an endpoint. Any of its data centre may
 // have led there, and the one that this box saw lead. Where none resigns and one did not
 // answer, that one may give orders for so long.
-func (p *peers) takeOver(ctx context.Context, e *topology.Endpoint) (placement.Handover, time.Duration) {
-	list := p.leaversOf(e.DataCentre(), clock.Now())
+func (p *peers) requestHandover(ctx context.Context, e *topology.Endpoint) (placement.Handover, time.Duration) {
+	list := p.departingOwners(e.DataCentre(), clock.Now())
 	answers := make(chan resignation, len(list))
 	for _, m := range list {
 		go func() { answers <- p.resign(ctx, m, e.ID()) }()
@@ -61,21 +61,21 @@
 			handed = r.handover
 		}
 		if r.failed {
-			wait = max(wait, clock.Until(r.box.Since().Add(placement.KeepMost+keepMargin)))
+			wait = max(wait, clock.Until(r.box.Since().Add(placement.KeepMost+orderMargin)))
 		}
 	}
 	return handed, wait
 }
 
-// leaversOf returns the boxes that may still give orders in a data centre though they leave.
-func (p *peers) leaversOf(centre string, now time.Time) []member.Member {
+// departingOwners returns the boxes that may still give orders in a data centre though they leave.
+func (p *peers) departingOwners(centre string, now time.Time) []member.Member {
 	p.mu.Lock()
 	before := p.leaders[centre].before
 	p.mu.Unlock()
 	var list []member.Member
 	for _, m := range p.table.All() {
 		gives := m.DataCentre() == centre || m.Name() == before
-		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.KeepMost+keepMargin {
+		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.KeepMost+orderMargin {
 			list = append(list, m)
 		}
 	}
@@ -91,7 +91,7 @@
 
 // resign asks one box to resign from an endpoint.
 func (p *peers) resign(ctx context.Context, m member.Member, endpoint string) resignation {
-	call, cancel := context.WithTimeout(ctx, resignMost)
+	call, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
 	a, err := wire.NewShareClient(p.dialer.Conn(m.Address())).Resign(call, &wire.ResignRequest{Endpoint: endpoint})
 	if status.Code(err) == codes.Unimplemented {
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -28,7 +28,7 @@
 
 // List implements Source.
 func (modelSource) List(_ context.Context, c Collection) (Batch, error) {
-	if c == Settled {
+	if c == Configuration {
 		return Batch{Facts: []Fact{{Key: "c/1", Revision: rev(1)}}, Revision: rev(1)}, nil
 	}
 	return Batch{Facts: []Fact{{Key: "e/1", Revision: rev(1)}}, Revision: rev(1)}, nil
@@ -57,8 +57,8 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{"m"}}), nil
 }
 
-// heldEndpoint is an endpoint whose adapters are loaded at once.
-type heldEndpoint struct {
+// fakeEndpoint is an endpoint whose adapters are loaded at once.
+type fakeEndpoint struct {
 	mu      sync.Mutex
 	ready   map[topology.Adapter]int64
 	fence   uint64
@@ -66,14 +66,14 @@
 	reports map[string]int // read by each box
 }
 
-// controlOf is one box's way to it.
-type controlOf struct {
+// fakeControl is one box's way to it.
+type fakeControl struct {
 	box      string
-	endpoint *heldEndpoint
+	endpoint *fakeEndpoint
 }
 
 // Report implements placement.Control.
-func (o controlOf) Report(context.Context, *topology.Endpoint) (placement.Holding, error) {
+func (o fakeControl) Report(context.Context, *topology.Endpoint) (placement.Holding, error) {
 	h := o.endpoint
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +86,7 @@
 }
 
 // Order implements placement.Control.
-func (o controlOf) Order(_ context.Context, _ *topology.Endpoint, d placement.Order) (placement.Outcome, error) {
+func (o fakeControl) Order(_ context.Context, _ *topology.Endpoint, d placement.Order) (placement.Outcome, error) {
 	h := o.endpoint
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -121,14 +121,14 @@
 }
 
 // startAt starts boxes of one data centre at an endpoint, the next leader after the one before.
-func startAt(c *quicktest.C, h *heldEndpoint, count int) (nodes []*Node, stops []func() error) {
+func startAt(c *quicktest.C, h *fakeEndpoint, count int) (nodes []*Node, stops []func() error) {
 	for i := range count {
 		n := newNode(c, fmt.Sprintf("box-%d", i+1))
 		if i > 0 {
 			n.Settings.Seeds = []string{nodes[0].Settings.Peers}
 		}
 		n.Settings.Number = uint32(9 - i) // of two terms alike the later box's fence is the lower one
-		n.Source, n.Decoder, n.Control = modelSource{}, modelDecoder{}, controlOf{box: n.Settings.Box, endpoint: h}
+		n.Source, n.Decoder, n.Control = modelSource{}, modelDecoder{}, fakeControl{box: n.Settings.Box, endpoint: h}
 		nodes, stops = append(nodes, n), append(stops, start(n))
 		variablesOf(c, n)
 	}
@@ -138,8 +138,8 @@
 	return nodes, stops
 }
 
-// handsOver stops a leader and returns when the next one has loaded an adapter.
-func handsOver(stop func() error, next *Node) (stopped chan error) {
+// stopAndAwaitNext stops a leader and returns when the next one has loaded an adapter.
+func stopAndAwaitNext(stop func() error, next *Node) (stopped chan error) {
 	stopped = make(chan error, 1)
 	go func() { stopped <- stop() }()
 	for next.loader.Counts().Owned == 0 {
@@ -154,10 +154,10 @@
 // new enough.
 func TestALeaderThatStopsHandsItsEndpointsOver(t *testing.T) {
 	c := quicktest.New(t)
-	h := &heldEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
+	h := &fakeEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
 	nodes, stops := startAt(c, h, 3)
-	first := handsOver(stops[0], nodes[1])
-	second := handsOver(stops[1], nodes[2]) // while the first one still serves
+	first := stopAndAwaitNext(stops[0], nodes[1])
+	second := stopAndAwaitNext(stops[1], nodes[2]) // while the first one still serves
 	h.mu.Lock()
 	reports := maps.Clone(h.reports)
 	h.mu.Unlock()
@@ -181,15 +181,15 @@
 	first, far := box("first", "dc", 1, 400), box("far", "other", 1, 400)
 	p := peersOf(box("second", "dc", 2, 400), first, far, box("third", "dc", 3, 400))
 	now := time.Now()
-	c.Assert(p.leaversOf("dc", now), quicktest.HasLen, 0)
+	c.Assert(p.departingOwners("dc", now), quicktest.HasLen, 0)
 	leave(p, first, now)
 	leave(p, far, now)
-	list := p.leaversOf("dc", now.Add(placement.KeepMost))
+	list := p.departingOwners("dc", now.Add(placement.KeepMost))
 	c.Assert(list, quicktest.HasLen, 1)
 	c.Assert(list[0].Name(), quicktest.Equals, "first")
-	c.Assert(p.leaversOf("dc", now.Add(placement.KeepMost+keepMargin)), quicktest.HasLen, 0)
+	c.Assert(p.departingOwners("dc", now.Add(placement.KeepMost+orderMargin)), quicktest.HasLen, 0)
 	p.leaders = map[string]leadership{"dc": {name: "second", before: "far"}} // as no box of dc had served
-	c.Assert(p.leaversOf("dc", now), quicktest.HasLen, 2)
+	c.Assert(p.departingOwners("dc", now), quicktest.HasLen, 2)
 }
 
 // Its orders and those of the next leader would take turns.
@@ -201,12 +201,12 @@
 	p.dialer = &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext}
 	defer p.dialer.Close()
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e/1", DataCentre: "dc"})
-	h, wait := p.takeOver(context.Background(), e)
+	h, wait := p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
 	c.Assert(wait, quicktest.Equals, time.Duration(0)) // it does not leave
 	heard := time.Now().Add(time.Minute)               // the time that is left is compared with it
 	leave(p, first, heard)
-	h, wait = p.takeOver(context.Background(), e)
+	h, wait = p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
 	c.Assert(wait > placement.KeepMost, quicktest.IsTrue)
 }
@@ -216,7 +216,7 @@
 func TestABoxThatBeginsToLeadClaimsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		h := &heldEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
+		h := &fakeEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
 		first := box("first", "dc", 1, 400)
 		n := &Node{peers: peersOf(box("second", "dc", 2, 400), first), view: topology.NewView()}
 		n.Settings.Bounds.Lease = time.Second
@@ -230,7 +230,7 @@
 		n.loader = &placement.Loader{
 			Box:     "second",
 			View:    n.view,
-			Control: controlOf{box: "second", endpoint: h},
+			Control: fakeControl{box: "second", endpoint: h},
 			Limits:  func() placement.RateLimits { return placement.DefaultRateLimits },
 			Log:     logr.Discard(),
 			Fences:  &placement.Fences{Box: 2},
@@ -244,7 +244,7 @@
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 2)
-		for _, run := range []task{n.loader.Run, n.watchLead} {
+		for _, run := range []task{n.loader.Run, n.watchLeadership} {
 			go func() { ended <- run(ctx) }()
 		}
 		time.Sleep(time.Minute + lookPause/2) // looks are as long apart as those at who leads
--- a/edge/traffic_test.go
+++ b/edge/traffic_test.go
@@ -48,12 +48,12 @@
 		list: []Batch{{Facts: published("e/1"), Revision: rev(5)}, {Facts: published("e/1"), Revision: rev(9)}},
 		watch: []func() (Batch, error){
 			func() (Batch, error) { return Batch{Revision: rev(6)}, nil },
-			func() (Batch, error) { return Batch{}, ErrForgotten{} },
+			func() (Batch, error) { return Batch{}, ErrHistoryLost{} },
 		},
 	}
 	var made calls
 	r, _ := newReader(s)
-	r.counted = made.count
+	r.onCall = made.count
 	for range 4 {
 		step(r)
 	}
--- a/edge/vouch.go
+++ b/edge/vouch.go
@@ -9,17 +9,17 @@
 	"cairnwick.example/clock"
 )
 
-// vouched is as of when the source is known to have published no newer configuration than the one
+// configFreshness is as of when the source is known to have published no newer configuration than the one
 // in force here. Unlike the ages of streams it holds however long a message was on its way, and
 // however long this process stood still: it is the time at which this box began the call whose
 // answer says so, less the age that the answer gives.
-type vouched struct {
+type configFreshness struct {
 	mu   sync.Mutex
 	asOf time.Time // the latest one; zero: never
 }
 
-// raise notes that nothing newer had been published at a time.
-func (v *vouched) raise(asOf time.Time) {
+// advance notes that nothing newer had been published at a time.
+func (v *configFreshness) advance(asOf time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if asOf.After(v.asOf) {
@@ -27,61 +27,61 @@
 	}
 }
 
-// ago returns how long ago that was; false where it never was.
-func (v *vouched) ago(now time.Time) (time.Duration, bool) {
+// age returns how long age that was; false where it never was.
+func (v *configFreshness) age(now time.Time) (time.Duration, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return now.Sub(v.asOf), !v.asOf.IsZero()
 }
 
 const (
-	// keyMargin is how much sooner than the bound a box stops to serve by its keys: a request
+	// revocationMargin is how much sooner than the bound a box stops to serve by its keys: a request
 	// takes some milliseconds from its last check to its endpoint.
-	keyMargin = 100 * time.Millisecond
-	// vouchPart is the part of the bound after which a box asks the source itself: the calls that
+	revocationMargin = 100 * time.Millisecond
+	// confirmFraction is the part of the bound after which a box asks the source itself: the calls that
 	// are lost on the way leave time for others.
-	vouchPart = 0.5
-	// askOthersAfter is how old a leader's own word is before it asks the other leaders for
+	confirmFraction = 0.5
+	// askLeadersAfter is how old a leader's own word is before it asks the other leaders for
 	// theirs: longer than the source takes to answer one that it hears.
-	askOthersAfter = 1500 * time.Millisecond
+	askLeadersAfter = 1500 * time.Millisecond
 )
 
-// strictKeys tells whether the age of what this box knows of keys bounds what it serves.
-func (n *Node) strictKeys() bool {
+// boundsKeyAge tells whether the age of what this box knows of keys bounds what it serves.
+func (n *Node) boundsKeyAge() bool {
 	return n.current.Load().Bounds.StrictKeys && n.view.Config().Callers() != nil
 }
 
-// mustVouch tells whether this box must hear the source itself to go on with its keys.
-func (n *Node) mustVouch(now time.Time) bool {
-	if n.view.Config() == nil || !n.strictKeys() {
+// mustConfirmConfig tells whether this box must hear the source itself to go on with its keys.
+func (n *Node) mustConfirmConfig(now time.Time) bool {
+	if n.view.Config() == nil || !n.boundsKeyAge() {
 		return false
 	}
-	ago, ok := n.vouched.ago(now)
-	return !ok || ago > time.Duration(vouchPart*float64(n.current.Load().Bounds.Revocation))
+	ago, ok := n.configFreshness.age(now)
+	return !ok || ago > time.Duration(confirmFraction*float64(n.current.Load().Bounds.Revocation))
 }
 
-// trustsKeys tells whether what this box knows of keys is recent enough to serve by.
-func (n *Node) trustsKeys(now time.Time) bool {
-	if !n.strictKeys() {
+// keysAreCurrent tells whether what this box knows of keys is recent enough to serve by.
+func (n *Node) keysAreCurrent(now time.Time) bool {
+	if !n.boundsKeyAge() {
 		return true
 	}
-	ago, ok := n.vouched.ago(now)
-	return ok && ago < n.current.Load().Bounds.Revocation-keyMargin
+	ago, ok := n.configFreshness.age(now)
+	return ok && ago < n.current.Load().Bounds.Revocation-revocationMargin
 }
 
-// readyPart is the part of the bound after which a box says that it is not ready. The balancer takes
+// readyFraction is the part of the bound after which a box says that it is not ready. The balancer takes
 // some two seconds to believe it, and sends callers where they are served by the time that they would
 // be refused here. A word is some 2 s old at the most where nothing is wrong, of 5 s.
-const readyPart = 0.7
+const readyFraction = 0.7
 
-// expectsKeys tells whether callers with keys will be served here for some more time. Where no box of
+// keysStayCurrent tells whether callers with keys will be served here for some more time. Where no box of
 // the data centre says so, the balancer asks all.
-func (n *Node) expectsKeys(now time.Time) bool {
-	if !n.strictKeys() {
+func (n *Node) keysStayCurrent(now time.Time) bool {
+	if !n.boundsKeyAge() {
 		return true
 	}
-	ago, ok := n.vouched.ago(now)
-	return ok && ago < time.Duration(readyPart*float64(n.current.Load().Bounds.Revocation))
+	ago, ok := n.configFreshness.age(now)
+	return ok && ago < time.Duration(readyFraction*float64(n.current.Load().Bounds.Revocation))
 }
 
 // keysReport is what the metrics tell of callers' keys.
@@ -94,11 +94,11 @@
 func (n *Node) keysReport() keysReport {
 	now := clock.Now()
 	r := keysReport{AgeMS: -1}
-	if ago, ok := n.vouched.ago(now); ok {
+	if ago, ok := n.configFreshness.age(now); ok {
 		r.AgeMS = ago.Milliseconds()
 	}
 	if c := n.view.Config(); c != nil {
-		r.Organisations, r.Served = len(c.Callers().All()), n.trustsKeys(now)
+		r.Organisations, r.Served = len(c.Callers().All()), n.keysAreCurrent(now)
 	}
 	return r
 }
