--- a/edge/known.go
+++ b/edge/checkpoint.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// checkpoints holds, per collection, the revision up to which this box misses nothing, by its own reads and by the
-// statuses of the boxes that it followed. A watch can resume there: it costs one small answer, where a list of all
-// costs half a megabyte with some thousand routes. The zero value knows nothing.
+// checkpoints holds, for each collection, the revision up to which this box has no gaps, by its own
+// reads and by the status of the boxes that it followed. A watch can resume there at the cost of one
+// small response, whereas a full list takes half a megabyte with some thousand routes. The zero value
+// has no checkpoints.
 type checkpoints struct {
 	mu     sync.Mutex
 	latest map[Collection]checkpoint
 }
 
-// checkpoint is a revision of the source, and when that was the latest one.
+// checkpoint is a revision of the source and the time at which it was the latest one.
 type checkpoint struct {
 	revision Revision
 	asOf     time.Time
 }
 
-// advance records that nothing of a collection is missing up to a checkpoint.
+// advance records that a collection has no gaps up to a checkpoint.
 func (k *checkpoints) advance(c Collection, m checkpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// of returns the checkpoint of a collection; a zero revision: nothing is known.
+// of returns the checkpoint of a collection; a zero revision if there is none.
 func (k *checkpoints) of(c Collection) checkpoint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -10,7 +10,7 @@
 	"cairnwick.example/wire"
 )
 
-// followAll follows the boxes that this one learns from, until ctx ends.
+// followAll keeps a stream open from each box that this one follows, until ctx ends.
 func (p *peers) followAll(ctx context.Context) error {
 	running := make(map[source]context.CancelFunc)
 	ended := make(chan source)
@@ -51,13 +51,12 @@
 type source struct {
 	name       string
 	address    string
-	everything bool // else only what this box does not read by itself
+	everything bool // otherwise only facts that this box does not read from the source itself
 }
 
-// sources returns the boxes to follow now: those of the own data centre follow the
-// leader, some by way of others; leaders follow each other. Bytes between data centres
-// are dear, so a leader that reads the source of the configuration takes from the others
-// only what they alone know.
+// sources returns the boxes to follow now. The boxes of a data centre follow its leader, some through
+// other boxes; leaders follow each other. Traffic between data centres is expensive, so a leader that
+// reads the source itself takes from other leaders only the facts that the source does not have.
 func (p *peers) sources() map[source]bool {
 	list := make(map[source]bool)
 	if m, _, ok := p.clusterView().parent(); ok {
@@ -73,20 +72,20 @@
 	return list
 }
 
-// follow merges what one box sends until the stream ends.
+// follow merges the updates of one box until the stream ends.
 func (p *peers) follow(ctx context.Context, s source) {
 	q := &wire.FollowRequest{Box: p.box, Everything: s.everything}
 	c := wire.NewShareClient(p.dialer.Conn(s.address))
 	p.resetStream(s.name)
 	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, came time.Time) { p.apply(s, u, came) })
 	if ctx.Err() == nil {
-		p.log.Info("Stream from a box ended", "followed", s.name, "err", err.Error())
+		p.log.Info("Update stream from box ended", "followed", s.name, "err", err.Error())
 		p.loop.Probe(s.name)
 	}
 }
 
-// apply records the status in a message of a followed box, whose facts were merged. One that is followed only for
-// what it alone knows sends no endpoints of the source, so its status says nothing of those.
+// apply records the status in a message of a followed box, whose facts have been merged already. A
+// stream without everything carries no endpoint entries, so its status does not cover them.
 func (p *peers) apply(s source, u *wire.Update, came time.Time) {
 	p.table.Seen(s.name, came)
 	if !u.GetReading() {
@@ -99,9 +98,10 @@
 	p.receiveStatus(s.name, said, came)
 }
 
-// resetStream records that a box is followed anew. It may have started again since, and listed the source without what had
-// left; it would never send the removal of what this box kept meanwhile. So its status counts once this box has read
-// the source up to the first one of the stream.
+// resetStream records that a new stream from a box begins. The box may have restarted and listed the
+// source after an endpoint was removed, in which case it never sends that removal, and this box would
+// keep the endpoint. So its status counts for endpoints only once this box has read the source up to
+// the first status of the stream.
 func (p *peers) resetStream(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// receiveStatus records how far a followed box has read the source, by its status that came at now.
+// receiveStatus records how far a followed box has read the source, by a status received at now.
 func (p *peers) receiveStatus(name string, said share.Status, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,38 +134,40 @@
 	}
 }
 
-// isComplete reports whether this box misses no removal of an endpoint up to a status: it knew all up to the first one
-// of that stream, which has sent the rest.
+// isComplete reports whether this box misses no removal of an endpoint up to a status: it had read
+// everything up to the first status of that stream, and the stream has sent the rest.
 func (p *peers) isComplete(w leaderStatus) bool {
 	return w.first != 0 && w.first <= p.known.of(Endpoints).revision
 }
 
-// statusAge returns how long ago the leader read the source, by the status of the followed box; false where that is too
-// long ago, where that box has sent nothing for long, or where this box leads.
+// statusAge returns the age of the leader's last read of the source, by the status of the followed
+// box. It returns false if that read is too old, if the followed box has not sent a message for too
+// long, or if this box leads.
 func (p *peers) statusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
 	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && w.isFresh(now, p.behind())
 }
 
-// isOfCurrentEpoch reports whether a followed box has learned that the source was restored, as far as this box knows of it.
+// isOfCurrentEpoch reports whether a followed box knows of the last restore of the source that this
+// box knows of.
 func (p *peers) isOfCurrentEpoch(w leaderStatus) bool {
 	return w.settled.Epoch() >= p.known.of(Configuration).revision.Epoch()
 }
 
-// completeStatusAge returns the same where this box cannot have missed what left before.
+// completeStatusAge is statusAge for a followed box from which this one cannot have missed a removal.
 func (p *peers) completeStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
 	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && p.isComplete(w) && w.isFresh(now, p.behind())
 }
 
-// latestStatusAge returns how long ago the source was read by the status of the followed box, however old; false where
-// it has sent none yet, or where this box leads.
+// latestStatusAge returns the age of the leader's last read by the latest status, however old. It
+// returns false if there is no status yet or if this box leads.
 func (p *peers) latestStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
 	return now.Sub(w.readAt), ok && !w.received.IsZero()
 }
 
-// latestStatus returns the last status of the followed box; false where this box leads.
+// latestStatus returns the latest status of the followed box; false if this box leads.
 func (p *peers) latestStatus() (leaderStatus, bool) {
 	m, _, ok := p.clusterView().parent()
 	if !ok {
@@ -176,7 +178,8 @@
 	return p.statuses[m.Name()], true
 }
 
-// leaderIsCurrent reports whether this box receives what a leader that reads the source reads.
+// leaderIsCurrent reports whether this box receives, without gaps, what a leader with a recent read of
+// the source sends.
 func (p *peers) leaderIsCurrent(now time.Time) bool {
 	_, ok := p.completeStatusAge(now)
 	return ok
--- a/edge/follow_test.go
+++ b/edge/follow_test.go
@@ -11,8 +11,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// mutableSource publishes one endpoint until it leaves, with revision 9. Where it is silent it
-// answers no watch.
+// mutableSource publishes one endpoint until it leaves, at revision 9. If silent it answers no watch.
 type mutableSource struct {
 	silent bool
 	left   atomic.Bool
@@ -39,7 +38,7 @@
 	return Batch{Revision: after}, nil
 }
 
-// eventually waits until ok holds, for much longer than it may take.
+// eventually waits until ok returns true, for at most eight seconds.
 func eventually(c *quicktest.C, what string, ok func() bool) {
 	for range 800 {
 		if ok() {
@@ -50,17 +49,13 @@
 	c.Fatalf("not within eight seconds: %s", what)
 }
 
-// Callers were sent to an endpoint more than two seconds after it had withdrawn from the
-// source, by a box that reached the source all the time.
-//
-// The order of events: the source stops answering the leader of a data centre, without a
-// word. An endpoint withdraws. The leader's watch waits for its answer for 2.7 s, and so
-// long the leader goes on telling its followers that it hears the source, since its last
-// call that ended went well. They wait for news from it and do not read by themselves.
-//
-// The evidence: the calls of that leader got no answer from one moment on; its follower knew
-// of two endpoints that had gone 1.4 and 2.3 s before at one moment, by its own first call.
-func TestAFollowerHearsWhatItsLeaderIsNotTold(t *testing.T) {
+// A follower that could reach the source sent requests to an endpoint more than two seconds after the
+// endpoint had withdrawn its entry. The source had stopped responding to the leader of the data centre
+// without an error. The leader's watch waited 2.7 s for a response, and meanwhile the leader kept
+// reporting itself as current, since its last completed call had succeeded. So its followers did not
+// read the source themselves. In the recorded case the follower learned of two removals at once, 1.4
+// and 2.3 s late, from its own first call.
+func TestFollowerReadsSourceThatStopsAnsweringItsLeader(t *testing.T) {
 	c := quicktest.New(t)
 	leader := newNode(c, "box-1")
 	leader.Source = &mutableSource{silent: true}
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -13,32 +13,34 @@
 	"cairnwick.example/wire"
 )
 
-// How far a box may be behind its source is divided between the parts of the way of a fact: a leader's watch, the
-// steps to a follower (each sends how long ago the source was read), and, where the source stops answering the
-// leader without an error, the follower's own call. Of 2 s: 0.67 s between two answers to the leader, and 0.3 s for
-// each step; so a status is at most 0.75 s old at the leader and 1.35 s two steps below it. At 1.5 s a box reads by
-// itself, 0.1 s later at most, which leaves 0.4 s for the call and for a leader whose link is slow.
+// The maximum staleness of a box is split among the steps of a fact's path: the leader's watch, the
+// hops to a follower (each message carries the age of the read), and the follower's own call in case
+// the source stops responding to the leader without an error. With 2 s: at most 0.67 s between two
+// responses to the leader, and 0.3 s for each hop, so a status is at most 0.75 s old at the leader and
+// 1.35 s two hops below it. At 1.5 s a box reads by itself, after at most another 0.1 s, which leaves
+// 0.4 s for the call and for a leader with a slow link.
 const (
-	watchDivisor   = 3    // the time between two answers is a third of it
-	statusFraction = 0.75 // a status that is older than this part of it is ignored
+	watchDivisor   = 3    // a third of the maximum staleness passes between two responses
+	statusFraction = 0.75 // a status older than this fraction of the maximum staleness is ignored
 )
 
-// maxAnswerInterval returns how long a box that reads goes without an answer.
+// maxAnswerInterval returns the longest time between two responses to a box that reads.
 func maxAnswerInterval(behind time.Duration) time.Duration { return behind / watchDivisor }
 
-// maxStatusAge returns how old the status of a box that reads the source may be.
+// maxStatusAge returns the age up to which the status of a box that reads the source counts.
 func maxStatusAge(behind time.Duration) time.Duration {
 	return time.Duration(float64(behind) * statusFraction)
 }
 
-// freshness is when the source last answered this box. A call that gets no answer says
-// nothing of the source until it fails, so the time counts, not how the last call ended.
+// freshness records when the source last responded to this box. A call without a response tells
+// nothing until it fails, so the time of the last response counts rather than the result of the last
+// call.
 type freshness struct {
 	mu       sync.Mutex
-	answered map[Collection]time.Time // by collection; a missing one was never read, its last call failed, or its answer is held back
+	answered map[Collection]time.Time // missing: never read, the last call failed, or removals are deferred
 }
 
-// record notes how a call for a collection went.
+// record records the result of a call for a collection.
 func (f *freshness) record(c Collection, w readResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -52,8 +54,8 @@
 	delete(f.answered, c)
 }
 
-// age returns how long age the collection was read whose last read is the oldest; false
-// where one was not.
+// age returns the age of the oldest of the last reads of all collections; false if one has no valid
+// read.
 func (f *freshness) age(now time.Time) (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,16 +70,16 @@
 	return most, true
 }
 
-// behind returns how far this box may be behind the source.
+// behind returns how far this box may lag behind the source.
 func (n *Node) behind() time.Duration { return n.current.Load().Bounds.Behind() }
 
-// readsSource reports whether this box readsSource the source by itself.
+// readsSource reports whether this box has a recent read of its own.
 func (n *Node) readsSource() bool {
-	ago, ok := n.fresh.age(clock.Now())
-	return ok && ago < maxStatusAge(n.behind())
+	age, ok := n.fresh.age(clock.Now())
+	return ok && age < maxStatusAge(n.behind())
 }
 
-// recordRead notes how a call for a collection went.
+// recordRead records the result of a call for a collection.
 func (n *Node) recordRead(c Collection, w readResult) {
 	n.fresh.record(c, w)
 	if w.current {
@@ -88,15 +90,16 @@
 	}
 }
 
-// recordList notes the revision of a list of the source.
+// recordList records the revision of a list.
 func (n *Node) recordList(c Collection, revision Revision) {
 	if c == Endpoints {
 		n.listed.Store(uint64(revision))
 	}
 }
 
-// hasEnded reports whether an endpoint that is not in the table had left when this box listed the source: its last
-// change is not after the list, which did not have it. Of a request in quarantine it reports whether that has expired.
+// hasEnded reports whether an endpoint that is not in the table was removed before this box listed the
+// source: the list did not contain it, and its last change is not after that list. For a request in
+// quarantine it reports whether the quarantine has expired.
 func (n *Node) hasEnded(i *wire.Item) bool {
 	if isQuarantineOver(i, time.Now()) {
 		return true
@@ -104,7 +107,7 @@
 	return n.Decoder.Kind(i.GetKey()) == KindEndpoint && !i.GetRemoved() && i.GetVersion() <= n.listed.Load()
 }
 
-// sourceAge returns how long ago this box, or one that it follows, read the source.
+// sourceAge returns the age of the last read of the source, by this box or by one that it follows.
 func (n *Node) sourceAge() (time.Duration, bool) {
 	now := clock.Now()
 	own, reads := n.fresh.age(now)
@@ -118,16 +121,16 @@
 	return received, informed
 }
 
-// status returns how far this box has read the source, for those that follow it.
+// status returns how far this box has read the source, for the boxes that follow it.
 func (n *Node) status() (share.Status, bool) {
-	settled, endpoints := n.checkpoints.of(Configuration), n.checkpoints.of(Endpoints) // first: they hold at least up to then
+	settled, endpoints := n.checkpoints.of(Configuration), n.checkpoints.of(Endpoints) // read before the age: they hold at least up to then
 	age, ok := n.sourceAge()
 	return share.Status{Age: age, Settled: uint64(settled.revision), Endpoints: uint64(endpoints.revision)}, ok
 }
 
-// mustRead reports whether this box reads a collection of the source: it leads its data centre, or its leader does
-// not send what it reads. Nothing that is settled is ever removed, so what a followed box sends of it is complete from
-// its first status on.
+// mustRead reports whether this box has to read a collection: it leads its data centre, or its
+// leader's updates are not current. Configuration is never removed, so for that collection a followed
+// box is complete from its first status on.
 func (n *Node) mustRead(c Collection) bool {
 	if c == Configuration {
 		now := clock.Now()
@@ -137,31 +140,32 @@
 	return !n.peers.leaderIsCurrent(clock.Now())
 }
 
-// sourceAges returns how long ago the source was read: by this box, and by its leader as the followed box reports; one
-// that is not known is missing.
+// sourceAges returns the ages of the last reads of the source, by this box and by its leader according
+// to the followed box. An unknown age is left out.
 func (n *Node) sourceAges() map[string]int64 {
 	now := clock.Now()
 	ages := make(map[string]int64)
-	if ago, ok := n.fresh.age(now); ok {
-		ages["own_ms"] = ago.Milliseconds()
+	if age, ok := n.fresh.age(now); ok {
+		ages["own_ms"] = age.Milliseconds()
 	}
-	if ago, ok := n.peers.latestStatusAge(now); ok {
-		ages["told_ms"] = ago.Milliseconds()
+	if age, ok := n.peers.latestStatusAge(now); ok {
+		ages["told_ms"] = age.Milliseconds()
 	}
 	return ages
 }
 
-// isSuperseded reports whether a fact about an endpoint, in a newer version than the table's, is older than what this
-// box knows: it misses nothing up to its checkpoint, but does not receive versions that say the same as the one before. What
-// boxes keep against a restored copy is said by no such version.
+// isSuperseded reports whether a received fact about an endpoint is outdated although its version is
+// above the one in the table. This box has no gaps up to its checkpoint, but versions equal in content
+// to the one before are not sent to it. Facts marked as kept or confirmed after a restore are never
+// skipped that way.
 func (n *Node) isSuperseded(i *wire.Item) bool {
 	v := revisionOf(i)
 	return n.Decoder.Kind(i.GetKey()) == KindEndpoint && v <= n.checkpoints.of(Endpoints).revision && !v.IsKept() && !v.IsConfirmed()
 }
 
-// isSame reports whether two versions of a fact say the same. A restored source gives all facts with other revisions,
-// and an endpoint writes its entry anew whenever an adapter comes or goes, which boxes get from its owner: such a
-// fact need not be sent to all boxes as well.
+// isSame reports whether two versions of a fact are equal in content. A restored source publishes all
+// facts under other revisions, and an endpoint rewrites its entry whenever an adapter is loaded or
+// unloaded, which other boxes learn from its owner. Such versions need not be sent to all boxes.
 func (n *Node) isSame(old, now *wire.Item) bool {
 	kind := n.Decoder.Kind(now.GetKey())
 	if kind == KindOther || revisionOf(now).IsKept() || revisionOf(now).IsConfirmed() || old.GetRemoved() || now.GetRemoved() {
--- a/edge/freshness_test.go
+++ b/edge/freshness_test.go
@@ -10,13 +10,13 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestTheCollectionHeardLongestAgoSaysHowFreshTheViewIs(t *testing.T) {
+func TestFreshnessIsThatOfTheOldestCollection(t *testing.T) {
 	c := quicktest.New(t)
 	var f freshness
 	now := time.Unix(100, 0)
 	f.record(Configuration, readResult{asOf: now, current: true})
 	_, ok := f.age(now)
-	c.Assert(ok, quicktest.IsFalse) // endpoints were not heard
+	c.Assert(ok, quicktest.IsFalse) // endpoints have not been read
 	f.record(Endpoints, readResult{asOf: now.Add(time.Second), current: true})
 	ago, ok := f.age(now.Add(3 * time.Second))
 	c.Assert(ok, quicktest.IsTrue)
@@ -26,19 +26,19 @@
 	c.Assert(ok, quicktest.IsFalse)
 }
 
-// The times must leave room for the call of a box that finds its leader's word too old, and
-// a leader in good order must not seem silent to boxes two steps below it.
-func TestTheTimesOfAWordAddUpToLessThanABoxMayBeBehind(t *testing.T) {
+// The times must leave room for the call of a box whose leader's status has become too old. The status
+// of a working leader must not be too old two hops below it.
+func TestStatusTimesFitMaximumStaleness(t *testing.T) {
 	c := quicktest.New(t)
-	const call = 300 * time.Millisecond // to read the source, on a busy box
+	const call = 300 * time.Millisecond // to read the source from a loaded box
 	for _, behind := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		c.Check(maxStatusAge(behind)+standbyPollInterval+call < behind, quicktest.IsTrue)
 		c.Check(maxAnswerInterval(behind)+minWatchTimeout+2*share.BeatPause < maxStatusAge(behind), quicktest.IsTrue)
 	}
 }
 
-// A reload that sets one of the bounds alone must not take the other for zero.
-func TestTheTighterBoundSaysHowFarABoxMayBeBehind(t *testing.T) {
+// A reload that sets only one of the bounds must not treat the other as zero.
+func TestTighterBoundLimitsStaleness(t *testing.T) {
 	for _, k := range []struct {
 		bounds Bounds
 		behind time.Duration
--- a/edge/items_fuzz_test.go
+++ b/edge/items_fuzz_test.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// FuzzItems: whatever another box tells, a good item is taken in, no known version goes back,
-// and this box's fences keep to the clock.
+// FuzzItems checks that for any update from another box a valid item is accepted, no known version
+// goes back, and this box's fences stay tied to the clock.
 func FuzzItems(f *testing.F) {
 	slots, err := proto.Marshal(&wire.Slot{Adapter: "m/a", Version: 2, Ready: true})
 	if err != nil {
@@ -44,11 +44,11 @@
 		table.Receive(u.GetItems()...)
 		table.Receive(&wire.Item{Key: "e/good", Version: 1<<64 - 1})
 		if table.Version("e/1") < 2 || s.view.Endpoint("e/good") == nil {
-			t.Error("a good item is lost")
+			t.Error("a valid item was not accepted")
 		}
 		for _, i := range u.GetItems() {
 			if table.Version(i.GetKey()) < i.GetVersion() && !strings.HasPrefix(i.GetKey(), "slots/e/1/") {
-				t.Errorf("%q is known in version %d and was told in %d", i.GetKey(), table.Version(i.GetKey()), i.GetVersion())
+				t.Errorf("%q is at version %d but version %d was received", i.GetKey(), table.Version(i.GetKey()), i.GetVersion())
 			}
 		}
 		now := time.Unix(1_800_000_000, 0)
--- a/edge/explore_test.go
+++ b/edge/model_explore_test.go
@@ -15,7 +15,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// event makes a follower of the state; nil: it can't happen.
+// event is a transition; run reports false if it is not possible in the state.
 type event struct {
 	name string
 	run  func(s *modelState) bool
@@ -51,7 +51,7 @@
 	return list
 }
 
-// prompt tells whether no message has been on its way for a tick.
+// prompt reports whether no message has been in transit for a tick.
 func (s *modelState) prompt() bool {
 	for _, l := range s.links {
 		if len(l.queue) > 0 && s.now.Sub(l.queue[0].sent) >= modelTick {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// calls are what can happen to a box and its calls.
+// calls returns the possible events of a box and its calls.
 func (w *modelWorld) calls(s *modelState, i int) []event {
 	var list []event
 	if w.silent {
@@ -83,7 +83,7 @@
 	return list
 }
 
-// streams are what can happen to the stream to a box.
+// streams returns the possible events of the stream to a box.
 func (w *modelWorld) streams(s *modelState, i int) []event {
 	var list []event
 	if w.parents[i] < 0 {
@@ -92,7 +92,7 @@
 	if l := &s.links[i]; l.down {
 		list = append(list, event{"connect " + boxName(i), func(n *modelState) bool { return w.connect(n, i) }})
 	} else if len(l.queue) > 0 {
-		list = append(list, event{"hear " + boxName(i), func(n *modelState) bool { return w.deliver(n, i) }})
+		list = append(list, event{"receive " + boxName(i), func(n *modelState) bool { return w.deliver(n, i) }})
 	}
 	if s.left.breaks > 0 && !s.links[i].down {
 		list = append(list, event{"break " + boxName(i), func(n *modelState) bool {
@@ -104,7 +104,8 @@
 	return list
 }
 
-// check returns what a state breaks; empty: nothing. was is the state before the event.
+// check returns the invariant that state s violates, or an empty string. was is the state before the
+// event.
 func (w *modelWorld) check(was, s *modelState, restarted int) string {
 	if s.fault != "" {
 		return s.fault
@@ -120,25 +121,26 @@
 		}
 		known := s.now.Add(-age - w.transitTime(s, i, b))
 		if !known.After(s.restoredAt) {
-			continue // it says nothing of the source since it was restored
+			continue // it makes no claim about the source since the restore
 		}
 		knows := b.table.Get("e/1")
 		for r, c := range s.changes {
 			gone := (knows == nil || knows.GetRemoved()) && s.removedSince(r)
 			if c.at.Before(known) && revisionOf(knows) < revIn(c.epoch, uint64(r+1)) && !gone {
-				return fmt.Sprintf("%s says that it heard the source %v ago, and has not heard of revision %d of %v ago", boxName(i), age, r+1, s.now.Sub(c.at))
+				return fmt.Sprintf("%s reports a read of the source %v ago, but lacks revision %d of %v ago", boxName(i), age, r+1, s.now.Sub(c.at))
 			}
 		}
 	}
 	return ""
 }
 
-// removedSince reports whether a change, or one after it, took the endpoint away: a list after that has nothing of it.
+// leftSince reports whether a change at or after a revision removed the endpoint, so that later lists
+// lack it.
 func (s *modelState) removedSince(revision int) bool {
 	return slices.ContainsFunc(s.changes[revision:], func(c modelChange) bool { return c.removed })
 }
 
-// regression tells whether a box knows something older than before, or lost it.
+// wentBack reports a fact of a box that was replaced by an older one or lost.
 func (s *modelState) regression(was *modelState, i int) string {
 	now := make(map[string]*wire.Item)
 	for _, t := range s.boxes[i].items {
@@ -148,27 +150,27 @@
 		n := now[t.GetKey()]
 		switch {
 		case n.GetVersion() < t.GetVersion():
-			return fmt.Sprintf("%s knew version %d of %s and knows %d", boxName(i), t.GetVersion(), t.GetKey(), n.GetVersion())
+			return fmt.Sprintf("%s went back from version %d of %s to %d", boxName(i), t.GetVersion(), t.GetKey(), n.GetVersion())
 		case n.GetVersion() == t.GetVersion() && n.GetRemoved() != t.GetRemoved():
-			return fmt.Sprintf("%s has %s back by an item of the same version", boxName(i), t.GetKey())
+			return fmt.Sprintf("%s restored removed %s by an item of the same version", boxName(i), t.GetKey())
 		case t.GetRemoved() && !n.GetRemoved() && s.isOfCopy(revisionOf(t), revisionOf(n)):
-			return fmt.Sprintf("%s has %s back by the entry %s of a copy", boxName(i), t.GetKey(), revisionOf(n))
+			return fmt.Sprintf("%s restored removed %s by entry %s of an older copy", boxName(i), t.GetKey(), revisionOf(n))
 		}
 	}
 	return ""
 }
 
-// isOfCopy reports whether a fact was published before one that a box knew, and is told as newer by a copy alone.
-// Where boxes start again they may know nothing of the one before.
+// isOfCopy reports whether a fact was published before one that a box knew and has a higher revision
+// only because of a restore. After box restarts nobody may have known the earlier fact.
 func (s *modelState) isOfCopy(before, now Revision) bool {
 	r := int(now.Number()) - 1
 	return s.left.restarts == 0 && now.Epoch() > before.Epoch() && !now.IsConfirmed() && s.changes[r].epoch <= before.Epoch()
 }
 
-// maxAge: what is older than every limit is as good as any older.
+// maxAge: all ages beyond every limit are equivalent, so that the number of states is finite.
 const maxAge = 4 * time.Second
 
-// key names a state by what is known and how old it is.
+// key identifies a state by its facts and their ages.
 func (s *modelState) key() string {
 	var k strings.Builder
 	age := func(t time.Time) int64 {
@@ -211,7 +213,7 @@
 	return w
 }
 
-// start is the state in which nobody knows anything and one endpoint is published.
+// start returns the initial state: one endpoint is published, and no box has any facts.
 func (w *modelWorld) start(left modelBudget) *modelState {
 	now := time.Now()
 	s := &modelState{now: now, changes: []modelChange{{at: now.Add(-time.Minute)}}, left: left, links: make([]modelLink, len(w.parents))}
@@ -222,8 +224,8 @@
 	return s
 }
 
-// explore visits every state up to the depth, the nearest first; it returns the first fault
-// with the way to it, and the depth at which it was found.
+// explore visits every state up to the depth in breadth-first order. It returns the first violation
+// with the events that lead to it, and its depth.
 func (w *modelWorld) explore(from *modelState) (fault string, depth int) {
 	seen := map[string]bool{from.key(): true}
 	level := []*modelState{from}
@@ -253,24 +255,24 @@
 	return "", w.depth
 }
 
-// run takes the events of the names, one after the other.
+// run applies the events with the given names in order.
 func (w *modelWorld) run(s *modelState, names []string) *modelState {
 	for _, name := range names {
 		i := slices.IndexFunc(w.events(s), func(e event) bool { return e.name == name })
 		n := s.clone()
 		if i < 0 || !w.events(s)[i].run(n) {
-			panic("no such event now: " + name)
+			panic("event is not possible:  " + name)
 		}
 		s = n
 	}
 	return s
 }
 
-// settled are the events after which a leader and its follower know all.
-var settled = []string{"ask b0", "answer b0", "connect b1", "hear b1"}
+// settled are the events after which a leader and its follower have all facts.
+var settled = []string{"ask b0", "answer b0", "connect b1", "receive b1"}
 
-// modelWorlds are chains of boxes, and rings: views may differ, so that boxes follow each
-// other.
+// modelWorlds are chains and rings of boxes. Rings occur since the boxes' views of the members may
+// differ, so that boxes follow each other.
 var modelWorlds = []struct {
 	name    string
 	parents []int
@@ -280,22 +282,22 @@
 }{
 	{"one box", []int{-1}, nil, modelBudget{changes: 3}, 10},
 	{"a leader and a follower", []int{-1, 0}, nil, modelBudget{changes: 1, restarts: 1, breaks: 1}, 7},
-	{"a leader and a follower that know all", []int{-1, 0}, settled, modelBudget{changes: 2, restarts: 1}, 7},
-	{"a follower that is told again after a failed call", []int{-1, 0}, []string{"ask b0", "answer b0", "ask b1", "answer b1", "ask b1", "fail b1", "connect b1", "hear b1", "ask b1"}, modelBudget{changes: 1}, 7},
-	{"a follower that relies on a leader that starts again", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1"), modelBudget{changes: 1, restarts: 1}, 7},
-	{"a follower whose leader starts again after a change", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1", "change", "restart b0", "ask b0", "answer b0"), modelBudget{changes: 2, restarts: 1}, 7},
-	{"a follower whose stream breaks while it relies on it", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1"), modelBudget{changes: 2, breaks: 1}, 7},
+	{"a synchronised leader and follower", []int{-1, 0}, settled, modelBudget{changes: 2, restarts: 1}, 7},
+	{"a follower that receives updates again after a failed call", []int{-1, 0}, []string{"ask b0", "answer b0", "ask b1", "answer b1", "ask b1", "fail b1", "connect b1", "receive b1", "ask b1"}, modelBudget{changes: 1}, 7},
+	{"a follower whose leader restarts", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1"), modelBudget{changes: 1, restarts: 1}, 7},
+	{"a follower whose leader restarts after a change", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1", "change", "restart b0", "ask b0", "answer b0"), modelBudget{changes: 2, restarts: 1}, 7},
+	{"a follower whose stream breaks", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "ask b1"), modelBudget{changes: 2, breaks: 1}, 7},
 	{"one box whose source is restored twice", []int{-1}, nil, modelBudget{changes: 2, restores: 2}, 9},
 	{"a leader and a follower whose source is restored", []int{-1, 0}, settled, modelBudget{changes: 2, restores: 1}, 7},
-	{"a leader and a follower whose source is restored after a change", []int{-1, 0}, append(slices.Clone(settled), "change", "ask b0", "answer b0", "time", "hear b1", "restore"), modelBudget{changes: 2, restores: 1}, 7},
-	{"a follower that reads a restored source, and its leader starts again", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "restore"), modelBudget{changes: 1, restarts: 1, restores: 1}, 7},
+	{"a leader and a follower whose source is restored after a change", []int{-1, 0}, append(slices.Clone(settled), "change", "ask b0", "answer b0", "time", "receive b1", "restore"), modelBudget{changes: 2, restores: 1}, 7},
+	{"a follower that reads a restored source and whose leader restarts", []int{-1, 0}, append(slices.Clone(settled), "ask b1", "answer b1", "restore"), modelBudget{changes: 1, restarts: 1, restores: 1}, 7},
 	{"a chain of three", []int{-1, 0, 1}, nil, modelBudget{changes: 1}, 6},
-	{"a chain of three that know all", []int{-1, 0, 1}, append(slices.Clone(settled), "connect b2", "hear b2"), modelBudget{changes: 1, breaks: 1}, 6},
-	{"two that follow each other", []int{1, 0}, nil, modelBudget{changes: 1, restarts: 1}, 6},
+	{"a synchronised chain of three", []int{-1, 0, 1}, append(slices.Clone(settled), "connect b2", "receive b2"), modelBudget{changes: 1, breaks: 1}, 6},
+	{"two boxes that follow each other", []int{1, 0}, nil, modelBudget{changes: 1, restarts: 1}, 6},
 	{"a ring of three", []int{2, 0, 1}, nil, modelBudget{changes: 1}, 5},
 }
 
-func TestFactsAndWordsInAllOrders(t *testing.T) {
+func TestModelAllEventOrders(t *testing.T) {
 	for _, k := range modelWorlds {
 		t.Run(k.name, func(t *testing.T) {
 			t.Parallel()
@@ -309,20 +311,21 @@
 	}
 }
 
-// maxStatusLife is how long a word may live on between boxes that follow each other in a ring. A
-// message of a stream says how old its word is when it is sent, and nobody knows how long it
-// takes; as long as that is no longer than a word rests at each box, its life is at most
-// doubled. The last tick is that of its end.
+// maxStatusLife bounds how long a status may circulate between boxes that follow each other in a ring.
+// A message carries the age of its status at sending, but its transit time is unknown. As long as the
+// transit takes no longer than the status stays at each box, its lifetime at most doubles. The last
+// tick is the one in which it expires.
 const maxStatusLife = 2*3*time.Second/2 + modelTick
 
-// Boxes that follow each other in a ring tell each other's word. It must not live by that.
-func TestAWordDiesInARing(t *testing.T) {
+// Boxes that follow each other in a ring forward each other's status. That must not keep the status
+// alive.
+func TestModelStatusExpiresInRing(t *testing.T) {
 	t.Parallel()
 	for _, k := range []struct {
 		parents []int
 		before  []string
 	}{
-		{[]int{1, 0}, []string{"ask b0", "answer b0", "ask b1", "answer b1", "connect b0", "connect b1", "hear b0", "hear b1"}},
+		{[]int{1, 0}, []string{"ask b0", "answer b0", "ask b1", "answer b1", "connect b0", "connect b1", "receive b0", "receive b1"}},
 		{[]int{2, 0, 1}, []string{"ask b0", "answer b0", "ask b1", "answer b1", "ask b2", "answer b2", "connect b0", "connect b1", "connect b2"}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -332,13 +335,13 @@
 			w.silent = true
 			longest := w.statusLife(from)
 			c.Assert(longest < maxStatusLife, quicktest.IsTrue, quicktest.Commentf("%v", longest))
-			t.Logf("%d boxes: %d states, a word lived for %v", len(k.parents), w.states, longest)
+			t.Logf("%d boxes: %d states, a status lived for %v", len(k.parents), w.states, longest)
 		})
 	}
 }
 
-// statusLife visits the states in which any box goes by what it read or was told, and tells how long
-// after the first one the last one is.
+// lives visits all states in which any box relies on its own read or on a status, and returns the time
+// from the first to the last of them.
 func (w *modelWorld) statusLife(from *modelState) time.Duration {
 	seen := map[string]bool{}
 	var longest time.Duration
--- a/edge/model_source_test.go
+++ b/edge/model_source_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// stepSource answers one call after a time.
+// stepSource answers one call after a delay.
 type stepSource struct {
 	state      *modelState
 	after      time.Duration
 	fail       error
-	slow       bool // its answer is of some time ago: a list of the call's begin, a watch of the end of its time
-	impossible bool // it does not answer so
+	slow       bool // the response reflects an earlier time: the start of a list, or the end of a watch's timeout
+	impossible bool // this response is not possible
 }
 
-// facts are what changed after a revision, up to a time.
+// facts returns the changes after a revision, up to a time.
 func (m *stepSource) facts(after Revision, until time.Time) Batch {
 	var b Batch
 	count := 0
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -15,26 +15,26 @@
 	"github.com/pkg/errors"
 )
 
-// This file drives the real reader, table, freshness and words of a few boxes through all
-// orders of what can happen, breadth-first, each state once. A state is kept as plain
-// values in model time; for one event its boxes are made again, with the times moved so
-// that time.Now() of the bubble is the model's now. So the code needs no clock of its own,
-// and nothing waits.
+// A model checker for the distribution of facts. It drives the real reader, table, freshness and
+// status code of a few boxes through all orders of events, breadth-first, visiting each state once. A
+// state holds plain values in model time. To run an event its boxes are rebuilt with all times shifted
+// so that time.Now() in the synctest bubble equals the model's time; so the code needs no injected
+// clock and nothing waits.
 
-// modelTick is the step of model time: a stream says something at least so often.
+// modelTick is the step of model time, within which each stream sends at least one message.
 const modelTick = share.BeatPause
 
-// errModelSource is a call that the source does not answer.
-var errModelSource = errors.New("the source does not answer")
+// errModelSource is the error of a call that the source does not answer.
+var errModelSource = errors.New("source does not respond")
 
-// modelStatus is a word with the time that messages for it were on their way: nobody can tell
-// that time, so it is allowed for.
+// modelStatus is a status with the transit time of the messages that carried it. A receiver cannot
+// know that time, so the checks allow for it.
 type modelStatus struct {
 	leaderStatus
 	transit time.Duration
 }
 
-// modelBox is what one box knows. Zero times are never.
+// modelBox is the state of one box. A zero time means never.
 type modelBox struct {
 	items         []*wire.Item // oldest first
 	after         Revision
@@ -44,16 +44,16 @@
 	relistPending bool
 	deferring     bool
 	listed        uint64
-	answered      time.Time // as freshness keeps it; zero: not heard
+	answered      time.Time // as in freshness; zero: no valid read
 	statuses      map[string]modelStatus
-	callStarted   time.Time  // of the call under way; zero: none
-	failingSince  time.Time  // when calls began to fail since it reads; zero: they do not
-	held          bool       // as unsure, at the answer before
+	callStarted   time.Time  // when the pending call began; zero: none is pending
+	failingSince  time.Time  // when calls began to fail since the box reads; zero: they succeed
+	held          bool       // whether relistPending was set at the previous response
 	known         checkpoint // of the endpoints
 	epoch         uint64     // of its last list
-	confirmAfter  time.Time  // until when a copy's entry may be of an endpoint that is gone
-	confirmEpoch  uint64     // the epoch of that copy
-	needsList     bool       // only a list tells what it missed
+	confirmAfter  time.Time  // as in reader
+	confirmEpoch  uint64     // as in reader
+	needsList     bool       // only a list shows what it has missed
 }
 
 // modelMessage is one message of a stream.
@@ -65,44 +65,44 @@
 	way     time.Duration
 }
 
-// modelLink is the stream from one box to the one that follows it.
+// modelLink is the stream from a box to its follower.
 type modelLink struct {
 	down     bool
-	received time.Time // when the follower last heard anything on it
-	unsent   int       // last items of the sender that it has not sent
+	received time.Time // when the follower last received a message
+	unsent   int       // number of the sender's latest items not sent yet
 	queue    []modelMessage
 }
 
-// modelChange is one change at the source; its number is its place, from 1.
+// modelChange is one change at the source; its revision is its index, from 1.
 type modelChange struct {
 	at      time.Time
 	removed bool
-	epoch   uint64 // in which it was made
+	epoch   uint64 // of the source at the change
 }
 
-// modelState is everything. It is not changed once it was reached.
+// modelState is a complete state of the model, immutable once it has been reached.
 type modelState struct {
 	now        time.Time
 	changes    []modelChange // of the endpoint e/1
 	epoch      uint64        // of the source
-	restoredAt time.Time     // when it came back from a copy last
+	restoredAt time.Time     // when it was last restored from a copy
 	boxes      []modelBox
-	links      []modelLink // to the box of the same number
+	links      []modelLink // indexed by the follower
 	left       modelBudget
 	path       []string
-	fault      string // that an event showed
+	fault      string // found during an event
 }
 
-// modelBudget bounds what can happen besides time, calls and messages.
+// modelBudget limits the events other than time, calls and messages.
 type modelBudget struct{ changes, restarts, breaks, restores int }
 
-// modelWorld is what is explored: who follows whom, and the depth.
+// modelWorld is a topology to explore and the depth of the exploration.
 type modelWorld struct {
-	parents []int // by box; -1: none
+	parents []int // the box that each box follows; -1: none
 	depth   int
-	silent  bool // the source says nothing more, and messages take a tick at the most
+	silent  bool // the source does not respond, and messages take at most one tick
 	states  int
-	peers   []*peers // used again by every state: a table of members costs more than all the rest
+	peers   []*peers // reused by every state, since creating a member table costs more than all the rest
 }
 
 func (s *modelState) clone() *modelState {
@@ -123,14 +123,14 @@
 
 func boxName(i int) string { return fmt.Sprintf("b%d", i) }
 
-// live is a box made again from a state.
+// live is a box rebuilt from a state.
 type live struct {
 	node   *Node
 	reader *reader
 	table  *share.Table
 }
 
-// shifted is a time of the model as one of the bubble, or back.
+// moved shifts a time between the model and the synctest bubble.
 func shifted(t time.Time, by time.Duration) time.Time {
 	if t.IsZero() {
 		return t
@@ -138,7 +138,7 @@
 	return t.Add(by)
 }
 
-// make makes box i of the state, at the bubble's time that by adds.
+// make rebuilds box i of the state, with times shifted by by.
 func (w *modelWorld) make(s *modelState, i int, by time.Duration) live {
 	b := &s.boxes[i]
 	r, t := newReader(nil)
@@ -154,7 +154,7 @@
 	r.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
 	r.onList = func(revision Revision) { n.recordList(Endpoints, revision) }
 	t.HasEnded, t.IsSuperseded = n.hasEnded, n.isSuperseded
-	n.current.Store(&Settings{}) // bounds as where none is set
+	n.current.Store(&Settings{}) // default bounds
 	if !b.answered.IsZero() {
 		n.fresh.record(Endpoints, readResult{asOf: shifted(b.answered, by), current: true})
 		n.fresh.record(Configuration, readResult{asOf: shifted(s.now, by), current: true})
@@ -179,7 +179,7 @@
 	return live{node: n, reader: r, table: t}
 }
 
-// store notes what box i knows after an event.
+// keep stores the state of box i after an event.
 func (s *modelState) store(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
 	b.items, _, _ = l.table.Since(0)
@@ -199,7 +199,8 @@
 	}
 }
 
-// time passes; each stream says something, and one that was silent for too long ends.
+// time advances model time by a tick. Each stream sends a message, and a stream without messages for
+// too long ends.
 func (w *modelWorld) time(n *modelState) bool {
 	n.now = n.now.Add(modelTick)
 	for i := range n.links {
@@ -216,8 +217,8 @@
 	return true
 }
 
-// send makes one message of the stream to box i, as share.Server does: the word first, then
-// the items.
+// say sends one message on the stream to box i, as share.Server does: the status first, then the
+// items.
 func (w *modelWorld) send(n *modelState, i int) {
 	p := w.parents[i]
 	by := time.Since(n.now)
@@ -232,7 +233,7 @@
 	l.queue = append(l.queue, m)
 }
 
-// transitTime is how long the messages were on their transitTime of the word that box i goes by.
+// way returns the transit time of the messages behind the status that box i relies on.
 func (w *modelWorld) transitTime(n *modelState, i int, b live) time.Duration {
 	now := time.Now()
 	own, reads := b.node.fresh.age(now)
@@ -253,7 +254,7 @@
 	return true
 }
 
-// deliver lets a follower take the next message.
+// hear delivers the next message to a follower.
 func (w *modelWorld) deliver(n *modelState, i int) bool {
 	l := &n.links[i]
 	m := l.queue[0]
@@ -278,7 +279,7 @@
 	return true
 }
 
-// markUnsent counts what the followers of a box have not been sent.
+// changed marks items as unsent for the followers of a box.
 func (w *modelWorld) markUnsent(n *modelState, i int, took []*wire.Item) {
 	if len(took) == 0 {
 		return
@@ -290,7 +291,7 @@
 	}
 }
 
-// ask begins a call, as run does: a box that is told stands by.
+// ask begins a call as reader.run does; a box with a current leader stands by instead.
 func (w *modelWorld) ask(n *modelState, i int) bool {
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
@@ -304,7 +305,7 @@
 	return true
 }
 
-// answer ends the call of a box.
+// answer ends the pending call of a box.
 func (w *modelWorld) answer(n *modelState, i int, err error, slow bool) bool {
 	begun := n.boxes[i].callStarted
 	by := time.Since(begun)
@@ -326,8 +327,8 @@
 	return true
 }
 
-// outage notes how long calls of a box fail. Where none did since it reads, and the source was not restored, nothing
-// may be kept for the sake of an outage.
+// outage tracks how long calls of a box fail. A box without failed calls since it began to read must
+// not defer removals, unless the source was restored.
 func (s *modelState) outage(i int, err error) {
 	b := &s.boxes[i]
 	if err != nil && !errors.As(err, &ErrHistoryLost{}) {
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -15,61 +15,60 @@
 )
 
 const (
-	retryWatchTimeout   = 300 * time.Millisecond  // of a watch after a failure, until the source answers
-	minWatchTimeout     = 50 * time.Millisecond   // of a watch that makes up for the time since the last answer
-	initialRetryDelay   = 150 * time.Millisecond  // after a failed call, doubled up to failMost
-	maxRetryDelay       = 600 * time.Millisecond  // a source that is back is read within it
+	retryWatchTimeout   = 300 * time.Millisecond  // watch timeout after a failure, until the source responds
+	minWatchTimeout     = 50 * time.Millisecond   // lower bound of the watch timeout when the previous response is already old
+	initialRetryDelay   = 150 * time.Millisecond  // doubled after each failed call, up to maxRetryDelay
+	maxRetryDelay       = 600 * time.Millisecond  // upper bound of the delay before a recovered source is noticed
 	retryDelayFactor    = 2                       // times as long is the pause after the next one
-	reappearGrace       = 2500 * time.Millisecond // endpoints that are missing after an outage have so long to come back
-	confirmLapses       = 2                       // times a lapse after which an entry of a restored copy would be gone
-	leaderSyncTimeout   = 600 * time.Millisecond  // a box finds its leader within it, and receives what that reads
+	reappearGrace       = 2500 * time.Millisecond // time for endpoints whose entries expired in an outage to publish them again
+	confirmLapses       = 2                       // entries in a restored copy are given this many lapse periods to expire
+	leaderSyncTimeout   = 600 * time.Millisecond  // enough for a box to find its leader and receive the leader's first read
 	leaderPollInterval  = 50 * time.Millisecond   // how often it looks meanwhile
-	standbyPollInterval = 100 * time.Millisecond  // how often a box that does not read looks whether it must
+	standbyPollInterval = 100 * time.Millisecond  // how often a box that does not read checks whether it must
 )
 
-// reader reads one collection of the source into the table, while this box is one
-// that reads.
+// reader copies one collection of the source into the table while this box has to read it.
 type reader struct {
 	collection   Collection
 	source       Source
 	decoder      Decoder
 	table        *share.Table
-	mustRead     func() bool       // whether this box reads now
-	checkpoint   func() checkpoint // up to where nothing is missing, by what this box read or received
-	leads        func() bool       // whether others rely on what it reads
+	mustRead     func() bool       // whether this box has to read the source now
+	checkpoint   func() checkpoint // the latest revision without gaps, from own reads and from other boxes
+	leads        func() bool       // whether other boxes depend on this reader
 	log          logr.Logger
-	maxStaleness func() time.Duration // how far this box may be behind the source
-	unreachable  *atomic.Bool         // whether the source does not answer the reader of endpoints; of both readers
-	entryLapse   func() time.Duration // entries of endpoints may lapse where the source is away for so long
+	maxStaleness func() time.Duration // upper bound of how far this box may lag behind the source
+	unreachable  *atomic.Bool         // whether the reader of endpoints gets no response; shared by both readers
+	entryLapse   func() time.Duration // an outage of this length may let endpoint entries expire
 	onRead       func(o readResult)
-	sourceAges   func() map[string]int64 // of the last reads, for the log
-	onList       func(revision Revision) // is called with a list before it is applied
-	onCall       func(reason string)     // is called before each call
-	onRestore    func()                  // is called when the source came back from an older copy
+	sourceAges   func() map[string]int64 // ages of the last reads, for the log
+	onList       func(revision Revision) // called with the revision of a list before the list is applied
+	onCall       func(reason string)     // called before each call, with the reason for it
+	onRestore    func()                  // called when the source was restored from an older copy
 
-	after             Revision  // up to which nothing is missing; zero: nothing is known
-	epoch             uint64    // of the source's last list
-	callStarted       time.Time // of the last call
-	asOf              time.Time // the table is as the source said then; zero: never
+	after             Revision  // the latest revision without gaps; zero: none
+	epoch             uint64    // of the last list
+	callStarted       time.Time // when the last call began
+	asOf              time.Time // the table reflects the source at this time; zero: never read
 	failing           bool
-	graceUntil        time.Time // until then a missing endpoint may be one that lapsed
-	relistPending     bool      // something was missing before trusted
-	deferring         bool      // the source said that something is gone, which is not believed yet
-	historyLost       bool      // the next list makes up for history that the source has forgotten
-	relistAfterOutage bool      // the next list shows which endpoints have lapsed
-	confirmAfter      time.Time // until then an entry of a restored copy may be of an endpoint that is gone
-	confirmEpoch      uint64    // the epoch of that copy
+	graceUntil        time.Time // until then a missing endpoint may only have an expired entry
+	relistPending     bool      // list again once graceUntil has passed
+	deferring         bool      // removals were reported that are not applied yet
+	historyLost       bool      // a list is needed since the source lost its history
+	relistAfterOutage bool      // a list is needed to find endpoints that expired in an outage
+	confirmAfter      time.Time // until then an entry in a restored copy may belong to an endpoint that is gone
+	confirmEpoch      uint64    // the epoch that confirmAfter applies to
 }
 
-// readResult is how a reader's call went.
+// readResult is the result of one call.
 type readResult struct {
-	begun    time.Time // when the call was made: the source answered later, however long its answer took
-	asOf     time.Time // the table is as the source said then
-	revision Revision  // of the source, as of then
-	current  bool      // the call succeeded, and nothing of it is held back
+	begun    time.Time // when the call was sent; the source responded at some later time
+	asOf     time.Time // the table reflects the source at this time
+	revision Revision  // of the source at asOf
+	current  bool      // the call succeeded and no removal is deferred
 }
 
-// run reads until ctx ends.
+// run reads the source until ctx ends.
 func (r *reader) run(ctx context.Context) error {
 	pause := initialRetryDelay
 	for ctx.Err() == nil {
@@ -103,12 +102,11 @@
 	return nil
 }
 
-// nextRetryDelay is how long this box waits after the next call to a source that fails. A leader is
-// relied upon. Any other box learns it as soon as its leader reads the source, and needs its own
-// calls only where its way to the source alone is open: after a second try, in case an answer was
-// lost, it finds that out within the time that it may be behind. In an outage of 8 s a box that
-// may be 2 s behind makes 6 calls by both readers, where tries each 1.5 s made 16 (counted under
-// simulated time).
+// nextRetryDelay returns the delay before the next call to a source that fails. Other boxes depend on
+// a leader, so it retries soon. A follower learns of the recovery from its leader and needs its own
+// calls only where it alone can reach the source: after a second try, in case a response was lost, it
+// retries once per maximum staleness. In a simulated outage of 8 s, a box with a maximum staleness of
+// 2 s makes 6 calls with both readers; retries every 1.5 s made 16.
 func (r *reader) nextRetryDelay(pause time.Duration) time.Duration {
 	if r.leads() {
 		return min(retryDelayFactor*pause, maxRetryDelay)
@@ -116,8 +114,8 @@
 	return r.maxStaleness()
 }
 
-// waitToRetry waits after a call that failed, no longer than a leader where the box has begun to lead
-// meanwhile.
+// waitToRetry waits after a failed call. If the box has become leader meanwhile, it waits no longer
+// than a leader does.
 func (r *reader) waitToRetry(ctx context.Context, pause time.Duration) {
 	begun := clock.Now()
 	for waited := time.Duration(0); ctx.Err() == nil && waited < pause; waited = clock.Since(begun) {
@@ -128,24 +126,26 @@
 	}
 }
 
-// awaitEndpointsReader leaves it to the reader of endpoints to find out that the source answers again.
+// awaitEndpointsReader waits until the reader of endpoints finds that the source responds again, so
+// that only one of the two readers probes it.
 func (r *reader) awaitEndpointsReader(ctx context.Context) {
 	for ctx.Err() == nil && r.collection != Endpoints && r.unreachable.Load() && r.mustRead() && !r.leads() {
 		sleep(ctx, standbyPollInterval)
 	}
 }
 
-// waitForLeader gives the leader time to publish its read before this box opens its own watch
-// as well: after a start of all boxes their watches would be most of the calls to it.
+// waitForLeader gives the leader time to publish its read before this box opens its own watch. Without
+// the delay, the watches of all boxes after a simultaneous start would be most of the calls to the
+// source.
 func (r *reader) waitForLeader(ctx context.Context) {
 	for until := clock.Now().Add(leaderSyncTimeout); ctx.Err() == nil && clock.Now().Before(until) && !r.leads() && r.mustRead(); {
 		sleep(ctx, leaderPollInterval)
 	}
 }
 
-// stopReading forgets what only holds while this box reads: it goes on later from what it
-// receives meanwhile. Endpoints that may have lapsed keep their time to come back, and are listed
-// then.
+// stopReading resets the state that is valid only while this box reads; it resumes later from what it
+// has received meanwhile. Endpoints whose entries may have expired keep their grace period and are
+// listed when reading resumes.
 func (r *reader) stopReading(now time.Time) {
 	if r.failing && now.Sub(r.asOf) >= r.entryLapse() {
 		r.graceUntil = now.Add(reappearGrace)
@@ -155,15 +155,15 @@
 	r.shareReachability()
 }
 
-// shareReachability shares with the other reader of this box whether the source answers.
+// shareReachability tells the other reader of this box whether the source responds.
 func (r *reader) shareReachability() {
 	if r.collection == Endpoints {
 		r.unreachable.Store(r.failing)
 	}
 }
 
-// resumeFromCheckpoint goes on from the checkpoint that this box reached while it did not read, unless only a list shows
-// what it may have missed.
+// resumeFromCheckpoint continues after the revision that this box reached while it did not read,
+// unless only a list can show what it may have missed.
 func (r *reader) resumeFromCheckpoint() {
 	if r.after != 0 || r.historyLost || r.relistAfterOutage {
 		return
@@ -177,7 +177,7 @@
 	}
 }
 
-// standBy waits until this box must read.
+// standBy waits until this box has to read.
 func (r *reader) standBy(ctx context.Context) {
 	r.log.Info("Stopped reading the source: the leader's updates are current", "collection", r.collection.String(), "source_age", r.sourceAges())
 	for ctx.Err() == nil && !r.mustRead() {
@@ -186,7 +186,7 @@
 	r.log.Info("Reads the source: the leader's updates are not current", "collection", r.collection.String(), "source_age", r.sourceAges())
 }
 
-// step makes one call; it reports whether anything was found.
+// step makes one call and reports whether it returned any facts.
 func (r *reader) step(ctx context.Context) (bool, error) {
 	begun := clock.Now()
 	r.callStarted = begun
@@ -202,7 +202,7 @@
 	b, err := r.source.Watch(ctx, r.collection, r.after, wait)
 	now := clock.Now()
 	if errors.As(err, &ErrHistoryLost{}) {
-		r.log.Info("Source forgot its history and is listed anew", "collection", r.collection.String(), "revision", r.after.String())
+		r.log.Info("Source lost its change history; listing it again", "collection", r.collection.String(), "revision", r.after.String())
 		r.noteAnswered(now)
 		r.after, r.historyLost = 0, true
 		return false, nil
@@ -214,14 +214,14 @@
 	r.after = b.Revision
 	r.mergeFacts(b.Facts, now)
 	r.asOf = now
-	if quiet := begun.Add(wait); len(b.Facts) == 0 && quiet.Before(now) {
-		r.asOf = quiet // the rest of the time is the answer's way
+	if timedOut := begun.Add(wait); len(b.Facts) == 0 && timedOut.Before(now) {
+		r.asOf = timedOut // the rest is the time that the response took to arrive
 	}
 	return len(b.Facts) > 0, nil
 }
 
-// checkEpoch compares a list's epoch with that of what this box knows. Where the source was restored from an older
-// copy, endpoints that are missing get time to write their entries again.
+// checkEpoch compares the epoch of a list with the one this box knows. If the source was restored from
+// an older copy, endpoints missing from it get time to publish their entries again.
 func (r *reader) checkEpoch(b Batch, now time.Time) {
 	before, epoch := max(r.epoch, r.checkpoint().revision.Epoch()), b.Revision.Epoch()
 	r.epoch = epoch
@@ -241,7 +241,7 @@
 	return b
 }
 
-// callReason names why the next call is made.
+// callReason returns the reason for the next call, as counted in the metrics.
 func (r *reader) callReason() string {
 	switch {
 	case r.asOf.IsZero():
@@ -256,7 +256,8 @@
 	return readNotTold
 }
 
-// list reads the whole collection. Its pages are as of their reading, the first at begun.
+// list reads the whole collection. The result is as old as the start of the call, when its first page
+// was read.
 func (r *reader) list(ctx context.Context, begun time.Time) error {
 	b, err := r.source.List(ctx, r.collection)
 	if err != nil {
@@ -272,8 +273,8 @@
 	return nil
 }
 
-// watchTimeout returns how long the next watch may wait: others rely on an answer now and then,
-// and the pause after the last one counts.
+// watchTimeout returns the timeout of the next watch. Followers depend on regular responses, so the
+// delay since the last one counts.
 func (r *reader) watchTimeout(now time.Time) time.Duration {
 	wait := max(maxAnswerInterval(r.maxStaleness())-now.Sub(r.asOf), minWatchTimeout)
 	if r.failing {
@@ -285,28 +286,29 @@
 	return wait
 }
 
-// batchDelay returns how long to wait after an answer that brought facts, so that the next
-// ones come together.
+// batchDelay returns the delay after a response that contained facts, so that subsequent changes
+// arrive in one batch.
 func (r *reader) batchDelay() time.Duration { return maxAnswerInterval(r.maxStaleness()) * 3 / 4 }
 
-// noteAnswered notes that the source answers. Where it was away for so long that entries of endpoints
-// may have lapsed, what is missing gets some time to come noteAnswered. A call that failed alone is no
-// reason to keep an endpoint that has left.
+// noteAnswered records that the source responds. After an outage long enough for endpoint entries to
+// expire, missing endpoints get a grace period. A single failed call does not justify keeping an
+// endpoint that has been removed.
 func (r *reader) noteAnswered(now time.Time) {
 	if !r.failing {
 		return
 	}
 	r.failing = false
-	away := now.Sub(r.asOf)
-	if away >= r.entryLapse() {
+	outage := now.Sub(r.asOf)
+	if outage >= r.entryLapse() {
 		r.graceUntil = now.Add(reappearGrace)
 		r.relistPending = true
 	}
-	r.log.Info("Source answers again", "collection", r.collection.String(), "revision", r.after.String(), "away_ms", away.Milliseconds())
+	r.log.Info("Source answers again", "collection", r.collection.String(), "revision", r.after.String(), "away_ms", outage.Milliseconds())
 }
 
-// noteResult reports how a call went, and logs when the source is lost. A box that holds something
-// back is no source for others: the outage may have been its own alone.
+// noteResult reports the result of a call and logs when the source stops responding. While this box
+// defers removals its state is not reported as current, since the outage may have affected this box
+// alone.
 func (r *reader) noteResult(err error) {
 	r.onRead(readResult{begun: r.callStarted, asOf: r.asOf, revision: r.after, current: err == nil && r.after != 0 && !r.deferring})
 	if err != nil && !r.failing {
@@ -316,8 +318,8 @@
 	r.shareReachability()
 }
 
-// mergeFacts merges facts. An endpoint that is missing soon after an outage is kept
-// until the source can be trusted again.
+// mergeFacts merges facts into the table. Removals of endpoints soon after an outage are deferred
+// until the grace period has passed.
 func (r *reader) mergeFacts(facts []Fact, now time.Time) {
 	var items []*wire.Item
 	for _, f := range facts {
@@ -331,7 +333,7 @@
 	r.table.Merge(items...)
 }
 
-// mergeSnapshot merges a whole list: endpoints that are not in it are gone.
+// mergeSnapshot merges a complete list; endpoints missing from it are removed.
 func (r *reader) mergeSnapshot(b Batch, now time.Time) {
 	r.confirmResurrected(b, now)
 	listed := make(map[string]bool, len(b.Facts))
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -19,7 +19,7 @@
 	"github.com/pkg/errors"
 )
 
-// plainDecoder knows endpoints alone, by their prefix.
+// plainDecoder decodes endpoints only, recognised by their prefix.
 type plainDecoder struct{}
 
 // Kind implements Decoder.
@@ -31,7 +31,9 @@
 }
 
 // Config implements Decoder.
-func (plainDecoder) Config([]byte) (*topology.Config, error) { return nil, errors.New("none here") }
+func (plainDecoder) Config([]byte) (*topology.Config, error) {
+	return nil, errors.New("not an endpoint")
+}
 
 // Endpoint implements Decoder.
 func (plainDecoder) Endpoint(key string, _ []byte) (*topology.Endpoint, error) {
@@ -40,14 +42,14 @@
 
 // Version implements Decoder.
 func (plainDecoder) Version([]byte) (topology.Adapter, int64, error) {
-	return topology.Adapter{}, 0, errors.New("none here")
+	return topology.Adapter{}, 0, errors.New("not an endpoint")
 }
 
-// script answers calls in order.
+// script is a source with a fixed sequence of responses.
 type script struct {
 	list  []Batch
 	watch []func() (Batch, error)
-	waits []time.Duration // of the watches
+	waits []time.Duration // timeouts of the watches
 }
 
 // List implements Source.
@@ -118,7 +120,7 @@
 	c.Assert(table.Keys(), quicktest.DeepEquals, []string{"e/2"})
 }
 
-func TestAnEndpointThatIsMissingInANewListIsGone(t *testing.T) {
+func TestEndpointMissingFromNewListIsDropped(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1", "e/2"), Revision: rev(5)}, {Facts: published("e/2"), Revision: rev(9)}},
@@ -128,18 +130,18 @@
 	}
 	r, table := newReader(s)
 	step(r) // lists
-	step(r) // the history is gone
-	step(r) // lists anew
+	step(r) // the history is lost
+	step(r) // lists again
 	c.Assert(table.Keys(), quicktest.DeepEquals, []string{"e/2"})
 }
 
-// The entries of endpoints lapse while the source is away, though they live.
-func TestAnEndpointThatLapsedInAnOutageHasTimeToComeBack(t *testing.T) {
+// Entries of live endpoints expire while the source is unreachable, since they cannot be renewed.
+func TestEndpointExpiredInOutageHasGracePeriod(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1"), Revision: rev(5)}, {Facts: nil, Revision: rev(30)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, errors.New("no answer") },
+			func() (Batch, error) { return Batch{}, errors.New("no response") },
 			func() (Batch, error) {
 				return Batch{Facts: []Fact{{Key: "e/1", Revision: rev(20), Removed: true}}, Revision: rev(20)}, nil
 			},
@@ -148,23 +150,24 @@
 	}
 	r, table := newReader(s)
 	step(r)
-	r.asOf = time.Now().Add(-r.entryLapse()) // the source is away for so long
+	r.asOf = time.Now().Add(-r.entryLapse()) // the outage is long enough for entries to expire
 	step(r)                                  // fails
-	step(r)                                  // answers, and the endpoint has lapsed
+	step(r)                                  // succeeds, and the endpoint's entry has expired
 	c.Assert(table.Keys(), quicktest.DeepEquals, []string{"e/1"})
-	r.graceUntil = time.Now().Add(-time.Millisecond) // the grace is over and it is still missing
+	r.graceUntil = time.Now().Add(-time.Millisecond) // the grace period has passed and the endpoint is still missing
 	step(r)
 	c.Assert(table.Keys(), quicktest.HasLen, 0)
 }
 
-// One watch was cut, as waiting ones are now and then; an endpoint that left just after it was
-// kept as if it had lapsed in an outage, for longer than requests may go there.
-func TestAnEndpointThatLeavesAfterOneFailedCallIsGoneAtOnce(t *testing.T) {
+// A single watch was interrupted, as long polls are from time to time. An endpoint removed just after
+// that was treated as if its entry had expired in an outage, and kept for longer than requests may be
+// sent to it.
+func TestEndpointRemovedAfterOneFailedCallIsDroppedAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1"), Revision: rev(5)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, errors.New("the watch was cut") },
+			func() (Batch, error) { return Batch{}, errors.New("the watch was interrupted") },
 			func() (Batch, error) {
 				return Batch{Facts: []Fact{{Key: "e/1", Revision: rev(20), Removed: true}}, Revision: rev(20)}, nil
 			},
@@ -177,14 +180,14 @@
 	c.Assert(table.Keys(), quicktest.HasLen, 0)
 }
 
-// A box that failed to read and was then told again by its leader began to read anew long
-// after, and kept an endpoint that had left meanwhile as if the outage had just ended.
-func TestABoxThatStoodByHoldsNothingBackForAnOldOutage(t *testing.T) {
+// A box failed to read and then received its leader's updates again. When it resumed reading long
+// after, it kept an endpoint that had been removed meanwhile, as if the outage had just ended.
+func TestStandbyDoesNotDeferRemovalsForAnOldOutage(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1"), Revision: rev(5)}, {Facts: nil, Revision: rev(30)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, errors.New("no answer") },
+			func() (Batch, error) { return Batch{}, errors.New("no response") },
 			func() (Batch, error) { return Batch{Revision: rev(31)}, nil },
 		},
 	}
@@ -193,15 +196,15 @@
 	r.asOf = time.Now().Add(-r.entryLapse())
 	step(r) // fails
 	r.stopReading(time.Now().Add(-reappearGrace))
-	step(r) // lists, long after
+	step(r) // lists, long after the outage
 	c.Assert(table.Keys(), quicktest.HasLen, 0)
 	r.stopReading(time.Now())
 	c.Assert(r.failing || r.relistPending || r.deferring, quicktest.IsFalse)
 }
 
-// The pause after a batch and the watch after it made a leader's word look old to the boxes
-// two steps below it: they listed the source after each event.
-func TestAnAnswerComesInTimeAfterABatchToo(t *testing.T) {
+// The delay after a batch and the timeout of the next watch together made a leader's status too old
+// for boxes two hops below it, so they listed the source after each change.
+func TestWatchAfterBatchKeepsAnswerInterval(t *testing.T) {
 	c := quicktest.New(t)
 	r, _ := newReader(&script{})
 	now := time.Unix(100, 0)
@@ -211,14 +214,14 @@
 	c.Assert(r.watchTimeout(now), quicktest.Equals, minWatchTimeout)
 }
 
-// A leader that had been cut off from the source alone kept an endpoint that had left for
-// 2.5 s after its return, and with it all that relied on its word, though the source answered them.
-func TestABoxThatHoldsBackWhatTheSourceSaidIsNoSourceForOthers(t *testing.T) {
+// A leader that alone had lost the source kept a removed endpoint for 2.5 s after the source was back.
+// So did the boxes that relied on its status, although the source responded to them.
+func TestDeferredRemovalsMakeReadNotCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Facts: published("e/1"), Revision: rev(5)}, {Facts: nil, Revision: rev(30)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, errors.New("no answer") },
+			func() (Batch, error) { return Batch{}, errors.New("no response") },
 			func() (Batch, error) { return Batch{Revision: rev(10)}, nil },
 			func() (Batch, error) {
 				return Batch{Facts: []Fact{{Key: "e/1", Revision: rev(20), Removed: true}}, Revision: rev(20)}, nil
@@ -238,13 +241,14 @@
 	c.Assert(heard, quicktest.DeepEquals, []bool{true, false, true, false, true})
 }
 
-// A watch that began in an outage hung for its whole time after the end of it.
-func TestAfterAFailureWatchesAreShort(t *testing.T) {
+// A watch that began during an outage did not return before its full timeout, long after the source
+// was back.
+func TestWatchTimeoutIsShortAfterFailure(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
 		list: []Batch{{Revision: rev(5)}},
 		watch: []func() (Batch, error){
-			func() (Batch, error) { return Batch{}, errors.New("no answer") },
+			func() (Batch, error) { return Batch{}, errors.New("no response") },
 			func() (Batch, error) { return Batch{Revision: rev(6)}, nil },
 		},
 	}
@@ -260,9 +264,9 @@
 	}
 }
 
-// After a start every box listed the source and watched it, though its leader told it the
-// same soon: three calls in five of a quiet day.
-func TestABoxThatIsToldSoonDoesNotWatchTheSource(t *testing.T) {
+// After a start every box listed the source and opened a watch, although its leader sent the same
+// facts soon after. That was three in five of the calls of a day without incidents.
+func TestFollowerWaitsForLeaderBeforeWatching(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{list: []Batch{{Revision: rev(5)}}, watch: []func() (Batch, error){func() (Batch, error) { return Batch{Revision: rev(6)}, nil }}}
 	r, _ := newReader(s)
@@ -278,7 +282,7 @@
 	c.Assert(s.waits, quicktest.HasLen, 0)
 }
 
-// awaySource fails every call until it is back.
+// awaySource fails every call until a point in time.
 type awaySource struct {
 	back  time.Time
 	calls atomic.Int64
@@ -287,7 +291,7 @@
 func (s *awaySource) call() (Batch, error) {
 	s.calls.Add(1)
 	if time.Now().Before(s.back) {
-		return Batch{}, errors.New("away")
+		return Batch{}, errors.New("source is unreachable")
 	}
 	return Batch{Revision: rev(5)}, nil
 }
@@ -301,14 +305,14 @@
 	return s.call()
 }
 
-// readAway runs both readers of a box whose source is away for a while. It returns how many
-// calls they made meanwhile, and how long after the end of it the box had heard both.
+// readAway runs both readers of a box during an outage of the source. It returns the number of calls
+// during the outage, and how long after its end both readers had a valid read.
 func readAway(c *quicktest.C, leads func() bool, away time.Duration) (calls int64, late time.Duration) {
 	s := &awaySource{back: time.Now().Add(away)}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
 	asked := new(atomic.Bool)
-	var heard [2]atomic.Int64 // when, in nanoseconds since s.back
+	var heard [2]atomic.Int64 // nanoseconds since s.back
 	for i, collection := range []Collection{Configuration, Endpoints} {
 		r, _ := newReader(s)
 		r.collection, r.unreachable = collection, asked
@@ -330,45 +334,43 @@
 	return calls, time.Duration(max(heard[0].Load(), heard[1].Load()))
 }
 
-// When the source was away every box asked it twice a second, as its leader did; later two
-// calls each 1.5 s. With 195 boxes that were 13,784 calls on a day on which the source was away
-// for 14 s, where a day without trouble had 1,174.
+// During an outage every box called the source twice a second, as leaders do; in a later version,
+// twice per 1.5 s. With 195 boxes this made 13,784 calls on a day with an outage of 14 s, against
+// 1,174 on a day without.
 //
-// A box on whom nobody relies still finds out in time where its way alone is open.
-func TestABoxOnWhomNobodyReliesAsksASourceThatFailsLessOften(t *testing.T) {
+// A follower still has to find out in time if it alone can reach the source.
+func TestFollowerRetriesFailingSourceLessOften(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		const away = 8 * time.Second
 		calls, late := readAway(c, func() bool { return true }, away)
-		c.Check(calls >= 2*int64(away/maxRetryDelay)-4, quicktest.IsTrue, quicktest.Commentf("%d calls of a leader", calls))
-		c.Check(late <= maxRetryDelay, quicktest.IsTrue, quicktest.Commentf("a leader heard it %v late", late))
+		c.Check(calls >= 2*int64(away/maxRetryDelay)-4, quicktest.IsTrue, quicktest.Commentf("leader made %d calls", calls))
+		c.Check(late <= maxRetryDelay, quicktest.IsTrue, quicktest.Commentf("leader read the source %v after the outage", late))
 		calls, late = readAway(c, func() bool { return false }, away)
-		t.Logf("%d calls of a box on whom nobody relies", calls)
-		c.Check(calls <= 6, quicktest.IsTrue, quicktest.Commentf("%d calls of another box", calls))
-		c.Check(late <= defaultBehind+2*standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("another box heard it %v late", late))
+		t.Logf("follower made %d calls", calls)
+		c.Check(calls <= 6, quicktest.IsTrue, quicktest.Commentf("follower made %d calls", calls))
+		c.Check(late <= defaultBehind+2*standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("follower read the source %v after the outage", late))
 	})
 }
 
-// All boxes start while the source is away, and none leads until they know each other. A box that
-// has failed twice by then and leads now must not wait as one that leaves it to its leader.
-func TestABoxThatHasBegunToLeadAsksASourceThatFailsAsOftenAsALeader(t *testing.T) {
+// All boxes start during an outage, and none leads until they have met. A box that has failed twice by
+// then and becomes leader must not keep the longer delay of a follower.
+func TestNewLeaderRetriesFailingSourceAsOftenAsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		begun := time.Now()
 		leads := func() bool { return time.Since(begun) > settleFor }
 		_, late := readAway(c, leads, time.Second)
-		c.Check(late <= maxRetryDelay+standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("it heard the source %v late", late))
+		c.Check(late <= maxRetryDelay+standbyPollInterval, quicktest.IsTrue, quicktest.Commentf("read the source %v after the outage", late))
 	})
 }
 
-// Found by the model of facts and words, with a box that had just started and a leader that
-// was behind.
-//
-// The order of events: an endpoint leaves while the leader does not hear the source. A box
-// starts and lists the source: the endpoint is not there, so it hears of no removal. Then its
-// leader tells it all that it knows, the endpoint too. The box takes it in, goes on watching
-// from its list, and sends requests there until the leader hears the source again.
-func TestAnEndpointThatLeftBeforeABoxStartedIsNotBroughtBackByAnother(t *testing.T) {
+// An endpoint is removed while the leader cannot reach the source. A box starts and lists the source,
+// which no longer has the endpoint, so the box never sees the removal. Then its leader sends all the
+// facts it has, including that endpoint. The box accepted it, continued with a watch from its list,
+// and sent requests to the endpoint until the leader reached the source again. Found by the model
+// checker.
+func TestEndpointRemovedBeforeStartIsNotRestoredByAnotherBox(t *testing.T) {
 	c := quicktest.New(t)
 	n := &Node{Decoder: plainDecoder{}}
 	r, table := newReader(&script{list: []Batch{{Facts: published("e/2"), Revision: rev(5)}}})
@@ -379,6 +381,6 @@
 	keys := table.Keys()
 	slices.Sort(keys)
 	c.Assert(keys, quicktest.DeepEquals, []string{"e/2", "e/3"})
-	table.Receive(&wire.Item{Key: "e/4", Version: uint64(rev(4)), Removed: true}) // others may still need it
+	table.Receive(&wire.Item{Key: "e/4", Version: uint64(rev(4)), Removed: true}) // removals are accepted, since other boxes may still need them
 	c.Assert(table.Version("e/4"), quicktest.Equals, uint64(rev(4)))
 }
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -9,9 +9,10 @@
 	"cairnwick.example/wire"
 )
 
-// This file decides what boxes keep when the source comes back from an older copy. Its revisions are ordered by the
-// epoch, so whatever is published again wins over what was known before. Until then the copy takes back what it never
-// may: a configuration, a version of an adapter, that an endpoint drains, that one is gone.
+// Handling of a source that was restored from an older copy. Revisions are ordered by the epoch of the
+// source, so anything published after a restore replaces what was known before. Until then the copy
+// must not revert some facts: a newer configuration, a newer adapter version, that an endpoint is
+// draining, or that it is gone.
 
 // revisionOf returns the revision of a fact of the source.
 func revisionOf(i *wire.Item) Revision { return Revision(i.GetVersion()) }
@@ -35,7 +36,7 @@
 	return uint64(b.Kept()), stands
 }
 
-// isHigher reports whether a names a higher version than b. What can't be read names none.
+// isHigher reports whether a has a higher version than b; false if either cannot be decoded.
 func isHigher(versionOf func(i *wire.Item) (uint64, error), a, b *wire.Item) bool {
 	va, errA := versionOf(a)
 	vb, errB := versionOf(b)
@@ -55,7 +56,7 @@
 	return c.Version(), nil
 }
 
-// adapterVersionOf returns the version that a fact names of an adapter; the decoder takes none below zero.
+// adapterVersionOf returns the adapter version in a fact; the decoder rejects negative ones.
 func (n *Node) adapterVersionOf(i *wire.Item) (uint64, error) {
 	value, err := share.Value(i)
 	if err != nil {
@@ -65,9 +66,10 @@
 	return uint64(v), err
 }
 
-// endpointOutlives reports whether a says something of an endpoint that b, an entry of a higher revision, can't take
-// back: that the same life drains, that a later life has begun, or that the endpoint is gone. The last holds against
-// the copy alone, which other boxes judge by what they know themselves: read says that b was read from the source.
+// endpointOutlives reports whether a holds something about an endpoint that b, an entry with a higher
+// revision, must not revert: that the same incarnation is draining, that a later incarnation has
+// started, or that the endpoint is gone. The last applies only if this box read b from the source
+// itself (read), since other boxes check a restored copy against their own knowledge.
 func (n *Node) endpointOutlives(a, b *wire.Item, read bool) bool {
 	if b.GetRemoved() {
 		return false
@@ -86,8 +88,8 @@
 	return x.Draining() && !y.Draining()
 }
 
-// isResurrected reports whether a fact that was just read is of an endpoint that this box knew to be gone before the
-// source was restored.
+// isResurrected reports whether a fact just read is for an endpoint that this box knew to be gone
+// before the source was restored.
 func (r *reader) isResurrected(f Fact) bool {
 	old := r.table.Get(f.Key)
 	if old == nil || !old.GetRemoved() || f.Removed || r.decoder.Kind(f.Key) != KindEndpoint {
@@ -96,8 +98,8 @@
 	return revisionOf(old).Epoch() < f.Revision.Epoch() || revisionOf(old) == f.Revision.Kept()
 }
 
-// confirmResurrected marks the entries of a list that are true though this box knew the endpoint to be gone: they have outlived
-// a lease since the source was restored. Others get the time for that.
+// confirmResurrected marks the entries of a list for endpoints that this box knew to be gone but that
+// have outlived a lease since the restore, so they are live. The others get the time for that.
 func (r *reader) confirmResurrected(b Batch, now time.Time) {
 	for i, f := range b.Facts {
 		if !r.isResurrected(f) {
@@ -105,7 +107,7 @@
 		}
 		if r.confirmEpoch == b.Revision.Epoch() && r.callStarted.After(r.confirmAfter) {
 			b.Facts[i].Revision = f.Revision.Confirmed()
-			r.log.Info("Endpoint that was gone is back", "key", f.Key, "revision", f.Revision.String())
+			r.log.Info("Endpoint that was gone is live according to the restored source", "key", f.Key, "revision", f.Revision.String())
 			continue
 		}
 		r.scheduleConfirm(b.Revision.Epoch(), now)
@@ -113,7 +115,8 @@
 	}
 }
 
-// scheduleConfirm lists the source again once the entries of endpoints that are gone have lapsed there.
+// scheduleConfirm has the source listed again once the entries of endpoints that are gone have expired
+// there.
 func (r *reader) scheduleConfirm(epoch uint64, now time.Time) {
 	if r.confirmEpoch != epoch {
 		r.confirmEpoch, r.confirmAfter = epoch, now.Add(confirmLapses*r.entryLapse())
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -18,7 +18,7 @@
 	"github.com/pkg/errors"
 )
 
-// textDecoder reads the values of testdata/restored.txt.
+// textDecoder decodes the values in testdata/restored.txt.
 type textDecoder struct{}
 
 // Kind implements Decoder.
@@ -58,7 +58,7 @@
 	return topology.Adapter{Model: "m", Name: "a"}, v, err
 }
 
-// restoredBox is the box of one case.
+// restoredBox is the box under test in one case.
 type restoredBox struct {
 	table  *share.Table
 	reader *reader
@@ -78,7 +78,7 @@
 	return b
 }
 
-// do runs one command; it returns what is wrong.
+// do runs one command and returns an error if its expectation fails.
 func (b *restoredBox) do(words []string) error {
 	switch words[0] {
 	case "read", "receive":
@@ -128,7 +128,7 @@
 	}
 	b.source.list = []Batch{batch}
 	b.reader.after = 0
-	b.reader.historyLost = true // so that it is no watch
+	b.reader.historyLost = true // forces a list
 	_, err = b.reader.step(context.Background())
 	b.reader.noteResult(err)
 	return err
@@ -152,7 +152,7 @@
 	e, errEpoch := strconv.ParseUint(epoch, 10, 64)
 	n, errCount := strconv.ParseUint(count, 10, 64)
 	if errEpoch != nil || errCount != nil {
-		return 0, errors.Errorf("revision %q: write EPOCH/NUMBER", text)
+		return 0, errors.Errorf("revision %q: expected EPOCH/NUMBER", text)
 	}
 	r, err := NewRevision(e, n)
 	if strings.Contains(text, "k") {
@@ -164,7 +164,7 @@
 	return r, err
 }
 
-func TestWhatABoxKeepsWhenItsSourceIsRestoredFromAnOlderCopy(t *testing.T) {
+func TestFactsKeptAfterSourceRestore(t *testing.T) {
 	raw, err := os.ReadFile("testdata/restored.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestWhatIsKeptAgainstACopyIsTakenThoughItsRevisionWasRead(t *testing.T) {
+func TestKeptFactIsAcceptedThoughItsRevisionWasRead(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	b.node.checkpoints.advance(Endpoints, checkpoint{revision: revIn(2, 180), asOf: time.Now()})
@@ -192,7 +192,7 @@
 	c.Assert(b.do([]string{"want", "e/1=draining", "2/150kc"}), quicktest.IsNil)
 }
 
-func TestWhatIsKeptAgainstACopyIsSentToOthers(t *testing.T) {
+func TestKeptFactIsSentToOtherBoxes(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"read", "1/200", "e/1=draining"}), quicktest.IsNil)
@@ -203,7 +203,7 @@
 	c.Assert(revisionOf(items[0]), quicktest.Equals, revIn(2, 150).Kept())
 }
 
-func TestFactsThatSayTheSameAfterARestorationAreNotSentAgain(t *testing.T) {
+func TestEqualFactsAreNotResentAfterRestore(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
@@ -218,8 +218,8 @@
 	c.Assert(items, quicktest.HasLen, 0)
 }
 
-// A box that begins to read where another one stopped would watch for a change of an entry that does not change.
-func TestABoxThatBeginsToReadListsWhereItKeepsAnEndpointAsGone(t *testing.T) {
+// A box that takes over reading with a watch would wait for a change to an entry that does not change.
+func TestReaderListsOnResumeWithUnconfirmedRemoval(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"receive", "2/150k", "e/1=gone"}), quicktest.IsNil)
@@ -232,8 +232,9 @@
 	c.Assert(b.reader.after, quicktest.Equals, revIn(2, 180))
 }
 
-// Its facts lose against those of the new epoch, so the box would miss what is published until the leader learns of it.
-func TestABoxDoesNotRelyOnALeaderOfTheEpochBefore(t *testing.T) {
+// Facts of the previous epoch lose against those of the current one, so the box would miss everything
+// published until its leader learns of the restore.
+func TestStatusOfPreviousEpochIsNotCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
--- a/edge/revision_test.go
+++ b/edge/revision_test.go
@@ -8,7 +8,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// rev is the revision of a source that was never restored.
+// rev returns a revision of a source that was never restored.
 func rev(count uint64) Revision { return revIn(0, count) }
 
 func revIn(epoch, count uint64) Revision {
@@ -19,7 +19,7 @@
 	return r
 }
 
-func TestRevisionsAreOrderedByEpochThenNumberThenStanding(t *testing.T) {
+func TestRevisionOrder(t *testing.T) {
 	c := quicktest.New(t)
 	order := []Revision{
 		0,
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestARevisionGivesItsPartsBack(t *testing.T) {
+func TestRevisionParts(t *testing.T) {
 	c := quicktest.New(t)
 	r := revIn(3, 1<<40+5)
 	for _, r := range []Revision{r, r.Kept(), r.Confirmed(), r.Kept().Confirmed()} {
@@ -49,7 +49,7 @@
 	c.Check(r.Kept().IsKept() && r.Confirmed().IsConfirmed(), quicktest.IsTrue)
 }
 
-func TestARevisionThatDoesNotFitIsAnError(t *testing.T) {
+func TestNewRevisionOutOfRange(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := NewRevision(1<<18, 1)
 	c.Check(err, quicktest.ErrorMatches, "source: epoch 262144 is above 262143")
@@ -57,7 +57,7 @@
 	c.Check(err, quicktest.ErrorMatches, "source: revision 17592186044416 is above 17592186044415")
 }
 
-func TestARevisionIsShownAsTheSourceGivesIt(t *testing.T) {
+func TestRevisionString(t *testing.T) {
 	c := quicktest.New(t)
 	c.Check(rev(9).String(), quicktest.Equals, "9")
 	c.Check(revIn(2, 9).String(), quicktest.Equals, "2/9")
--- a/edge/source.go
+++ b/edge/source.go
@@ -12,46 +12,49 @@
 // Collection is one part of what a source of configuration publishes.
 type Collection int
 
-// The collections.
+// The collections of a source.
 const (
-	Configuration Collection = iota + 1 // routes and services, and versions of adapters
-	Endpoints                           // lives of endpoints
+	Configuration Collection = iota + 1 // routes, services and adapter versions
+	Endpoints                           // endpoint entries, one per incarnation
 )
 
-// String names the collection.
+// String returns the name of the collection, as it appears in logs.
 func (c Collection) String() string {
 	return [...]string{"none", "configuration", "endpoints"}[c]
 }
 
-// Fact is one published fact, not yet decoded.
+// Fact is one published key and value, not yet decoded.
 type Fact struct {
-	Key      string   // unique over all collections
-	Revision Revision // of its last change; rises with each change of anything
+	Key      string   // unique across all collections
+	Revision Revision // of the last change to this key; every change to any key raises the revision
 	Value    []byte
 	Removed  bool
 }
 
-// Batch is an answer of a source, as of a revision.
+// Batch is a source's response, with the revision that it reflects.
 type Batch struct {
 	Facts    []Fact
 	Revision Revision
 }
 
-// ErrHistoryLost says that a source does not know what changed since a revision: its history is gone, or it was restored
-// from an older copy.
+// ErrHistoryLost reports that a source no longer has the changes since a revision: its history was
+// compacted, or it was restored from an older copy.
 type ErrHistoryLost struct{}
 
-func (ErrHistoryLost) Error() string { return "source: the history since that revision is gone" }
+func (ErrHistoryLost) Error() string {
+	return "source: the change history since that revision is no longer available"
+}
 
-// Source publishes configuration. It can only be read.
+// Source is a read-only view of published configuration.
 type Source interface {
-	// List returns everything in a collection.
+	// List returns all facts of a collection.
 	List(ctx context.Context, c Collection) (Batch, error)
-	// Watch returns what changed after a revision, at the latest after wait.
+	// Watch is a long poll: it returns the changes after a revision, or an empty batch once wait has
+	// passed.
 	Watch(ctx context.Context, c Collection, after Revision, wait time.Duration) (Batch, error)
 }
 
-// Kind says what a fact describes.
+// Kind is the type of object that a fact describes.
 type Kind int
 
 // The kinds of facts.
@@ -62,12 +65,12 @@
 	KindVersion
 )
 
-// Decoder reads the facts of a source.
+// Decoder decodes the facts of a source.
 type Decoder interface {
 	Kind(key string) Kind
 	Config(value []byte) (*topology.Config, error)
-	// Endpoint reads one life of an endpoint.
+	// Endpoint decodes one incarnation of an endpoint.
 	Endpoint(key string, value []byte) (*topology.Endpoint, error)
-	// Version reads the newest version of an adapter.
+	// Version decodes the newest version of an adapter.
 	Version(value []byte) (topology.Adapter, int64, error)
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -15,34 +15,34 @@
 	"github.com/go-logr/logr"
 )
 
-// state keeps the view as the table says.
+// state applies the facts in the table to the view.
 type state struct {
 	view    *topology.View
 	table   *share.Table
 	decoder Decoder
 	fences  *placement.Fences
 	log     logr.Logger
-	limits  *limits // nil: none are kept
+	limits  *limits // nil: limits are not kept
 
 	slots   slots
-	tracker quarantine.Tracker // of requests under which endpoints ended
+	tracker quarantine.Tracker // counts requests that were running on endpoints that ended
 
 	mu           sync.Mutex
-	incarnations map[string]string // by the key of an endpoint's fact: the ID of the life that it named last
-	unreadConfig uint64            // revision of the latest configuration that can't be read; zero: the latest one could
+	incarnations map[string]string // the endpoint ID that each entry key holds now, one ID per incarnation
+	unreadConfig uint64            // revision of the latest configuration if it cannot be decoded, otherwise zero
 }
 
-// configUnreadable reports whether a newer configuration than that in force could not be read.
+// configUnreadable reports whether a configuration newer than the one in force could not be decoded.
 func (s *state) configUnreadable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unreadConfig != 0
 }
 
-// apply takes accepted items into the view. One that cannot be read changes
-// nothing: the last good one stays.
+// apply updates the view from accepted items. An item that cannot be decoded is ignored and the last
+// valid one stays in force.
 func (s *state) apply(items []*wire.Item) {
-	touched := make(map[string]bool) // endpoints whose slots were received
+	touched := make(map[string]bool) // endpoints for which slots were received
 	for _, i := range items {
 		if rest, ok := strings.CutPrefix(i.GetKey(), slotsPrefix); ok {
 			touched[s.applySlot(rest, i)] = true
@@ -63,7 +63,7 @@
 			continue
 		}
 		if err := s.applyOne(i); err != nil {
-			s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
+			s.log.Info("Cannot decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
 		}
 	}
 	for id := range touched {
@@ -94,7 +94,7 @@
 
 func (s *state) applyConfig(i *wire.Item, value []byte) error {
 	if i.GetRemoved() {
-		return nil // the last one stays in force
+		return nil // a removal leaves the last configuration in force
 	}
 	c, err := s.decoder.Config(value)
 	s.mu.Lock()
@@ -114,9 +114,9 @@
 	return nil
 }
 
-// applyEndpoint takes in what the source says under an endpoint's key. What can't be read names no
-// endpoint to use, also where it takes the place of a good entry: other writers than endpoints may
-// write there, and an endpoint that lives writes its own entry again within a heartbeat.
+// applyEndpoint applies the entry of an endpoint. An entry that cannot be decoded makes the endpoint
+// unused, even if it replaces a valid one: programs other than the endpoint may have written it, and a
+// live endpoint writes its own entry again within a heartbeat.
 func (s *state) applyEndpoint(i *wire.Item, value []byte) error {
 	if i.GetRemoved() {
 		s.setIncarnation(i, "", "Endpoint is gone")
@@ -124,11 +124,11 @@
 	}
 	e, err := s.decoder.Endpoint(i.GetKey(), value)
 	if err != nil {
-		s.setIncarnation(i, "", "Endpoint's entry can't be read; the endpoint is not used")
+		s.setIncarnation(i, "", "Cannot decode endpoint entry; the endpoint is not used")
 		return err
 	}
 	id := e.ID()
-	s.setIncarnation(i, id, "Endpoint has started again")
+	s.setIncarnation(i, id, "Endpoint restarted")
 	old := s.view.Endpoint(id)
 	s.view.SetEndpoint(e)
 	if known := s.view.Endpoint(id); old == nil || old.Draining() != known.Draining() {
@@ -136,13 +136,14 @@
 			"draining", known.Draining(), "revision", revisionOf(i).String())
 	}
 	if !s.showSlots(id) {
-		s.view.SetHeld(id, publishedAdapters(e)) // better than nothing until its owner publishes
+		s.view.SetHeld(id, publishedAdapters(e)) // until its owner publishes the slots
 	}
 	return nil
 }
 
-// setIncarnation records which life of an endpoint its key names now, empty for none. All that was
-// known of the life before is forgotten: one that started again holds and runs nothing of it.
+// setIncarnation records the endpoint ID in the entry with i's key; empty if there is none. All state
+// of the previous incarnation is dropped, since a restarted endpoint holds no adapters and runs no
+// requests of it.
 func (s *state) setIncarnation(i *wire.Item, id, why string) {
 	s.mu.Lock()
 	if s.incarnations == nil {
@@ -165,8 +166,8 @@
 	s.log.Info(why, "endpoint", before, "revision", revisionOf(i).String())
 }
 
-// publishedAdapters returns what an endpoint published that it holds. It may be wrong by
-// now, which the endpoint says when it is asked.
+// publishedAdapters returns the adapters in an endpoint's own entry. The entry may be outdated; the
+// endpoint reports its adapters when it is asked.
 func publishedAdapters(e *topology.Endpoint) map[topology.Adapter]topology.Held {
 	held := make(map[topology.Adapter]topology.Held, len(e.Adapters()))
 	for a, v := range e.Adapters() {
@@ -175,22 +176,22 @@
 	return held
 }
 
-// maxKeyChangeLines bounds the lines about keys that one configuration brings.
+// maxKeyChangeLines limits the log lines about changed keys for one configuration.
 const maxKeyChangeLines = 32
 
-// loggedDigestBytes is how many bytes of a key's digest a log line shows: enough to find it by.
+// loggedDigestBytes is the length of a key digest in log lines, long enough to identify the key.
 const loggedDigestBytes = 6
 
-// logKeys logs which keys came and went with a configuration.
+// logKeys logs the keys that a configuration added or removed.
 func (s *state) logKeys(before, after *topology.Config) {
 	if before == nil {
-		s.log.Info("Organisations may call", "config", after.Version(), "organisations", len(after.Callers().All()))
+		s.log.Info("Organisations are configured", "config", after.Version(), "organisations", len(after.Callers().All()))
 		return
 	}
 	changes := access.Changes(before.Callers(), after.Callers())
 	for i, c := range changes {
 		if i == maxKeyChangeLines {
-			s.log.Info("Further keys came or went", "config", after.Version(), "keys", len(changes)-maxKeyChangeLines)
+			s.log.Info("Further key changes are not logged", "config", after.Version(), "keys", len(changes)-maxKeyChangeLines)
 			return
 		}
 		s.log.Info("Key stands for another organisation", "config", after.Version(), "key_digest", c.Key.Short(loggedDigestBytes),
--- a/edge/state_test.go
+++ b/edge/state_test.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// drainingDecoder reads from an endpoint's value whether it leaves.
+// drainingDecoder decodes from an endpoint's value whether it is draining.
 type drainingDecoder struct{ plainDecoder }
 
 // Endpoint implements Decoder.
@@ -21,9 +21,9 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "s", Draining: string(value) == "leaves"}), nil
 }
 
-// What a box has once heard of an endpoint's leaving binds it, also while the source is
-// away and after it, whatever older news comes by way of other boxes.
-func TestAnEndpointThatLeavesStaysSoWhileTheSourceIsAway(t *testing.T) {
+// Once a box knows that an endpoint is draining, this stays so during and after an outage of the
+// source, even if other boxes send older facts.
+func TestEndpointStaysDrainingDuringOutage(t *testing.T) {
 	c := quicktest.New(t)
 	fact := func(revision uint64, value string) Fact {
 		return Fact{Key: "e/1", Revision: rev(revision), Value: []byte(value)}
@@ -48,7 +48,7 @@
 	c.Assert(v.Endpoint("e/1").Draining(), quicktest.IsFalse)
 	step(r)
 	c.Assert(v.Endpoint("e/1").Draining(), quicktest.IsTrue)
-	for range 3 { // a failure, older news, and its entry lapses
+	for range 3 { // a failure, an older fact, and a removal as by an expired entry
 		_, err := r.step(context.Background())
 		r.noteResult(err)
 		if e := v.Endpoint("e/1"); e != nil {
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	// resignTimeout is how long a box that leaves has to resign from an endpoint: its orders
-	// under way take a few milliseconds, and what it tells must be used before a report
-	// would do.
+	// resignTimeout bounds the call that asks a leaving box to resign from an endpoint. Its pending
+	// orders take a few milliseconds, and the answer is only useful if it comes before a report by the
+	// endpoint would.
 	resignTimeout = 300 * time.Millisecond
-	// orderMargin is how long a box's last order may be on its way: an endpoint answers in a
-	// few milliseconds.
+	// orderMargin allows for an order of a leaving box that is still in transit: an endpoint responds
+	// within a few milliseconds.
 	orderMargin = 200 * time.Millisecond
 )
 
-// watchLeadership has the loader look at what this box owns as soon as it leads other data centres
-// than before, until ctx ends: who heard of it before gets no load meanwhile.
+// watchLeadership wakes the loader as soon as the set of data centres that this box leads changes,
+// until ctx ends. Other boxes may already know of the change, and their load requests would wait
+// otherwise.
 func (n *Node) watchLeadership(ctx context.Context) error {
 	var before []string
 	for ctx.Err() == nil {
@@ -44,9 +45,9 @@
 	return nil
 }
 
-// requestHandover asks the boxes that leave to resign from an endpoint. Any of its data centre may
-// have led there, and the one that this box saw lead. Where none resigns and one did not
-// answer, that one may give orders for so long.
+// requestHandover asks the leaving boxes that may own an endpoint to resign from it: those of its data
+// centre, and the last box that this one saw lead there. If none resigns and one did not respond, it
+// returns how long that box may still give orders.
 func (p *peers) requestHandover(ctx context.Context, e *topology.Endpoint) (placement.Handover, time.Duration) {
 	list := p.departingOwners(e.DataCentre(), clock.Now())
 	answers := make(chan resignation, len(list))
@@ -67,7 +68,7 @@
 	return handed, wait
 }
 
-// departingOwners returns the boxes that may still give orders in a data centre though they leave.
+// departingOwners returns the leaving boxes that may still give orders in a data centre.
 func (p *peers) departingOwners(centre string, now time.Time) []member.Member {
 	p.mu.Lock()
 	before := p.leaders[centre].before
@@ -82,11 +83,11 @@
 	return list
 }
 
-// resignation is what a box that leaves answered.
+// resignation is the response of a leaving box.
 type resignation struct {
 	box      member.Member
 	handover placement.Handover
-	failed   bool // it did not answer
+	failed   bool // the call failed
 }
 
 // resign asks one box to resign from an endpoint.
@@ -95,10 +96,10 @@
 	defer cancel()
 	a, err := wire.NewShareClient(p.dialer.Conn(m.Address())).Resign(call, &wire.ResignRequest{Endpoint: endpoint})
 	if status.Code(err) == codes.Unimplemented {
-		return resignation{box: m} // of an older version: it gave its endpoints up as it began to leave
+		return resignation{box: m} // older versions do not implement Resign and give up their endpoints when they begin to leave
 	}
 	if err != nil {
-		p.log.Info("Box that leaves does not answer", "member", m.Name(), "endpoint", endpoint, "err", err.Error())
+		p.log.Info("Leaving box did not answer the request to resign", "member", m.Name(), "endpoint", endpoint, "err", err.Error())
 		return resignation{box: m, failed: true}
 	}
 	h := placement.Handover{Resigned: a.GetResigned(), Fence: a.GetFence()}
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// modelSource publishes a configuration and one endpoint that holds a base model.
+// modelSource publishes a configuration and one endpoint with a base model.
 type modelSource struct{ emptySource }
 
 // List implements Source.
@@ -34,7 +34,7 @@
 	return Batch{Facts: []Fact{{Key: "e/1", Revision: rev(1)}}, Revision: rev(1)}, nil
 }
 
-// modelDecoder decodes what modelSource publishes.
+// modelDecoder decodes the facts of modelSource.
 type modelDecoder struct{ plainDecoder }
 
 // Kind implements Decoder.
@@ -57,16 +57,16 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{"m"}}), nil
 }
 
-// fakeEndpoint is an endpoint whose adapters are loaded at once.
+// heldEndpoint is an endpoint that loads adapters instantly.
 type fakeEndpoint struct {
 	mu      sync.Mutex
 	ready   map[topology.Adapter]int64
 	fence   uint64
-	holders []string       // boxes in the order in which their orders came, refused ones too
-	reports map[string]int // read by each box
+	holders []string       // boxes in the order of their orders, including rejected ones; consecutive duplicates are merged
+	reports map[string]int // number of reports read by each box
 }
 
-// fakeControl is one box's way to it.
+// controlOf is one box's connection to the endpoint.
 type fakeControl struct {
 	box      string
 	endpoint *fakeEndpoint
@@ -107,7 +107,7 @@
 	return placement.Done, nil
 }
 
-// awaitLoad asks for an adapter until it is loaded.
+// awaitLoad requests an adapter until it is loaded.
 func awaitLoad(n *Node, name string) {
 	for {
 		if e := n.view.Endpoint("e/1"); e != nil {
@@ -120,25 +120,26 @@
 	}
 }
 
-// startAt starts boxes of one data centre at an endpoint, the next leader after the one before.
+// startAt starts boxes of one data centre that share an endpoint; each is next in line to lead after
+// the one before.
 func startAt(c *quicktest.C, h *fakeEndpoint, count int) (nodes []*Node, stops []func() error) {
 	for i := range count {
 		n := newNode(c, fmt.Sprintf("box-%d", i+1))
 		if i > 0 {
 			n.Settings.Seeds = []string{nodes[0].Settings.Peers}
 		}
-		n.Settings.Number = uint32(9 - i) // of two terms alike the later box's fence is the lower one
+		n.Settings.Number = uint32(9 - i) // in the same term, the later box's fence is the lower one
 		n.Source, n.Decoder, n.Control = modelSource{}, modelDecoder{}, fakeControl{box: n.Settings.Box, endpoint: h}
 		nodes, stops = append(nodes, n), append(stops, start(n))
 		variablesOf(c, n)
 	}
 	for i, n := range nodes {
-		awaitLoad(n, fmt.Sprintf("first-%d", i)) // by way of the leader
+		awaitLoad(n, fmt.Sprintf("first-%d", i)) // loaded by the leader
 	}
 	return nodes, stops
 }
 
-// stopAndAwaitNext stops a leader and returns when the next one has loaded an adapter.
+// handsOver stops a leader and returns once the next leader has loaded an adapter.
 func stopAndAwaitNext(stop func() error, next *Node) (stopped chan error) {
 	stopped = make(chan error, 1)
 	go func() { stopped <- stop() }()
@@ -149,34 +150,34 @@
 	return stopped
 }
 
-// A leader that was told to stop gave its endpoints up at once, though it served on for 2.8 s.
-// The next one claimed them when it had heard of that, and loaded nothing before a report was
-// new enough.
-func TestALeaderThatStopsHandsItsEndpointsOver(t *testing.T) {
+// A leader told to stop gave up its endpoints at once, although it kept serving for 2.8 s. The next
+// leader claimed them when it learned of that, and loaded nothing until it had a recent enough report
+// from the endpoint.
+func TestStoppingLeaderHandsOverEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	h := &fakeEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
 	nodes, stops := startAt(c, h, 3)
 	first := stopAndAwaitNext(stops[0], nodes[1])
-	second := stopAndAwaitNext(stops[1], nodes[2]) // while the first one still serves
+	second := stopAndAwaitNext(stops[1], nodes[2]) // while the first one is still serving
 	h.mu.Lock()
 	reports := maps.Clone(h.reports)
 	h.mu.Unlock()
-	c.Check(reports, quicktest.DeepEquals, map[string]int{"box-1": 1}) // the others were told what the endpoint holds
+	c.Check(reports, quicktest.DeepEquals, map[string]int{"box-1": 1}) // the others received the endpoint's state in the handover
 	c.Check(nodes[2].view.Holders(topology.Adapter{Model: "m", Name: "first-1"}), quicktest.HasLen, 1)
 	c.Assert(<-first, quicktest.IsNil)
 	c.Assert(<-second, quicktest.IsNil)
 	c.Assert(stops[2](), quicktest.IsNil)
-	c.Assert(h.holders, quicktest.DeepEquals, []string{"box-1", "box-2", "box-3"}) // no turns
+	c.Assert(h.holders, quicktest.DeepEquals, []string{"box-1", "box-2", "box-3"}) // ownership does not alternate
 }
 
-// leave tells the others of a box that it leaves.
+// leave marks a box as leaving in the members of another.
 func leave(p *peers, m member.Member, heard time.Time) {
 	t := member.NewTable(m, member.Limits{})
 	t.Leave()
 	p.table.Merge([]member.Member{t.Self()}, heard)
 }
 
-func TestABoxThatLeavesIsAskedWhileItMayStillGiveOrders(t *testing.T) {
+func TestLeavingBoxIsAskedWhileItMayGiveOrders(t *testing.T) {
 	c := quicktest.New(t)
 	first, far := box("first", "dc", 1, 400), box("far", "other", 1, 400)
 	p := peersOf(box("second", "dc", 2, 400), first, far, box("third", "dc", 3, 400))
@@ -188,12 +189,12 @@
 	c.Assert(list, quicktest.HasLen, 1)
 	c.Assert(list[0].Name(), quicktest.Equals, "first")
 	c.Assert(p.departingOwners("dc", now.Add(placement.KeepMost+orderMargin)), quicktest.HasLen, 0)
-	p.leaders = map[string]leadership{"dc": {name: "second", before: "far"}} // as no box of dc had served
+	p.leaders = map[string]leadership{"dc": {name: "second", before: "far"}} // it led dc while dc had no serving box
 	c.Assert(p.departingOwners("dc", now), quicktest.HasLen, 2)
 }
 
-// Its orders and those of the next leader would take turns.
-func TestABoxThatLeavesAndDoesNotAnswerIsWaitedFor(t *testing.T) {
+// Otherwise its orders would interleave with those of the next leader.
+func TestHandoverWaitsForUnresponsiveLeavingBox(t *testing.T) {
 	c := quicktest.New(t)
 	first := member.New("first", freeAddress(c), roleBox, "dc", 1)
 	p := peersOf(box("second", "dc", 2, 400), first)
@@ -203,17 +204,17 @@
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e/1", DataCentre: "dc"})
 	h, wait := p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
-	c.Assert(wait, quicktest.Equals, time.Duration(0)) // it does not leave
-	heard := time.Now().Add(time.Minute)               // the time that is left is compared with it
+	c.Assert(wait, quicktest.Equals, time.Duration(0)) // it is not leaving
+	heard := time.Now().Add(time.Minute)               // the remaining time is measured from here
 	leave(p, first, heard)
 	h, wait = p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
 	c.Assert(wait > placement.KeepMost, quicktest.IsTrue)
 }
 
-// The next leader claimed its endpoints only at its next look at what it owns; boxes that had
-// heard of it before got no load meanwhile.
-func TestABoxThatBeginsToLeadClaimsAtOnce(t *testing.T) {
+// The next leader claimed its endpoints only at its next periodic check. Load requests from boxes that
+// already knew of the new leader were not served meanwhile.
+func TestNewLeaderClaimsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		h := &fakeEndpoint{ready: make(map[topology.Adapter]int64), reports: make(map[string]int)}
@@ -247,7 +248,7 @@
 		for _, run := range []task{n.loader.Run, n.watchLeadership} {
 			go func() { ended <- run(ctx) }()
 		}
-		time.Sleep(time.Minute + lookPause/2) // looks are as long apart as those at who leads
+		time.Sleep(time.Minute + lookPause/2) // the periodic checks of the loader and of watchLeadership have the same interval
 		leave(n.peers, first, time.Now())
 		time.Sleep(lookPause / 10)
 		h.mu.Lock()
@@ -260,7 +261,7 @@
 	})
 }
 
-func TestABoxLeadsTheDataCentresThatItsViewSays(t *testing.T) {
+func TestDataCentresLedByBox(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 1, 400), box("b", "dc", 2, 400), box("f", "far", 3, 400))
 	c.Assert(p.clusterView().ledBy("a"), quicktest.DeepEquals, []string{"dc"})
