--- a/edge/follow.go
+++ b/edge/follow.go
@@ -12,10 +12,10 @@
 
 // followAll keeps a stream open from each box that this one follows, until ctx ends.
 func (p *peers) followAll(ctx context.Context) error {
-	running := make(map[source]context.CancelFunc)
-	ended := make(chan source)
+	running := make(map[followTarget]context.CancelFunc)
+	ended := make(chan followTarget)
 	for ctx.Err() == nil {
-		wanted := p.sources()
+		wanted := p.followTargets()
 		for s := range wanted {
 			if running[s] != nil {
 				continue
@@ -47,37 +47,37 @@
 	return nil
 }
 
-// source is a box to follow.
-type source struct {
+// followTarget is a box to follow.
+type followTarget struct {
 	name       string
 	address    string
 	everything bool // otherwise only facts that this box does not read from the source itself
 }
 
-// sources returns the boxes to follow now. The boxes of a data centre follow its leader, some through
+// followTargets returns the boxes to follow now. The boxes of a data centre follow its leader, some through
 // other boxes; leaders follow each other. Traffic between data centres is expensive, so a leader that
 // reads the source itself takes from other leaders only the facts that the source does not have.
-func (p *peers) sources() map[source]bool {
-	list := make(map[source]bool)
+func (p *peers) followTargets() map[followTarget]bool {
+	list := make(map[followTarget]bool)
 	if m, _, ok := p.clusterView().parent(); ok {
-		list[source{name: m.Name(), address: m.Address(), everything: true}] = true
+		list[followTarget{name: m.Name(), address: m.Address(), everything: true}] = true
 		return list
 	}
 	o := p.clusterView()
 	for _, c := range o.centres {
 		if m, ok := o.leader(c); ok && m.Name() != p.box {
-			list[source{name: m.Name(), address: m.Address(), everything: !p.reads()}] = true
+			list[followTarget{name: m.Name(), address: m.Address(), everything: !p.reads()}] = true
 		}
 	}
 	return list
 }
 
 // follow merges the updates of one box until the stream ends.
-func (p *peers) follow(ctx context.Context, s source) {
+func (p *peers) follow(ctx context.Context, s followTarget) {
 	q := &wire.FollowRequest{Box: p.box, Everything: s.everything}
 	c := wire.NewShareClient(p.dialer.Conn(s.address))
 	p.resetStream(s.name)
-	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, came time.Time) { p.apply(s, u, came) })
+	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, received time.Time) { p.apply(s, u, received) })
 	if ctx.Err() == nil {
 		p.log.Info("Update stream from box ended", "followed", s.name, "err", err.Error())
 		p.loop.Probe(s.name)
@@ -86,16 +86,16 @@
 
 // apply records the status in a message of a followed box, whose facts have been merged already. A
 // stream without everything carries no endpoint entries, so its status does not cover them.
-func (p *peers) apply(s source, u *wire.Update, came time.Time) {
-	p.table.Seen(s.name, came)
+func (p *peers) apply(s followTarget, u *wire.Update, received time.Time) {
+	p.table.Seen(s.name, received)
 	if !u.GetReading() {
 		return
 	}
-	said := share.Status{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, Settled: u.GetSettledRevision()}
+	status := share.Status{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, Settled: u.GetSettledRevision()}
 	if s.everything {
-		said.Endpoints = u.GetEndpointsRevision()
+		status.Endpoints = u.GetEndpointsRevision()
 	}
-	p.receiveStatus(s.name, said, came)
+	p.receiveStatus(s.name, status, received)
 }
 
 // resetStream records that a new stream from a box begins. The box may have restarted and listed the
@@ -112,25 +112,25 @@
 }
 
 // receiveStatus records how far a followed box has read the source, by a status received at now.
-func (p *peers) receiveStatus(name string, said share.Status, now time.Time) {
+func (p *peers) receiveStatus(name string, status share.Status, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.statuses == nil {
 		p.statuses = make(map[string]leaderStatus)
 	}
-	read := now.Add(-said.Age)
+	read := now.Add(-status.Age)
 	w := p.statuses[name]
-	w.received, w.settled = now, Revision(said.Settled)
+	w.received, w.settled = now, Revision(status.Settled)
 	if read.After(w.readAt) {
 		w.readAt = read
 	}
 	if w.first == 0 {
-		w.first = Revision(said.Endpoints)
+		w.first = Revision(status.Endpoints)
 	}
 	p.statuses[name] = w
-	p.known.advance(Configuration, checkpoint{revision: Revision(said.Settled), asOf: read})
+	p.known.advance(Configuration, checkpoint{revision: Revision(status.Settled), asOf: read})
 	if p.isComplete(w) {
-		p.known.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
+		p.known.advance(Endpoints, checkpoint{revision: Revision(status.Endpoints), asOf: read})
 	}
 }
 
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -86,7 +86,7 @@
 		n.checkpoints.advance(c, checkpoint{revision: w.revision, asOf: w.asOf})
 	}
 	if w.current && c == Configuration && !n.state.configUnreadable() {
-		n.configFreshness.advance(w.begun)
+		n.configFreshness.advance(w.startedAt)
 	}
 }
 
@@ -111,14 +111,14 @@
 func (n *Node) sourceAge() (time.Duration, bool) {
 	now := clock.Now()
 	own, reads := n.fresh.age(now)
-	received, informed := n.peers.completeStatusAge(now)
+	received, current := n.peers.completeStatusAge(now)
 	switch {
-	case reads && informed:
+	case reads && current:
 		return min(own, received), true
 	case reads:
 		return own, true
 	}
-	return received, informed
+	return received, current
 }
 
 // status returns how far this box has read the source, for the boxes that follow it.
--- a/edge/model_explore_test.go
+++ b/edge/model_explore_test.go
@@ -134,13 +134,13 @@
 	return ""
 }
 
-// leftSince reports whether a change at or after a revision removed the endpoint, so that later lists
+// removedSince reports whether a change at or after a revision removed the endpoint, so that later lists
 // lack it.
 func (s *modelState) removedSince(revision int) bool {
 	return slices.ContainsFunc(s.changes[revision:], func(c modelChange) bool { return c.removed })
 }
 
-// wentBack reports a fact of a box that was replaced by an older one or lost.
+// regression returns a description of a fact of a box that was replaced by an older one or lost.
 func (s *modelState) regression(was *modelState, i int) string {
 	now := make(map[string]*wire.Item)
 	for _, t := range s.boxes[i].items {
@@ -189,7 +189,7 @@
 	}
 	fmt.Fprint(&k, s.left, s.epoch, age(s.restoredAt))
 	for _, b := range s.boxes {
-		fmt.Fprint(&k, "|", b.after, " ", b.listed, " ", age(b.asOf), b.failing, age(b.graceUntil), b.relistPending, b.deferring, age(b.answered), age(b.callStarted), age(b.failingSince), b.held, b.known.revision, age(b.known.asOf), b.needsList, b.epoch, age(b.confirmAfter), b.confirmEpoch, ";")
+		fmt.Fprint(&k, "|", b.after, " ", b.listed, " ", age(b.asOf), b.failing, age(b.graceUntil), b.relistPending, b.deferring, age(b.answered), age(b.callStarted), age(b.failingSince), b.deferred, b.known.revision, age(b.known.asOf), b.needsList, b.epoch, age(b.confirmAfter), b.confirmEpoch, ";")
 		items(b.items)
 		for _, n := range slices.Sorted(maps.Keys(b.statuses)) {
 			fmt.Fprint(&k, n, age(b.statuses[n].received), " ", age(b.statuses[n].readAt), " ", b.statuses[n].first, " ", b.statuses[n].transit)
@@ -198,7 +198,7 @@
 	for _, l := range s.links {
 		fmt.Fprint(&k, "|", l.down, age(l.received), " ", l.unsent)
 		for _, m := range l.queue {
-			fmt.Fprint(&k, ";", m.reading, m.status, age(m.sent), " ", m.way)
+			fmt.Fprint(&k, ";", m.reading, m.status, age(m.sent), " ", m.transit)
 			items(m.items)
 		}
 	}
@@ -261,7 +261,7 @@
 		i := slices.IndexFunc(w.events(s), func(e event) bool { return e.name == name })
 		n := s.clone()
 		if i < 0 || !w.events(s)[i].run(n) {
-			panic("event is not possible:  " + name)
+			panic("event is not possible: " + name)
 		}
 		s = n
 	}
@@ -340,7 +340,7 @@
 	}
 }
 
-// lives visits all states in which any box relies on its own read or on a status, and returns the time
+// statusLife visits all states in which any box relies on its own read or on a status, and returns the time
 // from the first to the last of them.
 func (w *modelWorld) statusLife(from *modelState) time.Duration {
 	seen := map[string]bool{}
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -48,7 +48,7 @@
 	statuses      map[string]modelStatus
 	callStarted   time.Time  // when the pending call began; zero: none is pending
 	failingSince  time.Time  // when calls began to fail since the box reads; zero: they succeed
-	held          bool       // whether relistPending was set at the previous response
+	deferred      bool       // whether relistPending was set at the previous response
 	known         checkpoint // of the endpoints
 	epoch         uint64     // of its last list
 	confirmAfter  time.Time  // as in reader
@@ -62,7 +62,7 @@
 	reading bool
 	status  share.Status
 	sent    time.Time
-	way     time.Duration
+	transit time.Duration
 }
 
 // modelLink is the stream from a box to its follower.
@@ -130,7 +130,7 @@
 	table  *share.Table
 }
 
-// moved shifts a time between the model and the synctest bubble.
+// shifted shifts a time between the model and the synctest bubble.
 func shifted(t time.Time, by time.Duration) time.Time {
 	if t.IsZero() {
 		return t
@@ -159,8 +159,8 @@
 		n.fresh.record(Endpoints, readResult{asOf: shifted(b.answered, by), current: true})
 		n.fresh.record(Configuration, readResult{asOf: shifted(s.now, by), current: true})
 	}
-	r.onRead = func(word readResult) {
-		n.recordRead(Endpoints, word)
+	r.onRead = func(result readResult) {
+		n.recordRead(Endpoints, result)
 		n.fresh.record(Configuration, readResult{asOf: time.Now(), current: true})
 	}
 	v := &clusterView{until: time.Unix(math.MaxInt32, 0)}
@@ -179,7 +179,7 @@
 	return live{node: n, reader: r, table: t}
 }
 
-// keep stores the state of box i after an event.
+// store saves the state of box i after an event.
 func (s *modelState) store(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
 	b.items, _, _ = l.table.Since(0)
@@ -217,7 +217,7 @@
 	return true
 }
 
-// say sends one message on the stream to box i, as share.Server does: the status first, then the
+// send puts one message on the stream to box i, as share.Server does: the status first, then the
 // items.
 func (w *modelWorld) send(n *modelState, i int) {
 	p := w.parents[i]
@@ -225,7 +225,7 @@
 	b := w.make(n, p, by)
 	m := modelMessage{sent: n.now}
 	m.status, m.reading = b.node.status()
-	m.way = w.transitTime(n, p, b)
+	m.transit = w.transitTime(n, p, b)
 	items, _, _ := b.table.Since(0)
 	l := &n.links[i]
 	m.items = slices.Clone(items[len(items)-min(l.unsent, len(items)):])
@@ -233,12 +233,12 @@
 	l.queue = append(l.queue, m)
 }
 
-// way returns the transit time of the messages behind the status that box i relies on.
+// transitTime returns the transit time of the messages behind the status that box i relies on.
 func (w *modelWorld) transitTime(n *modelState, i int, b live) time.Duration {
 	now := time.Now()
 	own, reads := b.node.fresh.age(now)
-	told, informed := b.node.peers.completeStatusAge(now)
-	if informed && (!reads || told <= own) {
+	received, current := b.node.peers.completeStatusAge(now)
+	if current && (!reads || received <= own) {
 		return n.boxes[i].statuses[boxName(w.parents[i])].transit
 	}
 	return 0
@@ -254,7 +254,7 @@
 	return true
 }
 
-// hear delivers the next message to a follower.
+// deliver passes the next message to a follower.
 func (w *modelWorld) deliver(n *modelState, i int) bool {
 	l := &n.links[i]
 	m := l.queue[0]
@@ -270,7 +270,7 @@
 		n.store(i, b, by)
 		if b.node.peers.statuses[from].readAt.After(old.readAt) {
 			k := n.boxes[i].statuses[from]
-			k.transit = m.way + n.now.Sub(m.sent)
+			k.transit = m.transit + n.now.Sub(m.sent)
 			n.boxes[i].statuses[from] = k
 		}
 	}
@@ -279,9 +279,9 @@
 	return true
 }
 
-// changed marks items as unsent for the followers of a box.
-func (w *modelWorld) markUnsent(n *modelState, i int, took []*wire.Item) {
-	if len(took) == 0 {
+// markUnsent marks items as unsent for the followers of a box.
+func (w *modelWorld) markUnsent(n *modelState, i int, accepted []*wire.Item) {
+	if len(accepted) == 0 {
 		return
 	}
 	for j, p := range w.parents {
@@ -298,7 +298,7 @@
 	if b.reader.after != 0 && !b.node.mustRead(Endpoints) {
 		b.reader.stopReading(time.Now())
 		n.store(i, b, by)
-		n.boxes[i].failingSince, n.boxes[i].held = time.Time{}, false
+		n.boxes[i].failingSince, n.boxes[i].deferred = time.Time{}, false
 		return true
 	}
 	n.boxes[i].callStarted = n.now
@@ -337,10 +337,10 @@
 		}
 		return
 	}
-	if b.relistPending && b.failingSince.IsZero() && !b.held && s.epoch == 0 {
-		s.fault = boxName(i) + " holds removals back though no call had failed"
+	if b.relistPending && b.failingSince.IsZero() && !b.deferred && s.epoch == 0 {
+		s.fault = boxName(i) + " defers removals although no call failed"
 	}
-	b.failingSince, b.held = time.Time{}, b.relistPending
+	b.failingSince, b.deferred = time.Time{}, b.relistPending
 }
 
 func (w *modelWorld) restart(n *modelState, i int) bool {
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -141,7 +141,7 @@
 		p := peersOf(box("a", "dc", 1, 400), box("b", "other", 2, 400))
 		now := time.Now()
 		p.known.advance(Endpoints, checkpoint{revision: rev(6), asOf: now.Add(-time.Second)})
-		s := source{name: "b", everything: everything}
+		s := followTarget{name: "b", everything: everything}
 		p.resetStream("b")
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(6)), EndpointsRevision: uint64(rev(6))}, now)
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(9)), EndpointsRevision: uint64(rev(9))}, now)
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -19,7 +19,7 @@
 	minWatchTimeout     = 50 * time.Millisecond   // lower bound of the watch timeout when the previous response is already old
 	initialRetryDelay   = 150 * time.Millisecond  // doubled after each failed call, up to maxRetryDelay
 	maxRetryDelay       = 600 * time.Millisecond  // upper bound of the delay before a recovered source is noticed
-	retryDelayFactor    = 2                       // times as long is the pause after the next one
+	retryDelayFactor    = 2                       // factor between successive retry delays
 	reappearGrace       = 2500 * time.Millisecond // time for endpoints whose entries expired in an outage to publish them again
 	confirmLapses       = 2                       // entries in a restored copy are given this many lapse periods to expire
 	leaderSyncTimeout   = 600 * time.Millisecond  // enough for a box to find its leader and receive the leader's first read
@@ -62,41 +62,41 @@
 
 // readResult is the result of one call.
 type readResult struct {
-	begun    time.Time // when the call was sent; the source responded at some later time
-	asOf     time.Time // the table reflects the source at this time
-	revision Revision  // of the source at asOf
-	current  bool      // the call succeeded and no removal is deferred
+	startedAt time.Time // when the call was sent; the source responded at some later time
+	asOf      time.Time // the table reflects the source at this time
+	revision  Revision  // of the source at asOf
+	current   bool      // the call succeeded and no removal is deferred
 }
 
 // run reads the source until ctx ends.
 func (r *reader) run(ctx context.Context) error {
-	pause := initialRetryDelay
+	delay := initialRetryDelay
 	for ctx.Err() == nil {
 		if r.after != 0 && !r.mustRead() {
 			r.stopReading(clock.Now())
 			r.standBy(ctx)
-			pause = initialRetryDelay
+			delay = initialRetryDelay
 			continue
 		}
 		listed := r.after == 0
-		found, err := r.step(ctx)
+		hasFacts, err := r.step(ctx)
 		if ctx.Err() != nil {
 			break
 		}
 		r.noteResult(err)
 		switch {
 		case err != nil:
-			r.waitToRetry(ctx, pause)
-			pause = r.nextRetryDelay(pause)
+			r.waitToRetry(ctx, delay)
+			delay = r.nextRetryDelay(delay)
 			r.awaitEndpointsReader(ctx)
 		case listed:
-			pause = initialRetryDelay
+			delay = initialRetryDelay
 			r.waitForLeader(ctx)
-		case found:
-			pause = initialRetryDelay
+		case hasFacts:
+			delay = initialRetryDelay
 			sleep(ctx, r.batchDelay())
 		default:
-			pause = initialRetryDelay
+			delay = initialRetryDelay
 		}
 	}
 	return nil
@@ -107,22 +107,22 @@
 // calls only where it alone can reach the source: after a second try, in case a response was lost, it
 // retries once per maximum staleness. In a simulated outage of 8 s, a box with a maximum staleness of
 // 2 s makes 6 calls with both readers; retries every 1.5 s made 16.
-func (r *reader) nextRetryDelay(pause time.Duration) time.Duration {
+func (r *reader) nextRetryDelay(delay time.Duration) time.Duration {
 	if r.leads() {
-		return min(retryDelayFactor*pause, maxRetryDelay)
+		return min(retryDelayFactor*delay, maxRetryDelay)
 	}
 	return r.maxStaleness()
 }
 
 // waitToRetry waits after a failed call. If the box has become leader meanwhile, it waits no longer
 // than a leader does.
-func (r *reader) waitToRetry(ctx context.Context, pause time.Duration) {
-	begun := clock.Now()
-	for waited := time.Duration(0); ctx.Err() == nil && waited < pause; waited = clock.Since(begun) {
+func (r *reader) waitToRetry(ctx context.Context, delay time.Duration) {
+	started := clock.Now()
+	for waited := time.Duration(0); ctx.Err() == nil && waited < delay; waited = clock.Since(started) {
 		if waited >= maxRetryDelay && r.leads() {
 			return
 		}
-		sleep(ctx, min(standbyPollInterval, pause-waited))
+		sleep(ctx, min(standbyPollInterval, delay-waited))
 	}
 }
 
@@ -188,17 +188,17 @@
 
 // step makes one call and reports whether it returned any facts.
 func (r *reader) step(ctx context.Context) (bool, error) {
-	begun := clock.Now()
-	r.callStarted = begun
-	if r.relistPending && begun.After(r.graceUntil) {
+	started := clock.Now()
+	r.callStarted = started
+	if r.relistPending && started.After(r.graceUntil) {
 		r.after, r.relistPending, r.deferring, r.relistAfterOutage = 0, false, false, true
 	}
 	r.resumeFromCheckpoint()
 	r.onCall(r.callReason())
 	if r.after == 0 {
-		return false, r.list(ctx, begun)
+		return false, r.list(ctx, started)
 	}
-	wait := r.watchTimeout(begun)
+	wait := r.watchTimeout(started)
 	b, err := r.source.Watch(ctx, r.collection, r.after, wait)
 	now := clock.Now()
 	if errors.As(err, &ErrHistoryLost{}) {
@@ -214,7 +214,7 @@
 	r.after = b.Revision
 	r.mergeFacts(b.Facts, now)
 	r.asOf = now
-	if timedOut := begun.Add(wait); len(b.Facts) == 0 && timedOut.Before(now) {
+	if timedOut := started.Add(wait); len(b.Facts) == 0 && timedOut.Before(now) {
 		r.asOf = timedOut // the rest is the time that the response took to arrive
 	}
 	return len(b.Facts) > 0, nil
@@ -258,7 +258,7 @@
 
 // list reads the whole collection. The result is as old as the start of the call, when its first page
 // was read.
-func (r *reader) list(ctx context.Context, begun time.Time) error {
+func (r *reader) list(ctx context.Context, started time.Time) error {
 	b, err := r.source.List(ctx, r.collection)
 	if err != nil {
 		return err
@@ -269,7 +269,7 @@
 	r.after, r.historyLost, r.relistAfterOutage = b.Revision, false, false
 	r.onList(b.Revision)
 	r.mergeSnapshot(b, now)
-	r.asOf = begun
+	r.asOf = started
 	return nil
 }
 
@@ -310,7 +310,7 @@
 // defers removals its state is not reported as current, since the outage may have affected this box
 // alone.
 func (r *reader) noteResult(err error) {
-	r.onRead(readResult{begun: r.callStarted, asOf: r.asOf, revision: r.after, current: err == nil && r.after != 0 && !r.deferring})
+	r.onRead(readResult{startedAt: r.callStarted, asOf: r.asOf, revision: r.after, current: err == nil && r.after != 0 && !r.deferring})
 	if err != nil && !r.failing {
 		r.failing = true
 		r.log.Info("Source does not answer", "collection", r.collection.String(), "revision", r.after.String(), "err", err.Error())
--- a/edge/reader_test.go
+++ b/edge/reader_test.go
@@ -229,8 +229,8 @@
 		},
 	}
 	r, _ := newReader(s)
-	var heard []bool
-	r.onRead = func(w readResult) { heard = append(heard, w.current) }
+	var current []bool
+	r.onRead = func(w readResult) { current = append(current, w.current) }
 	step(r)
 	r.asOf = time.Now().Add(-r.entryLapse())
 	for range 3 {
@@ -238,7 +238,7 @@
 	}
 	r.graceUntil = time.Now().Add(-time.Millisecond)
 	step(r)
-	c.Assert(heard, quicktest.DeepEquals, []bool{true, false, true, false, true})
+	c.Assert(current, quicktest.DeepEquals, []bool{true, false, true, false, true})
 }
 
 // A watch that began during an outage did not return before its full timeout, long after the source
@@ -270,11 +270,11 @@
 	c := quicktest.New(t)
 	s := &script{list: []Batch{{Revision: rev(5)}}, watch: []func() (Batch, error){func() (Batch, error) { return Batch{Revision: rev(6)}, nil }}}
 	r, _ := newReader(s)
-	looks := 0
+	checks := 0
 	r.leads = func() bool { return false }
 	r.mustRead = func() bool {
-		looks++
-		return looks < 3
+		checks++
+		return checks < 3
 	}
 	ctx, end := context.WithTimeout(context.Background(), 2*leaderSyncTimeout)
 	defer end()
@@ -311,15 +311,15 @@
 	s := &awaySource{back: time.Now().Add(away)}
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
-	asked := new(atomic.Bool)
-	var heard [2]atomic.Int64 // nanoseconds since s.back
+	unreachable := new(atomic.Bool)
+	var readAt [2]atomic.Int64 // nanoseconds since s.back
 	for i, collection := range []Collection{Configuration, Endpoints} {
 		r, _ := newReader(s)
-		r.collection, r.unreachable = collection, asked
+		r.collection, r.unreachable = collection, unreachable
 		r.leads = leads
 		r.onRead = func(w readResult) {
 			if w.current {
-				heard[i].CompareAndSwap(0, int64(time.Since(s.back)))
+				readAt[i].CompareAndSwap(0, int64(time.Since(s.back)))
 			}
 		}
 		go func() { ended <- r.run(ctx) }()
@@ -328,10 +328,10 @@
 	calls = s.calls.Load()
 	time.Sleep(3 * defaultBehind)
 	end()
-	for range heard {
+	for range readAt {
 		c.Assert(<-ended, quicktest.IsNil)
 	}
-	return calls, time.Duration(max(heard[0].Load(), heard[1].Load()))
+	return calls, time.Duration(max(readAt[0].Load(), readAt[1].Load()))
 }
 
 // During an outage every box called the source twice a second, as leaders do; in a later version,
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -79,27 +79,27 @@
 }
 
 // do runs one command and returns an error if its expectation fails.
-func (b *restoredBox) do(words []string) error {
-	switch words[0] {
+func (b *restoredBox) do(args []string) error {
+	switch args[0] {
 	case "read", "receive":
-		i, err := parseItem(words[1], words[2])
+		i, err := parseItem(args[1], args[2])
 		if err != nil {
 			return err
 		}
-		if words[0] == "read" {
+		if args[0] == "read" {
 			b.table.Merge(i)
 		} else {
 			b.table.Receive(i)
 		}
 		return nil
 	case "list":
-		return b.list(words[1], words[2:])
+		return b.list(args[1], args[2:])
 	case "wait":
-		d, err := time.ParseDuration(words[1])
+		d, err := time.ParseDuration(args[1])
 		b.reader.graceUntil, b.reader.confirmAfter = b.reader.graceUntil.Add(-d), b.reader.confirmAfter.Add(-d)
 		return err
 	case "want":
-		want, err := parseItem(words[2], words[1])
+		want, err := parseItem(args[2], args[1])
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 		}
 		return nil
 	}
-	return errors.Errorf("unknown command %s", words[0])
+	return errors.Errorf("unknown command %s", args[0])
 }
 
 func (b *restoredBox) list(at string, entries []string) error {
@@ -238,20 +238,20 @@
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
-	hear := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
+	receive := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
 	relies := func() bool {
-		_, told := p.statusAge(now)
-		return told && p.leaderIsCurrent(now)
+		_, fresh := p.statusAge(now)
+		return fresh && p.leaderIsCurrent(now)
 	}
 	p.known.advance(Endpoints, checkpoint{revision: revIn(1, 200), asOf: now})
 	p.resetStream("b")
-	hear(revIn(1, 200))
+	receive(revIn(1, 200))
 	c.Assert(relies(), quicktest.IsTrue)
 	for _, k := range []Collection{Configuration, Endpoints} {
 		p.known.advance(k, checkpoint{revision: revIn(2, 150), asOf: now})
 	}
-	hear(revIn(1, 200))
+	receive(revIn(1, 200))
 	c.Assert(relies(), quicktest.IsFalse)
-	hear(revIn(2, 160))
+	receive(revIn(2, 160))
 	c.Assert(relies(), quicktest.IsTrue)
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -27,25 +27,25 @@
 	slots   slots
 	tracker quarantine.Tracker // counts requests that were running on endpoints that ended
 
-	mu           sync.Mutex
-	incarnations map[string]string // the endpoint ID that each entry key holds now, one ID per incarnation
-	unreadConfig uint64            // revision of the latest configuration if it cannot be decoded, otherwise zero
+	mu              sync.Mutex
+	incarnations    map[string]string // the endpoint ID that each entry key holds now, one ID per incarnation
+	undecodedConfig uint64            // revision of the latest configuration if it cannot be decoded, otherwise zero
 }
 
 // configUnreadable reports whether a configuration newer than the one in force could not be decoded.
 func (s *state) configUnreadable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.unreadConfig != 0
+	return s.undecodedConfig != 0
 }
 
 // apply updates the view from accepted items. An item that cannot be decoded is ignored and the last
 // valid one stays in force.
 func (s *state) apply(items []*wire.Item) {
-	touched := make(map[string]bool) // endpoints for which slots were received
+	updated := make(map[string]bool) // endpoints for which slots were received
 	for _, i := range items {
 		if rest, ok := strings.CutPrefix(i.GetKey(), slotsPrefix); ok {
-			touched[s.applySlot(rest, i)] = true
+			updated[s.applySlot(rest, i)] = true
 			continue
 		}
 		if rest, ok := strings.CutPrefix(i.GetKey(), quarantinePrefix); ok {
@@ -66,7 +66,7 @@
 			s.log.Info("Cannot decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
 		}
 	}
-	for id := range touched {
+	for id := range updated {
 		s.showSlots(id)
 	}
 }
@@ -98,9 +98,9 @@
 	}
 	c, err := s.decoder.Config(value)
 	s.mu.Lock()
-	s.unreadConfig = 0
+	s.undecodedConfig = 0
 	if err != nil {
-		s.unreadConfig = i.GetVersion()
+		s.undecodedConfig = i.GetVersion()
 	}
 	s.mu.Unlock()
 	if err != nil {
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -171,10 +171,10 @@
 }
 
 // leave marks a box as leaving in the members of another.
-func leave(p *peers, m member.Member, heard time.Time) {
+func leave(p *peers, m member.Member, received time.Time) {
 	t := member.NewTable(m, member.Limits{})
 	t.Leave()
-	p.table.Merge([]member.Member{t.Self()}, heard)
+	p.table.Merge([]member.Member{t.Self()}, received)
 }
 
 func TestLeavingBoxIsAskedWhileItMayGiveOrders(t *testing.T) {
@@ -205,8 +205,8 @@
 	h, wait := p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
 	c.Assert(wait, quicktest.Equals, time.Duration(0)) // it is not leaving
-	heard := time.Now().Add(time.Minute)               // the remaining time is measured from here
-	leave(p, first, heard)
+	received := time.Now().Add(time.Minute)            // the remaining time is measured from here
+	leave(p, first, received)
 	h, wait = p.requestHandover(context.Background(), e)
 	c.Assert(h.Resigned, quicktest.IsFalse)
 	c.Assert(wait > placement.KeepMost, quicktest.IsTrue)
