--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -136,7 +136,7 @@
 // List implements Source.
 func (s *limitedService) List(_ context.Context, c Collection) (Batch, error) {
 	b := Batch{Revision: rev(1)}
-	if c == Settled {
+	if c == Configuration {
 		b.Facts = []Fact{{Key: "config", Revision: rev(1), Value: []byte("v")}}
 		return b, nil
 	}
--- a/edge/node.go
+++ b/edge/node.go
@@ -52,7 +52,7 @@
 
 	departures departures
 
-	vouched           vouched
+	configFreshness   configFreshness
 	leaving           atomic.Bool
 	fresh             freshness
 	sourceCalls       sourceCalls
@@ -99,7 +99,7 @@
 		Lease:       func() time.Duration { return n.current.Load().Bounds.Lease },
 		Leaders:     func() int { return len(n.peers.clusterView().centres) },
 		Owns:        n.owns,
-		AskToResign: n.peers.takeOver,
+		AskToResign: n.peers.requestHandover,
 		Headroom:    n.room,
 		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
@@ -145,7 +145,7 @@
 		items:        n.items,
 		log:          n.Log,
 		started:      clock.Now(),
-		readsSource:  n.reads,
+		readsSource:  n.readsSource,
 		seeds:        func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
 		maxStaleness: n.behind,
 		checkpoints:  &n.checkpoints,
@@ -222,9 +222,9 @@
 	wire.RegisterShareServer(server, shareServer{node: n})
 	drainTime := n.Settings.Bounds.Grace - leaveNoticeTime - shutdownMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
-		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
+		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLeadership, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.requestLoans, n.outbox.run, n.limits.run,
-		n.reader(Settled).run, n.reader(Endpoints).run,
+		n.reader(Configuration).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
 		httpTask(n.gateway, listeners.callers, drainTime, max(n.Settings.Limits.Descriptors/callerConnDivisor, maxAuxiliaryConns)),
 		httpTask(n.readinessHandler(), listeners.ready, drainTime, maxAuxiliaryConns),
@@ -261,21 +261,21 @@
 
 func (n *Node) reader(c Collection) *reader {
 	return &reader{
-		collection: c,
-		source:     n.Source,
-		decoder:    n.Decoder,
-		table:      n.items,
-		wanted:     func() bool { return n.mustRead(c) },
-		checkpoint: func() checkpoint { return n.checkpoints.of(c) },
-		leads:      func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
-		log:        n.Log,
-		ages:       n.sourceAges,
-		behind:     n.behind,
-		away:       &n.sourceUnavailable,
-		lapse:      func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
-		report:     func(w readOutcome) { n.noteRead(c, w) },
-		listed:     func(revision Revision) { n.noteListed(c, revision) },
-		counted:    n.sourceCalls.count,
-		restored:   func() { n.ignored.restores.Add(1) },
+		collection:   c,
+		source:       n.Source,
+		decoder:      n.Decoder,
+		table:        n.items,
+		mustRead:     func() bool { return n.mustRead(c) },
+		checkpoint:   func() checkpoint { return n.checkpoints.of(c) },
+		leads:        func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
+		log:          n.Log,
+		sourceAges:   n.sourceAges,
+		maxStaleness: n.behind,
+		unreachable:  &n.sourceUnavailable,
+		entryLapse:   func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
+		onRead:       func(w readResult) { n.recordRead(c, w) },
+		onList:       func(revision Revision) { n.recordList(c, revision) },
+		onCall:       n.sourceCalls.count,
+		onRestore:    func() { n.ignored.restores.Add(1) },
 	}
 }
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -80,7 +80,7 @@
 	ago, ok := p.completeStatusAge(now)
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(ago, quicktest.Equals, 500*time.Millisecond)
-	late := now.Add(statusTime(defaultMaxStaleness) - 500*time.Millisecond)
+	late := now.Add(maxStatusAge(defaultMaxStaleness) - 500*time.Millisecond)
 	p.receiveStatus("b", share.Status{Age: late.Sub(now) + time.Second, Endpoints: 1}, late) // an older status changes nothing
 	_, ok = p.completeStatusAge(late.Add(-time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
@@ -110,14 +110,14 @@
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
 	for _, revision := range []Revision{rev(7), rev(8)} { // the first stream, and a new one
-		p.begin("b")
+		p.resetStream("b")
 		p.receiveStatus("b", share.Status{Age: 300 * time.Millisecond, Endpoints: uint64(revision)}, now)
-		c.Assert(p.informed(now), quicktest.IsFalse)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsFalse)
 		c.Assert(p.checkpoints.of(Endpoints).revision < revision, quicktest.IsTrue)
 		p.checkpoints.advance(Endpoints, checkpoint{revision: revision, asOf: now}) // by its own read
-		c.Assert(p.informed(now), quicktest.IsTrue)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 		p.receiveStatus("b", share.Status{Endpoints: uint64(revision)}, now) // later statuses of the stream need no later read
-		c.Assert(p.informed(now), quicktest.IsTrue)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 		now = now.Add(time.Second)
 	}
 }
@@ -135,11 +135,11 @@
 		p := peersOf(box("a", "dc", 1, 400), box("b", "other", 2, 400))
 		now := time.Now()
 		p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now.Add(-time.Second)})
-		s := source{name: "b", everything: everything}
-		p.begin("b")
+		s := followTarget{name: "b", everything: everything}
+		p.resetStream("b")
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(6)), EndpointsRevision: uint64(rev(6))}, now)
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(9)), EndpointsRevision: uint64(rev(9))}, now)
-		c.Check(p.checkpoints.of(Settled).revision, quicktest.Equals, rev(9)) // settled facts are sent to all followers
+		c.Check(p.checkpoints.of(Configuration).revision, quicktest.Equals, rev(9)) // settled facts are sent to all followers
 		want := rev(6)
 		if everything {
 			want = rev(9)
@@ -155,9 +155,9 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
-	p.begin("b")
+	p.resetStream("b")
 	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(6))}, now)
-	c.Assert(p.informed(now), quicktest.IsTrue)
+	c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(9))}, now)
 	c.Assert(p.checkpoints.of(Endpoints).revision, quicktest.Equals, rev(9))
 }
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -9,9 +9,10 @@
 	"cairnwick.example/wire"
 )
 
-// This file decides what boxes keep when the source comes back from an older copy. Its revisions are ordered by the
-// epoch, so whatever is published again wins over what was known before. Until then the copy takes back what it never
-// may: a configuration, a version of an adapter, that an endpoint drains, that one is gone.
+// Handling of a source that was restored from an older copy. Revisions are ordered by the epoch of the
+// source, so anything published after a restore replaces what was known before. Until then the copy
+// must not revert some facts: a newer configuration, a newer adapter version, that an endpoint is
+// draining, or that it is gone.
 
 // revisionOf returns the revision of a fact of the source.
 func revisionOf(i *wire.Item) Revision { return Revision(i.GetVersion()) }
@@ -30,12 +31,12 @@
 	case KindVersion:
 		stands = isHigher(n.adapterVersionOf, older, newer)
 	case KindEndpoint:
-		stands = n.isLaterOfEndpoint(older, newer, read)
+		stands = n.endpointOutlives(older, newer, read)
 	}
 	return uint64(b.Kept()), stands
 }
 
-// isHigher reports whether a names a higher version than b. What can't be read names none.
+// isHigher reports whether a has a higher version than b; false if either cannot be decoded.
 func isHigher(versionOf func(i *wire.Item) (uint64, error), a, b *wire.Item) bool {
 	va, errA := versionOf(a)
 	vb, errB := versionOf(b)
@@ -55,7 +56,7 @@
 	return c.Version(), nil
 }
 
-// adapterVersionOf returns the version that a fact names of an adapter; the decoder takes none below zero.
+// adapterVersionOf returns the adapter version in a fact; the decoder rejects negative ones.
 func (n *Node) adapterVersionOf(i *wire.Item) (uint64, error) {
 	value, err := share.Value(i)
 	if err != nil {
@@ -65,10 +66,11 @@
 	return uint64(v), err
 }
 
-// isLaterOfEndpoint reports whether a says something of an endpoint that b, an entry of a higher revision, can't take
-// back: that the same life drains, that a later life has begun, or that the endpoint is gone. The last holds against
-// the copy alone, which other boxes judge by what they know themselves: read says that b was read from the source.
-func (n *Node) isLaterOfEndpoint(a, b *wire.Item, read bool) bool {
+// endpointOutlives reports whether a holds something about an endpoint that b, an entry with a higher
+// revision, must not revert: that the same incarnation is draining, that a later incarnation has
+// started, or that the endpoint is gone. The last applies only if this box read b from the source
+// itself (read), since other boxes check a restored copy against their own knowledge.
+func (n *Node) endpointOutlives(a, b *wire.Item, read bool) bool {
 	if b.GetRemoved() {
 		return false
 	}
@@ -86,9 +88,9 @@
 	return x.Draining() && !y.Draining()
 }
 
-// isBackInCopy reports whether a fact that was just read is of an endpoint that this box knew to be gone before the
-// source was restored.
-func (r *reader) isBackInCopy(f Fact) bool {
+// isResurrected reports whether a fact just read is for an endpoint that this box knew to be gone
+// before the source was restored.
+func (r *reader) isResurrected(f Fact) bool {
 	old := r.table.Get(f.Key)
 	if old == nil || !old.GetRemoved() || f.Removed || r.decoder.Kind(f.Key) != KindEndpoint {
 		return false
@@ -96,34 +98,35 @@
 	return revisionOf(old).Epoch() < f.Revision.Epoch() || revisionOf(old) == f.Revision.Kept()
 }
 
-// confirm marks the entries of a list that are true though this box knew the endpoint to be gone: they have outlived
-// a lease since the source was restored. Others get the time for that.
-func (r *reader) confirm(b Batch, now time.Time) {
+// confirmResurrected marks the entries of a list for endpoints that this box knew to be gone but that
+// have outlived a lease since the restore, so they are live. The others get the time for that.
+func (r *reader) confirmResurrected(b Batch, now time.Time) {
 	for i, f := range b.Facts {
-		if !r.isBackInCopy(f) {
+		if !r.isResurrected(f) {
 			continue
 		}
-		if r.doubtedIn == b.Revision.Epoch() && r.begun.After(r.doubted) {
+		if r.confirmEpoch == b.Revision.Epoch() && r.callStarted.After(r.confirmAfter) {
 			b.Facts[i].Revision = f.Revision.Confirmed()
-			r.log.Info("Endpoint that was gone is back", "key", f.Key, "revision", f.Revision.String())
+			r.log.Info("Endpoint that was gone is live according to the restored source", "key", f.Key, "revision", f.Revision.String())
 			continue
 		}
-		r.doubt(b.Revision.Epoch(), now)
+		r.scheduleConfirm(b.Revision.Epoch(), now)
 		r.log.Info("Endpoint that was gone is in the restored copy and is not used", "key", f.Key, "revision", f.Revision.String())
 	}
 }
 
-// doubt lists the source again once the entries of endpoints that are gone have lapsed there.
-func (r *reader) doubt(epoch uint64, now time.Time) {
-	if r.doubtedIn != epoch {
-		r.doubtedIn, r.doubted = epoch, now.Add(copyLapses*r.lapse())
+// scheduleConfirm has the source listed again once the entries of endpoints that are gone have expired
+// there.
+func (r *reader) scheduleConfirm(epoch uint64, now time.Time) {
+	if r.confirmEpoch != epoch {
+		r.confirmEpoch, r.confirmAfter = epoch, now.Add(confirmLapses*r.entryLapse())
 	}
-	r.uncertain = true
-	r.trusted = later(r.trusted, r.doubted)
+	r.relistPending = true
+	r.graceUntil = later(r.graceUntil, r.confirmAfter)
 }
 
-// hasDoubted reports whether this box keeps an endpoint as gone that may be in a restored copy.
-func (r *reader) hasDoubted() bool {
+// hasUnconfirmed reports whether this box keeps an endpoint as gone that may be in a restored copy.
+func (r *reader) hasUnconfirmed() bool {
 	if r.collection != Endpoints {
 		return false
 	}
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -18,11 +18,11 @@
 	"github.com/pkg/errors"
 )
 
-// wordDecoder reads the values of testdata/restored.txt.
-type wordDecoder struct{}
+// textDecoder decodes the values in testdata/restored.txt.
+type textDecoder struct{}
 
 // Kind implements Decoder.
-func (wordDecoder) Kind(key string) Kind {
+func (textDecoder) Kind(key string) Kind {
 	switch {
 	case key == "config":
 		return KindConfig
@@ -33,13 +33,13 @@
 }
 
 // Config implements Decoder.
-func (wordDecoder) Config(value []byte) (*topology.Config, error) {
+func (textDecoder) Config(value []byte) (*topology.Config, error) {
 	v, err := strconv.ParseUint(string(value), 10, 64)
 	return topology.NewConfig(v, nil, nil, topology.Limits{}), err
 }
 
 // Endpoint implements Decoder.
-func (wordDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
+func (textDecoder) Endpoint(key string, value []byte) (*topology.Endpoint, error) {
 	state, second, _ := strings.Cut(string(value), "+")
 	spec := topology.EndpointSpec{ID: key, Draining: state == "draining"}
 	if second != "" {
@@ -53,12 +53,12 @@
 }
 
 // Version implements Decoder.
-func (wordDecoder) Version(value []byte) (topology.Adapter, int64, error) {
+func (textDecoder) Version(value []byte) (topology.Adapter, int64, error) {
 	v, err := strconv.ParseInt(string(value), 10, 64)
 	return topology.Adapter{Model: "m", Name: "a"}, v, err
 }
 
-// restoredBox is the box of one case.
+// restoredBox is the box under test in one case.
 type restoredBox struct {
 	table  *share.Table
 	reader *reader
@@ -69,37 +69,37 @@
 func newRestoredBox() *restoredBox {
 	b := &restoredBox{source: &script{}}
 	b.reader, b.table = newReader(b.source)
-	b.reader.decoder = wordDecoder{}
-	n := &Node{Decoder: wordDecoder{}}
+	b.reader.decoder = textDecoder{}
+	n := &Node{Decoder: textDecoder{}}
 	b.node = n
 	b.table.Outlives, b.table.Same, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
 	b.reader.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
-	b.reader.listed = func(r Revision) { n.noteListed(Endpoints, r) }
+	b.reader.onList = func(r Revision) { n.recordList(Endpoints, r) }
 	return b
 }
 
-// do runs one command; it returns what is wrong.
-func (b *restoredBox) do(words []string) error {
-	switch words[0] {
+// do runs one command and returns an error if its expectation fails.
+func (b *restoredBox) do(args []string) error {
+	switch args[0] {
 	case "read", "receive":
-		i, err := parseItem(words[1], words[2])
+		i, err := parseItem(args[1], args[2])
 		if err != nil {
 			return err
 		}
-		if words[0] == "read" {
+		if args[0] == "read" {
 			b.table.Merge(i)
 		} else {
 			b.table.Receive(i)
 		}
 		return nil
 	case "list":
-		return b.list(words[1], words[2:])
+		return b.list(args[1], args[2:])
 	case "wait":
-		d, err := time.ParseDuration(words[1])
-		b.reader.trusted, b.reader.doubted = b.reader.trusted.Add(-d), b.reader.doubted.Add(-d)
+		d, err := time.ParseDuration(args[1])
+		b.reader.graceUntil, b.reader.confirmAfter = b.reader.graceUntil.Add(-d), b.reader.confirmAfter.Add(-d)
 		return err
 	case "want":
-		want, err := parseItem(words[2], words[1])
+		want, err := parseItem(args[2], args[1])
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 		}
 		return nil
 	}
-	return errors.Errorf("unknown command %s", words[0])
+	return errors.Errorf("unknown command %s", args[0])
 }
 
 func (b *restoredBox) list(at string, entries []string) error {
@@ -128,9 +128,9 @@
 	}
 	b.source.list = []Batch{batch}
 	b.reader.after = 0
-	b.reader.forgotten = true // so that it is no watch
+	b.reader.historyLost = true // forces a list
 	_, err = b.reader.step(context.Background())
-	b.reader.note(err)
+	b.reader.noteResult(err)
 	return err
 }
 
@@ -152,7 +152,7 @@
 	e, errEpoch := strconv.ParseUint(epoch, 10, 64)
 	n, errCount := strconv.ParseUint(count, 10, 64)
 	if errEpoch != nil || errCount != nil {
-		return 0, errors.Errorf("revision %q: write EPOCH/NUMBER", text)
+		return 0, errors.Errorf("revision %q: expected EPOCH/NUMBER", text)
 	}
 	r, err := NewRevision(e, n)
 	if strings.Contains(text, "k") {
@@ -164,7 +164,7 @@
 	return r, err
 }
 
-func TestWhatABoxKeepsWhenItsSourceIsRestoredFromAnOlderCopy(t *testing.T) {
+func TestFactsKeptAfterSourceRestore(t *testing.T) {
 	raw, err := os.ReadFile("testdata/restored.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestWhatIsKeptAgainstACopyIsTakenThoughItsRevisionWasRead(t *testing.T) {
+func TestKeptFactIsAcceptedThoughItsRevisionWasRead(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	b.node.checkpoints.advance(Endpoints, checkpoint{revision: revIn(2, 180), asOf: time.Now()})
@@ -192,7 +192,7 @@
 	c.Assert(b.do([]string{"want", "e/1=draining", "2/150kc"}), quicktest.IsNil)
 }
 
-func TestWhatIsKeptAgainstACopyIsSentToOthers(t *testing.T) {
+func TestKeptFactIsSentToOtherBoxes(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"read", "1/200", "e/1=draining"}), quicktest.IsNil)
@@ -203,7 +203,7 @@
 	c.Assert(revisionOf(items[0]), quicktest.Equals, revIn(2, 150).Kept())
 }
 
-func TestFactsThatSayTheSameAfterARestorationAreNotSentAgain(t *testing.T) {
+func TestEqualFactsAreNotResentAfterRestore(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
@@ -218,39 +218,40 @@
 	c.Assert(items, quicktest.HasLen, 0)
 }
 
-// A box that begins to read where another one stopped would watch for a change of an entry that does not change.
-func TestABoxThatBeginsToReadListsWhereItKeepsAnEndpointAsGone(t *testing.T) {
+// A box that takes over reading with a watch would wait for a change to an entry that does not change.
+func TestReaderListsOnResumeWithUnconfirmedRemoval(t *testing.T) {
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"receive", "2/150k", "e/1=gone"}), quicktest.IsNil)
 	b.node.checkpoints.advance(Endpoints, checkpoint{revision: revIn(2, 180), asOf: time.Now()})
-	b.reader.resume()
+	b.reader.resumeFromCheckpoint()
 	c.Assert(b.reader.after, quicktest.Equals, Revision(0))
 	c.Assert(b.do([]string{"receive", "2/190", "e/1=ready"}), quicktest.IsNil)
-	b.reader.afterOutage = false
-	b.reader.resume()
+	b.reader.relistAfterOutage = false
+	b.reader.resumeFromCheckpoint()
 	c.Assert(b.reader.after, quicktest.Equals, revIn(2, 180))
 }
 
-// Its facts lose against those of the new epoch, so the box would miss what is published until the leader learns of it.
-func TestABoxDoesNotRelyOnALeaderOfTheEpochBefore(t *testing.T) {
+// Facts of the previous epoch lose against those of the current one, so the box would miss everything
+// published until its leader learns of the restore.
+func TestStatusOfPreviousEpochIsNotCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
-	hear := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
+	receive := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
 	relies := func() bool {
-		_, told := p.statusAge(now)
-		return told && p.informed(now)
+		_, fresh := p.statusAge(now)
+		return fresh && p.leaderIsCurrent(now)
 	}
 	p.checkpoints.advance(Endpoints, checkpoint{revision: revIn(1, 200), asOf: now})
-	p.begin("b")
-	hear(revIn(1, 200))
+	p.resetStream("b")
+	receive(revIn(1, 200))
 	c.Assert(relies(), quicktest.IsTrue)
-	for _, k := range []Collection{Settled, Endpoints} {
+	for _, k := range []Collection{Configuration, Endpoints} {
 		p.checkpoints.advance(k, checkpoint{revision: revIn(2, 150), asOf: now})
 	}
-	hear(revIn(1, 200))
+	receive(revIn(1, 200))
 	c.Assert(relies(), quicktest.IsFalse)
-	hear(revIn(2, 160))
+	receive(revIn(2, 160))
 	c.Assert(relies(), quicktest.IsTrue)
 }
