--- a/daemon/health.go
+++ b/daemon/health.go
@@ -51,7 +51,7 @@
 	}))
 	expvar.Publish("cairn_members", expvar.Func(func() any {
 		count := make(map[string]int)
-		for _, m := range n.Table.All() {
+		for _, m := range n.Table.Members() {
 			count[m.State().String()]++
 		}
 		return count
--- a/daemon/join.go
+++ b/daemon/join.go
@@ -47,7 +47,7 @@
 	for {
 		changed := n.Table.Changed()
 		still := time.After(beat + beat/stillPart)
-		if len(n.Table.All()) == 1 {
+		if len(n.Table.Members()) == 1 {
 			still = nil // nobody answered yet
 		}
 		select {
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -51,7 +51,7 @@
 	values  settings.Values
 	box     string
 	centre  string
-	loop    *member.Loop
+	loop    *member.HeartbeatLoop
 	relay   *keeper.Relay
 	traffic *Traffic
 	tasks   []Task
@@ -82,10 +82,10 @@
 	}
 	n.Boxes = &Boxes{Client: client, Life: n.boxesLife}
 	self := member.New(n.Name(), n.advertised(), role, n.centre, uint64(time.Now().UnixMicro()))
-	n.Table = member.NewTable(self, member.Limits{
-		SuspectFor: v.Duration(SuspectFor),
-		ForgetDead: forgetDead,
-		Fresh:      v.Duration(FreshFor),
+	n.Table = member.NewTable(self, member.TableOptions{
+		SuspectTimeout: v.Duration(SuspectFor),
+		DeadRetention:  forgetDead,
+		FreshFor:       v.Duration(FreshFor),
 	})
 	n.Keeper = keeper.New(v.Duration(Settle), n.Log)
 	n.relay = n.newRelay(client)
@@ -138,7 +138,7 @@
 		Keeper:   n.Keeper,
 		Platform: client,
 		Peers:    n.Dialer.Source,
-		Nudge:    func() { n.loop.Nudge() },
+		Nudge:    func() { n.loop.NotifyNeighbours() },
 		Watches:  n.watches,
 		Log:      n.Log,
 		Wait:     watchWait,
@@ -160,20 +160,20 @@
 	return listLife
 }
 
-func (n *Node) newLoop() *member.Loop {
+func (n *Node) newLoop() *member.HeartbeatLoop {
 	v := n.values
-	return &member.Loop{
-		Table:      n.Table,
-		Dial:       n.Dialer.Peer,
-		Seeds:      n.seeds,
-		Remote:     n.remotes,
-		Bridges:    func() bool { return !n.ready.Load() || n.watches() },
-		Extras:     n.relay,
-		Log:        n.Log,
-		Interval:   v.Duration(Heartbeat),
-		Timeout:    v.Duration(HeartbeatTimeout),
-		PauseLimit: v.Duration(PauseLimit),
-		Neighbours: v.Count(Neighbours),
+	return &member.HeartbeatLoop{
+		Table:          n.Table,
+		Dial:           n.Dialer.Peer,
+		Seeds:          n.seeds,
+		RemotePeers:    n.remotes,
+		IsBridge:       func() bool { return !n.ready.Load() || n.watches() },
+		Payload:        n.relay,
+		Log:            n.Log,
+		Interval:       v.Duration(Heartbeat),
+		Timeout:        v.Duration(HeartbeatTimeout),
+		PauseLimit:     v.Duration(PauseLimit),
+		NeighbourCount: v.Count(Neighbours),
 		OnPause: func(gap time.Duration) {
 			if n.OnPause != nil {
 				n.OnPause(gap)
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -28,7 +28,7 @@
 	if c := n.Keeper.Catalog(); c != nil {
 		a.Revision = c.Revision()
 	}
-	for _, m := range n.Table.All() {
+	for _, m := range n.Table.Members() {
 		a.Members = append(a.Members, m.Wire())
 	}
 	if n.Endpoints != nil {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -51,7 +51,7 @@
 
 // Exchange implements the Peer service.
 func (s peerServer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	return s.node.loop.Answer(h), nil
+	return s.node.loop.HandleHeartbeat(h), nil
 }
 
 // Ended implements the Peer service.
--- a/edge/budget_test.go
+++ b/edge/budget_test.go
@@ -53,7 +53,7 @@
 				p := peersOf(b, slices.Delete(slices.Clone(all), i, i+1)...)
 				for _, m := range all {
 					if k.partitioned && m.DataCentre() != b.DataCentre() {
-						p.table.Gone(m.Name(), time.Now())
+						p.table.RecordRefusal(m.Name(), time.Now())
 					}
 				}
 				p.budgetBoxes(p.started) // records when it first saw the others
@@ -90,7 +90,7 @@
 // where 52 were allowed.
 func TestLeavingBoxKeepsItsRetryShare(t *testing.T) {
 	c := quicktest.New(t)
-	left := member.NewTable(box("b", "dc", 2, 400), member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Wide: true})
+	left := member.NewTable(box("b", "dc", 2, 400), member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, AllDataCentres: true})
 	left.Leave()
 	p := peersOf(box("a", "dc", 1, 400), left.Self(), box("d", "dc", 3, 400))
 	c.Assert(p.clusterView().boxes, quicktest.Equals, 3)
--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -59,7 +59,7 @@
 	if latest := p.clusterViews.latest; latest != nil && latest.version == version && now.Before(latest.validUntil) {
 		return latest
 	}
-	v := newClusterView(p.box, p.centre, p.table.All(), now)
+	v := newClusterView(p.box, p.centre, p.table.Members(), now)
 	v.version, v.validUntil = version, now.Add(clusterViewTTL)
 	p.clusterViews.latest = v
 	return v
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -88,7 +88,7 @@
 // apply records the status in a message of a followed box, whose facts were merged. One that is followed only for
 // what it alone knows sends no endpoints of the source, so its status says nothing of those.
 func (p *peers) apply(s source, u *wire.Update, came time.Time) {
-	p.table.Seen(s.name, came)
+	p.table.RecordContact(s.name, came)
 	if !u.GetReading() {
 		return
 	}
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -52,7 +52,7 @@
 
 func (n *Node) membersByState() map[string]int {
 	counts := make(map[string]int)
-	for _, m := range n.peers.table.All() {
+	for _, m := range n.peers.table.Members() {
 		counts[m.State().String()]++
 	}
 	return counts
--- a/edge/node.go
+++ b/edge/node.go
@@ -152,19 +152,19 @@
 	}
 	self := member.New(s.Box, s.Peers, roleBox, s.DataCentre, uint64(time.Now().UnixMicro())).
 		WithCapacity(int(s.Limits.Cores * 1000))
-	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectTimeout, ForgetDead: deadRetention, Fresh: exchangeFreshness, Wide: true})
-	p.loop = &member.Loop{
-		Table:      p.table,
-		Dial:       p.dialer.Peer,
-		Seeds:      p.seeds,
-		Bridges:    func() bool { return true },
-		Remote:     p.deadAddresses,
-		Extras:     noExtras{},
-		Log:        n.Log,
-		Interval:   heartbeatInterval,
-		Timeout:    heartbeatInterval,
-		PauseLimit: maxHeartbeatGap,
-		Neighbours: heartbeatNeighbours,
+	p.table = member.NewTable(self, member.TableOptions{SuspectTimeout: suspectTimeout, DeadRetention: deadRetention, FreshFor: exchangeFreshness, AllDataCentres: true})
+	p.loop = &member.HeartbeatLoop{
+		Table:          p.table,
+		Dial:           p.dialer.Peer,
+		Seeds:          p.seeds,
+		IsBridge:       func() bool { return true },
+		RemotePeers:    p.deadAddresses,
+		Payload:        noExtras{},
+		Log:            n.Log,
+		Interval:       heartbeatInterval,
+		Timeout:        heartbeatInterval,
+		PauseLimit:     maxHeartbeatGap,
+		NeighbourCount: heartbeatNeighbours,
 	}
 	return p
 }
@@ -173,10 +173,10 @@
 type noExtras struct{}
 
 // Fill implements member.Extras.
-func (noExtras) Fill(*wire.Heartbeat) {}
+func (noExtras) Attach(*wire.Heartbeat) {}
 
 // Heard implements member.Extras.
-func (noExtras) Heard(*wire.Heartbeat, string) {}
+func (noExtras) Receive(*wire.Heartbeat, string) {}
 
 // owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -42,7 +42,7 @@
 	box          string
 	centre       string
 	table        *member.Table
-	loop         *member.Loop
+	loop         *member.HeartbeatLoop
 	dialer       *daemon.Dialer
 	items        *share.Table
 	log          logr.Logger
@@ -112,7 +112,7 @@
 // viewTrustedFromLocked returns from when on this box's initial view of the others can be trusted. A box that claimed
 // endpoints before it had contact with any other would take them from their owners.
 func (p *peers) viewTrustedFromLocked(now time.Time) time.Time {
-	if p.firstContact.IsZero() && len(p.table.All()) > 1 {
+	if p.firstContact.IsZero() && len(p.table.Members()) > 1 {
 		p.firstContact = now
 	}
 	if p.firstContact.IsZero() {
@@ -153,7 +153,7 @@
 
 // isNear reports whether the box with an IP address is in this data centre; known is false for an unknown address.
 func (p *peers) isNear(ip string) (near, known bool) {
-	for _, m := range p.table.All() {
+	for _, m := range p.table.Members() {
 		if host, _, err := net.SplitHostPort(m.Address()); err == nil && host == ip {
 			return m.DataCentre() == p.centre, true
 		}
@@ -164,7 +164,7 @@
 // deadAddresses returns the addresses of dead boxes. They are still probed, to detect when a network partition heals.
 func (p *peers) deadAddresses() []string {
 	var list []string
-	for _, m := range p.table.All() {
+	for _, m := range p.table.Members() {
 		if m.State() == member.Dead {
 			list = append(list, m.Address())
 		}
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -22,7 +22,7 @@
 
 // peersOf returns the view of a box in which all the others serve.
 func peersOf(self member.Member, others ...member.Member) *peers {
-	t := member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Wide: true})
+	t := member.NewTable(self, member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, AllDataCentres: true})
 	t.Merge(others, time.Now())
 	return &peers{box: self.Name(), centre: self.DataCentre(), table: t, log: logr.Discard(), started: time.Now(), readsSource: func() bool { return true }, seeds: func() []string { return nil }, maxStaleness: func() time.Duration { return defaultMaxStaleness }, checkpoints: new(checkpoints)}
 }
@@ -169,7 +169,7 @@
 	far := box("f", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), far)
 	left := member.New("f", "f:1", roleBox, "far", 1).WithCapacity(400)
-	table := member.NewTable(left, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Wide: true})
+	table := member.NewTable(left, member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, AllDataCentres: true})
 	table.Leave()
 	p.table.Merge([]member.Member{table.Self()}, time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsFalse)
@@ -183,14 +183,14 @@
 func TestUnreachableDataCentreIsNotLedFromElsewhereAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
-	p.table.Gone("f", time.Now())
+	p.table.RecordRefusal("f", time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsTrue)
 	_, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsFalse)
 	_, ok = p.clusterView().leader("unheard-of")
 	c.Assert(ok, quicktest.IsTrue)
 	p = peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
-	p.table.Gone("f", time.Now().Add(-takeoverDelay))
+	p.table.RecordRefusal("f", time.Now().Add(-takeoverDelay))
 	m, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(m.Name(), quicktest.Equals, "a")
@@ -258,7 +258,7 @@
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400), left)
 	now := time.Now()
 	leave(p, left, now)
-	p.table.Gone("f", now)
+	p.table.RecordRefusal("f", now)
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsTrue)
 	_, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsFalse)
@@ -269,7 +269,7 @@
 	c := quicktest.New(t)
 	left := box("g", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400), left)
-	p.table.Gone("f", time.Now().Add(-takeoverDelay))
+	p.table.RecordRefusal("f", time.Now().Add(-takeoverDelay))
 	leave(p, left, time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsFalse)
 	m, ok := p.clusterView().leader("far")
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -65,7 +65,7 @@
 		centres = len(v.centres) + len(v.unreachable)
 	}
 	known := 0
-	for _, m := range s.node.peers.table.All() {
+	for _, m := range s.node.peers.table.Members() {
 		if m.Role() == roleBox && m.DataCentre() == s.node.peers.centre && s.mayDraw(m, now) {
 			known++
 		}
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -23,12 +23,12 @@
 
 // Exchange implements the Peer service.
 func (s peerServer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	return s.node.peers.loop.Answer(h), nil
+	return s.node.peers.loop.HandleHeartbeat(h), nil
 }
 
 // Ended implements the Peer service.
 func (s peerServer) Ended(_ context.Context, q *wire.EndedRequest) (*wire.EndedReply, error) {
-	s.node.peers.table.Seen(q.GetBox(), clock.Now())
+	s.node.peers.table.RecordContact(q.GetBox(), clock.Now())
 	s.node.quarantine.receive(q, time.Now())
 	s.node.departures.receive(q)
 	return &wire.EndedReply{}, nil
@@ -70,7 +70,7 @@
 
 // Use implements the Share service.
 func (s shareServer) Use(_ context.Context, q *wire.UseRequest) (*wire.UseReply, error) {
-	s.node.peers.table.Seen(q.GetBox(), clock.Now())
+	s.node.peers.table.RecordContact(q.GetBox(), clock.Now())
 	return s.node.recordUsage(q), nil
 }
 
@@ -89,7 +89,7 @@
 
 // Settle implements the Share service.
 func (s shareServer) Settle(_ context.Context, q *wire.SettleRequest) (*wire.SettleReply, error) {
-	s.node.peers.table.Seen(q.GetBox(), clock.Now())
+	s.node.peers.table.RecordContact(q.GetBox(), clock.Now())
 	return s.node.spending.handleSettle(q, clock.Now()), nil
 }
 
@@ -101,14 +101,14 @@
 // Take implements the Share service.
 func (s shareServer) Take(_ context.Context, q *wire.TakeRequest) (*wire.TakeReply, error) {
 	now := clock.Now()
-	s.node.peers.table.Seen(q.GetBox(), now)
+	s.node.peers.table.RecordContact(q.GetBox(), now)
 	return s.node.limits.handleTake(q, now), nil
 }
 
 // Limits implements the Share service.
 func (s shareServer) Limits(_ context.Context, q *wire.LimitsRequest) (*wire.LimitsReply, error) {
 	now := clock.Now()
-	s.node.peers.table.Seen(q.GetBox(), now)
+	s.node.peers.table.RecordContact(q.GetBox(), now)
 	return s.node.limits.handleReport(q, now), nil
 }
 
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -73,7 +73,7 @@
 	before := p.leaders[centre].previous
 	p.mu.Unlock()
 	var list []member.Member
-	for _, m := range p.table.All() {
+	for _, m := range p.table.Members() {
 		gives := m.DataCentre() == centre || m.Name() == before
 		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.HandoverTimeout+keepMargin {
 			list = append(list, m)
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -171,7 +171,7 @@
 
 // leave tells the others of a box that it leaves.
 func leave(p *peers, m member.Member, heard time.Time) {
-	t := member.NewTable(m, member.Limits{})
+	t := member.NewTable(m, member.TableOptions{})
 	t.Leave()
 	p.table.Merge([]member.Member{t.Self()}, heard)
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -102,7 +102,7 @@
 func (g *Gateway) tellEnd(ctx context.Context, q *wire.EndedRequest) {
 	told := make(chan struct{})
 	calls := 0
-	for _, m := range g.Members.All() {
+	for _, m := range g.Members.Members() {
 		if m.Role() != member.Gateway || m.Name() == g.Name || !m.Serving() {
 			continue
 		}
--- a/keeper/heartbeat.go
+++ b/keeper/heartbeat.go
@@ -38,7 +38,7 @@
 }
 
 // Fill adds the heads held here to a heartbeat.
-func (k *Keeper) Fill(h *wire.Heartbeat) {
+func (k *Keeper) Attach(h *wire.Heartbeat) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.inForce != nil {
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -42,10 +42,10 @@
 func (r *Relay) Init() { r.hints = make(chan hint, 64) }
 
 // Fill implements member.Extras.
-func (r *Relay) Fill(h *wire.Heartbeat) { r.Keeper.Fill(h) }
+func (r *Relay) Attach(h *wire.Heartbeat) { r.Keeper.Attach(h) }
 
 // Heard implements member.Extras: what is not held is fetched by Run.
-func (r *Relay) Heard(h *wire.Heartbeat, address string) {
+func (r *Relay) Receive(h *wire.Heartbeat, address string) {
 	for start := range r.Keeper.unknown(h) {
 		select {
 		case r.hints <- hint{address: address, start: []byte(start)}:
--- a/member/failure.go
+++ b/member/failure.go
@@ -5,21 +5,21 @@
 import "time"
 
 // Exchanged notes that a neighbour answered at now.
-func (t *Table) Exchanged(name string, now time.Time) {
+func (t *Table) RecordExchange(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard = now
-	t.signs.seen[name] = now
-	if m, ok := t.others[name]; ok && m.state == Suspect {
-		t.news[name] = t.timesToTellLocked() // its refutation will come with its own news
+	t.lastExchange = now
+	t.observations.lastSeen[name] = now
+	if m, ok := t.peers[name]; ok && m.state == Suspect {
+		t.pendingUpdates[name] = t.transmissionLimitLocked() // its refutation will come with its own news
 	}
 }
 
 // Missed notes that a member did not answer at now: it becomes suspect.
-func (t *Table) Missed(name string, now time.Time) {
+func (t *Table) RecordTimeout(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.others[name]
+	m, ok := t.peers[name]
 	if !ok || m.state != Alive {
 		return
 	}
@@ -30,15 +30,15 @@
 // Gone notes that a member's address refuses connections at now: no process
 // listens there, so it is dead at once. Of one that has just come up it may be a
 // refusal of its life before, so it only becomes suspect.
-func (t *Table) Gone(name string, now time.Time) {
+func (t *Table) RecordRefusal(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.others[name]
+	m, ok := t.peers[name]
 	if !ok || m.state == Dead {
 		return
 	}
 	state := Dead
-	if at, again := t.signs.restarted[name]; again && now.Sub(at) < refusalRemembered {
+	if at, again := t.observations.restartedAt[name]; again && now.Sub(at) < refusalCacheTime {
 		state = Suspect
 	}
 	if m.state >= state {
@@ -52,19 +52,19 @@
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.signs.ticked = now
-	for n, m := range t.others {
-		if m.state == Suspect && now.Sub(m.since) > t.limits.SuspectFor {
+	t.observations.lastTick = now
+	for n, m := range t.peers {
+		if m.state == Suspect && now.Sub(m.since) > t.options.SuspectTimeout {
 			m.state = Dead
 			t.setLocked(m, now)
 			continue
 		}
 		gone := m.state == Dead || m.state == Leaving
-		if gone && now.Sub(m.since) > t.limits.ForgetDead {
-			delete(t.others, n)
-			t.names, t.latest = nil, nil
-			t.signs.forget(n)
-			delete(t.news, n)
+		if gone && now.Sub(m.since) > t.options.DeadRetention {
+			delete(t.peers, n)
+			t.sortedNames, t.cachedSnapshot = nil, nil
+			t.observations.forget(n)
+			delete(t.pendingUpdates, n)
 			t.version++
 		}
 	}
@@ -72,16 +72,16 @@
 
 // Paused distrusts the view after a pause of this process: it is not fresh until
 // a neighbour was exchanged with again, and suspects get their time anew.
-func (t *Table) Paused(now time.Time) {
+func (t *Table) RecordPause(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard, t.signs.paused = time.Time{}, now
-	clear(t.signs.seen)
-	for n, m := range t.others {
+	t.lastExchange, t.observations.resumedAt = time.Time{}, now
+	clear(t.observations.lastSeen)
+	for n, m := range t.peers {
 		if m.state == Suspect {
 			m.since = now
-			t.others[n] = m
-			t.latest = nil
+			t.peers[n] = m
+			t.cachedSnapshot = nil
 		}
 	}
 }
@@ -91,9 +91,9 @@
 func (t *Table) Fresh(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range t.others {
+	for _, m := range t.peers {
 		if m.state != Dead {
-			return now.Sub(t.heard) <= t.limits.Fresh
+			return now.Sub(t.lastExchange) <= t.options.FreshFor
 		}
 	}
 	return true
@@ -101,10 +101,10 @@
 
 // Seen notes a sign of life at now that came from a member by another way than
 // heartbeats, as a stream that it feeds.
-func (t *Table) Seen(name string, now time.Time) {
+func (t *Table) RecordContact(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.After(t.signs.seen[name]) {
-		t.signs.seen[name] = now
+	if now.After(t.observations.lastSeen[name]) {
+		t.observations.lastSeen[name] = now
 	}
 }
--- a/member/fuzz_test.go
+++ b/member/fuzz_test.go
@@ -33,11 +33,11 @@
 		if proto.Unmarshal(raw, &h) != nil {
 			return
 		}
-		w := make(wires)
+		w := make(memoryNetwork)
 		l := w.join("a")
 		l.Table.Merge([]Member{box("b", 5), box("c", 1)}, start)
-		was := l.Table.All()
-		a := l.Answer(&h)
+		was := l.Table.Members()
+		a := l.HandleHeartbeat(&h)
 		if _, err := proto.Marshal(a); err != nil {
 			return // names that are no text can't be told on
 		}
@@ -47,7 +47,7 @@
 				t.Errorf("%s was of incarnation %d and is of %d", m.Name(), m.Incarnation(), now.Incarnation())
 			}
 		}
-		for _, m := range l.Table.All() {
+		for _, m := range l.Table.Members() {
 			_ = m.State().String()
 		}
 		if l.Table.Self().Name() != "a" || l.Table.Self().State() != Alive {
--- a/member/loop_test.go
+++ b/member/loop_test.go
@@ -15,41 +15,41 @@
 )
 
 // wires connects loops in memory by address.
-type wires map[string]*Loop
+type memoryNetwork map[string]*HeartbeatLoop
 
-type noExtras struct{}
+type emptyPayload struct{}
 
-func (noExtras) Fill(*wire.Heartbeat)          {}
-func (noExtras) Heard(*wire.Heartbeat, string) {}
+func (emptyPayload) Attach(*wire.Heartbeat)          {}
+func (emptyPayload) Receive(*wire.Heartbeat, string) {}
 
 // memoryPeer is the loop at an address.
 type memoryPeer struct {
-	net     wires
+	network memoryNetwork
 	address string
 }
 
 // Exchange implements Peer.
 func (p memoryPeer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	l := p.net[p.address]
+	l := p.network[p.address]
 	if l == nil {
 		return nil, errors.New("nobody there")
 	}
-	return l.Answer(h), nil
+	return l.HandleHeartbeat(h), nil
 }
 
 // join adds a daemon that knows the seeds.
-func (w wires) join(name string, seeds ...string) *Loop {
-	l := &Loop{
-		Table:      NewTable(box(name, 1), limits),
-		Dial:       func(address string) Peer { return memoryPeer{net: w, address: address} },
-		Seeds:      func() []string { return seeds },
-		Bridges:    func() bool { return true },
-		Remote:     func() []string { return nil },
-		Extras:     noExtras{},
-		Log:        logr.Discard(),
-		Interval:   time.Second,
-		Timeout:    time.Second,
-		Neighbours: 2,
+func (w memoryNetwork) join(name string, seeds ...string) *HeartbeatLoop {
+	l := &HeartbeatLoop{
+		Table:          NewTable(box(name, 1), limits),
+		Dial:           func(address string) Peer { return memoryPeer{network: w, address: address} },
+		Seeds:          func() []string { return seeds },
+		IsBridge:       func() bool { return true },
+		RemotePeers:    func() []string { return nil },
+		Payload:        emptyPayload{},
+		Log:            logr.Discard(),
+		Interval:       time.Second,
+		Timeout:        time.Second,
+		NeighbourCount: 2,
 	}
 	l.init()
 	w[name+":1"] = l
@@ -57,15 +57,15 @@
 }
 
 // beats lets every daemon beat so many times.
-func (w wires) beats(n int) {
+func (w memoryNetwork) runRounds(n int) {
 	for range n {
 		for _, l := range w {
-			l.beat(context.Background())
+			l.runRound(context.Background())
 		}
 	}
 }
 
-func (w wires) allSee(count int) bool {
+func (w memoryNetwork) allSeeServing(count int) bool {
 	for _, l := range w {
 		if len(l.Table.Serving(Scheduler)) != count {
 			return false
@@ -76,17 +76,17 @@
 
 func TestDaemonsThatStartTogetherSeeEachOther(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	w := make(memoryNetwork)
 	for i := range 16 {
 		w.join(fmt.Sprintf("box%02d", i), "box00:1")
 	}
-	w.beats(8)
-	c.Assert(w.allSee(16), quicktest.IsTrue)
+	w.runRounds(8)
+	c.Assert(w.allSeeServing(16), quicktest.IsTrue)
 }
 
 func TestTwoGroupsThatDoNotKnowEachOtherMerge(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	w := make(memoryNetwork)
 	for i := range 4 {
 		w.join(fmt.Sprintf("left%d", i), "left0:1", "right0:1")
 		w.join(fmt.Sprintf("right%d", i), "left0:1", "right0:1")
@@ -98,30 +98,30 @@
 			}
 		}
 	}
-	w.beats(8)
-	c.Assert(w.allSee(8), quicktest.IsTrue)
+	w.runRounds(8)
+	c.Assert(w.allSeeServing(8), quicktest.IsTrue)
 }
 
 // One daemon believed another dead. Those who saw that one themselves passed the gossip
 // over, so it never heard of its death and never refuted it.
 func TestAMemberHearsOfItsDeathFromThoseWhoKnowBetter(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	w := make(memoryNetwork)
 	for i := range 6 {
 		w.join(fmt.Sprintf("box%d", i), "box0:1")
 	}
-	w.beats(8)
-	c.Assert(w.allSee(6), quicktest.IsTrue)
-	w["box0:1"].Table.Gone("box3", time.Now())
-	w.beats(6)
-	c.Assert(w.allSee(6), quicktest.IsTrue)
+	w.runRounds(8)
+	c.Assert(w.allSeeServing(6), quicktest.IsTrue)
+	w["box0:1"].Table.RecordRefusal("box3", time.Now())
+	w.runRounds(6)
+	c.Assert(w.allSeeServing(6), quicktest.IsTrue)
 }
 
 func TestAHeartbeatNamesItsSenderWhole(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	w := make(memoryNetwork)
 	a := w.join("a", "b:1")
 	w.join("b", "a:1")
-	w.beats(4) // until the views agree
-	c.Assert(FromWire(a.Heartbeat(false).GetFrom()).Address(), quicktest.Equals, "a:1")
+	w.runRounds(4) // until the views agree
+	c.Assert(FromWire(a.NewHeartbeat(false).GetFrom()).Address(), quicktest.Equals, "a:1")
 }
--- a/member/many_test.go
+++ b/member/many_test.go
@@ -16,89 +16,91 @@
 )
 
 // many runs many daemons of five data centres under simulated time, and counts what they tell.
-type many struct {
-	mu     sync.Mutex
-	loops  wires
-	whole  int // answers with a whole view
-	stops  map[string]context.CancelFunc
-	ended  chan error
-	begun  int
-	limits Limits
+type largeCluster struct {
+	mu        sync.Mutex
+	loops     memoryNetwork
+	fullViews int // answers with a whole view
+	cancels   map[string]context.CancelFunc
+	ended     chan error
+	started   int
+	limits    TableOptions
 }
 
 const (
-	manyDaemons = 195
-	manyWay     = time.Millisecond // of a heartbeat and its answer
+	clusterSize     = 195
+	exchangeLatency = time.Millisecond // of a heartbeat and its answer
 )
 
-func newMany() *many {
-	return &many{
-		loops:  make(wires),
-		stops:  make(map[string]context.CancelFunc),
-		ended:  make(chan error, 2*manyDaemons),
-		limits: Limits{SuspectFor: 900 * time.Millisecond, ForgetDead: time.Minute, Fresh: 2 * time.Second, Wide: true},
+func newLargeCluster() *largeCluster {
+	return &largeCluster{
+		loops:   make(memoryNetwork),
+		cancels: make(map[string]context.CancelFunc),
+		ended:   make(chan error, 2*clusterSize),
+		limits:  TableOptions{SuspectTimeout: 900 * time.Millisecond, DeadRetention: time.Minute, FreshFor: 2 * time.Second, AllDataCentres: true},
 	}
 }
 
 // manyPeer is the daemon at an address.
-type manyPeer struct {
-	many    *many
+type clusterPeer struct {
+	cluster *largeCluster
 	address string
 }
 
 // Exchange implements Peer.
-func (p manyPeer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	time.Sleep(manyWay)
-	p.many.mu.Lock()
-	l := p.many.loops[p.address]
-	p.many.mu.Unlock()
+func (p clusterPeer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
+	time.Sleep(exchangeLatency)
+	p.cluster.mu.Lock()
+	l := p.cluster.loops[p.address]
+	p.cluster.mu.Unlock()
 	if l == nil {
 		return nil, errors.New("nobody there")
 	}
-	a := l.Answer(h)
+	a := l.HandleHeartbeat(h)
 	if a.GetFull() {
-		p.many.mu.Lock()
-		p.many.whole++
-		p.many.mu.Unlock()
+		p.cluster.mu.Lock()
+		p.cluster.fullViews++
+		p.cluster.mu.Unlock()
 	}
 	return a, nil
 }
 
-func manyName(i int) string { return fmt.Sprintf("box%03d", i) }
+func clusterMemberName(i int) string { return fmt.Sprintf("box%03d", i) }
 
 // start begins a life of a daemon, in place of the one before.
-func (m *many) start(i int, incarnation uint64) {
-	name := manyName(i)
+func (m *largeCluster) start(i int, incarnation uint64) {
+	name := clusterMemberName(i)
 	m.mu.Lock()
 	l := m.loops.join(name)
 	l.Table = NewTable(New(name, name+":1", Gateway, fmt.Sprint("d", i%5), incarnation), m.limits)
-	l.Dial = func(address string) Peer { return manyPeer{many: m, address: address} }
-	l.Seeds = func() []string { return []string{manyName(0) + ":1", manyName(1) + ":1", manyName(2) + ":1"} }
+	l.Dial = func(address string) Peer { return clusterPeer{cluster: m, address: address} }
+	l.Seeds = func() []string {
+		return []string{clusterMemberName(0) + ":1", clusterMemberName(1) + ":1", clusterMemberName(2) + ":1"}
+	}
 	l.Interval, l.Timeout, l.PauseLimit = 300*time.Millisecond, 300*time.Millisecond, time.Second
 	m.mu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	m.stops[name] = stop
-	m.begun++
+	m.cancels[name] = stop
+	m.started++
 	go func() { m.ended <- l.Run(ctx) }()
 }
 
 // stop ends all daemons.
-func (m *many) stop() {
-	for _, stop := range m.stops {
+func (m *largeCluster) stop() {
+	for _, stop := range m.cancels {
 		stop()
 	}
-	for range m.begun {
+	for range m.started {
 		<-m.ended
 	}
 }
 
 // know counts the daemons that see a life of one.
-func (m *many) know(i int, incarnation uint64) int {
+func (m *largeCluster) countKnowing(i int, incarnation uint64) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
 	for _, l := range m.loops {
-		if seen, ok := l.Table.Find(manyName(i)); ok && seen.Incarnation() == incarnation {
+		if seen, ok := l.Table.Find(clusterMemberName(i)); ok && seen.Incarnation() == incarnation {
 			n++
 		}
 	}
@@ -106,11 +108,11 @@
 }
 
 // wholeSince returns how many whole views were told since it was asked last.
-func (m *many) wholeSince() int {
+func (m *largeCluster) takeFullViews() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := m.whole
-	m.whole = 0
+	n := m.fullViews
+	m.fullViews = 0
 	return n
 }
 
@@ -128,23 +130,23 @@
 func TestARestartAmongManyIsKnownSoonAndCostsLittle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
-		m := newMany()
+		m := newLargeCluster()
 		defer m.stop()
-		for i := range manyDaemons {
+		for i := range clusterSize {
 			m.start(i, 1)
 		}
 		time.Sleep(time.Second)
-		c.Assert(m.know(manyDaemons-1, 1), quicktest.Equals, manyDaemons)
+		c.Assert(m.countKnowing(clusterSize-1, 1), quicktest.Equals, clusterSize)
 		time.Sleep(2 * time.Second)
-		m.wholeSince()
+		m.takeFullViews()
 		for i := 20; i < 25; i++ {
-			m.loops[manyName(i)+":1"].Table.Leave()
+			m.loops[clusterMemberName(i)+":1"].Table.Leave()
 			time.Sleep(500 * time.Millisecond)
-			m.stops[manyName(i)]()
+			m.cancels[clusterMemberName(i)]()
 			m.start(i, 2)
 			time.Sleep(time.Second)
-			c.Check(m.know(i, 2), quicktest.Equals, manyDaemons)
-			c.Check(m.wholeSince() <= 20, quicktest.IsTrue)
+			c.Check(m.countKnowing(i, 2), quicktest.Equals, clusterSize)
+			c.Check(m.takeFullViews() <= 20, quicktest.IsTrue)
 		}
 	})
 }
--- a/member/member.go
+++ b/member/member.go
@@ -120,7 +120,7 @@
 }
 
 // newer tells whether m is news against old.
-func (m Member) newer(old Member) bool {
+func (m Member) supersedes(old Member) bool {
 	if m.incarnation != old.incarnation {
 		return m.incarnation > old.incarnation
 	}
--- a/member/ring.go
+++ b/member/ring.go
@@ -8,7 +8,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var after, before []Member
-	for _, m := range t.allLocked() {
+	for _, m := range t.membersLocked() {
 		if m.name == t.self.name || m.state == Dead {
 			continue
 		}
@@ -27,7 +27,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rank := 0
-	for _, m := range t.others {
+	for _, m := range t.peers {
 		if m.Serving() && m.name < t.self.name {
 			rank++
 		}
--- a/member/snapshot_test.go
+++ b/member/snapshot_test.go
@@ -27,30 +27,30 @@
 		now = now.Add(time.Duration(r.IntN(2)) * time.Second)
 		switch r.IntN(6) {
 		case 0:
-			v.Missed(name, now)
+			v.RecordTimeout(name, now)
 		case 1:
-			v.Gone(name, now)
+			v.RecordRefusal(name, now)
 		case 2:
 			v.Tick(now)
 		case 3:
-			v.Paused(now)
+			v.RecordPause(now)
 		case 4:
 			now = now.Add(time.Minute / 3)
 			v.Tick(now)
 		default:
 			v.Merge([]Member{told}, now)
 		}
-		anew := *NewTable(v.self, v.limits)
-		anew.others = v.others
-		c.Assert(slices.Equal(v.All(), anew.All()), quicktest.IsTrue)
-		c.Assert(v.view().digest, quicktest.Equals, anew.view().digest)
+		anew := *NewTable(v.self, v.options)
+		anew.peers = v.peers
+		c.Assert(slices.Equal(v.Members(), anew.Members()), quicktest.IsTrue)
+		c.Assert(v.viewSummary().digest, quicktest.Equals, anew.viewSummary().digest)
 	}
 }
 
 // One exchange between two of 195 members: 0.16 ms and 75 KB where the members were sorted for
 // each question, 0.009 ms and 0.9 KB with a snapshot (one run each).
 func BenchmarkExchangeAtRest(b *testing.B) {
-	w := make(wires)
+	w := make(memoryNetwork)
 	first := w.join("box000")
 	second := w.join("box001", "box000:1")
 	for i := range 193 {
@@ -58,7 +58,7 @@
 		first.Table.Merge([]Member{m}, start)
 		second.Table.Merge([]Member{m}, start)
 	}
-	w.beats(40)
+	w.runRounds(40)
 	for b.Loop() {
 		second.exchange(context.Background(), first.Table.Self())
 	}
--- a/member/suspend_test.go
+++ b/member/suspend_test.go
@@ -15,12 +15,12 @@
 // gap goes on by what it knew: it leads, owns and hands out what others have by now.
 func TestADaemonThatWasSuspendedDistrustsItsView(t *testing.T) {
 	c := quicktest.New(t)
-	l := make(wires).join("a")
+	l := make(memoryNetwork).join("a")
 	l.Interval, l.PauseLimit = 10*time.Millisecond, 3*time.Second
 	paused := make(chan time.Duration, 1)
 	l.OnPause = func(gap time.Duration) { paused <- gap }
 	beats := make(chan struct{}, 1)
-	l.Remote = func() []string {
+	l.RemotePeers = func() []string {
 		select {
 		case beats <- struct{}{}:
 		default:
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	limits = Limits{SuspectFor: 2 * time.Second, ForgetDead: time.Minute, Fresh: 3 * time.Second}
+	limits = TableOptions{SuspectTimeout: 2 * time.Second, DeadRetention: time.Minute, FreshFor: 3 * time.Second}
 	start  = time.Unix(1000, 0)
 )
 
@@ -34,7 +34,7 @@
 func TestASilentMemberIsSuspectedThenDead(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
-	v.Missed("b", start)
+	v.RecordTimeout("b", start)
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Suspect)
 	c.Assert(v.Serving(Scheduler), quicktest.HasLen, 2)
 	v.Tick(start.Add(3 * time.Second))
@@ -65,24 +65,24 @@
 func TestAMemberOfAnotherDataCentreIsNotTakenIn(t *testing.T) {
 	v := tableOf("a")
 	v.Merge([]Member{New("z", "z:1", Scheduler, "d2", 1)}, start)
-	quicktest.Assert(t, v.All(), quicktest.HasLen, 1)
+	quicktest.Assert(t, v.Members(), quicktest.HasLen, 1)
 }
 
 func TestAPauseMakesTheViewStaleUntilAnExchange(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
-	v.Exchanged("b", start)
+	v.RecordExchange("b", start)
 	c.Assert(v.Fresh(start.Add(time.Second)), quicktest.IsTrue)
-	v.Paused(start.Add(time.Second))
+	v.RecordPause(start.Add(time.Second))
 	c.Assert(v.Fresh(start.Add(time.Second)), quicktest.IsFalse)
-	v.Exchanged("b", start.Add(2*time.Second))
+	v.RecordExchange("b", start.Add(2*time.Second))
 	c.Assert(v.Fresh(start.Add(2*time.Second)), quicktest.IsTrue)
 }
 
 func TestNeighboursFollowOnTheRing(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("b", "a", "c", "d")
-	v.Gone("c", start)
+	v.RecordRefusal("c", start)
 	var names []string
 	for _, m := range v.Neighbours(2) {
 		names = append(names, m.Name())
@@ -95,16 +95,16 @@
 	v := tableOf("a", "b", "c")
 	told := 0
 	for range 100 {
-		told += len(v.News(maxNews))
+		told += len(v.NextUpdates(maxUpdates))
 	}
 	c.Assert(told > 0 && told < 40, quicktest.IsTrue, quicktest.Commentf("%d", told))
-	c.Assert(v.News(maxNews), quicktest.HasLen, 0)
+	c.Assert(v.NextUpdates(maxUpdates), quicktest.HasLen, 0)
 }
 
 func TestEqualViewsHaveEqualDigests(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(tableOf("a", "b", "c").view().digest, quicktest.Equals, tableOf("c", "b", "a").view().digest)
-	c.Assert(tableOf("a", "b").view().digest == tableOf("a", "c").view().digest, quicktest.IsFalse)
+	c.Assert(tableOf("a", "b", "c").viewSummary().digest, quicktest.Equals, tableOf("c", "b", "a").viewSummary().digest)
+	c.Assert(tableOf("a", "b").viewSummary().digest == tableOf("a", "c").viewSummary().digest, quicktest.IsFalse)
 }
 
 // A box that was frozen came back as the oldest, and the lead of its data centre
@@ -131,13 +131,13 @@
 	claim := box("a", old)
 	claim.state = Dead
 	v.Tick(now)
-	v.Exchanged("b", now)
+	v.RecordExchange("b", now)
 	v.Merge([]Member{claim}, now)
 	c.Assert(v.Self().Incarnation(), quicktest.Equals, old+1)
 
-	v.Paused(now) // it stood still, and what it saw before proves nothing
+	v.RecordPause(now) // it stood still, and what it saw before proves nothing
 	claim.incarnation = old + 1
-	v.Exchanged("b", now)
+	v.RecordExchange("b", now)
 	v.Merge([]Member{claim}, now)
 	c.Assert(v.Self().Incarnation() > old+2, quicktest.IsTrue)
 }
@@ -145,8 +145,8 @@
 func TestGossipOfADeathDoesNotCountAgainstASignOfLife(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b", "c")
-	v.Exchanged("b", start)
-	v.Seen("c", start.Add(-2*limits.SuspectFor))
+	v.RecordExchange("b", start)
+	v.RecordContact("c", start.Add(-2*limits.SuspectTimeout))
 	for _, n := range []string{"b", "c"} {
 		claim := box(n, 1)
 		claim.state = Dead
@@ -162,8 +162,8 @@
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("b", 2)}, start)
-	v.Gone("b", start.Add(refusalRemembered/2))
+	v.RecordRefusal("b", start.Add(refusalCacheTime/2))
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Suspect)
-	v.Gone("b", start.Add(refusalRemembered*2))
+	v.RecordRefusal("b", start.Add(refusalCacheTime*2))
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Dead)
 }
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -113,7 +113,7 @@
 		Name: "box/scheduler", Box: "box", Centre: "d1",
 		Catalog:   func() *catalog.Catalog { return b.catalog },
 		Changed:   func() <-chan struct{} { return nil },
-		Members:   member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Fresh: time.Second}),
+		Members:   member.NewTable(self, member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, FreshFor: time.Second}),
 		Listed:    func() []string { return []string{"box/scheduler"} },
 		Ready:     func() bool { return true },
 		Dial:      func(string) engine.Endpoint { return b.engine },
