--- a/edge/departures.go
+++ b/edge/departures.go
@@ -53,7 +53,7 @@
 
 // applyLeaving applies a fact that an endpoint announced draining.
 func (s *state) applyLeaving(endpoint string) {
-	if s.view.Leave(endpoint) {
+	if s.view.MarkDraining(endpoint) {
 		s.log.Info("Endpoint announced draining to another box", "endpoint", endpoint)
 	}
 }
--- a/edge/ended_test.go
+++ b/edge/ended_test.go
@@ -64,11 +64,11 @@
 // Config implements Decoder.
 func (serviceDecoder) Config([]byte) (*topology.Config, error) {
 	r := topology.NewRoute(topology.RouteSpec{
-		Name: "r", Host: "h", Prefix: "/", Kind: topology.Once, Timeout: 5 * time.Second, Target: time.Second,
-		Shares: []topology.Share{{Service: "s", Weight: 1}}, MaxAttempts: 1,
+		Name: "r", Host: "h", Prefix: "/", Kind: topology.NonIdempotent, Timeout: 5 * time.Second, LatencyTarget: time.Second,
+		Services: []topology.WeightedService{{Name: "s", Weight: 1}}, MaxAttempts: 1,
 	})
 	s := topology.NewService(topology.ServiceSpec{Name: "s"})
-	return topology.NewConfig(1, []*topology.Route{r}, []*topology.Service{s}, topology.Limits{BodyBytes: 1 << 10}), nil
+	return topology.NewConfig(1, []*topology.Route{r}, []*topology.Service{s}, topology.RequestLimits{MaxBodyBytes: 1 << 10}), nil
 }
 
 // Endpoint implements Decoder.
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -172,7 +172,7 @@
 	}
 	a, errA := n.endpointOf(old)
 	b, errB := n.endpointOf(now)
-	return errA == nil && errB == nil && a.Alike(b)
+	return errA == nil && errB == nil && a.EqualIgnoringAdapters(b)
 }
 
 func (n *Node) endpointOf(i *wire.Item) (*topology.Endpoint, error) {
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return topology.NewConfig(uint64(len(value)), nil, nil, topology.Limits{}).WithCallers(d), nil
+	return topology.NewConfig(uint64(len(value)), nil, nil, topology.RequestLimits{}).WithCallers(d), nil
 }
 
 // keyedSource publishes a configuration and an endpoint until it is silenced.
@@ -285,16 +285,16 @@
 		r.take([]Fact{{Key: "e/1", Revision: rev(revision), Value: []byte(value)}}, time.Now())
 	}
 	fact(1, "one")
-	st.publish("dc", "one", 1<<40, map[topology.Adapter]topology.Held{a: {Version: 1, Ready: true}})
-	c.Assert(v.Holders(a), quicktest.HasLen, 1)
+	st.publish("dc", "one", 1<<40, map[topology.Adapter]topology.AdapterState{a: {Version: 1, Ready: true}})
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 1)
 	fact(5, "two")
 	c.Assert(v.Endpoint("one"), quicktest.IsNil)
 	c.Assert(v.Endpoint("two"), quicktest.IsNotNil)
-	c.Assert(v.Holders(a), quicktest.HasLen, 0)
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 0)
 	fact(3, "one") // late
 	c.Assert(v.Endpoint("one"), quicktest.IsNil)
-	st.publish("dc", "one", 2<<40, map[topology.Adapter]topology.Held{a: {Version: 1, Ready: true}}) // by a leader that does not know of the restart
-	c.Assert(v.Holders(a), quicktest.HasLen, 0)
+	st.publish("dc", "one", 2<<40, map[topology.Adapter]topology.AdapterState{a: {Version: 1, Ready: true}}) // by a leader that does not know of the restart
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 0)
 	fact(8, "bad") // an invalid value leaves no usable endpoint
 	c.Assert(v.All(), quicktest.HasLen, 0)
 	fact(9, "two")
--- a/edge/leave_test.go
+++ b/edge/leave_test.go
@@ -98,7 +98,7 @@
 	s := &state{view: view, table: table, decoder: adapterDecoder{}, fences: &placement.Fences{}, log: logr.Discard()}
 	table.OnChange = s.apply
 	table.Merge(&wire.Item{Key: "e/1", Version: 1})
-	held := view.Holders(topology.Adapter{Model: "m", Name: "a"})
+	held := view.EndpointsReady(topology.Adapter{Model: "m", Name: "a"})
 	c.Assert(held, quicktest.HasLen, 1)
 	c.Assert(held[0].ID(), quicktest.Equals, "e/1")
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -102,7 +102,7 @@
 		AskToResign: n.peers.takeOver,
 		Headroom:    n.room,
 		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
-		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
+		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.AdapterState) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -35,7 +35,7 @@
 // Config implements Decoder.
 func (wordDecoder) Config(value []byte) (*topology.Config, error) {
 	v, err := strconv.ParseUint(string(value), 10, 64)
-	return topology.NewConfig(v, nil, nil, topology.Limits{}), err
+	return topology.NewConfig(v, nil, nil, topology.RequestLimits{}), err
 }
 
 // Endpoint implements Decoder.
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -43,7 +43,7 @@
 // slot is a slot that holds an adapter; the zero value is an empty slot.
 type slot struct {
 	adapter topology.Adapter
-	held    topology.Held
+	held    topology.AdapterState
 }
 
 // publishedSlots is what this box published about an endpoint's slots with one fencing token.
@@ -90,7 +90,7 @@
 	case w.GetAdapter() == "":
 		delete(o.held, number)
 	default:
-		o.held[number] = slot{adapter: topology.ParseAdapter(w.GetAdapter()), held: topology.Held{Version: w.GetVersion(), Ready: w.GetReady()}}
+		o.held[number] = slot{adapter: topology.ParseAdapter(w.GetAdapter()), held: topology.AdapterState{Version: w.GetVersion(), Ready: w.GetReady()}}
 	}
 	return id
 }
@@ -107,11 +107,11 @@
 	if s.view.Endpoint(id) == nil {
 		return true
 	}
-	held := make(map[topology.Adapter]topology.Held, len(o.held))
+	held := make(map[topology.Adapter]topology.AdapterState, len(o.held))
 	for _, t := range o.held {
 		held[t.adapter] = t.held
 	}
-	s.view.SetHeld(id, held)
+	s.view.SetAdapterStates(id, held)
 	return true
 }
 
@@ -133,7 +133,7 @@
 }
 
 // publish publishes an endpoint's slots to all boxes: those that changed, or all of them with a new fencing token.
-func (s *state) publish(centre, endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
+func (s *state) publish(centre, endpoint string, version uint64, held map[topology.Adapter]topology.AdapterState) {
 	var items []*wire.Item
 	for number, t := range s.slots.diff(endpoint, placement.Term(version), held) {
 		w := &wire.Slot{Version: t.held.Version, Ready: t.held.Ready}
@@ -151,7 +151,7 @@
 }
 
 // diff records what an endpoint holds now, and returns the slots to publish by number. An adapter stays in its slot.
-func (t *slots) diff(endpoint string, term uint64, held map[topology.Adapter]topology.Held) map[int]slot {
+func (t *slots) diff(endpoint string, term uint64, held map[topology.Adapter]topology.AdapterState) map[int]slot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.published == nil {
--- a/edge/slots_test.go
+++ b/edge/slots_test.go
@@ -27,14 +27,14 @@
 }
 
 // heldAdapters returns those of ten adapters that e/1 holds according to the box's view.
-func (s *state) heldAdapters() map[topology.Adapter]topology.Held {
-	held := make(map[topology.Adapter]topology.Held)
+func (s *state) heldAdapters() map[topology.Adapter]topology.AdapterState {
+	held := make(map[topology.Adapter]topology.AdapterState)
 	for i := range 10 {
 		a := topology.Adapter{Model: "m", Name: fmt.Sprint("a", i)}
-		if len(s.view.Holders(a)) > 0 {
-			held[a] = topology.Held{Ready: true}
-		} else if len(s.view.Loading(a)) > 0 {
-			held[a] = topology.Held{}
+		if len(s.view.EndpointsReady(a)) > 0 {
+			held[a] = topology.AdapterState{Ready: true}
+		} else if len(s.view.EndpointsLoading(a)) > 0 {
+			held[a] = topology.AdapterState{}
 		}
 	}
 	return held
@@ -47,7 +47,7 @@
 	r := rand.New(rand.NewPCG(3, 4))
 	owners := []*state{newState(), newState()}
 	other := newState()
-	held := make(map[topology.Adapter]topology.Held)
+	held := make(map[topology.Adapter]topology.AdapterState)
 	term, published := uint64(1), uint64(0)
 	var late []*wire.Item
 	for step := range 3000 {
@@ -61,9 +61,9 @@
 		a := topology.Adapter{Model: "m", Name: fmt.Sprint("a", r.IntN(10))}
 		switch h, there := held[a]; {
 		case !there && len(held) < 6:
-			held[a] = topology.Held{}
+			held[a] = topology.AdapterState{}
 		case there && !h.Ready:
-			held[a] = topology.Held{Ready: true}
+			held[a] = topology.AdapterState{Ready: true}
 		default:
 			delete(held, a)
 		}
@@ -99,7 +99,7 @@
 func TestSlotsOfRemovedEndpointAreForgotten(t *testing.T) {
 	c := quicktest.New(t)
 	s := newState()
-	s.publish("dc", "e/1", 5<<24|1, map[topology.Adapter]topology.Held{{Model: "m", Name: "a1"}: {Ready: true}, {Model: "m", Name: "a2"}: {}})
+	s.publish("dc", "e/1", 5<<24|1, map[topology.Adapter]topology.AdapterState{{Model: "m", Name: "a1"}: {Ready: true}, {Model: "m", Name: "a2"}: {}})
 	c.Assert(s.table.Keys(), quicktest.HasLen, 3)
 	s.table.Merge(&wire.Item{Key: "e/1", Version: 2, Removed: true})
 	c.Assert(s.table.Keys(), quicktest.HasLen, 0)
@@ -110,13 +110,13 @@
 func TestSlotChangeIsPublishedInFewBytes(t *testing.T) {
 	c := quicktest.New(t)
 	s := newState()
-	held := make(map[topology.Adapter]topology.Held)
+	held := make(map[topology.Adapter]topology.AdapterState)
 	for i := range 9 {
-		held[topology.Adapter{Model: "dawu412ccf", Name: fmt.Sprint("a", 10000+i)}] = topology.Held{Version: 3, Ready: true}
+		held[topology.Adapter{Model: "dawu412ccf", Name: fmt.Sprint("a", 10000+i)}] = topology.AdapterState{Version: 3, Ready: true}
 	}
 	s.publish("kg-kimihurura", "i-2fa099c1e3", 1785000000<<24|1, held)
 	_, before, _ := s.table.Since(0)
-	held[topology.Adapter{Model: "dawu412ccf", Name: "a10004"}] = topology.Held{Version: 4, Ready: true}
+	held[topology.Adapter{Model: "dawu412ccf", Name: "a10004"}] = topology.AdapterState{Version: 4, Ready: true}
 	s.publish("kg-kimihurura", "i-2fa099c1e3", 1785000000<<24|2, held)
 	items, _, _ := s.table.Since(before)
 	c.Assert(items, quicktest.HasLen, 1)
--- a/edge/state.go
+++ b/edge/state.go
@@ -86,7 +86,7 @@
 		if err != nil || i.GetRemoved() {
 			return err
 		}
-		s.view.SetNewest(a, v)
+		s.view.SetLatestVersion(a, v)
 		s.log.Info("Adapter has a new version", "adapter", a.String(), "adapter_version", v, "revision", revisionOf(i).String())
 	}
 	return nil
@@ -136,7 +136,7 @@
 			"draining", known.Draining(), "revision", revisionOf(i).String())
 	}
 	if !s.updateHeld(id) {
-		s.view.SetHeld(id, heldLongAgo(e)) // better than nothing until its owner publishes
+		s.view.SetAdapterStates(id, heldLongAgo(e)) // better than nothing until its owner publishes
 	}
 	return nil
 }
@@ -167,10 +167,10 @@
 
 // heldLongAgo returns what an endpoint published that it holds. It may be wrong by
 // now, which the endpoint says when it is asked.
-func heldLongAgo(e *topology.Endpoint) map[topology.Adapter]topology.Held {
-	held := make(map[topology.Adapter]topology.Held, len(e.Adapters()))
+func heldLongAgo(e *topology.Endpoint) map[topology.Adapter]topology.AdapterState {
+	held := make(map[topology.Adapter]topology.AdapterState, len(e.Adapters()))
 	for a, v := range e.Adapters() {
-		held[a] = topology.Held{Version: v, Ready: true}
+		held[a] = topology.AdapterState{Version: v, Ready: true}
 	}
 	return held
 }
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -49,7 +49,7 @@
 func (modelDecoder) Config([]byte) (*topology.Config, error) {
 	engine := &topology.EngineSpec{Models: []topology.ModelSpec{{Name: "m"}}, AdapterSlots: 8, LoadsPerSec: 10}
 	service := topology.NewService(topology.ServiceSpec{Name: "llm", Engine: engine})
-	return topology.NewConfig(1, nil, []*topology.Service{service}, topology.Limits{}), nil
+	return topology.NewConfig(1, nil, []*topology.Service{service}, topology.RequestLimits{}), nil
 }
 
 // Endpoint implements Decoder.
@@ -162,7 +162,7 @@
 	reports := maps.Clone(h.reports)
 	h.mu.Unlock()
 	c.Check(reports, quicktest.DeepEquals, map[string]int{"box-1": 1}) // the others were told what the endpoint holds
-	c.Check(nodes[2].view.Holders(topology.Adapter{Model: "m", Name: "first-1"}), quicktest.HasLen, 1)
+	c.Check(nodes[2].view.EndpointsReady(topology.Adapter{Model: "m", Name: "first-1"}), quicktest.HasLen, 1)
 	c.Assert(<-first, quicktest.IsNil)
 	c.Assert(<-second, quicktest.IsNil)
 	c.Assert(stops[2](), quicktest.IsNil)
@@ -240,7 +240,7 @@
 			AskToResign: func(context.Context, *topology.Endpoint) (placement.Handover, time.Duration) {
 				return placement.Handover{}, 0
 			},
-			Publish: func(string, uint64, map[topology.Adapter]topology.Held) {},
+			Publish: func(string, uint64, map[topology.Adapter]topology.AdapterState) {},
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 2)
--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -24,8 +24,8 @@
 	adapter := q.call.Adapter
 	g.Log.V(1).Info("Adapter is needed", "request", q.call.ID, "adapter", adapter.String(), "route", q.route.Name())
 	now := clock.Now()
-	if e := g.leastLoaded(intersect(g.View.Holders(adapter), list), now); e != nil {
-		return target{endpoint: e, version: g.View.Newest(adapter)}, nil
+	if e := g.leastLoaded(intersect(g.View.EndpointsReady(adapter), list), now); e != nil {
+		return target{endpoint: e, version: g.View.LatestVersion(adapter)}, nil
 	}
 	if others := g.withoutLimit(list); len(others) > 0 {
 		list = others // the owner may still choose an endpoint whose rate limit has capacity left
@@ -116,10 +116,10 @@
 // loadTarget returns an endpoint that is loading the adapter already, or else one in the data centre with
 // the lowest load cost: there the endpoint that held the adapter last is preferred.
 func (g *Gateway) loadTarget(adapter topology.Adapter, list []*topology.Endpoint) *topology.Endpoint {
-	if e := g.leastLoaded(intersect(g.View.Loading(adapter), list), clock.Now()); e != nil {
+	if e := g.leastLoaded(intersect(g.View.EndpointsLoading(adapter), list), clock.Now()); e != nil {
 		return e
 	}
-	lastHolder := g.View.Latest(adapter)
+	lastHolder := g.View.LastHolder(adapter)
 	if lastHolder != nil && !slices.Contains(list, lastHolder) {
 		lastHolder = nil
 	}
@@ -166,7 +166,7 @@
 	if !g.accepts(e.ID(), now) {
 		return g.selectAnother(ctx, q, e)
 	}
-	return target{endpoint: g.View.Endpoint(e.ID()), version: max(p.Version, g.View.Newest(q.call.Adapter))}, nil
+	return target{endpoint: g.View.Endpoint(e.ID()), version: max(p.Version, g.View.LatestVersion(q.call.Adapter))}, nil
 }
 
 // isExcluded reports whether a request must not go to an endpoint, though it may hold the adapter.
@@ -202,8 +202,8 @@
 		RequestID:    q.call.ID,
 		Endpoint:     e,
 		Adapter:      q.call.Adapter,
-		Version:      g.View.Newest(q.call.Adapter),
-		TargetWait:   q.route.Target() - now.Sub(q.received) - firstToken,
+		Version:      g.View.LatestVersion(q.call.Adapter),
+		TargetWait:   q.route.LatencyTarget() - now.Sub(q.received) - firstToken,
 		MaxWait:      q.usefulTime(now) - firstToken,
 		Priority:     q.config.Rank(q.route, q.organisation),
 		Value:        float64(q.call.PromptTokens + outputWeight*q.call.MaxOutputTokens),
--- a/forward/adapter_test.go
+++ b/forward/adapter_test.go
@@ -35,8 +35,8 @@
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
 	r := onceRoute(2 * time.Second)
-	r.Host, r.Shares, r.Target = "site.example", []topology.Share{{Service: "app", Weight: 1}}, time.Second
-	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
+	r.Host, r.Services, r.LatencyTarget = "site.example", []topology.WeightedService{{Name: "app", Weight: 1}}, time.Second
+	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.RequestLimits{MaxBodyBytes: 1 << 10}))
 	for _, centre := range []string{"dc", "far"} {
 		s.endpoint(t, answerOK)
 		id := fmt.Sprintf("e%d", s.count)
@@ -107,8 +107,8 @@
 		s.gateway.LoadCost = func(c string) (time.Duration, bool) { l, ok := f.levels[c]; return l, ok }
 		adapter := topology.Adapter{Model: "m", Name: "a"}
 		if f.latest != "" {
-			s.gateway.View.SetHeld(f.latest, map[topology.Adapter]topology.Held{adapter: {Ready: true}})
-			s.gateway.View.SetHeld(f.latest, nil)
+			s.gateway.View.SetAdapterStates(f.latest, map[topology.Adapter]topology.AdapterState{adapter: {Ready: true}})
+			s.gateway.View.SetAdapterStates(f.latest, nil)
 		}
 		got := s.gateway.loadTarget(adapter, s.gateway.View.Endpoints("app"))
 		s.c.Check(got.DataCentre(), quicktest.Equals, f.want, quicktest.Commentf(name))
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -94,7 +94,7 @@
 		return nil
 	}
 	result := g.Admission.Charge(ctx, q.organisation, q.quotaCost(), QuotaTimeouts{
-		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.Target())),
+		Exceeded:    time.Duration(quotaWaitFraction * float64(q.route.LatencyTarget())),
 		Unavailable: q.usefulTime(clock.Now()) - g.predictFirstToken(q.call.PromptTokens), // leaders change within a second
 	})
 	switch {
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -170,7 +170,7 @@
 		u.markDown(clock.Now())
 		return g.recordRefused(q, t, CodeNoEndpoint, "another endpoint answered at the address")
 	case head.AdapterNotLoaded:
-		g.View.Drop(t.endpoint.ID(), q.call.Adapter)
+		g.View.RemoveAdapter(t.endpoint.ID(), q.call.Adapter)
 		f := g.recordRefused(q, t, CodeNotLoaded, "the endpoint does not hold the adapter")
 		delete(q.tried, t.endpoint.ID()) // it can be loaded there
 		delete(q.excluded, t.endpoint.ID())
@@ -229,7 +229,7 @@
 // one. The failed response is discarded in that case, so the retry is taken from the budget first.
 func (g *Gateway) mayRetryFailure(q *request, t target) bool {
 	q.executions++
-	if !q.route.MayRepeat() || q.executions >= q.route.MaxAttempts() || !q.hasAttempts() {
+	if !q.route.IsReexecutable() || q.executions >= q.route.MaxAttempts() || !q.hasAttempts() {
 		return false
 	}
 	q.tried[t.endpoint.ID()] = true
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -129,11 +129,11 @@
 	if len(routes) > 0 {
 		var list []*topology.Route
 		for _, r := range routes {
-			r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
+			r.Host, r.Services = "site.example", []topology.WeightedService{{Name: "app", Weight: 1}}
 			list = append(list, topology.NewRoute(r))
 		}
 		services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app"})}
-		v.SetConfig(topology.NewConfig(1, list, services, topology.Limits{BodyBytes: 1 << 10}))
+		v.SetConfig(topology.NewConfig(1, list, services, topology.RequestLimits{MaxBodyBytes: 1 << 10}))
 	}
 	g := &Gateway{
 		DataCentre:    "dc",
@@ -208,15 +208,15 @@
 }
 
 func onceRoute(timeout time.Duration) topology.RouteSpec {
-	return topology.RouteSpec{Name: "once", Prefix: "/", Kind: topology.Once, Timeout: timeout, Target: timeout, MaxAttempts: 1}
+	return topology.RouteSpec{Name: "once", Prefix: "/", Kind: topology.NonIdempotent, Timeout: timeout, LatencyTarget: timeout, MaxAttempts: 1}
 }
 
 func repeatableRoute(timeout time.Duration) topology.RouteSpec {
-	return topology.RouteSpec{Name: "rep", Prefix: "/", Kind: topology.Repeatable, Timeout: timeout, Target: timeout, MaxAttempts: 2}
+	return topology.RouteSpec{Name: "rep", Prefix: "/", Kind: topology.Idempotent, Timeout: timeout, LatencyTarget: timeout, MaxAttempts: 2}
 }
 
 func resumableRoute(timeout time.Duration) topology.RouteSpec {
-	return topology.RouteSpec{Name: "res", Prefix: "/", Kind: topology.Stream, Timeout: timeout, Target: timeout, MaxAttempts: 2, Resumable: true}
+	return topology.RouteSpec{Name: "res", Prefix: "/", Kind: topology.Streaming, Timeout: timeout, LatencyTarget: timeout, MaxAttempts: 2, Resumable: true}
 }
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") }
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -94,7 +94,7 @@
 	ask := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
 	others := g.View.Endpoints(q.service.Name())
 	if q.call.Adapter.Name != "" && q.service.Engine() != nil {
-		others = intersect(g.View.Holders(q.call.Adapter), others)
+		others = intersect(g.View.EndpointsReady(q.call.Adapter), others)
 	}
 	for _, other := range g.untried(others, q.tried, clock.Now()) {
 		if other.ID() != e.ID() && !g.Limits.HasLimit(other.ID()) {
@@ -102,7 +102,7 @@
 			return ask
 		}
 	}
-	ask.Patience = time.Duration(limitWaitFraction * float64(q.route.Target()))
+	ask.Patience = time.Duration(limitWaitFraction * float64(q.route.LatencyTarget()))
 	return ask
 }
 
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -212,7 +212,7 @@
 	p := &recordingPlacer{}
 	s, _ := askAdapters(t, p, "2s")
 	p.requested, p.holder = nil, "e1"
-	s.gateway.View.SetHeld("e1", map[topology.Adapter]topology.Held{{Model: "m", Name: "a"}: {Version: 1, Ready: true}})
+	s.gateway.View.SetAdapterStates("e1", map[topology.Adapter]topology.AdapterState{{Model: "m", Name: "a"}: {Version: 1, Ready: true}})
 	s.limit(map[string]int{"e1": 0})
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusOK)
 	s.c.Assert(p.requested, quicktest.DeepEquals, []string{"e2"})
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -59,7 +59,7 @@
 		return
 	}
 	g.Log.Info("Endpoint announced draining", "endpoint", endpoint)
-	if g.View.Leave(endpoint) && g.OnDraining != nil {
+	if g.View.MarkDraining(endpoint) && g.OnDraining != nil {
 		g.OnDraining(endpoint)
 	}
 }
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -200,7 +200,7 @@
 
 // Acquire implements Limits.
 func (l drainingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) AcquireResult {
-	l.view.Leave(e.ID())
+	l.view.MarkDraining(e.ID())
 	return AcquireResult{OK: true, Wait: time.Millisecond}
 }
 
--- a/forward/record.go
+++ b/forward/record.go
@@ -52,7 +52,7 @@
 	if q.organisation != nil {
 		g.Stats.Organisations.Observe(q.organisationName(), now.Sub(q.received))
 	}
-	plain := q.attempts == 1 && out.status < 300 && out.firstByteAt.Sub(q.received) <= q.route.Target()
+	plain := q.attempts == 1 && out.status < 300 && out.firstByteAt.Sub(q.received) <= q.route.LatencyTarget()
 	g.recordPrediction(q)
 	if g.LogBacklogged() || (plain && g.sampleCount.Add(1)%sampleInterval != 0 && !g.Log.V(1).Enabled()) {
 		return
@@ -61,7 +61,7 @@
 		"adapter", q.call.Adapter.String(), "adapter_version", q.version, "config", q.config.Version(),
 		"status", out.status, "attempts", q.attempts, "waited_ms", q.placementTime.Milliseconds(), "queued_ms", q.queueTime.Milliseconds(),
 		"sent_ms", q.sentAt.Sub(q.received).Milliseconds(), "predicted_ms", q.predictedFirstToken.Milliseconds(),
-		"first_ms", out.firstByteAt.Sub(q.received).Milliseconds(), "target_ms", q.route.Target().Milliseconds(),
+		"first_ms", out.firstByteAt.Sub(q.received).Milliseconds(), "target_ms", q.route.LatencyTarget().Milliseconds(),
 		"pause_ms", q.maxEventGap.Milliseconds(), "took_ms", now.Sub(q.received).Milliseconds())
 }
 
--- a/forward/request.go
+++ b/forward/request.go
@@ -75,7 +75,7 @@
 // gives up after the route's patience, long before its deadline.
 func (q *request) usefulTime(now time.Time) time.Duration {
 	left := q.remaining(now)
-	if p := q.route.Patience(); p > 0 {
+	if p := q.route.ClientTimeout(); p > 0 {
 		left = min(left, q.received.Add(p).Sub(now))
 	}
 	return left
@@ -101,7 +101,7 @@
 	if d := q.call.Deadline; d > 0 && d < q.route.Timeout() {
 		q.deadline = q.received.Add(d)
 	}
-	q.service = q.config.Service(q.route.Split(hashFraction(q.call.ID)))
+	q.service = q.config.Service(q.route.SelectService(hashFraction(q.call.ID)))
 	if q.service == nil {
 		return &Refusal{Code: CodeNoEndpoint, RetryAfter: time.Second, Detail: "the route's service is not configured"}
 	}
@@ -137,7 +137,7 @@
 // readBody buffers the body, so that it can be sent again.
 func (g *Gateway) readBody(w http.ResponseWriter, q *request) *Refusal {
 	q.connection.limitBodyRead(clock.Timer(q.deadline))
-	limit := q.config.Limits().BodyBytes
+	limit := q.config.Limits().MaxBodyBytes
 	var buffer bytes.Buffer
 	if n := q.inbound.ContentLength; n > 0 && n <= limit {
 		buffer.Grow(int(n))
--- a/forward/select_test.go
+++ b/forward/select_test.go
@@ -131,8 +131,8 @@
 	engine := &topology.EngineSpec{AdapterSlots: 2}
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: engine})}
 	r := onceRoute(2 * time.Second)
-	r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
-	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
+	r.Host, r.Services = "site.example", []topology.WeightedService{{Name: "app", Weight: 1}}
+	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.RequestLimits{MaxBodyBytes: 1 << 10}))
 	calls := make(map[string]*atomic.Int64)
 	for range 2 {
 		n := s.endpoint(t, answerOK)
--- a/forward/serve.go
+++ b/forward/serve.go
@@ -62,7 +62,7 @@
 	if out.started || f.Code == CodeCallerGone {
 		return false
 	}
-	if f.MayHaveRun && (!q.route.MayRepeat() || q.executions >= q.route.MaxAttempts()) {
+	if f.MayHaveRun && (!q.route.IsReexecutable() || q.executions >= q.route.MaxAttempts()) {
 		return false
 	}
 	now := clock.Now()
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -50,7 +50,7 @@
 }
 
 func (g *Gateway) mayResume(ctx context.Context, q *request, out *callerResponse) bool {
-	if out.callerGone || ctx.Err() != nil || !q.route.MayRepeat() || q.executions >= q.route.MaxAttempts() || q.attempts >= maxAttempts {
+	if out.callerGone || ctx.Err() != nil || !q.route.IsReexecutable() || q.executions >= q.route.MaxAttempts() || q.attempts >= maxAttempts {
 		return false
 	}
 	now := clock.Now()
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -28,8 +28,8 @@
 	s := newSite(t, onceRoute(2*time.Second))
 	services := []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "app", Engine: &topology.EngineSpec{AdapterSlots: 2}})}
 	r := onceRoute(2 * time.Second)
-	r.Host, r.Shares = "site.example", []topology.Share{{Service: "app", Weight: 1}}
-	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.Limits{BodyBytes: 1 << 10}))
+	r.Host, r.Services = "site.example", []topology.WeightedService{{Name: "app", Weight: 1}}
+	s.gateway.View.SetConfig(topology.NewConfig(2, []*topology.Route{topology.NewRoute(r)}, services, topology.RequestLimits{MaxBodyBytes: 1 << 10}))
 	calls := s.endpoint(t, answerOK)
 	s.gateway.View.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{
 		ID: "e1", Service: "app", Address: s.gateway.View.Endpoint("e1").Address(), DataCentre: "dc", Slots: 4, Models: []string{"m"},
--- a/placement/copies.go
+++ b/placement/copies.go
@@ -60,7 +60,7 @@
 	key := placementKey{endpoint: endpoint, adapter: a}
 	w := l.pendingLoads[key]
 	if w == nil {
-		w = &pendingLoad{done: make(chan struct{}), version: l.View.Newest(a), isCopy: true}
+		w = &pendingLoad{done: make(chan struct{}), version: l.View.LatestVersion(a), isCopy: true}
 		l.pendingLoads[key] = w
 	}
 	w.lastRequested = now
@@ -71,7 +71,7 @@
 // holdersIn returns the endpoints of a data centre that hold an adapter or are loading it.
 func (l *Loader) holdersIn(centre string, a topology.Adapter) []string {
 	var list []string
-	for _, e := range append(l.View.Holders(a), l.View.Loading(a)...) {
+	for _, e := range append(l.View.EndpointsReady(a), l.View.EndpointsLoading(a)...) {
 		if e.DataCentre() == centre {
 			list = append(list, e.ID())
 		}
--- a/placement/copies_test.go
+++ b/placement/copies_test.go
@@ -43,7 +43,7 @@
 		l.owned[id] = &ownedEndpoint{endpoint: e, phase: owning, slots: make(map[topology.Adapter]*slot)}
 	}
 	l.owned["e1"].slots[adapter(1)] = &slot{ready: true}
-	l.View.SetHeld("e1", map[topology.Adapter]topology.Held{adapter(1): {Ready: true}})
+	l.View.SetAdapterStates("e1", map[topology.Adapter]topology.AdapterState{adapter(1): {Ready: true}})
 	l.RecordUsage("box", []Use{{Endpoint: "e1", Adapter: adapter(1), Running: 12}}, false, time.Now())
 	c.Assert(l.pendingLoads, quicktest.HasLen, 2) // 12 requests fill three endpoints, which each run five of at most eight before they count as full
 }
--- a/placement/evict.go
+++ b/placement/evict.go
@@ -81,7 +81,7 @@
 	if g == nil {
 		return 0
 	}
-	slots := g.SlotsBeside(o.models)
+	slots := g.AdapterCapacity(o.models)
 	ahead := slots - len(o.slots)
 	for _, s := range o.slots {
 		if s.evicting {
@@ -186,7 +186,7 @@
 // that is queued behind the given number of others.
 func (l *Loader) freeSlotDelayLocked(o *ownedEndpoint, ahead int, now time.Time) time.Duration {
 	g := l.engineSpec(o.endpoint)
-	if g == nil || len(o.slots) < g.SlotsBeside(o.models) {
+	if g == nil || len(o.slots) < g.AdapterCapacity(o.models) {
 		return 0
 	}
 	shortest := l.slotWaitLocked(o, ahead, now)
--- a/placement/evict_test.go
+++ b/placement/evict_test.go
@@ -102,7 +102,7 @@
 	l := b.loader
 	l.View.SetConfig(topology.NewConfig(2, nil, []*topology.Service{topology.NewService(topology.ServiceSpec{
 		Name: "llm", Engine: &topology.EngineSpec{Models: []topology.ModelSpec{{Name: model}}, AdapterSlots: 16},
-	})}, topology.Limits{}))
+	})}, topology.RequestLimits{}))
 	now := time.Now()
 	o := &ownedEndpoint{endpoint: b.endpoint, phase: owning, slots: make(map[topology.Adapter]*slot), models: map[string]bool{model: true}}
 	l.owned["e1"] = o
--- a/placement/load.go
+++ b/placement/load.go
@@ -89,7 +89,7 @@
 	}
 	s := o.slots[a]
 	if s == nil {
-		return len(o.slots) < g.SlotsBeside(o.models)
+		return len(o.slots) < g.AdapterCapacity(o.models)
 	}
 	if s.ready && s.version < version {
 		s.outdated = true
@@ -106,7 +106,7 @@
 	}
 	s.ready, s.loadBegan, s.lastUsed, s.expectedLoadTime = false, now, now, l.warmLoadTime
 	s.version = version
-	s.evictionsSince, s.heldBefore = l.View.Left(o.endpoint.ID(), a)
+	s.evictionsSince, s.heldBefore = l.View.EvictionsSince(o.endpoint.ID(), a)
 	if cold {
 		s.expectedLoadTime = l.coldLoadTime
 		s.holdsPermit = true
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -25,7 +25,7 @@
 	Log     logr.Logger
 
 	// Publish announces to all boxes what an endpoint holds. Versions increase across owners.
-	Publish func(endpoint string, version uint64, held map[topology.Adapter]topology.Held)
+	Publish func(endpoint string, version uint64, held map[topology.Adapter]topology.AdapterState)
 	// Fences generates this box's fences.
 	Fences *Fences
 	// Owns reports whether this box owns the endpoint by its cluster view at now, and from
@@ -238,10 +238,10 @@
 // publishLocked announces to all boxes what an endpoint holds; adapters being evicted are
 // left out.
 func (l *Loader) publishLocked(o *ownedEndpoint) {
-	held := make(map[topology.Adapter]topology.Held, len(o.slots))
+	held := make(map[topology.Adapter]topology.AdapterState, len(o.slots))
 	for a, s := range o.slots {
 		if !s.evicting {
-			held[a] = topology.Held{Version: s.version, Ready: s.ready}
+			held[a] = topology.AdapterState{Version: s.version, Ready: s.ready}
 		}
 	}
 	o.publications++
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -124,7 +124,7 @@
 func newFixture(atOnce float64) *fixture {
 	v := topology.NewView()
 	engine := &topology.EngineSpec{Models: []topology.ModelSpec{{Name: model}}, AdapterSlots: slotCount, LoadsPerSec: 10}
-	v.SetConfig(topology.NewConfig(1, nil, []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "llm", Engine: engine})}, topology.Limits{}))
+	v.SetConfig(topology.NewConfig(1, nil, []*topology.Service{topology.NewService(topology.ServiceSpec{Name: "llm", Engine: engine})}, topology.RequestLimits{}))
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{model}})
 	v.SetEndpoint(e)
 	fake := &fakeEndpoint{slots: make(map[topology.Adapter]bool), inUse: make(map[topology.Adapter]bool), unloadPending: make(map[topology.Adapter]bool), loadTime: 20 * time.Millisecond}
@@ -140,7 +140,9 @@
 		PrefillTime: func(tokens int) time.Duration { return time.Duration(tokens) * 25 * time.Microsecond },
 		Owns:        func(*topology.Endpoint, time.Time) (bool, time.Time) { return true, time.Time{} },
 		AskToResign: func(context.Context, *topology.Endpoint) (Handover, time.Duration) { return Handover{}, 0 },
-		Publish:     func(_ string, _ uint64, held map[topology.Adapter]topology.Held) { v.SetHeld("e1", held) },
+		Publish: func(_ string, _ uint64, held map[topology.Adapter]topology.AdapterState) {
+			v.SetAdapterStates("e1", held)
+		},
 	}
 	l.Init()
 	l.loadLimiter.limit = atOnce
--- a/placement/loadtime.go
+++ b/placement/loadtime.go
@@ -38,7 +38,7 @@
 	if o == nil {
 		return false
 	}
-	since, known := l.View.Left(o.endpoint.ID(), a)
+	since, known := l.View.EvictionsSince(o.endpoint.ID(), a)
 	return known && since < l.cacheSize
 }
 
--- a/placement/model.go
+++ b/placement/model.go
@@ -43,7 +43,7 @@
 	}
 	best, fewest := "", 0
 	for _, m := range g.Models {
-		if g.MB > 0 && m.MB > g.MB {
+		if g.MemoryMB > 0 && m.WeightsMB > g.MemoryMB {
 			continue
 		}
 		n := 0
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -153,7 +153,7 @@
 	second.awaitOwned()
 	after, _, _ := f.count()
 	c.Assert(after, quicktest.Equals, reports) // the handover made a report unnecessary
-	c.Assert(second.loader.View.Holders(adapter(1)), quicktest.HasLen, 1)
+	c.Assert(second.loader.View.EndpointsReady(adapter(1)), quicktest.HasLen, 1)
 	p, err := first.loader.Place(context.Background(), first.patientRequest(3))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.OwnerChanging, quicktest.IsTrue)
@@ -274,7 +274,7 @@
 	b.awaitOwned()
 	reports, _, _ := f.count()
 	c.Assert(reports, quicktest.Equals, 1)
-	c.Assert(b.loader.View.Holders(adapter(7)), quicktest.HasLen, 1)
+	c.Assert(b.loader.View.EndpointsReady(adapter(7)), quicktest.HasLen, 1)
 }
 
 // A leaving owner that can't be asked keeps giving orders; raising the fence meanwhile would make
--- a/placement/site.go
+++ b/placement/site.go
@@ -99,7 +99,7 @@
 			taken++
 		}
 	}
-	return float64(taken) / float64(max(g.SlotsBeside(o.models), 1))
+	return float64(taken) / float64(max(g.AdapterCapacity(o.models), 1))
 }
 
 // loadCostMaxAge is how long a computed load cost is reused: it changes with each load and prompt,
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -58,8 +58,8 @@
 	c := quicktest.New(t)
 	l, list := newIdleLoader("e1", "e2")
 	now := time.Now()
-	l.View.SetHeld("e2", map[topology.Adapter]topology.Held{adapter(1): {Ready: true}})
-	l.View.SetHeld("e2", nil)
+	l.View.SetAdapterStates("e2", map[topology.Adapter]topology.AdapterState{adapter(1): {Ready: true}})
+	l.View.SetAdapterStates("e2", nil)
 	_, _ = l.tryPlace(patientWaiter(list["e1"], 1), now, now.Add(time.Minute))
 	c.Assert(l.pendingLoads[placementKey{endpoint: "e2", adapter: adapter(1)}], quicktest.IsNotNil)
 }
--- a/topology/config.go
+++ b/topology/config.go
@@ -23,32 +23,32 @@
 
 // The kinds of routes.
 const (
-	Repeatable Kind = iota + 1 // may run more than once
-	Once                       // may run at most once
-	Stream                     // an answer in events; may run once unless it can be resumed
+	Idempotent    Kind = iota + 1 // may run more than once
+	NonIdempotent                 // may run at most once
+	Streaming                     // an answer in events; may run once unless it can be resumed
 )
 
 // Share is one service of a route and its part of the requests.
-type Share struct {
-	Service string
-	Weight  int // against the sum of the route's weights
+type WeightedService struct {
+	Name   string
+	Weight int // against the sum of the route's weights
 }
 
 // RouteSpec is a route as its source describes it.
 type RouteSpec struct {
-	Name        string
-	Host        string
-	Prefix      string // of the path; begins and ends with a slash
-	Kind        Kind
-	Timeout     time.Duration // the longest that a request may be held
-	Target      time.Duration // an answer, or the first event, is in time within it
-	Gap         time.Duration // the longest pause between events that is in time
-	Patience    time.Duration // a caller leaves when it has heard nothing for so long; zero: only at its deadline
-	Priority    int           // 0 is the most urgent
-	Shares      []Share       // at least one
-	MaxAttempts int           // endpoints that one request may run at
-	Resumable   bool          // a broken stream may go on at another endpoint
-	Public      bool          // callers need no key
+	Name           string
+	Host           string
+	Prefix         string // of the path; begins and ends with a slash
+	Kind           Kind
+	Timeout        time.Duration     // the longest that a request may be held
+	LatencyTarget  time.Duration     // an answer, or the first event, is in time within it
+	EventGapTarget time.Duration     // the longest pause between events that is in time
+	ClientTimeout  time.Duration     // a caller leaves when it has heard nothing for so long; zero: only at its deadline
+	Priority       int               // 0 is the most urgent
+	Services       []WeightedService // at least one
+	MaxAttempts    int               // endpoints that one request may run at
+	Resumable      bool              // a broken stream may go on at another endpoint
+	Public         bool              // callers need no key
 }
 
 // Route is where requests of a host and a path go.
@@ -67,16 +67,16 @@
 func (r *Route) Timeout() time.Duration { return r.spec.Timeout }
 
 // Target returns within which time an answer or its first event is in time.
-func (r *Route) Target() time.Duration { return r.spec.Target }
+func (r *Route) LatencyTarget() time.Duration { return r.spec.LatencyTarget }
 
 // Patience returns how long a caller waits to hear anything; zero: until its deadline.
-func (r *Route) Patience() time.Duration { return r.spec.Patience }
+func (r *Route) ClientTimeout() time.Duration { return r.spec.ClientTimeout }
 
 // Priority returns the rank; 0 is the most urgent.
 func (r *Route) Priority() int { return r.spec.Priority }
 
 // Shares returns the services and their parts; do not change it.
-func (r *Route) Shares() []Share { return r.spec.Shares }
+func (r *Route) Services() []WeightedService { return r.spec.Services }
 
 // MaxAttempts returns how many endpoints one request may run at.
 func (r *Route) MaxAttempts() int { return max(r.spec.MaxAttempts, 1) }
@@ -85,42 +85,42 @@
 func (r *Route) Resumable() bool { return r.spec.Resumable }
 
 // MayRepeat tells whether a request may run more than once.
-func (r *Route) MayRepeat() bool {
-	return r.spec.Kind == Repeatable || (r.spec.Kind == Stream && r.spec.Resumable)
+func (r *Route) IsReexecutable() bool {
+	return r.spec.Kind == Idempotent || (r.spec.Kind == Streaming && r.spec.Resumable)
 }
 
 // Public tells whether callers need no key, whatever the configuration says of organisations.
 func (r *Route) Public() bool { return r.spec.Public }
 
 // Split returns the service of a request by a number in [0, 1) that is its own.
-func (r *Route) Split(point float64) string {
+func (r *Route) SelectService(point float64) string {
 	whole := 0
-	for _, s := range r.spec.Shares {
+	for _, s := range r.spec.Services {
 		whole += s.Weight
 	}
 	left := point * float64(whole)
-	for _, s := range r.spec.Shares {
+	for _, s := range r.spec.Services {
 		left -= float64(s.Weight)
 		if left < 0 {
-			return s.Service
+			return s.Name
 		}
 	}
-	return r.spec.Shares[len(r.spec.Shares)-1].Service
+	return r.spec.Services[len(r.spec.Services)-1].Name
 }
 
 // ModelSpec is a base model of a service.
 type ModelSpec struct {
-	Name      string
-	MB        float64 // its weights
-	AdapterMB float64 // the weights of one adapter
-	Adapters  int     // how many there are
+	Name         string
+	WeightsMB    float64 // its weights
+	AdapterMB    float64 // the weights of one adapter
+	AdapterCount int     // how many there are
 }
 
 // EngineSpec is what a service of model endpoints can do.
 type EngineSpec struct {
-	Batch        int // requests that an endpoint runs at once
+	BatchSize    int // requests that an endpoint runs at once
 	Models       []ModelSpec
-	MB           float64 // of weights that an endpoint holds, adapters too
+	MemoryMB     float64 // of weights that an endpoint holds, adapters too
 	AdapterSlots int     // adapters that an endpoint holds
 	LoadsPerSec  float64 // of base models that the weight store allows over all endpoints
 }
@@ -136,15 +136,15 @@
 }
 
 // SlotsBeside returns how many adapters an endpoint can hold beside its base models.
-func (e *EngineSpec) SlotsBeside(models map[string]bool) int {
-	left, largest := e.MB, 0.0
+func (e *EngineSpec) AdapterCapacity(models map[string]bool) int {
+	left, largest := e.MemoryMB, 0.0
 	for _, m := range e.Models {
 		if models[m.Name] {
-			left -= m.MB
+			left -= m.WeightsMB
 			largest = max(largest, m.AdapterMB)
 		}
 	}
-	if e.MB <= 0 || largest <= 0 {
+	if e.MemoryMB <= 0 || largest <= 0 {
 		return e.AdapterSlots
 	}
 	return int(min(float64(max(e.AdapterSlots, 0)), max(left, 0)/largest)) // as a whole number the part may run over
@@ -173,25 +173,25 @@
 func (s *Service) Engine() *EngineSpec { return s.spec.Engine }
 
 // Limits bound what a caller may send.
-type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+type RequestLimits struct {
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Config is one version of routes and services. It never changes.
 type Config struct {
-	version  uint64
-	hosts    map[string][]*Route // by falling length of prefix
-	services map[string]*Service
-	limits   Limits
-	callers  *access.Directory // nil: callers need no keys
-	ranks    ranks             // the zero value where callers need no keys: by the routes alone
+	version       uint64
+	hosts         map[string][]*Route // by falling length of prefix
+	services      map[string]*Service
+	limits        RequestLimits
+	callers       *access.Directory // nil: callers need no keys
+	priorityRanks priorityRanks     // the zero value where callers need no keys: by the routes alone
 }
 
 // NewConfig returns the configuration of a version.
-func NewConfig(version uint64, routes []*Route, services []*Service, l Limits) *Config {
+func NewConfig(version uint64, routes []*Route, services []*Service, l RequestLimits) *Config {
 	c := &Config{version: version, hosts: make(map[string][]*Route), services: make(map[string]*Service), limits: l}
 	for _, r := range routes {
 		c.hosts[r.spec.Host] = append(c.hosts[r.spec.Host], r)
@@ -209,7 +209,7 @@
 func (c *Config) WithCallers(d *access.Directory) *Config {
 	n := *c
 	n.callers = d
-	n.ranks = newRanks(n.routes(), d)
+	n.priorityRanks = newPriorityRanks(n.routes(), d)
 	return &n
 }
 
@@ -227,13 +227,13 @@
 
 // Rank returns how urgent a request of an organisation on a route is; 0 is the most urgent. The
 // organisation is nil for a route that asks for no key.
-func (c *Config) Rank(r *Route, o *access.Organisation) int { return c.ranks.of(r, o) }
+func (c *Config) Rank(r *Route, o *access.Organisation) int { return c.priorityRanks.of(r, o) }
 
 // Version returns the configuration's version; a higher one is newer.
 func (c *Config) Version() uint64 { return c.version }
 
 // Limits returns what a caller may send.
-func (c *Config) Limits() Limits { return c.limits }
+func (c *Config) Limits() RequestLimits { return c.limits }
 
 // Route returns the route of the host whose prefix is the longest that begins
 // the path; nil when there is none.
--- a/topology/endpoint.go
+++ b/topology/endpoint.go
@@ -38,7 +38,7 @@
 	DataCentre string
 	Slots      int               // requests that it works on at once
 	Draining   bool              // it is about to leave
-	Leaves     time.Duration     // with Draining: time until it ends, when it says so; else zero
+	DrainTime  time.Duration     // with Draining: time until it ends, when it says so; else zero
 	Models     []string          // base models that it holds
 	Adapters   map[Adapter]int64 // that it held some time ago, with their versions
 }
@@ -78,10 +78,10 @@
 
 // Alike reports whether another description of the endpoint says the same of it, but for the adapters
 // that it held some time ago.
-func (e *Endpoint) Alike(o *Endpoint) bool {
+func (e *Endpoint) EqualIgnoringAdapters(o *Endpoint) bool {
 	a, b := e.spec, o.spec
 	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre && a.Slots == b.Slots &&
-		a.Draining == b.Draining && a.Leaves == b.Leaves && slices.Equal(a.Models, b.Models)
+		a.Draining == b.Draining && a.DrainTime == b.DrainTime && slices.Equal(a.Models, b.Models)
 }
 
 // HasModel reports whether it holds the base model.
@@ -95,7 +95,7 @@
 }
 
 // Held is one adapter in a slot of an endpoint.
-type Held struct {
+type AdapterState struct {
 	Version int64
 	Ready   bool // else it is being loaded
 }
--- a/topology/leaving.go
+++ b/topology/leaving.go
@@ -4,35 +4,35 @@
 
 // leavingMost bounds the lives of endpoints that are remembered to leave: some times as many as a fleet
 // has endpoints.
-const leavingMost = 4096
+const maxDraining = 4096
 
 // leaving is the lives of endpoints that said in their answers that they leave. A life that leaves does
 // not come back, so each stays, also while its entry is away from the source for a time; where there are
 // too many, those that said it first are forgotten. The zero value holds none.
-type leaving struct {
-	lives map[string]bool
+type drainingSet struct {
+	ids   map[string]bool
 	order []string // by when they said so
 }
 
 // add notes a life; it tells whether it was not known.
-func (l *leaving) add(id string) bool {
-	if l.lives[id] {
+func (l *drainingSet) add(id string) bool {
+	if l.ids[id] {
 		return false
 	}
-	if l.lives == nil {
-		l.lives = make(map[string]bool)
+	if l.ids == nil {
+		l.ids = make(map[string]bool)
 	}
-	l.lives[id] = true
+	l.ids[id] = true
 	l.order = append(l.order, id)
-	if len(l.order) > leavingMost {
-		delete(l.lives, l.order[0])
+	if len(l.order) > maxDraining {
+		delete(l.ids, l.order[0])
 		l.order = l.order[1:]
 	}
 	return true
 }
 
 // leaves returns the endpoint as one that leaves.
-func (e *Endpoint) leaves() *Endpoint {
+func (e *Endpoint) asDraining() *Endpoint {
 	s := e.spec
 	s.Draining = true
 	return &Endpoint{spec: s}
--- a/topology/memory.go
+++ b/topology/memory.go
@@ -4,38 +4,38 @@
 
 // memoryMost is how many adapters that left an endpoint are remembered for it: more than
 // an endpoint's memory keeps.
-const memoryMost = 256
+const maxEvictionHistory = 256
 
 // memory is the adapters that left an endpoint's slots, by when they did: its own memory
 // keeps the latest. The zero value holds none.
-type memory struct {
-	left  map[Adapter]int // when each left, counted in adapters
-	count int
+type evictionHistory struct {
+	sequences map[Adapter]int // when each left, counted in adapters
+	count     int
 }
 
 // add notes that an adapter left just now; the one that left first is forgotten where
 // there are too many.
-func (m *memory) add(a Adapter) {
-	if m.left == nil {
-		m.left = make(map[Adapter]int)
+func (m *evictionHistory) add(a Adapter) {
+	if m.sequences == nil {
+		m.sequences = make(map[Adapter]int)
 	}
 	m.count++
-	m.left[a] = m.count
-	if len(m.left) <= memoryMost {
+	m.sequences[a] = m.count
+	if len(m.sequences) <= maxEvictionHistory {
 		return
 	}
 	first, least := a, m.count
-	for b, n := range m.left {
+	for b, n := range m.sequences {
 		if n < least {
 			first, least = b, n
 		}
 	}
-	delete(m.left, first)
+	delete(m.sequences, first)
 }
 
 // since returns how many times an adapter left since one did; false where it is not
 // remembered.
-func (m *memory) since(a Adapter) (int, bool) {
-	n, ok := m.left[a]
+func (m *evictionHistory) evictionsSince(a Adapter) (int, bool) {
+	n, ok := m.sequences[a]
 	return m.count - n, ok
 }
--- a/topology/rank.go
+++ b/topology/rank.go
@@ -10,13 +10,13 @@
 
 // ranks orders requests by the priority of their organisation and then by that of their route.
 // Where all organisations have the same priority, a rank is the priority of the route.
-type ranks struct {
+type priorityRanks struct {
 	organisations []int // the priorities that there are, the most urgent first
 	routes        []int
 }
 
-func newRanks(routes []*Route, d *access.Directory) ranks {
-	var k ranks
+func newPriorityRanks(routes []*Route, d *access.Directory) priorityRanks {
+	var k priorityRanks
 	for _, r := range routes {
 		k.routes = append(k.routes, r.Priority())
 	}
@@ -31,9 +31,9 @@
 }
 
 // rankMost is the least urgent rank that endpoints tell from others.
-const rankMost = 9
+const maxRank = 9
 
-func (k ranks) of(r *Route, o *access.Organisation) int {
+func (k priorityRanks) of(r *Route, o *access.Organisation) int {
 	if len(k.organisations) < 2 {
 		return r.Priority()
 	}
@@ -42,8 +42,8 @@
 		first = max(slices.Index(k.organisations, o.Priority()), 0)
 	}
 	rank := first*len(k.routes) + max(slices.Index(k.routes, r.Priority()), 0)
-	if most := len(k.organisations)*len(k.routes) - 1; most > rankMost {
-		return rank * rankMost / most
+	if most := len(k.organisations)*len(k.routes) - 1; most > maxRank {
+		return rank * maxRank / most
 	}
 	return rank
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -10,12 +10,12 @@
 )
 
 func route(name, prefix string) *Route {
-	return NewRoute(RouteSpec{Name: name, Host: "h", Prefix: prefix, Shares: []Share{{Service: "s", Weight: 1}}})
+	return NewRoute(RouteSpec{Name: name, Host: "h", Prefix: prefix, Services: []WeightedService{{Name: "s", Weight: 1}}})
 }
 
 func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
 	c := quicktest.New(t)
-	cfg := NewConfig(1, []*Route{route("short", "/a/"), route("long", "/a/b/")}, nil, Limits{})
+	cfg := NewConfig(1, []*Route{route("short", "/a/"), route("long", "/a/b/")}, nil, RequestLimits{})
 	c.Assert(cfg.Route("h", "/a/b/c").Name(), quicktest.Equals, "long")
 	c.Assert(cfg.Route("h", "/a/x").Name(), quicktest.Equals, "short")
 	c.Assert(cfg.Route("h", "/b/"), quicktest.IsNil)
@@ -24,10 +24,10 @@
 
 func TestASplitFollowsItsWeights(t *testing.T) {
 	c := quicktest.New(t)
-	r := NewRoute(RouteSpec{Shares: []Share{{Service: "a", Weight: 3}, {Service: "b", Weight: 1}}})
+	r := NewRoute(RouteSpec{Services: []WeightedService{{Name: "a", Weight: 3}, {Name: "b", Weight: 1}}})
 	count := make(map[string]int)
 	for i := range 1000 {
-		count[r.Split(float64(i)/1000)]++
+		count[r.SelectService(float64(i)/1000)]++
 	}
 	c.Assert(count, quicktest.DeepEquals, map[string]int{"a": 750, "b": 250})
 }
@@ -35,8 +35,8 @@
 func TestAConfigurationNeverGoesBack(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
-	c.Assert(v.SetConfig(NewConfig(5, nil, nil, Limits{})), quicktest.IsTrue)
-	c.Assert(v.SetConfig(NewConfig(4, nil, nil, Limits{})), quicktest.IsFalse)
+	c.Assert(v.SetConfig(NewConfig(5, nil, nil, RequestLimits{})), quicktest.IsTrue)
+	c.Assert(v.SetConfig(NewConfig(4, nil, nil, RequestLimits{})), quicktest.IsFalse)
 	c.Assert(v.Config().Version(), quicktest.Equals, uint64(5))
 }
 
@@ -47,17 +47,17 @@
 	for _, id := range []string{"e1", "e2", "e3"} {
 		v.SetEndpoint(NewEndpoint(EndpointSpec{ID: id, Service: "s"}))
 	}
-	v.SetHeld("e1", map[Adapter]Held{a: {Version: 1, Ready: true}})
-	v.SetHeld("e2", map[Adapter]Held{a: {Version: 2, Ready: true}})
-	v.SetHeld("e3", map[Adapter]Held{a: {Version: 2}})
-	c.Assert(v.Holders(a), quicktest.HasLen, 2)
-	v.SetNewest(a, 2)
-	v.SetNewest(a, 1) // an older one changes nothing
-	c.Assert(v.Holders(a), quicktest.HasLen, 1)
-	c.Assert(v.Holders(a)[0].ID(), quicktest.Equals, "e2")
-	c.Assert(v.Loading(a)[0].ID(), quicktest.Equals, "e3")
+	v.SetAdapterStates("e1", map[Adapter]AdapterState{a: {Version: 1, Ready: true}})
+	v.SetAdapterStates("e2", map[Adapter]AdapterState{a: {Version: 2, Ready: true}})
+	v.SetAdapterStates("e3", map[Adapter]AdapterState{a: {Version: 2}})
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 2)
+	v.SetLatestVersion(a, 2)
+	v.SetLatestVersion(a, 1) // an older one changes nothing
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 1)
+	c.Assert(v.EndpointsReady(a)[0].ID(), quicktest.Equals, "e2")
+	c.Assert(v.EndpointsLoading(a)[0].ID(), quicktest.Equals, "e3")
 	v.RemoveEndpoint("e2")
-	c.Assert(v.Holders(a), quicktest.HasLen, 0)
+	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 0)
 }
 
 func TestEndpointsOfAServiceStaySortedAndListsThatWereReadStay(t *testing.T) {
@@ -89,17 +89,17 @@
 
 func TestSlotsBesideTheModelsAreBoundByWeights(t *testing.T) {
 	c := quicktest.New(t)
-	e := &EngineSpec{MB: 100, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", MB: 90, AdapterMB: 3}}}
-	c.Assert(e.SlotsBeside(map[string]bool{"m": true}), quicktest.Equals, 3)
-	c.Assert(e.SlotsBeside(nil), quicktest.Equals, 16)
+	e := &EngineSpec{MemoryMB: 100, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", WeightsMB: 90, AdapterMB: 3}}}
+	c.Assert(e.AdapterCapacity(map[string]bool{"m": true}), quicktest.Equals, 3)
+	c.Assert(e.AdapterCapacity(nil), quicktest.Equals, 16)
 }
 
 // Found by fuzzing configurations: adapters that are said to weigh next to nothing left room
 // for fewer than none.
 func TestAdaptersThatWeighNothingLeaveEverySlot(t *testing.T) {
 	c := quicktest.New(t)
-	e := &EngineSpec{MB: 1e300, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", MB: 1, AdapterMB: 1e-300}}}
-	c.Assert(e.SlotsBeside(map[string]bool{"m": true}), quicktest.Equals, 16)
+	e := &EngineSpec{MemoryMB: 1e300, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", WeightsMB: 1, AdapterMB: 1e-300}}}
+	c.Assert(e.AdapterCapacity(map[string]bool{"m": true}), quicktest.Equals, 16)
 }
 
 // While its source was silent an endpoint said in its answers that it leaves; the source's older word, that it
@@ -110,8 +110,8 @@
 	serves := NewEndpoint(EndpointSpec{ID: "e1@1", Service: "s"})
 	v.SetEndpoint(serves)
 	changed := v.Changed()
-	c.Assert(v.Leave("e1@1"), quicktest.IsTrue)
-	c.Assert(v.Leave("e1@1"), quicktest.IsFalse)
+	c.Assert(v.MarkDraining("e1@1"), quicktest.IsTrue)
+	c.Assert(v.MarkDraining("e1@1"), quicktest.IsFalse)
 	<-changed
 	c.Assert(v.Endpoint("e1@1").Draining(), quicktest.IsTrue)
 	c.Assert(v.Endpoints("s")[0].Draining(), quicktest.IsTrue)
@@ -122,7 +122,7 @@
 	c.Assert(v.Endpoint("e1@1").Draining(), quicktest.IsTrue)
 	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e1@2", Service: "s"})) // the next life
 	c.Assert(v.Endpoint("e1@2").Draining(), quicktest.IsFalse)
-	c.Assert(v.Leave("e2@1"), quicktest.IsTrue) // another box told so before the source did
+	c.Assert(v.MarkDraining("e2@1"), quicktest.IsTrue) // another box told so before the source did
 	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e2@1", Service: "s"}))
 	c.Assert(v.Endpoint("e2@1").Draining(), quicktest.IsTrue)
 }
@@ -130,11 +130,11 @@
 func TestTheLivesThatAreRememberedToLeaveAreBounded(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
-	for i := range 2 * leavingMost {
-		v.Leave(fmt.Sprint(i))
+	for i := range 2 * maxDraining {
+		v.MarkDraining(fmt.Sprint(i))
 	}
-	c.Assert(v.leaving.lives, quicktest.HasLen, leavingMost)
-	c.Assert(v.leaving.order, quicktest.HasLen, leavingMost)
-	c.Assert(v.Leave(fmt.Sprint(2*leavingMost-1)), quicktest.IsFalse)
-	c.Assert(v.Leave("0"), quicktest.IsTrue)
+	c.Assert(v.draining.ids, quicktest.HasLen, maxDraining)
+	c.Assert(v.draining.order, quicktest.HasLen, maxDraining)
+	c.Assert(v.MarkDraining(fmt.Sprint(2*maxDraining-1)), quicktest.IsFalse)
+	c.Assert(v.MarkDraining("0"), quicktest.IsTrue)
 }
--- a/topology/view.go
+++ b/topology/view.go
@@ -14,29 +14,29 @@
 type View struct {
 	config atomic.Pointer[Config]
 
-	mu        sync.RWMutex
-	endpoints map[string]*Endpoint        // by ID
-	services  map[string][]*Endpoint      // endpoints of a service, sorted by ID; a list never changes
-	newest    map[Adapter]int64           // the newest version that was published
-	held      map[string]map[Adapter]Held // by endpoint
-	holders   map[Adapter]map[string]Held // by adapter, then endpoint
-	memories  map[string]*memory          // by endpoint
-	leaving   leaving                     // by their own word; SetEndpoint can't take it back
-	latest    map[Adapter]string          // endpoint that began to hold an adapter last, though it may not any more
-	changed   chan struct{}               // closed at the next change of endpoints
+	mu                 sync.RWMutex
+	endpoints          map[string]*Endpoint                // by ID
+	services           map[string][]*Endpoint              // endpoints of a service, sorted by ID; a list never changes
+	latestVersions     map[Adapter]int64                   // the newest version that was published
+	adapterStates      map[string]map[Adapter]AdapterState // by endpoint
+	endpointsByAdapter map[Adapter]map[string]AdapterState // by adapter, then endpoint
+	evictions          map[string]*evictionHistory         // by endpoint
+	draining           drainingSet                         // by their own word; SetEndpoint can't take it back
+	lastHolder         map[Adapter]string                  // endpoint that began to hold an adapter last, though it may not any more
+	changed            chan struct{}                       // closed at the next change of endpoints
 }
 
 // NewView returns a view of nothing.
 func NewView() *View {
 	return &View{
-		endpoints: make(map[string]*Endpoint),
-		services:  make(map[string][]*Endpoint),
-		newest:    make(map[Adapter]int64),
-		held:      make(map[string]map[Adapter]Held),
-		holders:   make(map[Adapter]map[string]Held),
-		memories:  make(map[string]*memory),
-		latest:    make(map[Adapter]string),
-		changed:   make(chan struct{}),
+		endpoints:          make(map[string]*Endpoint),
+		services:           make(map[string][]*Endpoint),
+		latestVersions:     make(map[Adapter]int64),
+		adapterStates:      make(map[string]map[Adapter]AdapterState),
+		endpointsByAdapter: make(map[Adapter]map[string]AdapterState),
+		evictions:          make(map[string]*evictionHistory),
+		lastHolder:         make(map[Adapter]string),
+		changed:            make(chan struct{}),
 	}
 }
 
@@ -64,24 +64,24 @@
 }
 
 func (v *View) setEndpointLocked(e *Endpoint) {
-	if v.leaving.lives[e.ID()] {
-		e = e.leaves()
+	if v.draining.ids[e.ID()] {
+		e = e.asDraining()
 	}
 	if old := v.endpoints[e.ID()]; old != nil && old.Service() != e.Service() {
-		v.unlistLocked(old)
+		v.removeFromServiceLocked(old)
 	}
 	v.endpoints[e.ID()] = e
-	v.listLocked(e)
+	v.addToServiceLocked(e)
 	v.changedLocked()
 }
 
 // Leave notes that a life of an endpoint said that it leaves, which may not be known yet; it tells
 // whether that is news. From then on it is draining, whatever its source says of it: that may be older,
 // and may be silent for long.
-func (v *View) Leave(id string) bool {
+func (v *View) MarkDraining(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.leaving.add(id) {
+	if !v.draining.add(id) {
 		return false
 	}
 	if e := v.endpoints[id]; e != nil {
@@ -99,9 +99,9 @@
 		return
 	}
 	delete(v.endpoints, id)
-	v.setHeldLocked(id, nil)
-	delete(v.memories, id)
-	v.unlistLocked(e)
+	v.setAdapterStatesLocked(id, nil)
+	delete(v.evictions, id)
+	v.removeFromServiceLocked(e)
 	v.changedLocked()
 }
 
@@ -114,7 +114,7 @@
 
 // listLocked puts an endpoint into a new list of its service. To sort all anew for each one would take a
 // box that starts before thousands of endpoints most of its start.
-func (v *View) listLocked(e *Endpoint) {
+func (v *View) addToServiceLocked(e *Endpoint) {
 	list, place, found := v.findLocked(e)
 	list = slices.Clone(list) // readers keep the old one
 	if found {
@@ -126,7 +126,7 @@
 }
 
 // unlistLocked takes an endpoint out of a new list of its service.
-func (v *View) unlistLocked(e *Endpoint) {
+func (v *View) removeFromServiceLocked(e *Endpoint) {
 	list, place, found := v.findLocked(e)
 	switch {
 	case !found:
@@ -177,95 +177,95 @@
 
 // Newest returns the newest published version of an adapter; zero when none was
 // published since its first.
-func (v *View) Newest(a Adapter) int64 {
+func (v *View) LatestVersion(a Adapter) int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.newest[a]
+	return v.latestVersions[a]
 }
 
 // SetNewest notes a published version; an older one changes nothing.
-func (v *View) SetNewest(a Adapter, version int64) {
+func (v *View) SetLatestVersion(a Adapter, version int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.newest[a] = max(v.newest[a], version)
+	v.latestVersions[a] = max(v.latestVersions[a], version)
 }
 
 // SetHeld replaces what an endpoint holds.
-func (v *View) SetHeld(endpoint string, held map[Adapter]Held) {
+func (v *View) SetAdapterStates(endpoint string, held map[Adapter]AdapterState) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.setHeldLocked(endpoint, held)
+	v.setAdapterStatesLocked(endpoint, held)
 }
 
-func (v *View) setHeldLocked(endpoint string, held map[Adapter]Held) {
-	for a := range v.held[endpoint] {
+func (v *View) setAdapterStatesLocked(endpoint string, held map[Adapter]AdapterState) {
+	for a := range v.adapterStates[endpoint] {
 		if _, stays := held[a]; !stays {
-			v.leftLocked(endpoint, a)
+			v.recordEvictionLocked(endpoint, a)
 		}
-		delete(v.holders[a], endpoint)
-		if len(v.holders[a]) == 0 {
-			delete(v.holders, a)
+		delete(v.endpointsByAdapter[a], endpoint)
+		if len(v.endpointsByAdapter[a]) == 0 {
+			delete(v.endpointsByAdapter, a)
 		}
 	}
-	delete(v.held, endpoint)
+	delete(v.adapterStates, endpoint)
 	if held == nil {
 		return
 	}
-	v.held[endpoint] = held
+	v.adapterStates[endpoint] = held
 	for a, h := range held {
-		v.latest[a] = endpoint
-		if v.holders[a] == nil {
-			v.holders[a] = make(map[string]Held)
+		v.lastHolder[a] = endpoint
+		if v.endpointsByAdapter[a] == nil {
+			v.endpointsByAdapter[a] = make(map[string]AdapterState)
 		}
-		v.holders[a][endpoint] = h
+		v.endpointsByAdapter[a][endpoint] = h
 	}
 }
 
-func (v *View) leftLocked(endpoint string, a Adapter) {
-	if v.memories[endpoint] == nil {
-		v.memories[endpoint] = new(memory)
+func (v *View) recordEvictionLocked(endpoint string, a Adapter) {
+	if v.evictions[endpoint] == nil {
+		v.evictions[endpoint] = new(evictionHistory)
 	}
-	v.memories[endpoint].add(a)
+	v.evictions[endpoint].add(a)
 }
 
 // Left returns how many times an adapter has left an endpoint's slots since one did; false where
 // none is known to have. The fewer, the more likely the endpoint's memory still has it.
-func (v *View) Left(endpoint string, a Adapter) (since int, known bool) {
+func (v *View) EvictionsSince(endpoint string, a Adapter) (since int, known bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	if m := v.memories[endpoint]; m != nil {
-		return m.since(a)
+	if m := v.evictions[endpoint]; m != nil {
+		return m.evictionsSince(a)
 	}
 	return 0, false
 }
 
 // Drop forgets that an endpoint holds an adapter, after its own word.
-func (v *View) Drop(endpoint string, a Adapter) {
+func (v *View) RemoveAdapter(endpoint string, a Adapter) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.holders[a], endpoint)
+	delete(v.endpointsByAdapter[a], endpoint)
 }
 
 // Latest returns the endpoint that held an adapter last, of those that are there; nil when
 // none is known. Its memory may still keep the adapter.
-func (v *View) Latest(a Adapter) *Endpoint {
+func (v *View) LastHolder(a Adapter) *Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.endpoints[v.latest[a]]
+	return v.endpoints[v.lastHolder[a]]
 }
 
 // Holders returns the endpoints where an adapter is ready in its newest version.
-func (v *View) Holders(a Adapter) []*Endpoint { return v.where(a, true) }
+func (v *View) EndpointsReady(a Adapter) []*Endpoint { return v.endpointsWithAdapter(a, true) }
 
 // Loading returns the endpoints where an adapter is on its way in its newest version.
-func (v *View) Loading(a Adapter) []*Endpoint { return v.where(a, false) }
+func (v *View) EndpointsLoading(a Adapter) []*Endpoint { return v.endpointsWithAdapter(a, false) }
 
-func (v *View) where(a Adapter, ready bool) []*Endpoint {
+func (v *View) endpointsWithAdapter(a Adapter, ready bool) []*Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var list []*Endpoint
-	for id, h := range v.holders[a] {
-		if e := v.endpoints[id]; e != nil && h.Ready == ready && h.Version >= v.newest[a] {
+	for id, h := range v.endpointsByAdapter[a] {
+		if e := v.endpoints[id]; e != nil && h.Ready == ready && h.Version >= v.latestVersions[a] {
 			list = append(list, e)
 		}
 	}
