--- a/edge/departures.go
+++ b/edge/departures.go
@@ -46,7 +46,7 @@
 func (d departures) forgetGone() {
 	for _, k := range d.node.items.Keys() {
 		if e, ok := strings.CutPrefix(k, leavingPrefix); ok && d.node.view.Endpoint(e) == nil {
-			d.node.items.Forget(k)
+			d.node.items.Discard(k)
 		}
 	}
 }
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -92,9 +92,9 @@
 	if !u.GetReading() {
 		return
 	}
-	said := share.Status{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, Settled: u.GetSettledRevision()}
+	said := share.ReadStatus{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, SettledRevision: u.GetSettledRevision()}
 	if s.everything {
-		said.Endpoints = u.GetEndpointsRevision()
+		said.EndpointsRevision = u.GetEndpointsRevision()
 	}
 	p.receiveStatus(s.name, said, came)
 }
@@ -112,7 +112,7 @@
 }
 
 // receiveStatus records how far a followed box has read the source, by its status that came at now.
-func (p *peers) receiveStatus(name string, said share.Status, now time.Time) {
+func (p *peers) receiveStatus(name string, said share.ReadStatus, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.statuses == nil {
@@ -120,17 +120,17 @@
 	}
 	read := now.Add(-said.Age)
 	w := p.statuses[name]
-	w.received, w.settled = now, Revision(said.Settled)
+	w.received, w.settled = now, Revision(said.SettledRevision)
 	if read.After(w.readAt) {
 		w.readAt = read
 	}
 	if w.first == 0 {
-		w.first = Revision(said.Endpoints)
+		w.first = Revision(said.EndpointsRevision)
 	}
 	p.statuses[name] = w
-	p.checkpoints.advance(Settled, checkpoint{revision: Revision(said.Settled), asOf: read})
+	p.checkpoints.advance(Settled, checkpoint{revision: Revision(said.SettledRevision), asOf: read})
 	if p.isComplete(w) {
-		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
+		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(said.EndpointsRevision), asOf: read})
 	}
 }
 
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -119,10 +119,10 @@
 }
 
 // status returns how far this box has read the source, for those that follow it.
-func (n *Node) status() (share.Status, bool) {
+func (n *Node) status() (share.ReadStatus, bool) {
 	settled, endpoints := n.checkpoints.of(Settled), n.checkpoints.of(Endpoints) // first: they hold at least up to then
 	age, ok := n.readAgo()
-	return share.Status{Age: age, Settled: uint64(settled.revision), Endpoints: uint64(endpoints.revision)}, ok
+	return share.ReadStatus{Age: age, SettledRevision: uint64(settled.revision), EndpointsRevision: uint64(endpoints.revision)}, ok
 }
 
 // mustRead reports whether this box reads a collection of the source: it leads its data centre, or its leader does
--- a/edge/freshness_test.go
+++ b/edge/freshness_test.go
@@ -33,7 +33,7 @@
 	const call = 300 * time.Millisecond // to read the source, on a busy box
 	for _, behind := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		c.Check(statusTime(behind)+standbyLook+call < behind, quicktest.IsTrue)
-		c.Check(watchTime(behind)+watchLeast+2*share.BeatPause < statusTime(behind), quicktest.IsTrue)
+		c.Check(watchTime(behind)+watchLeast+2*share.HeartbeatInterval < statusTime(behind), quicktest.IsTrue)
 	}
 }
 
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -267,7 +267,7 @@
 // limit.
 func (s *limits) forget(endpoint string) {
 	s.counter.Forget(endpoint)
-	s.node.items.Forget(limitsPrefix + endpoint)
+	s.node.items.Discard(limitsPrefix + endpoint)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.known, endpoint)
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -22,7 +22,7 @@
 // and nothing waits.
 
 // modelTick is the step of model time: a stream says something at least so often.
-const modelTick = share.BeatPause
+const modelTick = share.HeartbeatInterval
 
 // errModelSource is a call that the source does not answer.
 var errModelSource = errors.New("the source does not answer")
@@ -60,7 +60,7 @@
 type modelMessage struct {
 	items   []*wire.Item
 	reading bool
-	word    share.Status
+	word    share.ReadStatus
 	sent    time.Time
 	way     time.Duration
 }
@@ -148,7 +148,7 @@
 	n := &Node{Decoder: plainDecoder{}}
 	n.listedRevision.Store(b.listed)
 	r.epoch, r.doubted, r.doubtedIn = b.epoch, moved(b.doubted, by), b.copyOf
-	t.Outlives = n.outlives
+	t.ResolveRollback = n.outlives
 	r.forgotten = b.relist
 	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: moved(b.known.asOf, by)})
 	r.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
@@ -182,7 +182,7 @@
 // keep notes what box i knows after an event.
 func (s *modelState) keep(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
-	b.items, _, _ = l.table.Since(0)
+	b.items, _, _ = l.table.ItemsSince(0)
 	r := l.reader
 	b.after, b.asOf, b.failing = r.after, moved(r.asOf, -by), r.failing
 	b.trusted, b.unsure, b.holding = moved(r.trusted, -by), r.uncertain, r.holding
@@ -207,7 +207,7 @@
 		if w.parents[i] < 0 || l.down {
 			continue
 		}
-		if n.now.Sub(l.heard) >= share.SilentAfter {
+		if n.now.Sub(l.heard) >= share.IdleTimeout {
 			*l = modelLink{down: true}
 			continue
 		}
@@ -225,7 +225,7 @@
 	m := modelMessage{sent: n.now}
 	m.word, m.reading = b.node.status()
 	m.way = w.way(n, p, b)
-	items, _, _ := b.table.Since(0)
+	items, _, _ := b.table.ItemsSince(0)
 	l := &n.links[i]
 	m.items = slices.Clone(items[len(items)-min(l.unsent, len(items)):])
 	l.unsent = 0
--- a/edge/node.go
+++ b/edge/node.go
@@ -77,11 +77,11 @@
 	n.state = &state{view: n.view, table: n.items, decoder: n.Decoder, fences: fences, log: n.Log}
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
-	n.items.Same, n.items.Outlives = n.isSame, n.outlives
+	n.items.IsEquivalent, n.items.ResolveRollback = n.isSame, n.outlives
 	n.items.OnIgnored = n.countIgnored
 	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
-	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
+	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, ReadStatus: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -70,7 +70,7 @@
 
 // isFresh reports whether a status is still recent enough at now.
 func (w leaderStatus) isFresh(now time.Time, behind time.Duration) bool {
-	return now.Sub(w.readAt) < statusTime(behind) && now.Sub(w.received) < share.SilentAfter
+	return now.Sub(w.readAt) < statusTime(behind) && now.Sub(w.received) < share.IdleTimeout
 }
 
 // leadership is the current leader of a data centre, and when it may start to issue commands to endpoints.
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -76,12 +76,12 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(1), asOf: now})
-	p.receiveStatus("b", share.Status{Age: 500 * time.Millisecond, Endpoints: 1}, now)
+	p.receiveStatus("b", share.ReadStatus{Age: 500 * time.Millisecond, EndpointsRevision: 1}, now)
 	ago, ok := p.completeStatusAge(now)
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(ago, quicktest.Equals, 500*time.Millisecond)
 	late := now.Add(statusTime(defaultMaxStaleness) - 500*time.Millisecond)
-	p.receiveStatus("b", share.Status{Age: late.Sub(now) + time.Second, Endpoints: 1}, late) // an older status changes nothing
+	p.receiveStatus("b", share.ReadStatus{Age: late.Sub(now) + time.Second, EndpointsRevision: 1}, late) // an older status changes nothing
 	_, ok = p.completeStatusAge(late.Add(-time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
 	_, ok = p.completeStatusAge(late)
@@ -93,10 +93,10 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(1), asOf: now})
-	p.receiveStatus("b", share.Status{Endpoints: 1}, now)
-	_, ok := p.completeStatusAge(now.Add(share.SilentAfter - time.Millisecond))
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: 1}, now)
+	_, ok := p.completeStatusAge(now.Add(share.IdleTimeout - time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
-	_, ok = p.completeStatusAge(now.Add(share.SilentAfter))
+	_, ok = p.completeStatusAge(now.Add(share.IdleTimeout))
 	c.Assert(ok, quicktest.IsFalse)
 }
 
@@ -111,12 +111,12 @@
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
 	for _, revision := range []Revision{rev(7), rev(8)} { // the first stream, and a new one
 		p.begin("b")
-		p.receiveStatus("b", share.Status{Age: 300 * time.Millisecond, Endpoints: uint64(revision)}, now)
+		p.receiveStatus("b", share.ReadStatus{Age: 300 * time.Millisecond, EndpointsRevision: uint64(revision)}, now)
 		c.Assert(p.informed(now), quicktest.IsFalse)
 		c.Assert(p.checkpoints.of(Endpoints).revision < revision, quicktest.IsTrue)
 		p.checkpoints.advance(Endpoints, checkpoint{revision: revision, asOf: now}) // by its own read
 		c.Assert(p.informed(now), quicktest.IsTrue)
-		p.receiveStatus("b", share.Status{Endpoints: uint64(revision)}, now) // later statuses of the stream need no later read
+		p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(revision)}, now) // later statuses of the stream need no later read
 		c.Assert(p.informed(now), quicktest.IsTrue)
 		now = now.Add(time.Second)
 	}
@@ -156,9 +156,9 @@
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
 	p.begin("b")
-	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(6))}, now)
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(rev(6))}, now)
 	c.Assert(p.informed(now), quicktest.IsTrue)
-	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(9))}, now)
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(rev(9))}, now)
 	c.Assert(p.checkpoints.of(Endpoints).revision, quicktest.Equals, rev(9))
 }
 
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -80,7 +80,7 @@
 // expire removes quarantines that have ended.
 func (q requestQuarantine) expire(now time.Time) {
 	for _, c := range q.node.state.tracker.Kept().Expire(now) {
-		q.node.items.Forget(quarantinePrefix + c.String())
+		q.node.items.Discard(quarantinePrefix + c.String())
 		q.node.Log.Info("Request may reach endpoints again", "content", c.String())
 	}
 }
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -57,7 +57,7 @@
 	leader.quarantine.receive(endedRequest("e3", "fatal"), now)
 	c.Assert(isQuarantined(leader, "fatal", now), quicktest.IsTrue)
 	c.Assert(isQuarantined(leader, "beside", now), quicktest.IsFalse)
-	items, _, _ := leader.items.Since(0)
+	items, _, _ := leader.items.ItemsSince(0)
 	follower.items.Receive(items...)
 	c.Assert(isQuarantined(follower, "fatal", now), quicktest.IsTrue)
 }
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -326,7 +326,7 @@
 			r.holding = true
 			continue
 		}
-		items = append(items, share.Pack(&wire.Item{Key: f.Key, Version: uint64(f.Revision), Value: f.Value, Removed: f.Removed, Settled: r.collection == Settled}))
+		items = append(items, share.Compress(&wire.Item{Key: f.Key, Version: uint64(f.Revision), Value: f.Value, Removed: f.Removed, Settled: r.collection == Settled}))
 	}
 	r.table.Merge(items...)
 }
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -127,7 +127,7 @@
 	if r.collection != Endpoints {
 		return false
 	}
-	return r.table.Any(func(i *wire.Item) bool {
+	return r.table.Contains(func(i *wire.Item) bool {
 		return i.GetRemoved() && revisionOf(i).IsKept() && r.decoder.Kind(i.GetKey()) == KindEndpoint
 	})
 }
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -72,7 +72,7 @@
 	b.reader.decoder = wordDecoder{}
 	n := &Node{Decoder: wordDecoder{}}
 	b.node = n
-	b.table.Outlives, b.table.Same, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
+	b.table.ResolveRollback, b.table.IsEquivalent, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
 	b.reader.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
 	b.reader.listed = func(r Revision) { n.noteListed(Endpoints, r) }
 	return b
@@ -196,9 +196,9 @@
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"read", "1/200", "e/1=draining"}), quicktest.IsNil)
-	_, before, _ := b.table.Since(0)
+	_, before, _ := b.table.ItemsSince(0)
 	c.Assert(b.do([]string{"read", "2/150", "e/1=ready"}), quicktest.IsNil)
-	items, _, _ := b.table.Since(before)
+	items, _, _ := b.table.ItemsSince(before)
 	c.Assert(items, quicktest.HasLen, 1)
 	c.Assert(revisionOf(items[0]), quicktest.Equals, revIn(2, 150).Kept())
 }
@@ -209,12 +209,12 @@
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
 		c.Assert(b.do([]string{"read", "1/200", fact}), quicktest.IsNil)
 	}
-	_, before, _ := b.table.Since(0)
+	_, before, _ := b.table.ItemsSince(0)
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
 		c.Assert(b.do([]string{"read", "2/150", fact}), quicktest.IsNil)
 		c.Assert(b.do([]string{"want", fact, "2/150"}), quicktest.IsNil)
 	}
-	items, _, _ := b.table.Since(before)
+	items, _, _ := b.table.ItemsSince(before)
 	c.Assert(items, quicktest.HasLen, 0)
 }
 
@@ -237,7 +237,9 @@
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
-	hear := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
+	hear := func(r Revision) {
+		p.receiveStatus("b", share.ReadStatus{SettledRevision: uint64(r), EndpointsRevision: uint64(r)}, now)
+	}
 	relies := func() bool {
 		_, told := p.statusAge(now)
 		return told && p.informed(now)
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -121,7 +121,7 @@
 	defer s.slots.mu.Unlock()
 	if o := s.slots.reports[id]; o != nil {
 		for number := range o.highest + 1 {
-			s.table.Forget(slotKey(id, number))
+			s.table.Discard(slotKey(id, number))
 		}
 	}
 	delete(s.slots.reports, id)
--- a/edge/slots_test.go
+++ b/edge/slots_test.go
@@ -69,9 +69,9 @@
 		}
 		published++
 		o := owners[term%2]
-		_, before, _ := o.table.Since(0)
+		_, before, _ := o.table.ItemsSince(0)
 		o.publish("dc", "e/1", term<<24|published, maps.Clone(held))
-		items, _, _ := o.table.Since(before)
+		items, _, _ := o.table.ItemsSince(before)
 		most := 1
 		if published == 1 { // a new owner publishes all slots
 			most += len(held)
@@ -115,10 +115,10 @@
 		held[topology.Adapter{Model: "dawu412ccf", Name: fmt.Sprint("a", 10000+i)}] = topology.AdapterState{Version: 3, Ready: true}
 	}
 	s.publish("kg-kimihurura", "i-2fa099c1e3", 1785000000<<24|1, held)
-	_, before, _ := s.table.Since(0)
+	_, before, _ := s.table.ItemsSince(0)
 	held[topology.Adapter{Model: "dawu412ccf", Name: "a10004"}] = topology.AdapterState{Version: 4, Ready: true}
 	s.publish("kg-kimihurura", "i-2fa099c1e3", 1785000000<<24|2, held)
-	items, _, _ := s.table.Since(before)
+	items, _, _ := s.table.ItemsSince(before)
 	c.Assert(items, quicktest.HasLen, 1)
 	c.Assert(proto.Size(items[0]) <= 90, quicktest.IsTrue, quicktest.Commentf("%d bytes", proto.Size(items[0])))
 }
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -42,7 +42,7 @@
 	c.Assert(n.reads(), quicktest.IsTrue)
 	told := leaderStatus{received: clock.Now(), readAt: clock.Now()}
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsTrue)
-	suspend(c, max(2*time.Second, share.SilentAfter))
+	suspend(c, max(2*time.Second, share.IdleTimeout))
 	c.Assert(n.reads(), quicktest.IsFalse)
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
--- a/share/follow.go
+++ b/share/follow.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	batchPause = 40 * time.Millisecond // changes of this time go in one message
-	batchMost  = 256                   // items in one message, so that it stays far below gRPC's 4 MB
+	batchDelay    = 40 * time.Millisecond // changes of this time go in one message
+	maxBatchItems = 256                   // items in one message, so that it stays far below gRPC's 4 MB
 	// BeatPause is after how long without a change a stream sends a message all the same.
-	BeatPause = 300 * time.Millisecond
+	HeartbeatInterval = 300 * time.Millisecond
 	// SilentAfter is how long a stream may say nothing before it counts as broken:
 	// two beats lost and some delay.
-	SilentAfter = 750 * time.Millisecond
+	IdleTimeout = 750 * time.Millisecond
 )
 
 // Server streams a table to those that follow it.
@@ -28,14 +28,14 @@
 	DataCentre string // of this box
 	// Reading returns how far this box, or one that it follows, has read the store of
 	// the configuration; false: none did lately, as far as it knows.
-	Reading func() (w Status, ok bool)
+	ReadStatus func() (w ReadStatus, ok bool)
 }
 
 // Status says how far a box has read the store of the configuration.
-type Status struct {
-	Age       time.Duration // since the last successful read
-	Settled   uint64        // the store's revision up to which no settled fact is missing; zero: not known
-	Endpoints uint64        // the same of lives of endpoints
+type ReadStatus struct {
+	Age               time.Duration // since the last successful read
+	SettledRevision   uint64        // the store's revision up to which no settled fact is missing; zero: not known
+	EndpointsRevision uint64        // the same of lives of endpoints
 }
 
 // Follow sends everything that the follower asked for and has not, then each change.
@@ -43,25 +43,25 @@
 	f := newFollower(q, s.DataCentre)
 	var seq uint64
 	for {
-		w, reading := s.Reading() // before the items: what was read by then is among them
-		items, last, changed := s.Table.Since(seq)
+		w, reading := s.ReadStatus() // before the items: what was read by then is among them
+		items, last, changed := s.Table.ItemsSince(seq)
 		seq = last
 		status := &wire.Update{}
 		if reading {
-			status = &wire.Update{Reading: true, AgeMicros: w.Age.Microseconds(), SettledRevision: w.Settled, EndpointsRevision: w.Endpoints}
+			status = &wire.Update{Reading: true, AgeMicros: w.Age.Microseconds(), SettledRevision: w.SettledRevision, EndpointsRevision: w.EndpointsRevision}
 		}
 		if err := f.send(stream, items, status); err != nil {
 			return err
 		}
-		if err := pause(stream.Context(), changed); err != nil {
+		if err := waitForChange(stream.Context(), changed); err != nil {
 			return err
 		}
 	}
 }
 
 // pause waits for a change and a little for more of them, or for the next beat.
-func pause(ctx context.Context, changed <-chan struct{}) error {
-	beat := time.NewTimer(BeatPause)
+func waitForChange(ctx context.Context, changed <-chan struct{}) error {
+	beat := time.NewTimer(HeartbeatInterval)
 	defer beat.Stop()
 	select {
 	case <-ctx.Done():
@@ -73,7 +73,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(batchPause):
+	case <-time.After(batchDelay):
 		return nil
 	}
 }
@@ -111,12 +111,12 @@
 		}
 		if !f.request.GetPacked() {
 			var err error
-			if i, err = unpacked(i); err != nil {
+			if i, err = decompressed(i); err != nil {
 				return err
 			}
 		}
 		u.Items = append(u.Items, i)
-		if len(u.Items) == batchMost {
+		if len(u.Items) == maxBatchItems {
 			if err := stream.Send(u); err != nil {
 				return err
 			}
@@ -128,33 +128,33 @@
 }
 
 // ErrSilent says that a followed box said nothing for too long.
-var ErrSilent = errors.New("share: the followed box is silent")
+var ErrIdleTimeout = errors.New("share: the followed box is silent")
 
 // Follow merges what the box behind c sends, until the stream breaks, falls silent, or ctx ends. What the
 // table has need not be sent. received is called with each message after it was merged, and when it came.
 func Follow(ctx context.Context, c wire.ShareClient, q *wire.FollowRequest, t *Table, received func(u *wire.Update, came time.Time)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silent := time.AfterFunc(SilentAfter, func() { cancel(ErrSilent) })
+	silent := time.AfterFunc(IdleTimeout, func() { cancel(ErrIdleTimeout) })
 	defer silent.Stop()
-	q.Packed, q.Known = true, t.known()
+	q.Packed, q.Known = true, t.knownVersions()
 	stream, err := c.Follow(ctx, q)
 	if err != nil {
-		return broken(ctx, err)
+		return streamError(ctx, err)
 	}
 	for {
 		u, err := stream.Recv()
 		if err != nil {
-			return broken(ctx, err)
+			return streamError(ctx, err)
 		}
 		came := clock.Now()
-		silent.Reset(SilentAfter)
+		silent.Reset(IdleTimeout)
 		t.Receive(u.GetItems()...)
 		received(u, came)
 	}
 }
 
-func broken(ctx context.Context, err error) error {
+func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
--- a/share/packed.go
+++ b/share/packed.go
@@ -14,18 +14,18 @@
 const (
 	// packFrom is how long a value is, in bytes, that is worth its packing: shorter ones are
 	// told with others in one message of some kilobytes.
-	packFrom = 4 << 10
+	compressThreshold = 4 << 10
 	// mostValue is how long a packed value may be, in bytes: as much as a box reads of one
 	// answer of the store, and far below its memory.
-	mostValue = 8 << 20
+	maxValueBytes = 8 << 20
 )
 
 // Pack returns the item as it is kept and passed on: a long value is compressed, once, by the
 // box that read it. A configuration of 1,700 routes took 300 KB; told to six followers over a
 // link of 20 Mbit/s it held up their streams for 0.7 s, so that they counted as silent, were
 // opened again and told it anew. Packed it takes some 18 KB.
-func Pack(i *wire.Item) *wire.Item {
-	if len(i.GetValue()) < packFrom {
+func Compress(i *wire.Item) *wire.Item {
+	if len(i.GetValue()) < compressThreshold {
 		return i
 	}
 	var b bytes.Buffer
@@ -62,18 +62,18 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "share: packed value of %s", i.GetKey())
 	}
-	raw, err := io.ReadAll(io.LimitReader(r, mostValue+1))
+	raw, err := io.ReadAll(io.LimitReader(r, maxValueBytes+1))
 	if err != nil {
 		return nil, errors.Wrapf(err, "share: packed value of %s", i.GetKey())
 	}
-	if len(raw) > mostValue {
-		return nil, errors.Errorf("share: value of %s is longer than %d bytes", i.GetKey(), mostValue)
+	if len(raw) > maxValueBytes {
+		return nil, errors.Errorf("share: value of %s is longer than %d bytes", i.GetKey(), maxValueBytes)
 	}
 	return raw, nil
 }
 
 // unpacked returns the item for a follower of an older version, that reads no packed values.
-func unpacked(i *wire.Item) (*wire.Item, error) {
+func decompressed(i *wire.Item) (*wire.Item, error) {
 	raw, err := Value(i)
 	if err != nil || len(i.GetPacked()) == 0 {
 		return i, err
--- a/share/packed_test.go
+++ b/share/packed_test.go
@@ -28,17 +28,17 @@
 func TestALongValueIsPackedAndReadAgain(t *testing.T) {
 	c := quicktest.New(t)
 	raw := routes(1700)
-	i := Pack(&wire.Item{Key: "config", Version: 3, Value: raw, Settled: true, DataCentre: "d1"})
+	i := Compress(&wire.Item{Key: "config", Version: 3, Value: raw, Settled: true, DataCentre: "d1"})
 	c.Assert(len(i.GetPacked()) < len(raw)/8, quicktest.IsTrue, quicktest.Commentf("%d of %d bytes", len(i.GetPacked()), len(raw)))
 	c.Assert(i.GetValue(), quicktest.HasLen, 0)
 	value, err := Value(i)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(bytes.Equal(value, raw), quicktest.IsTrue)
-	older, err := unpacked(i)
+	older, err := decompressed(i)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(proto.Equal(older, &wire.Item{Key: "config", Version: 3, Value: raw, Settled: true, DataCentre: "d1"}), quicktest.IsTrue)
 	short := &wire.Item{Key: "k", Value: []byte("short")}
-	c.Assert(Pack(short), quicktest.Equals, short)
+	c.Assert(Compress(short), quicktest.Equals, short)
 }
 
 func TestAPackedValueThatIsBrokenOrTooLongIsRefused(t *testing.T) {
@@ -47,7 +47,7 @@
 	c.Assert(err, quicktest.ErrorMatches, "share: packed value of config: .*")
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	_, _ = w.Write(make([]byte, mostValue+1))
+	_, _ = w.Write(make([]byte, maxValueBytes+1))
 	c.Assert(w.Close(), quicktest.IsNil)
 	_, err = Value(&wire.Item{Key: "config", Packed: b.Bytes()})
 	c.Assert(err, quicktest.ErrorMatches, "share: value of config is longer than .* bytes")
@@ -57,8 +57,8 @@
 
 // slowLink carries so many bytes a second to each of so many followers, one after the other.
 const (
-	slowLink  = 20e6 / 8
-	followers = 6
+	linkBytesPerSecond = 20e6 / 8
+	followerCount      = 6
 )
 
 // A configuration that had grown by 1,640 routes did not get through the boxes: 1,713 copies of
@@ -71,17 +71,17 @@
 // The evidence: counts of messages by kind, and "the followed box is silent" in the boxes' logs.
 func TestALargeConfigurationLeavesStreamsTimeToSpeak(t *testing.T) {
 	c := quicktest.New(t)
-	i := Pack(&wire.Item{Key: "config", Version: 3, Value: routes(1700), Settled: true})
-	takes := time.Duration(float64(followers*proto.Size(i)) / slowLink * float64(time.Second))
-	c.Assert(takes < SilentAfter/4, quicktest.IsTrue, quicktest.Commentf("it takes %v", takes))
+	i := Compress(&wire.Item{Key: "config", Version: 3, Value: routes(1700), Settled: true})
+	takes := time.Duration(float64(followerCount*proto.Size(i)) / linkBytesPerSecond * float64(time.Second))
+	c.Assert(takes < IdleTimeout/4, quicktest.IsTrue, quicktest.Commentf("it takes %v", takes))
 }
 
 func TestAFollowerIsNotToldWhatItHas(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
-	from.Merge(item("same", 3), item("newer", 4), item("unknown", 1), Pack(&wire.Item{Key: "config", Version: 9, Value: routes(100)}))
-	to.Merge(item("same", 3), item("newer", 2), Pack(&wire.Item{Key: "config", Version: 9, Value: routes(100)}))
-	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", Reading: func() (Status, bool) { return Status{}, true }}})
+	from.Merge(item("same", 3), item("newer", 4), item("unknown", 1), Compress(&wire.Item{Key: "config", Version: 9, Value: routes(100)}))
+	to.Merge(item("same", 3), item("newer", 2), Compress(&wire.Item{Key: "config", Version: 9, Value: routes(100)}))
+	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", ReadStatus: func() (ReadStatus, bool) { return ReadStatus{}, true }}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var told []string
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -62,23 +62,23 @@
 	a := NewTable()
 	told := 0
 	a.OnChange = func(items []*wire.Item) { told += len(items) }
-	a.Same = func(old, now *wire.Item) bool { return string(old.GetValue()) == string(now.GetValue()) }
+	a.IsEquivalent = func(old, now *wire.Item) bool { return string(old.GetValue()) == string(now.GetValue()) }
 	say := func(version uint64, value string) {
 		i := item("k", version)
 		i.Value = []byte(value)
 		a.Merge(i)
 	}
 	say(1, "x")
-	_, seq, _ := a.Since(0)
+	_, seq, _ := a.ItemsSince(0)
 	say(5, "x")
-	items, _, _ := a.Since(seq)
+	items, _, _ := a.ItemsSince(seq)
 	c.Assert(items, quicktest.HasLen, 0)
 	c.Assert(a.Version("k"), quicktest.Equals, uint64(5))
 	say(3, "y") // late
 	c.Assert(told, quicktest.Equals, 1)
 	say(7, "y")
 	c.Assert(told, quicktest.Equals, 2)
-	items, _, _ = a.Since(0)
+	items, _, _ = a.ItemsSince(0)
 	c.Assert(items[0].GetVersion(), quicktest.Equals, uint64(7))
 }
 
@@ -99,10 +99,10 @@
 	c := quicktest.New(t)
 	a := NewTable()
 	a.Merge(item("x", 1), item("y", 1))
-	_, seq, _ := a.Since(0)
+	_, seq, _ := a.ItemsSince(0)
 	a.Merge(item("x", 2))
 	a.Merge(item("x", 3))
-	items, _, _ := a.Since(seq)
+	items, _, _ := a.ItemsSince(seq)
 	c.Assert(items, quicktest.HasLen, 1)
 	c.Assert(items[0].GetVersion(), quicktest.Equals, uint64(3))
 }
@@ -145,7 +145,7 @@
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
 	from.Merge(item("early", 1), &wire.Item{Key: "foreign", Version: 1, DataCentre: "d2"})
-	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", Reading: func() (Status, bool) { return Status{Age: time.Second, Endpoints: 7}, true }}})
+	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", ReadStatus: func() (ReadStatus, bool) { return ReadStatus{Age: time.Second, EndpointsRevision: 7}, true }}})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -168,7 +168,7 @@
 	c := quicktest.New(t)
 	client := serve(c, shareServer{silent: true})
 	err := Follow(context.Background(), client, &wire.FollowRequest{}, NewTable(), func(*wire.Update, time.Time) {})
-	c.Assert(errors.Is(err, ErrSilent), quicktest.IsTrue)
+	c.Assert(errors.Is(err, ErrIdleTimeout), quicktest.IsTrue)
 }
 
 // A box was told that the store had just been heard, and an endpoint's removal that had been
@@ -176,14 +176,14 @@
 func TestAWordHoldsOfWhatWasToldWithIt(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
-	for i := range batchMost + 1 {
+	for i := range maxBatchItems + 1 {
 		from.Merge(item(fmt.Sprint("k", i), 1))
 	}
-	read := func() (Status, bool) { // the store is read at the last moment
+	read := func() (ReadStatus, bool) { // the store is read at the last moment
 		from.Merge(item("removal", 2))
-		return Status{}, true
+		return ReadStatus{}, true
 	}
-	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", Reading: read}})
+	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", ReadStatus: read}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	messages := 0
@@ -191,7 +191,7 @@
 		messages++
 		if u.GetReading() {
 			c.Check(to.Version("removal"), quicktest.Equals, uint64(2))
-			c.Check(to.Keys(), quicktest.HasLen, batchMost+2)
+			c.Check(to.Keys(), quicktest.HasLen, maxBatchItems+2)
 			cancel()
 		}
 	})
--- a/share/table.go
+++ b/share/table.go
@@ -31,23 +31,23 @@
 	// Same reports whether a newer version of a fact says nothing that others need. It is kept, for
 	// those that begin to follow, and neither sent nor given to OnChange. Set it before use; nil: every
 	// version is sent.
-	Same func(old, now *wire.Item) bool
+	IsEquivalent func(old, now *wire.Item) bool
 
 	// Outlives reports whether what older says stands though newer has a higher version, or the same: the
 	// source of the facts was restored from a copy that is older than older. The fact is then kept under the
 	// returned version. read says that this box knew older and has read newer from the source itself. Set it
 	// before use; nil: the higher version always wins.
-	Outlives func(older, newer *wire.Item, read bool) (version uint64, outlives bool)
+	ResolveRollback func(older, newer *wire.Item, read bool) (version uint64, outlives bool)
 	// OnIgnored is called with the items that were not taken because this box knows something newer;
 	// received says that another box sent them. Set it before use; nil: nobody asks.
 	OnIgnored func(items []*wire.Item, received bool)
 
-	mu      sync.Mutex
-	entries map[string]*list.Element // by key
-	log     *list.List               // of *entry, by rising seq
-	seq     uint64                   // of the last accepted item
-	changed chan struct{}            // closed at the next acceptance
-	applied sync.Mutex               // keeps OnChange in order
+	mu        sync.Mutex
+	entries   map[string]*list.Element // by key
+	log       *list.List               // of *entry, by rising seq
+	seq       uint64                   // of the last accepted item
+	notify    chan struct{}            // closed at the next acceptance
+	callbacks sync.Mutex               // keeps OnChange in order
 }
 
 type entry struct {
@@ -57,7 +57,7 @@
 
 // NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{entries: make(map[string]*list.Element), log: list.New(), changed: make(chan struct{})}
+	return &Table{entries: make(map[string]*list.Element), log: list.New(), notify: make(chan struct{})}
 }
 
 // Merge applies items; those that are not newer than what is known change
@@ -68,8 +68,8 @@
 func (t *Table) Receive(items ...*wire.Item) { t.merge(items, true) }
 
 func (t *Table) merge(items []*wire.Item, received bool) {
-	t.applied.Lock()
-	defer t.applied.Unlock()
+	t.callbacks.Lock()
+	defer t.callbacks.Unlock()
 	accepted, ignored := t.accept(items, received)
 	if len(accepted) > 0 && t.OnChange != nil {
 		t.OnChange(accepted)
@@ -92,7 +92,7 @@
 			}
 		} else {
 			known := old.Value.(*entry)
-			merged := t.merged(known.item, i, received)
+			merged := t.resolve(known.item, i, received)
 			if merged == nil {
 				if known.item.GetVersion() != i.GetVersion() {
 					ignored = append(ignored, i)
@@ -100,7 +100,7 @@
 				continue
 			}
 			i = merged
-			if t.Same != nil && t.Same(known.item, i) {
+			if t.IsEquivalent != nil && t.IsEquivalent(known.item, i) {
 				known.item = i
 				continue
 			}
@@ -111,17 +111,17 @@
 		accepted = append(accepted, i)
 	}
 	if len(accepted) > 0 {
-		close(t.changed)
-		t.changed = make(chan struct{})
+		close(t.notify)
+		t.notify = make(chan struct{})
 	}
 	return accepted, ignored
 }
 
 // merged returns the item to know in place of the known one after another of its key came, nil where it stays;
 // received says that another box sent it.
-func (t *Table) merged(known, came *wire.Item, received bool) *wire.Item {
+func (t *Table) resolve(known, came *wire.Item, received bool) *wire.Item {
 	if known.GetVersion() >= came.GetVersion() {
-		if v, ok := t.outlives(came, known, false); ok {
+		if v, ok := t.resolveRollback(came, known, false); ok {
 			return withVersion(came, v)
 		}
 		return nil
@@ -129,17 +129,17 @@
 	if received && t.IsSuperseded != nil && t.IsSuperseded(came) {
 		return nil
 	}
-	if v, ok := t.outlives(known, came, !received); ok {
+	if v, ok := t.resolveRollback(known, came, !received); ok {
 		return withVersion(known, v)
 	}
 	return came
 }
 
-func (t *Table) outlives(older, newer *wire.Item, read bool) (uint64, bool) {
-	if t.Outlives == nil {
+func (t *Table) resolveRollback(older, newer *wire.Item, read bool) (uint64, bool) {
+	if t.ResolveRollback == nil {
 		return 0, false
 	}
-	return t.Outlives(older, newer, read)
+	return t.ResolveRollback(older, newer, read)
 }
 
 // withVersion returns an item that is the same but for its version.
@@ -151,7 +151,7 @@
 
 // Since returns the items accepted after seq, oldest first, the new seq, and a
 // channel that closes at the next acceptance.
-func (t *Table) Since(seq uint64) ([]*wire.Item, uint64, <-chan struct{}) {
+func (t *Table) ItemsSince(seq uint64) ([]*wire.Item, uint64, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var items []*wire.Item
@@ -167,7 +167,7 @@
 	for ; e != nil; e = e.Next() {
 		items = append(items, e.Value.(*entry).item)
 	}
-	return items, t.seq, t.changed
+	return items, t.seq, t.notify
 }
 
 // Version returns the version known of a key; zero when it is not known.
@@ -181,7 +181,7 @@
 }
 
 // known returns the versions of all items.
-func (t *Table) known() []*wire.Known {
+func (t *Table) knownVersions() []*wire.Known {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := make([]*wire.Known, 0, len(t.entries))
@@ -202,7 +202,7 @@
 }
 
 // Any reports whether ok holds for one of the items.
-func (t *Table) Any(ok func(i *wire.Item) bool) bool {
+func (t *Table) Contains(ok func(i *wire.Item) bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
@@ -214,7 +214,7 @@
 }
 
 // Forget drops an item that nobody needs any more, without telling others.
-func (t *Table) Forget(key string) {
+func (t *Table) Discard(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.entries[key]; e != nil {
