--- a/clock/clock.go
+++ b/clock/clock.go
@@ -28,7 +28,7 @@
 // Now returns the present time. The difference of two counts time in which the machine was suspended.
 func Now() time.Time {
 	now := time.Now()
-	return now.Add(process.suspended(now))
+	return now.Add(processCounter.suspended(now))
 }
 
 // Since returns how long ago a time of Now was.
@@ -38,47 +38,47 @@
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // Timer returns the time of package time that is as far away as a time of Now.
-func Timer(t time.Time) time.Time { return time.Now().Add(Until(t)) }
+func SystemTime(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // Suspend has all later times be as after a suspension of the machine. It is for tests.
-func Suspend(d time.Duration) {
-	process.mu.Lock()
-	defer process.mu.Unlock()
-	process.simulated += d
+func SimulateSuspend(d time.Duration) {
+	processCounter.mu.Lock()
+	defer processCounter.mu.Unlock()
+	processCounter.simulated += d
 }
 
 // lookAgain is how long what is known of suspensions holds: a look is a call of the system, and a
 // box takes hundreds of times in a second. It is far below any age that decides.
-const lookAgain = time.Millisecond
+const refreshInterval = time.Millisecond
 
 // counter counts how long the machine was suspended since the counter was made.
-type counter struct {
+type suspendCounter struct {
 	boot func() time.Duration // since the machine started, suspensions included
 
-	mu        sync.Mutex
-	began     time.Time     // when it was made, and
-	beganBoot time.Duration // the same by boot
-	looked    time.Time     // when boot was asked last
-	total     time.Duration // never falls
-	simulated time.Duration
+	mu            sync.Mutex
+	startedAt     time.Time     // when it was made, and
+	startedAtBoot time.Duration // the same by boot
+	refreshedAt   time.Time     // when boot was asked last
+	total         time.Duration // never falls
+	simulated     time.Duration
 }
 
-var process = newCounter(sinceBoot)
+var processCounter = newSuspendCounter(sinceBoot)
 
-func newCounter(boot func() time.Duration) *counter {
+func newSuspendCounter(boot func() time.Duration) *suspendCounter {
 	began := time.Now() // first: what passes before the other reading must not count as a suspension
-	return &counter{boot: boot, began: began, beganBoot: boot()}
+	return &suspendCounter{boot: boot, startedAt: began, startedAtBoot: boot()}
 }
 
 // suspended returns how long the machine was suspended until now, or somewhat less: what passes
 // between the readings of two clocks must not count.
-func (c *counter) suspended(now time.Time) time.Duration {
+func (c *suspendCounter) suspended(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !now.Before(c.began) && now.Sub(c.looked) >= lookAgain { // a time before that is of a test's own clock
+	if !now.Before(c.startedAt) && now.Sub(c.refreshedAt) >= refreshInterval { // a time before that is of a test's own clock
 		boot := c.boot()
-		c.looked = time.Now()
-		c.total = max(c.total, boot-c.beganBoot-c.looked.Sub(c.began))
+		c.refreshedAt = time.Now()
+		c.total = max(c.total, boot-c.startedAtBoot-c.refreshedAt.Sub(c.startedAt))
 	}
 	return c.total + c.simulated
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -14,28 +14,28 @@
 	c := quicktest.New(t)
 	c.Assert(Check(), quicktest.IsNil)
 	asleep := time.Duration(0)
-	k := newCounter(func() time.Duration { return sinceBoot() + asleep })
+	k := newSuspendCounter(func() time.Duration { return sinceBoot() + asleep })
 	c.Assert(k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
 	asleep = 5 * time.Second
 	counted := time.Duration(0)
 	for counted < 5*time.Second-time.Millisecond { // less where this test stood still between two clocks
-		time.Sleep(2 * lookAgain)
+		time.Sleep(2 * refreshInterval)
 		counted = k.suspended(time.Now())
 	}
 	c.Assert(counted <= 5*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", counted))
 	asleep = 4 * time.Second // a reading that was held up between the clocks
-	time.Sleep(2 * lookAgain)
+	time.Sleep(2 * refreshInterval)
 	c.Assert(k.suspended(time.Now()) >= counted, quicktest.IsTrue)
 }
 
 func TestTimesCountASimulatedSuspension(t *testing.T) {
 	c := quicktest.New(t)
 	deadline := Now().Add(10 * time.Second)
-	Suspend(8 * time.Second)
-	c.Cleanup(func() { Suspend(-8 * time.Second) })
+	SimulateSuspend(8 * time.Second)
+	c.Cleanup(func() { SimulateSuspend(-8 * time.Second) })
 	left := Until(deadline)
 	c.Assert(left <= 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", left))
-	timer := time.Until(Timer(deadline))
+	timer := time.Until(SystemTime(deadline))
 	c.Assert(timer <= 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", timer))
 }
 
@@ -48,7 +48,7 @@
 
 // Tests under simulated time compared ages of two clocks that were years apart, so that no age was ever low.
 func TestUnderSimulatedTimeNoSuspensionIsCounted(t *testing.T) {
-	k := newCounter(sinceBoot)
+	k := newSuspendCounter(sinceBoot)
 	synctest.Test(t, func(t *testing.T) {
 		quicktest.Assert(t, k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
 		time.Sleep(time.Hour)
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -13,8 +13,8 @@
 
 // suspend simulates a system suspend, whose time the monotonic clock does not count, until the test ends.
 func suspend(c *quicktest.C, d time.Duration) {
-	clock.Suspend(d)
-	c.Cleanup(func() { clock.Suspend(-d) })
+	clock.SimulateSuspend(d)
+	c.Cleanup(func() { clock.SimulateSuspend(-d) })
 }
 
 // Guards against a revoked key that still works: it was revoked while the box was suspended, and the box took its state
--- a/engine/suspend_test.go
+++ b/engine/suspend_test.go
@@ -21,8 +21,8 @@
 	c := quicktest.New(t)
 	l := newListener(c)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		clock.Suspend(time.Minute)
-		c.Cleanup(func() { clock.Suspend(-time.Minute) })
+		clock.SimulateSuspend(time.Minute)
+		c.Cleanup(func() { clock.SimulateSuspend(-time.Minute) })
 		return plainDial(ctx, network, address)
 	}
 	r, err := http.NewRequest(http.MethodPost, "http://"+l.Addr().String()+"/", strings.NewReader("x"))
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -124,7 +124,7 @@
 	}
 	call, malformed := g.Protocol.ParseCall(r.Header) // first, so that a refusal is logged with the request's ID
 	q := &request{received: received, inbound: r, connection: newCallerConn(w), call: call}
-	q.connection.limitUnadmitted(clock.Timer(received))
+	q.connection.limitUnadmitted(clock.SystemTime(received))
 	out := &callerResponse{writer: w, isCallHeader: g.Protocol.IsCallHeader}
 	defer g.recoverPanic(out, q)
 	if g.inFlight.Add(1) > int64(g.MaxInFlight) {
@@ -135,8 +135,8 @@
 		g.refuse(w, q, f)
 		return
 	}
-	q.connection.limitResponse(clock.Timer(q.deadline))
-	ctx, cancel := context.WithDeadline(r.Context(), clock.Timer(q.deadline))
+	q.connection.limitResponse(clock.SystemTime(q.deadline))
+	ctx, cancel := context.WithDeadline(r.Context(), clock.SystemTime(q.deadline))
 	defer cancel()
 	f := g.chargeQuota(ctx, q)
 	if f == nil {
--- a/forward/request.go
+++ b/forward/request.go
@@ -136,7 +136,7 @@
 
 // readBody buffers the body, so that it can be sent again.
 func (g *Gateway) readBody(w http.ResponseWriter, q *request) *Refusal {
-	q.connection.limitBodyRead(clock.Timer(q.deadline))
+	q.connection.limitBodyRead(clock.SystemTime(q.deadline))
 	limit := q.config.Limits().MaxBodyBytes
 	var buffer bytes.Buffer
 	if n := q.inbound.ContentLength; n > 0 && n <= limit {
--- a/forward/suspend_test.go
+++ b/forward/suspend_test.go
@@ -18,7 +18,7 @@
 
 // Place implements Placer.
 func (p suspendingPlacer) Place(_ context.Context, w AdapterRequest) (PlacementResult, error) {
-	clock.Suspend(p.duration)
+	clock.SimulateSuspend(p.duration)
 	return PlacementResult{Ready: true, Endpoint: w.Endpoint.ID()}, nil
 }
 
@@ -36,7 +36,7 @@
 	}))
 	pass := 5 * time.Second
 	s.gateway.Placer = suspendingPlacer{duration: pass}
-	t.Cleanup(func() { clock.Suspend(-pass) })
+	t.Cleanup(func() { clock.SimulateSuspend(-pass) })
 	s.c.Assert(s.askAdapter(), quicktest.Equals, http.StatusGatewayTimeout)
 	s.c.Assert(calls.Load(), quicktest.Equals, int64(0))
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -92,7 +92,7 @@
 // answer ends at the request's deadline.
 func (g *Gateway) watchdog(ctx context.Context, q *request) (live context.Context, stop func(), beat func()) {
 	if !q.stream {
-		live, cancel := context.WithDeadline(ctx, clock.Timer(q.deadline))
+		live, cancel := context.WithDeadline(ctx, clock.SystemTime(q.deadline))
 		return live, cancel, func() {}
 	}
 	live, cancel := context.WithCancel(ctx)
--- a/gateway/keys.go
+++ b/gateway/keys.go
@@ -56,7 +56,7 @@
 }
 
 func (g *Gateway) askHome(ctx context.Context, home member.Member, key, id string, until time.Time) wire.KeyState {
-	call, cancel := context.WithDeadline(ctx, clock.Timer(until))
+	call, cancel := context.WithDeadline(ctx, clock.SystemTime(until))
 	defer cancel()
 	a, err := g.Schedulers.Scheduler(home.Address()).BeginKey(call, &wire.BeginKeyRequest{Key: key, Request: id})
 	if err != nil {
--- a/member/suspend_test.go
+++ b/member/suspend_test.go
@@ -31,8 +31,8 @@
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
 	<-beats // from now on it counts the time between two
-	clock.Suspend(5 * time.Second)
-	c.Cleanup(func() { clock.Suspend(-5 * time.Second) })
+	clock.SimulateSuspend(5 * time.Second)
+	c.Cleanup(func() { clock.SimulateSuspend(-5 * time.Second) })
 	c.Assert(<-paused >= 5*time.Second, quicktest.IsTrue)
 	cancel()
 	c.Assert(<-done, quicktest.IsNil)
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -17,7 +17,7 @@
 	b := newBench(t, "a@1")
 	b.own()
 	pass := b.scheduler.Spans.Trust + time.Millisecond
-	clock.Suspend(pass)
-	b.Cleanup(func() { clock.Suspend(-pass) })
+	clock.SimulateSuspend(pass)
+	b.Cleanup(func() { clock.SimulateSuspend(-pass) })
 	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
 }
