--- a/edge/node.go
+++ b/edge/node.go
@@ -172,10 +172,10 @@
 // noExtras adds nothing to heartbeats: facts are sent over streams.
 type noExtras struct{}
 
-// Fill implements member.Extras.
+// Attach implements member.PayloadHandler.
 func (noExtras) Attach(*wire.Heartbeat) {}
 
-// Heard implements member.Extras.
+// Receive implements member.PayloadHandler.
 func (noExtras) Receive(*wire.Heartbeat, string) {}
 
 // owns reports whether this box is the one that issues commands to an endpoint, and from when on.
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -16,7 +16,7 @@
 // revisionOf returns the revision of a fact of the source.
 func revisionOf(i *wire.Item) Revision { return Revision(i.GetVersion()) }
 
-// outlives implements share.Table.Outlives.
+// outlives implements share.Table.ResolveRollback.
 func (n *Node) outlives(older, newer *wire.Item, read bool) (uint64, bool) {
 	a, b := revisionOf(older), revisionOf(newer)
 	kind := n.Decoder.Kind(older.GetKey())
--- a/keeper/heartbeat.go
+++ b/keeper/heartbeat.go
@@ -37,7 +37,7 @@
 	return nil, false, false
 }
 
-// Fill adds the heads held here to a heartbeat.
+// Attach adds the heads held here to a heartbeat.
 func (k *Keeper) Attach(h *wire.Heartbeat) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -41,10 +41,10 @@
 // Init makes the relay ready for heartbeats; call it before Run.
 func (r *Relay) Init() { r.hints = make(chan hint, 64) }
 
-// Fill implements member.Extras.
+// Attach implements member.PayloadHandler.
 func (r *Relay) Attach(h *wire.Heartbeat) { r.Keeper.Attach(h) }
 
-// Heard implements member.Extras: what is not held is fetched by Run.
+// Receive implements member.PayloadHandler: what is not held is fetched by Run.
 func (r *Relay) Receive(h *wire.Heartbeat, address string) {
 	for start := range r.Keeper.unknown(h) {
 		select {
