--- a/topology/config.go
+++ b/topology/config.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package topology is what a box knows of the services in front of which it
-// stands: routes, services, endpoints, and which adapters the endpoints hold.
+// Package topology describes the back ends that a box proxies to: routes, services,
+// endpoints, and the adapters that are loaded on each endpoint.
 //
-// Config, Route, Service and Endpoint are values read from a source of configuration and
-// never change; View is the table of those in force. Nothing here does input or output.
+// Config, Route, Service and Endpoint are immutable values read from a configuration source.
+// View holds those currently in force. The package does no I/O.
 //
 // Lock order: View.mu is taken alone.
 package topology
@@ -18,90 +18,90 @@
 	"cairnwick.example/access"
 )
 
-// Kind says what may be done with a request again.
+// Kind says how often the requests of a route may run.
 type Kind int
 
-// The kinds of routes.
+// Kinds of routes.
 const (
 	Idempotent    Kind = iota + 1 // may run more than once
 	NonIdempotent                 // may run at most once
-	Streaming                     // an answer in events; may run once unless it can be resumed
+	Streaming                     // responds with a stream of events; may run at most once unless resumable
 )
 
-// Share is one service of a route and its part of the requests.
+// WeightedService is a service of a route and its share of the requests.
 type WeightedService struct {
 	Name   string
-	Weight int // against the sum of the route's weights
+	Weight int // relative to the sum of the route's weights
 }
 
-// RouteSpec is a route as its source describes it.
+// RouteSpec is a route as described by its source.
 type RouteSpec struct {
 	Name           string
 	Host           string
 	Prefix         string // of the path; begins and ends with a slash
 	Kind           Kind
-	Timeout        time.Duration     // the longest that a request may be held
-	LatencyTarget  time.Duration     // an answer, or the first event, is in time within it
-	EventGapTarget time.Duration     // the longest pause between events that is in time
-	ClientTimeout  time.Duration     // a caller leaves when it has heard nothing for so long; zero: only at its deadline
+	Timeout        time.Duration     // maximum time that a request may be held
+	LatencyTarget  time.Duration     // until the response or its first event
+	EventGapTarget time.Duration     // between two events of a stream
+	ClientTimeout  time.Duration     // after which a caller that has received nothing disconnects; zero: at its deadline
 	Priority       int               // 0 is the most urgent
 	Services       []WeightedService // at least one
-	MaxAttempts    int               // endpoints that one request may run at
-	Resumable      bool              // a broken stream may go on at another endpoint
+	MaxAttempts    int               // endpoints that one request may run on
+	Resumable      bool              // a broken stream may continue on another endpoint
 	Public         bool              // callers need no key
 }
 
-// Route is where requests of a host and a path go.
+// Route maps requests by host and path to services.
 type Route struct{ spec RouteSpec }
 
-// NewRoute returns the route that s describes.
+// NewRoute returns the route described by s.
 func NewRoute(s RouteSpec) *Route { return &Route{spec: s} }
 
 // Name returns the route's name.
 func (r *Route) Name() string { return r.spec.Name }
 
-// Kind returns what may be done again.
+// Kind returns the route's kind.
 func (r *Route) Kind() Kind { return r.spec.Kind }
 
-// Timeout returns the longest that a request may be held.
+// Timeout returns the maximum time that a request may be held.
 func (r *Route) Timeout() time.Duration { return r.spec.Timeout }
 
-// Target returns within which time an answer or its first event is in time.
+// LatencyTarget returns the target time until the response or its first event.
 func (r *Route) LatencyTarget() time.Duration { return r.spec.LatencyTarget }
 
-// Patience returns how long a caller waits to hear anything; zero: until its deadline.
+// ClientTimeout returns how long a caller waits for the first data; zero means until its deadline.
 func (r *Route) ClientTimeout() time.Duration { return r.spec.ClientTimeout }
 
-// Priority returns the rank; 0 is the most urgent.
+// Priority returns the route's priority; 0 is the most urgent.
 func (r *Route) Priority() int { return r.spec.Priority }
 
-// Shares returns the services and their parts; do not change it.
+// Services returns the route's services and their weights. The slice must not be modified.
 func (r *Route) Services() []WeightedService { return r.spec.Services }
 
-// MaxAttempts returns how many endpoints one request may run at.
+// MaxAttempts returns how many endpoints one request may run on, at least one.
 func (r *Route) MaxAttempts() int { return max(r.spec.MaxAttempts, 1) }
 
-// Resumable tells whether a broken stream may go on at another endpoint.
+// Resumable reports whether a broken stream may continue on another endpoint.
 func (r *Route) Resumable() bool { return r.spec.Resumable }
 
-// MayRepeat tells whether a request may run more than once.
+// IsReexecutable reports whether a request may run more than once.
 func (r *Route) IsReexecutable() bool {
 	return r.spec.Kind == Idempotent || (r.spec.Kind == Streaming && r.spec.Resumable)
 }
 
-// Public tells whether callers need no key, whatever the configuration says of organisations.
+// Public reports whether callers need no key, even if the configuration has organisations.
 func (r *Route) Public() bool { return r.spec.Public }
 
-// Split returns the service of a request by a number in [0, 1) that is its own.
+// SelectService returns the service of a request by weight. point is the request's own number in [0, 1).
 func (r *Route) SelectService(point float64) string {
-	whole := 0
+	total := 0
 	for _, s := range r.spec.Services {
-		whole += s.Weight
+		total += s.Weight
 	}
-	left := point * float64(whole)
+	remaining := point * float64(total)
 	for _, s := range r.spec.Services {
-		left -= float64(s.Weight)
-		if left < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Name
 		}
 	}
@@ -111,21 +111,21 @@
 // ModelSpec is a base model of a service.
 type ModelSpec struct {
 	Name         string
-	WeightsMB    float64 // its weights
-	AdapterMB    float64 // the weights of one adapter
-	AdapterCount int     // how many there are
+	WeightsMB    float64
+	AdapterMB    float64 // weights of one adapter
+	AdapterCount int
 }
 
-// EngineSpec is what a service of model endpoints can do.
+// EngineSpec describes the capabilities of a service's model endpoints.
 type EngineSpec struct {
-	BatchSize    int // requests that an endpoint runs at once
+	BatchSize    int // requests that an endpoint runs concurrently
 	Models       []ModelSpec
-	MemoryMB     float64 // of weights that an endpoint holds, adapters too
+	MemoryMB     float64 // for the weights of base models and adapters on an endpoint
 	AdapterSlots int     // adapters that an endpoint holds
-	LoadsPerSec  float64 // of base models that the weight store allows over all endpoints
+	LoadsPerSec  float64 // base model loads that the weight store allows over all endpoints
 }
 
-// Model returns the base model called name; nil when there is none.
+// Model returns the base model with the name, or nil.
 func (e *EngineSpec) Model(name string) *ModelSpec {
 	for i := range e.Models {
 		if e.Models[i].Name == name {
@@ -135,44 +135,45 @@
 	return nil
 }
 
-// SlotsBeside returns how many adapters an endpoint can hold beside its base models.
+// AdapterCapacity returns how many adapters an endpoint with these base models can hold.
 func (e *EngineSpec) AdapterCapacity(models map[string]bool) int {
-	left, largest := e.MemoryMB, 0.0
+	freeMB, largestMB := e.MemoryMB, 0.0
 	for _, m := range e.Models {
 		if models[m.Name] {
-			left -= m.WeightsMB
-			largest = max(largest, m.AdapterMB)
+			freeMB -= m.WeightsMB
+			largestMB = max(largestMB, m.AdapterMB)
 		}
 	}
-	if e.MemoryMB <= 0 || largest <= 0 {
+	if e.MemoryMB <= 0 || largestMB <= 0 {
 		return e.AdapterSlots
 	}
-	return int(min(float64(max(e.AdapterSlots, 0)), max(left, 0)/largest)) // as a whole number the part may run over
+	// The quotient may exceed the range of int, so the minimum is taken before the conversion.
+	return int(min(float64(max(e.AdapterSlots, 0)), max(freeMB, 0)/largestMB))
 }
 
-// ServiceSpec is a service as its source describes it.
+// ServiceSpec is a service as described by its source.
 type ServiceSpec struct {
 	Name           string
-	MaxConnections int         // that an endpoint takes from all callers together
-	Engine         *EngineSpec // nil: the endpoints run no models
+	MaxConnections int         // to one endpoint, from all callers together
+	Engine         *EngineSpec // nil if the endpoints run no models
 }
 
-// Service is a set of endpoints that do the same.
+// Service is a set of equivalent endpoints.
 type Service struct{ spec ServiceSpec }
 
-// NewService returns the service that s describes.
+// NewService returns the service described by s.
 func NewService(s ServiceSpec) *Service { return &Service{spec: s} }
 
 // Name returns the service's name.
 func (s *Service) Name() string { return s.spec.Name }
 
-// MaxConnections returns how many connections an endpoint takes in all.
+// MaxConnections returns how many connections an endpoint accepts from all callers together.
 func (s *Service) MaxConnections() int { return s.spec.MaxConnections }
 
-// Engine returns what its model endpoints can do; nil when it has none.
+// Engine returns the capabilities of the service's model endpoints, or nil if they run no models.
 func (s *Service) Engine() *EngineSpec { return s.spec.Engine }
 
-// Limits bound what a caller may send.
+// RequestLimits bound the requests of callers.
 type RequestLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -180,17 +181,17 @@
 	IdleTimeout    time.Duration
 }
 
-// Config is one version of routes and services. It never changes.
+// Config is one version of the routes and services. It is immutable.
 type Config struct {
 	version       uint64
-	hosts         map[string][]*Route // by falling length of prefix
+	hosts         map[string][]*Route // by host; longest prefix first
 	services      map[string]*Service
 	limits        RequestLimits
-	callers       *access.Directory // nil: callers need no keys
-	priorityRanks priorityRanks     // the zero value where callers need no keys: by the routes alone
+	callers       *access.Directory // nil if callers need no keys
+	priorityRanks priorityRanks     // zero if callers need no keys; then only the route counts
 }
 
-// NewConfig returns the configuration of a version.
+// NewConfig returns a configuration.
 func NewConfig(version uint64, routes []*Route, services []*Service, l RequestLimits) *Config {
 	c := &Config{version: version, hosts: make(map[string][]*Route), services: make(map[string]*Service), limits: l}
 	for _, r := range routes {
@@ -205,7 +206,7 @@
 	return c
 }
 
-// WithCallers returns the configuration with the organisations that may call.
+// WithCallers returns a copy of the configuration with the organisations that may call.
 func (c *Config) WithCallers(d *access.Directory) *Config {
 	n := *c
 	n.callers = d
@@ -213,30 +214,28 @@
 	return &n
 }
 
-// routes returns every route.
 func (c *Config) routes() []*Route {
 	var list []*Route
-	for _, some := range c.hosts {
-		list = append(list, some...)
+	for _, routes := range c.hosts {
+		list = append(list, routes...)
 	}
 	return list
 }
 
-// Callers returns the organisations that may call; nil where callers need no keys.
+// Callers returns the organisations that may call, or nil if callers need no keys.
 func (c *Config) Callers() *access.Directory { return c.callers }
 
-// Rank returns how urgent a request of an organisation on a route is; 0 is the most urgent. The
-// organisation is nil for a route that asks for no key.
+// Rank returns the urgency of an organisation's request on a route; 0 is the most urgent. The
+// organisation is nil on a route that requires no key.
 func (c *Config) Rank(r *Route, o *access.Organisation) int { return c.priorityRanks.of(r, o) }
 
-// Version returns the configuration's version; a higher one is newer.
+// Version returns the configuration's version. Newer configurations have higher versions.
 func (c *Config) Version() uint64 { return c.version }
 
-// Limits returns what a caller may send.
+// Limits returns the limits for requests.
 func (c *Config) Limits() RequestLimits { return c.limits }
 
-// Route returns the route of the host whose prefix is the longest that begins
-// the path; nil when there is none.
+// Route returns the host's route with the longest prefix of the path, or nil.
 func (c *Config) Route(host, path string) *Route {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.spec.Prefix) {
@@ -246,10 +245,10 @@
 	return nil
 }
 
-// Service returns the service called name; nil when there is none.
+// Service returns the service with the name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
 
-// Services returns every service.
+// Services returns every service, sorted by name.
 func (c *Config) Services() []*Service {
 	list := make([]*Service, 0, len(c.services))
 	for _, s := range c.services {
--- a/topology/draining.go
+++ b/topology/draining.go
@@ -2,36 +2,35 @@
 
 package topology
 
-// leavingMost bounds the lives of endpoints that are remembered to leave: some times as many as a fleet
-// has endpoints.
+// maxDraining bounds the instances that are remembered as draining, at several times the endpoints of a fleet.
 const maxDraining = 4096
 
-// leaving is the lives of endpoints that said in their answers that they leave. A life that leaves does
-// not come back, so each stays, also while its entry is away from the source for a time; where there are
-// too many, those that said it first are forgotten. The zero value holds none.
+// drainingSet contains the instances that announced in their responses that they drain. An instance never resumes,
+// so its entry stays even if the source temporarily lacks the endpoint. When the set is full, the oldest
+// entries are dropped. The zero value is empty.
 type drainingSet struct {
 	ids   map[string]bool
-	order []string // by when they said so
+	order []string // oldest first
 }
 
-// add notes a life; it tells whether it was not known.
-func (l *drainingSet) add(id string) bool {
-	if l.ids[id] {
+// add adds an instance and reports whether it was new.
+func (d *drainingSet) add(id string) bool {
+	if d.ids[id] {
 		return false
 	}
-	if l.ids == nil {
-		l.ids = make(map[string]bool)
+	if d.ids == nil {
+		d.ids = make(map[string]bool)
 	}
-	l.ids[id] = true
-	l.order = append(l.order, id)
-	if len(l.order) > maxDraining {
-		delete(l.ids, l.order[0])
-		l.order = l.order[1:]
+	d.ids[id] = true
+	d.order = append(d.order, id)
+	if len(d.order) > maxDraining {
+		delete(d.ids, d.order[0])
+		d.order = d.order[1:]
 	}
 	return true
 }
 
-// leaves returns the endpoint as one that leaves.
+// asDraining returns a copy of the endpoint that is draining.
 func (e *Endpoint) asDraining() *Endpoint {
 	s := e.spec
 	s.Draining = true
--- a/topology/endpoint.go
+++ b/topology/endpoint.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Adapter is one adapter of a base model. The zero Adapter names nothing; one
-// without a name is the base model itself.
+// Adapter identifies an adapter of a base model. Without a name it identifies the base model itself, and the
+// zero Adapter identifies nothing.
 type Adapter struct {
 	Model string
 	Name  string
 }
 
-// ParseAdapter reads the form model/name, or a model alone.
+// ParseAdapter parses model/name, or the model alone.
 func ParseAdapter(s string) Adapter {
-	m, n, _ := strings.Cut(s, "/")
-	return Adapter{Model: m, Name: n}
+	model, name, _ := strings.Cut(s, "/")
+	return Adapter{Model: model, Name: name}
 }
 
 // String returns model/name, or the model alone.
@@ -29,62 +29,64 @@
 	return a.Model + "/" + a.Name
 }
 
-// EndpointSpec is one life of an endpoint as its source describes it.
+// EndpointSpec is one instance of an endpoint as described by its source. Each start of the endpoint's
+// process is a new instance.
 type EndpointSpec struct {
-	ID         string    // changes with each start
-	Started    time.Time // of this life; zero: not published
+	ID         string    // unique to the instance
+	Started    time.Time // zero if not published
 	Service    string
 	Address    string // IP:port
 	DataCentre string
-	Slots      int               // requests that it works on at once
-	Draining   bool              // it is about to leave
-	DrainTime  time.Duration     // with Draining: time until it ends, when it says so; else zero
+	Slots      int               // requests that it processes concurrently
+	Draining   bool              // it is about to shut down
+	DrainTime  time.Duration     // with Draining: time until shutdown if published, else zero
 	Models     []string          // base models that it holds
-	Adapters   map[Adapter]int64 // that it held some time ago, with their versions
+	Adapters   map[Adapter]int64 // version of each adapter that it held when the source was last updated
 }
 
-// Endpoint is one life of an endpoint. It never changes.
+// Endpoint is one instance of an endpoint. It is immutable.
 type Endpoint struct{ spec EndpointSpec }
 
-// NewEndpoint returns the endpoint that s describes.
+// NewEndpoint returns the endpoint described by s.
 func NewEndpoint(s EndpointSpec) *Endpoint { return &Endpoint{spec: s} }
 
-// ID names this life of the endpoint.
+// ID returns the instance's ID.
 func (e *Endpoint) ID() string { return e.spec.ID }
 
-// Started returns when this life began; zero where that is not published.
+// Started returns when the instance started, zero if not published.
 func (e *Endpoint) Started() time.Time { return e.spec.Started }
 
 // Service returns the name of the service.
 func (e *Endpoint) Service() string { return e.spec.Service }
 
-// Address returns IP:port.
+// Address returns the endpoint's IP:port.
 func (e *Endpoint) Address() string { return e.spec.Address }
 
-// DataCentre returns where it runs.
+// DataCentre returns the data centre in which the endpoint runs.
 func (e *Endpoint) DataCentre() string { return e.spec.DataCentre }
 
-// Slots returns how many requests it works on at once.
+// Slots returns how many requests the endpoint processes concurrently.
 func (e *Endpoint) Slots() int { return max(e.spec.Slots, 1) }
 
-// Draining reports whether it is about to leave.
+// Draining reports whether the endpoint is about to shut down.
 func (e *Endpoint) Draining() bool { return e.spec.Draining }
 
-// Models returns the base models that it holds; do not change it.
+// Models returns the base models that the endpoint holds. The slice must not be modified.
 func (e *Endpoint) Models() []string { return e.spec.Models }
 
-// Adapters returns the adapters that it held some time ago; do not change it.
+// Adapters returns the adapters that the endpoint held when its source was last updated, with their versions.
+// View has newer information. The map must not be modified.
 func (e *Endpoint) Adapters() map[Adapter]int64 { return e.spec.Adapters }
 
-// Alike reports whether another description of the endpoint says the same of it, but for the adapters
-// that it held some time ago.
+// EqualIgnoringAdapters reports whether two descriptions of an instance are equal, apart from Started and the
+// adapters.
 func (e *Endpoint) EqualIgnoringAdapters(o *Endpoint) bool {
 	a, b := e.spec, o.spec
 	return a.ID == b.ID && a.Service == b.Service && a.Address == b.Address && a.DataCentre == b.DataCentre && a.Slots == b.Slots &&
 		a.Draining == b.Draining && a.DrainTime == b.DrainTime && slices.Equal(a.Models, b.Models)
 }
 
-// HasModel reports whether it holds the base model.
+// HasModel reports whether the endpoint holds the base model.
 func (e *Endpoint) HasModel(name string) bool {
 	for _, m := range e.spec.Models {
 		if m == name {
@@ -94,8 +96,8 @@
 	return false
 }
 
-// Held is one adapter in a slot of an endpoint.
+// AdapterState is the state of an adapter in a slot of an endpoint.
 type AdapterState struct {
 	Version int64
-	Ready   bool // else it is being loaded
+	Ready   bool // false while it is being loaded
 }
--- a/topology/evictions.go
+++ b/topology/evictions.go
@@ -2,40 +2,39 @@
 
 package topology
 
-// memoryMost is how many adapters that left an endpoint are remembered for it: more than
-// an endpoint's memory keeps.
+// maxEvictionHistory bounds the evicted adapters that are remembered for an endpoint. It is above the number
+// that an endpoint keeps in memory.
 const maxEvictionHistory = 256
 
-// memory is the adapters that left an endpoint's slots, by when they did: its own memory
-// keeps the latest. The zero value holds none.
+// evictionHistory records the order in which adapters were evicted from an endpoint's slots. The endpoint's
+// own memory still has the latest of them. The zero value is empty.
 type evictionHistory struct {
-	sequences map[Adapter]int // when each left, counted in adapters
-	count     int
+	sequences map[Adapter]int // sequence number of each adapter's latest eviction
+	count     int             // sequence number of the latest eviction
 }
 
-// add notes that an adapter left just now; the one that left first is forgotten where
-// there are too many.
-func (m *evictionHistory) add(a Adapter) {
-	if m.sequences == nil {
-		m.sequences = make(map[Adapter]int)
+// add records the eviction of an adapter and drops the oldest record if there are too many.
+func (h *evictionHistory) add(a Adapter) {
+	if h.sequences == nil {
+		h.sequences = make(map[Adapter]int)
 	}
-	m.count++
-	m.sequences[a] = m.count
-	if len(m.sequences) <= maxEvictionHistory {
+	h.count++
+	h.sequences[a] = h.count
+	if len(h.sequences) <= maxEvictionHistory {
 		return
 	}
-	first, least := a, m.count
-	for b, n := range m.sequences {
-		if n < least {
-			first, least = b, n
+	oldest, lowest := a, h.count
+	for b, n := range h.sequences {
+		if n < lowest {
+			oldest, lowest = b, n
 		}
 	}
-	delete(m.sequences, first)
+	delete(h.sequences, oldest)
 }
 
-// since returns how many times an adapter left since one did; false where it is not
-// remembered.
-func (m *evictionHistory) evictionsSince(a Adapter) (int, bool) {
-	n, ok := m.sequences[a]
-	return m.count - n, ok
+// evictionsSince returns how many evictions followed the adapter's latest one, and false if none of the adapter is
+// recorded.
+func (h *evictionHistory) evictionsSince(a Adapter) (int, bool) {
+	n, ok := h.sequences[a]
+	return h.count - n, ok
 }
--- a/topology/priority.go
+++ b/topology/priority.go
@@ -8,11 +8,11 @@
 	"cairnwick.example/access"
 )
 
-// ranks orders requests by the priority of their organisation and then by that of their route.
-// Where all organisations have the same priority, a rank is the priority of the route.
+// priorityRanks orders requests by the priority of their organisation and then by that of their route.
+// If all organisations have the same priority, the rank is the priority of the route.
 type priorityRanks struct {
-	organisations []int // the priorities that there are, the most urgent first
-	routes        []int
+	organisations []int // distinct priorities, the most urgent first
+	routes        []int // likewise
 }
 
 func newPriorityRanks(routes []*Route, d *access.Directory) priorityRanks {
@@ -30,20 +30,20 @@
 	return k
 }
 
-// rankMost is the least urgent rank that endpoints tell from others.
+// maxRank is the least urgent rank that endpoints distinguish. Higher ranks are scaled down to it.
 const maxRank = 9
 
 func (k priorityRanks) of(r *Route, o *access.Organisation) int {
 	if len(k.organisations) < 2 {
 		return r.Priority()
 	}
-	first := len(k.organisations) - 1 // requests without an organisation are as the least urgent ones
+	organisation := len(k.organisations) - 1 // without an organisation: as urgent as the least urgent one
 	if o != nil {
-		first = max(slices.Index(k.organisations, o.Priority()), 0)
+		organisation = max(slices.Index(k.organisations, o.Priority()), 0)
 	}
-	rank := first*len(k.routes) + max(slices.Index(k.routes, r.Priority()), 0)
-	if most := len(k.organisations)*len(k.routes) - 1; most > maxRank {
-		return rank * maxRank / most
+	rank := organisation*len(k.routes) + max(slices.Index(k.routes, r.Priority()), 0)
+	if highest := len(k.organisations)*len(k.routes) - 1; highest > maxRank {
+		return rank * maxRank / highest
 	}
 	return rank
 }
--- a/topology/view.go
+++ b/topology/view.go
@@ -9,24 +9,24 @@
 	"sync/atomic"
 )
 
-// View is what a box believes now. It is safe for concurrent use. A reader gets
-// values that never change.
+// View is a box's current knowledge of configuration, endpoints and adapters. It is safe for concurrent use.
+// The values that it returns are immutable.
 type View struct {
 	config atomic.Pointer[Config]
 
 	mu                 sync.RWMutex
 	endpoints          map[string]*Endpoint                // by ID
-	services           map[string][]*Endpoint              // endpoints of a service, sorted by ID; a list never changes
-	latestVersions     map[Adapter]int64                   // the newest version that was published
+	services           map[string][]*Endpoint              // by service, sorted by ID; copied on write
+	latestVersions     map[Adapter]int64                   // latest published version
 	adapterStates      map[string]map[Adapter]AdapterState // by endpoint
 	endpointsByAdapter map[Adapter]map[string]AdapterState // by adapter, then endpoint
 	evictions          map[string]*evictionHistory         // by endpoint
-	draining           drainingSet                         // by their own word; SetEndpoint can't take it back
-	lastHolder         map[Adapter]string                  // endpoint that began to hold an adapter last, though it may not any more
+	draining           drainingSet                         // as announced by the endpoints; SetEndpoint can't revert it
+	lastHolder         map[Adapter]string                  // endpoint last reported with the adapter, even if evicted since
 	changed            chan struct{}                       // closed at the next change of endpoints
 }
 
-// NewView returns a view of nothing.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{
 		endpoints:          make(map[string]*Endpoint),
@@ -40,23 +40,23 @@
 	}
 }
 
-// Config returns the configuration in force; nil when none is known yet.
+// Config returns the configuration in force, or nil if none is known yet.
 func (v *View) Config() *Config { return v.config.Load() }
 
-// SetConfig brings c into force unless a newer one is; it tells whether it did.
+// SetConfig brings c into force and reports whether it did. A configuration of the same or a higher version stays.
 func (v *View) SetConfig(c *Config) bool {
 	for {
-		old := v.config.Load()
-		if old != nil && old.version >= c.version {
+		current := v.config.Load()
+		if current != nil && current.version >= c.version {
 			return false
 		}
-		if v.config.CompareAndSwap(old, c) {
+		if v.config.CompareAndSwap(current, c) {
 			return true
 		}
 	}
 }
 
-// SetEndpoint adds an endpoint or replaces what was known of it.
+// SetEndpoint adds or replaces an endpoint.
 func (v *View) SetEndpoint(e *Endpoint) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -75,9 +75,9 @@
 	v.changedLocked()
 }
 
-// Leave notes that a life of an endpoint said that it leaves, which may not be known yet; it tells
-// whether that is news. From then on it is draining, whatever its source says of it: that may be older,
-// and may be silent for long.
+// MarkDraining records that an endpoint instance announced that it drains, and reports whether that is new.
+// The instance need not be known yet. It remains draining whatever its source says later, since the source
+// may be outdated or unavailable for long.
 func (v *View) MarkDraining(id string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -90,7 +90,7 @@
 	return true
 }
 
-// RemoveEndpoint forgets an endpoint and what it held.
+// RemoveEndpoint removes an endpoint, its adapter states and its eviction history.
 func (v *View) RemoveEndpoint(id string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -105,39 +105,39 @@
 	v.changedLocked()
 }
 
-// findLocked returns where an endpoint is in its service's list, or belongs there.
-func (v *View) findLocked(e *Endpoint) (list []*Endpoint, place int, found bool) {
+// findLocked returns the list of an endpoint's service, and the index at which the endpoint is or would be inserted.
+func (v *View) findLocked(e *Endpoint) (list []*Endpoint, index int, found bool) {
 	list = v.services[e.Service()]
-	place, found = slices.BinarySearchFunc(list, e.ID(), func(o *Endpoint, id string) int { return strings.Compare(o.ID(), id) })
-	return list, place, found
+	index, found = slices.BinarySearchFunc(list, e.ID(), func(o *Endpoint, id string) int { return strings.Compare(o.ID(), id) })
+	return list, index, found
 }
 
-// listLocked puts an endpoint into a new list of its service. To sort all anew for each one would take a
-// box that starts before thousands of endpoints most of its start.
+// addToServiceLocked adds or replaces an endpoint in a copy of its service's list. It inserts by binary search: sorting
+// the list for each endpoint would dominate the start of a box with thousands of endpoints.
 func (v *View) addToServiceLocked(e *Endpoint) {
-	list, place, found := v.findLocked(e)
-	list = slices.Clone(list) // readers keep the old one
+	list, index, found := v.findLocked(e)
+	list = slices.Clone(list) // readers may hold the old one
 	if found {
-		list[place] = e
+		list[index] = e
 	} else {
-		list = slices.Insert(list, place, e)
+		list = slices.Insert(list, index, e)
 	}
 	v.services[e.Service()] = list
 }
 
-// unlistLocked takes an endpoint out of a new list of its service.
+// removeFromServiceLocked removes an endpoint from a copy of its service's list.
 func (v *View) removeFromServiceLocked(e *Endpoint) {
-	list, place, found := v.findLocked(e)
+	list, index, found := v.findLocked(e)
 	switch {
 	case !found:
 	case len(list) == 1:
 		delete(v.services, e.Service())
 	default:
-		v.services[e.Service()] = slices.Delete(slices.Clone(list), place, place+1)
+		v.services[e.Service()] = slices.Delete(slices.Clone(list), index, index+1)
 	}
 }
 
-// changedLocked wakes those who wait for a change of the endpoints.
+// changedLocked notifies those waiting for a change of the endpoints.
 func (v *View) changedLocked() {
 	close(v.changed)
 	v.changed = make(chan struct{})
@@ -150,14 +150,14 @@
 	return v.changed
 }
 
-// Endpoint returns the endpoint with the ID; nil when it is not known.
+// Endpoint returns the endpoint with the ID, or nil.
 func (v *View) Endpoint(id string) *Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.endpoints[id]
 }
 
-// Endpoints returns the endpoints of a service by ID; do not change the list.
+// Endpoints returns the endpoints of a service, sorted by ID. The slice must not be modified.
 func (v *View) Endpoints(service string) []*Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -175,31 +175,31 @@
 	return list
 }
 
-// Newest returns the newest published version of an adapter; zero when none was
-// published since its first.
+// LatestVersion returns the latest published version of an adapter, zero if none was
+// published after the first.
 func (v *View) LatestVersion(a Adapter) int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.latestVersions[a]
 }
 
-// SetNewest notes a published version; an older one changes nothing.
+// SetLatestVersion records a published version, unless a later one is known.
 func (v *View) SetLatestVersion(a Adapter, version int64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.latestVersions[a] = max(v.latestVersions[a], version)
 }
 
-// SetHeld replaces what an endpoint holds.
-func (v *View) SetAdapterStates(endpoint string, held map[Adapter]AdapterState) {
+// SetAdapterStates replaces the states of the adapters on an endpoint.
+func (v *View) SetAdapterStates(endpoint string, states map[Adapter]AdapterState) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.setAdapterStatesLocked(endpoint, held)
+	v.setAdapterStatesLocked(endpoint, states)
 }
 
-func (v *View) setAdapterStatesLocked(endpoint string, held map[Adapter]AdapterState) {
+func (v *View) setAdapterStatesLocked(endpoint string, states map[Adapter]AdapterState) {
 	for a := range v.adapterStates[endpoint] {
-		if _, stays := held[a]; !stays {
+		if _, kept := states[a]; !kept {
 			v.recordEvictionLocked(endpoint, a)
 		}
 		delete(v.endpointsByAdapter[a], endpoint)
@@ -208,16 +208,16 @@
 		}
 	}
 	delete(v.adapterStates, endpoint)
-	if held == nil {
+	if states == nil {
 		return
 	}
-	v.adapterStates[endpoint] = held
-	for a, h := range held {
+	v.adapterStates[endpoint] = states
+	for a, s := range states {
 		v.lastHolder[a] = endpoint
 		if v.endpointsByAdapter[a] == nil {
 			v.endpointsByAdapter[a] = make(map[string]AdapterState)
 		}
-		v.endpointsByAdapter[a][endpoint] = h
+		v.endpointsByAdapter[a][endpoint] = s
 	}
 }
 
@@ -228,44 +228,44 @@
 	v.evictions[endpoint].add(a)
 }
 
-// Left returns how many times an adapter has left an endpoint's slots since one did; false where
-// none is known to have. The fewer, the more likely the endpoint's memory still has it.
-func (v *View) EvictionsSince(endpoint string, a Adapter) (since int, known bool) {
+// EvictionsSince returns how many adapters were evicted from an endpoint's slots after a was, and false if no
+// eviction of a is recorded. The fewer, the more likely the endpoint's memory still has the adapter.
+func (v *View) EvictionsSince(endpoint string, a Adapter) (count int, known bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	if m := v.evictions[endpoint]; m != nil {
-		return m.evictionsSince(a)
+	if h := v.evictions[endpoint]; h != nil {
+		return h.evictionsSince(a)
 	}
 	return 0, false
 }
 
-// Drop forgets that an endpoint holds an adapter, after its own word.
+// RemoveAdapter records that an endpoint does not hold an adapter, as the endpoint itself reported.
 func (v *View) RemoveAdapter(endpoint string, a Adapter) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	delete(v.endpointsByAdapter[a], endpoint)
 }
 
-// Latest returns the endpoint that held an adapter last, of those that are there; nil when
-// none is known. Its memory may still keep the adapter.
+// LastHolder returns the endpoint that was last reported with an adapter, or nil if there is none or it was
+// removed. Its memory may still contain the adapter.
 func (v *View) LastHolder(a Adapter) *Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.endpoints[v.lastHolder[a]]
 }
 
-// Holders returns the endpoints where an adapter is ready in its newest version.
+// EndpointsReady returns the endpoints on which an adapter is ready in its latest version.
 func (v *View) EndpointsReady(a Adapter) []*Endpoint { return v.endpointsWithAdapter(a, true) }
 
-// Loading returns the endpoints where an adapter is on its way in its newest version.
+// EndpointsLoading returns the endpoints on which an adapter is being loaded in its latest version.
 func (v *View) EndpointsLoading(a Adapter) []*Endpoint { return v.endpointsWithAdapter(a, false) }
 
 func (v *View) endpointsWithAdapter(a Adapter, ready bool) []*Endpoint {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var list []*Endpoint
-	for id, h := range v.endpointsByAdapter[a] {
-		if e := v.endpoints[id]; e != nil && h.Ready == ready && h.Version >= v.latestVersions[a] {
+	for id, s := range v.endpointsByAdapter[a] {
+		if e := v.endpoints[id]; e != nil && s.Ready == ready && s.Version >= v.latestVersions[a] {
 			list = append(list, e)
 		}
 	}
