--- a/share/compress.go
+++ b/share/compress.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// packFrom is how long a value is, in bytes, that is worth its packing: shorter ones are
-	// told with others in one message of some kilobytes.
+	// compressThreshold is the minimum length in bytes of a value that is compressed. Shorter values are
+	// batched with others into messages of a few kilobytes.
 	compressThreshold = 4 << 10
-	// mostValue is how long a packed value may be, in bytes: as much as a box reads of one
-	// answer of the store, and far below its memory.
+	// maxValueBytes bounds the length of a decompressed value. It equals the limit for one response of the
+	// store and is far below a box's memory.
 	maxValueBytes = 8 << 20
 )
 
-// Pack returns the item as it is kept and passed on: a long value is compressed, once, by the
-// box that read it. A configuration of 1,700 routes took 300 KB; told to six followers over a
-// link of 20 Mbit/s it held up their streams for 0.7 s, so that they counted as silent, were
-// opened again and told it anew. Packed it takes some 18 KB.
+// Compress returns the item as it is stored and replicated. A long value is compressed once, by the
+// box that read it. Uncompressed, a configuration of 1,700 routes takes 300 KB. Sending it to six followers over
+// a link of 20 Mbit/s blocked their streams for 0.7 s, so that they timed out, reconnected and
+// received it again. Compressed it takes about 18 KB.
 func Compress(i *wire.Item) *wire.Item {
 	if len(i.GetValue()) < compressThreshold {
 		return i
 	}
 	var b bytes.Buffer
-	w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // the level is one that there is
+	w, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // fails only for an invalid level
 	_, err := w.Write(i.GetValue())
 	if err == nil {
 		err = w.Close()
 	}
 	if err != nil || b.Len() >= len(i.GetValue()) {
-		return i // it can be told as it is
+		return i // can be sent uncompressed
 	}
 	p := withoutValue(i)
 	p.Packed = b.Bytes()
 	return p
 }
 
-// withoutValue returns an item that is the same but for its value, which it has in no form.
+// withoutValue returns a copy of the item without its value, compressed or not.
 func withoutValue(i *wire.Item) *wire.Item {
 	return &wire.Item{
 		Key:        i.GetKey(),
@@ -53,7 +53,7 @@
 	}
 }
 
-// Value returns an item's value.
+// Value returns an item's value, decompressed if necessary.
 func Value(i *wire.Item) ([]byte, error) {
 	if len(i.GetPacked()) == 0 {
 		return i.GetValue(), nil
@@ -72,13 +72,13 @@
 	return raw, nil
 }
 
-// unpacked returns the item for a follower of an older version, that reads no packed values.
+// decompressed returns the item with its value uncompressed, for followers of older versions.
 func decompressed(i *wire.Item) (*wire.Item, error) {
 	raw, err := Value(i)
 	if err != nil || len(i.GetPacked()) == 0 {
 		return i, err
 	}
-	u := withoutValue(i)
-	u.Value = raw
-	return u, nil
+	d := withoutValue(i)
+	d.Value = raw
+	return d, nil
 }
--- a/share/follow.go
+++ b/share/follow.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	batchDelay    = 40 * time.Millisecond // changes of this time go in one message
-	maxBatchItems = 256                   // items in one message, so that it stays far below gRPC's 4 MB
-	// BeatPause is after how long without a change a stream sends a message all the same.
+	batchDelay    = 40 * time.Millisecond // changes within this time are sent in one message
+	maxBatchItems = 256                   // keeps a message far below gRPC's limit of 4 MB
+	// HeartbeatInterval is the time without changes after which a stream sends a message without items.
 	HeartbeatInterval = 300 * time.Millisecond
-	// SilentAfter is how long a stream may say nothing before it counts as broken:
-	// two beats lost and some delay.
+	// IdleTimeout is the time without messages after which a stream counts as broken. It allows for two
+	// lost heartbeats and some delay.
 	IdleTimeout = 750 * time.Millisecond
 )
 
-// Server streams a table to those that follow it.
+// Server streams a table to its followers.
 type Server struct {
 	Table      *Table
 	DataCentre string // of this box
-	// Reading returns how far this box, or one that it follows, has read the store of
-	// the configuration; false: none did lately, as far as it knows.
-	ReadStatus func() (w ReadStatus, ok bool)
+	// ReadStatus returns how far this box, or a box that it follows, has read the configuration
+	// store. ok is false if none is known to have read it recently.
+	ReadStatus func() (s ReadStatus, ok bool)
 }
 
-// Status says how far a box has read the store of the configuration.
+// ReadStatus says how far a box has read the configuration store.
 type ReadStatus struct {
 	Age               time.Duration // since the last successful read
-	SettledRevision   uint64        // the store's revision up to which no settled fact is missing; zero: not known
-	EndpointsRevision uint64        // the same of lives of endpoints
+	SettledRevision   uint64        // store revision up to which all settled facts are known; zero if unknown
+	EndpointsRevision uint64        // likewise for endpoint instances
 }
 
-// Follow sends everything that the follower asked for and has not, then each change.
+// Follow sends the items that the follower requested and lacks, and then each change.
 func (s *Server) Follow(q *wire.FollowRequest, stream grpc.ServerStreamingServer[wire.Update]) error {
 	f := newFollower(q, s.DataCentre)
 	var seq uint64
 	for {
-		w, reading := s.ReadStatus() // before the items: what was read by then is among them
+		read, ok := s.ReadStatus() // before ItemsSince, so that the items include everything read by then
 		items, last, changed := s.Table.ItemsSince(seq)
 		seq = last
 		status := &wire.Update{}
-		if reading {
-			status = &wire.Update{Reading: true, AgeMicros: w.Age.Microseconds(), SettledRevision: w.SettledRevision, EndpointsRevision: w.EndpointsRevision}
+		if ok {
+			status = &wire.Update{Reading: true, AgeMicros: read.Age.Microseconds(), SettledRevision: read.SettledRevision, EndpointsRevision: read.EndpointsRevision}
 		}
 		if err := f.send(stream, items, status); err != nil {
 			return err
@@ -59,14 +59,14 @@
 	}
 }
 
-// pause waits for a change and a little for more of them, or for the next beat.
+// waitForChange waits until a change, plus batchDelay to batch further ones, or until the next heartbeat is due.
 func waitForChange(ctx context.Context, changed <-chan struct{}) error {
-	beat := time.NewTimer(HeartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(HeartbeatInterval)
+	defer heartbeat.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-beat.C:
+	case <-heartbeat.C:
 		return nil
 	case <-changed:
 	}
@@ -78,22 +78,22 @@
 	}
 }
 
-// follower is who reads a stream.
+// follower is the receiver of a stream.
 type follower struct {
 	request    *wire.FollowRequest
-	dataCentre string            // of the box that sends
-	known      map[string]uint64 // versions that it had when it began to follow
+	dataCentre string            // of the sending box
+	known      map[string]uint64 // versions that the follower had when the stream started, by key
 }
 
-func newFollower(q *wire.FollowRequest, dataCentre string) *follower {
-	f := &follower{request: q, dataCentre: dataCentre, known: make(map[string]uint64, len(q.GetKnown()))}
-	for _, k := range q.GetKnown() {
+func newFollower(request *wire.FollowRequest, dataCentre string) *follower {
+	f := &follower{request: request, dataCentre: dataCentre, known: make(map[string]uint64, len(request.GetKnown()))}
+	for _, k := range request.GetKnown() {
 		f.known[k.GetKey()] = k.GetVersion()
 	}
 	return f
 }
 
-// needs reports whether the follower asked for an item and has not got it.
+// needs reports whether the follower requested an item and did not have it when the stream started.
 func (f *follower) needs(i *wire.Item) bool {
 	if !f.request.GetEverything() && !i.GetSettled() && i.GetDataCentre() != f.dataCentre {
 		return false
@@ -101,8 +101,8 @@
 	return f.known[i.GetKey()] < i.GetVersion()
 }
 
-// send sends the items that the follower needs, and the status with the last of them: it
-// holds of them all. A message without any is a beat.
+// send sends the items that the follower needs in batches. The status is in the last message only, since
+// it covers all items. A message without items is a heartbeat.
 func (f *follower) send(stream grpc.ServerStreamingServer[wire.Update], items []*wire.Item, status *wire.Update) error {
 	u := &wire.Update{}
 	for _, i := range items {
@@ -127,16 +127,17 @@
 	return stream.Send(status)
 }
 
-// ErrSilent says that a followed box said nothing for too long.
-var ErrIdleTimeout = errors.New("share: the followed box is silent")
+// ErrIdleTimeout is returned by Follow if the followed box sent no message within IdleTimeout.
+var ErrIdleTimeout = errors.New("share: followed box sent no message within the idle timeout")
 
-// Follow merges what the box behind c sends, until the stream breaks, falls silent, or ctx ends. What the
-// table has need not be sent. received is called with each message after it was merged, and when it came.
-func Follow(ctx context.Context, c wire.ShareClient, q *wire.FollowRequest, t *Table, received func(u *wire.Update, came time.Time)) error {
+// Follow merges the items sent by the box behind c until the stream breaks, is idle for too long, or ctx ends. It
+// tells the box which versions the table has, so that they are not sent. onReceived is called with each message
+// after it was merged, and the time at which it arrived.
+func Follow(ctx context.Context, c wire.ShareClient, q *wire.FollowRequest, t *Table, onReceived func(u *wire.Update, at time.Time)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silent := time.AfterFunc(IdleTimeout, func() { cancel(ErrIdleTimeout) })
-	defer silent.Stop()
+	idle := time.AfterFunc(IdleTimeout, func() { cancel(ErrIdleTimeout) })
+	defer idle.Stop()
 	q.Packed, q.Known = true, t.knownVersions()
 	stream, err := c.Follow(ctx, q)
 	if err != nil {
@@ -147,13 +148,14 @@
 		if err != nil {
 			return streamError(ctx, err)
 		}
-		came := clock.Now()
-		silent.Reset(IdleTimeout)
+		at := clock.Now()
+		idle.Reset(IdleTimeout)
 		t.Receive(u.GetItems()...)
-		received(u, came)
+		onReceived(u, at)
 	}
 }
 
+// streamError returns the cause of the context's end if it ended, else err.
 func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/share/table.go
+++ b/share/table.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package share replicates versioned facts between boxes: each box keeps all of
-// them in memory, streams them to those that follow it, and merges what it
+// Package share replicates versioned facts between boxes. Each box keeps all facts
+// in memory, streams them to its followers, and merges what it
 // receives. Of two facts with the same key the higher version wins, so the order
 // and the path of messages do not matter.
 //
-// Lock order: Table.mu is taken alone; OnChange is called without it.
+// Lock order: Table.mu is taken alone. OnChange and OnIgnored are called without it.
 package share
 
 import (
@@ -17,37 +17,38 @@
 
 // Table is one box's copy of the facts. It is safe for concurrent use.
 type Table struct {
-	// OnChange is called with every accepted item, in the order of acceptance. Set it
-	// before use.
+	// The callbacks are optional and must be set before use.
+
+	// OnChange is called with every accepted item, in the order of acceptance.
 	OnChange func(items []*wire.Item)
-	// HasEnded reports whether a fact that is not in the table had ended before this box began to
-	// know of it: a box that has not learned of the end may still send it, and Receive ignores
-	// it. Set it before use; nil: none has.
+	// HasEnded reports whether a fact that is not in the table had ended before this box learned of it.
+	// A box that is unaware of the end may still send the fact; Receive ignores it. If nil, no
+	// fact counts as ended.
 	HasEnded func(i *wire.Item) bool
-	// IsSuperseded reports whether a fact that was received is older than this box's knowledge though its
-	// version is above the table's: an even newer one said the same as the table does. Receive ignores
-	// it. Set it before use; nil: none is.
+	// IsSuperseded reports whether a received fact is outdated although its version is above the table's:
+	// a later version that is equivalent to the table's was not sent to this box. Receive
+	// ignores the fact. If nil, no fact counts as superseded.
 	IsSuperseded func(i *wire.Item) bool
-	// Same reports whether a newer version of a fact says nothing that others need. It is kept, for
-	// those that begin to follow, and neither sent nor given to OnChange. Set it before use; nil: every
-	// version is sent.
+	// IsEquivalent reports whether a newer version of a fact has no content that other boxes need. The
+	// version is kept for new followers, but neither sent to current ones nor passed to OnChange. If nil,
+	// every version is sent.
 	IsEquivalent func(old, now *wire.Item) bool
 
-	// Outlives reports whether what older says stands though newer has a higher version, or the same: the
-	// source of the facts was restored from a copy that is older than older. The fact is then kept under the
-	// returned version. read says that this box knew older and has read newer from the source itself. Set it
-	// before use; nil: the higher version always wins.
-	ResolveRollback func(older, newer *wire.Item, read bool) (version uint64, outlives bool)
-	// OnIgnored is called with the items that were not taken because this box knows something newer;
-	// received says that another box sent them. Set it before use; nil: nobody asks.
+	// ResolveRollback reports whether the content of older prevails although newer has the same or a higher
+	// version, because the source was restored from a backup that predates older. The fact is then kept
+	// under the returned version. read says that this box had older and read newer directly from the
+	// source. If nil, the higher version always wins.
+	ResolveRollback func(older, newer *wire.Item, read bool) (version uint64, prevails bool)
+	// OnIgnored is called with the items that were rejected because the table has a newer version.
+	// received says that they came from another box.
 	OnIgnored func(items []*wire.Item, received bool)
 
 	mu        sync.Mutex
 	entries   map[string]*list.Element // by key
-	log       *list.List               // of *entry, by rising seq
+	log       *list.List               // of *entry, by increasing seq
 	seq       uint64                   // of the last accepted item
-	notify    chan struct{}            // closed at the next acceptance
-	callbacks sync.Mutex               // keeps OnChange in order
+	notify    chan struct{}            // closed when the next item is accepted
+	callbacks sync.Mutex               // serialises merges with their callbacks, to keep OnChange in order
 }
 
 type entry struct {
@@ -60,11 +61,11 @@
 	return &Table{entries: make(map[string]*list.Element), log: list.New(), notify: make(chan struct{})}
 }
 
-// Merge applies items; those that are not newer than what is known change
-// nothing.
+// Merge applies items that this box published or read from the source. Items that are not newer than the table's are
+// ignored.
 func (t *Table) Merge(items ...*wire.Item) { t.merge(items, false) }
 
-// Receive merges what another box sent, without new facts that have ended.
+// Receive applies items from another box. It also ignores facts that have ended or are superseded.
 func (t *Table) Receive(items ...*wire.Item) { t.merge(items, true) }
 
 func (t *Table) merge(items []*wire.Item, received bool) {
@@ -79,8 +80,8 @@
 	}
 }
 
-// accept applies items. It returns those that are news, and those that are older than what is known;
-// received says that another box sent them.
+// accept applies items and returns those that changed the table, and those that are older than the
+// table's. received says that they came from another box.
 func (t *Table) accept(items []*wire.Item, received bool) (accepted, ignored []*wire.Item) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,14 +93,14 @@
 			}
 		} else {
 			known := old.Value.(*entry)
-			merged := t.resolve(known.item, i, received)
-			if merged == nil {
+			resolved := t.resolve(known.item, i, received)
+			if resolved == nil {
 				if known.item.GetVersion() != i.GetVersion() {
 					ignored = append(ignored, i)
 				}
 				continue
 			}
-			i = merged
+			i = resolved
 			if t.IsEquivalent != nil && t.IsEquivalent(known.item, i) {
 				known.item = i
 				continue
@@ -117,22 +118,22 @@
 	return accepted, ignored
 }
 
-// merged returns the item to know in place of the known one after another of its key came, nil where it stays;
-// received says that another box sent it.
-func (t *Table) resolve(known, came *wire.Item, received bool) *wire.Item {
-	if known.GetVersion() >= came.GetVersion() {
-		if v, ok := t.resolveRollback(came, known, false); ok {
-			return withVersion(came, v)
+// resolve returns the item that replaces the known one when another with its key arrives, or nil if the known one
+// stays. received says that the other came from another box.
+func (t *Table) resolve(known, incoming *wire.Item, received bool) *wire.Item {
+	if known.GetVersion() >= incoming.GetVersion() {
+		if v, ok := t.resolveRollback(incoming, known, false); ok {
+			return withVersion(incoming, v)
 		}
 		return nil
 	}
-	if received && t.IsSuperseded != nil && t.IsSuperseded(came) {
+	if received && t.IsSuperseded != nil && t.IsSuperseded(incoming) {
 		return nil
 	}
-	if v, ok := t.resolveRollback(known, came, !received); ok {
+	if v, ok := t.resolveRollback(known, incoming, !received); ok {
 		return withVersion(known, v)
 	}
-	return came
+	return incoming
 }
 
 func (t *Table) resolveRollback(older, newer *wire.Item, read bool) (uint64, bool) {
@@ -142,15 +143,15 @@
 	return t.ResolveRollback(older, newer, read)
 }
 
-// withVersion returns an item that is the same but for its version.
+// withVersion returns a copy of the item with another version.
 func withVersion(i *wire.Item, version uint64) *wire.Item {
 	w := withoutValue(i)
 	w.Version, w.Value, w.Packed = version, i.GetValue(), i.GetPacked()
 	return w
 }
 
-// Since returns the items accepted after seq, oldest first, the new seq, and a
-// channel that closes at the next acceptance.
+// ItemsSince returns the items accepted after seq, oldest first, the current seq, and a
+// channel that is closed when the next item is accepted.
 func (t *Table) ItemsSince(seq uint64) ([]*wire.Item, uint64, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -170,7 +171,7 @@
 	return items, t.seq, t.notify
 }
 
-// Version returns the version known of a key; zero when it is not known.
+// Version returns the version of a key's item, zero if there is none.
 func (t *Table) Version(key string) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +181,7 @@
 	return 0
 }
 
-// known returns the versions of all items.
+// knownVersions returns the versions of all items.
 func (t *Table) knownVersions() []*wire.Known {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,7 +192,7 @@
 	return list
 }
 
-// Get returns the item of a key; nil when it is not known. Do not change it.
+// Get returns the item of a key, or nil. The item must not be modified.
 func (t *Table) Get(key string) *wire.Item {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,19 +202,19 @@
 	return nil
 }
 
-// Any reports whether ok holds for one of the items.
-func (t *Table) Contains(ok func(i *wire.Item) bool) bool {
+// Contains reports whether any item satisfies match.
+func (t *Table) Contains(match func(i *wire.Item) bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, e := range t.entries {
-		if ok(e.Value.(*entry).item) {
+		if match(e.Value.(*entry).item) {
 			return true
 		}
 	}
 	return false
 }
 
-// Forget drops an item that nobody needs any more, without telling others.
+// Discard deletes an item from this table only. Followers are not notified.
 func (t *Table) Discard(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -223,7 +224,7 @@
 	}
 }
 
-// Keys returns the keys of the items that were not removed.
+// Keys returns the keys of the items that are not marked as removed.
 func (t *Table) Keys() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
