--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock gives the time for decisions that depend on an age: how recent another box's status
-// is, how long a lease still runs, whether a request is still in time.
+// Package clock provides times for decisions that depend on elapsed time: how recent another box's status
+// is, how long a lease remains valid, whether a request meets its deadline.
 //
-// The steady reading of time.Time stands still while the machine is suspended, and the time of day
-// may jump. A box that was suspended for five seconds would take what it received before for news: it
-// would serve by keys that were taken away, and write under grants that have ended. Times of this
-// package count a suspension. They are for each other: a timer, a deadline of a connection or of a
-// context and the time of day need those of package time.
+// The monotonic reading of time.Time stops while the machine is suspended, and the wall clock
+// may jump. A box that was suspended for five seconds would treat data received before as current: it
+// would accept revoked API keys and write under expired leases. Times of this
+// package include suspensions. Compare them only with each other: timers, deadlines of connections and
+// contexts, and the time of day need times of package time.
 package clock
 
 import (
@@ -18,64 +18,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// Check returns an error where the system does not give the time since the machine started, so that
-// suspensions don't count.
+// Check returns an error if CLOCK_BOOTTIME is unavailable, so that suspensions go undetected.
 func Check() error {
 	var t unix.Timespec
-	return errors.Wrap(unix.ClockGettime(unix.CLOCK_BOOTTIME, &t), "clock: time since the machine started")
+	return errors.Wrap(unix.ClockGettime(unix.CLOCK_BOOTTIME, &t), "clock: read CLOCK_BOOTTIME")
 }
 
-// Now returns the present time. The difference of two counts time in which the machine was suspended.
+// Now returns the current time. The difference between two results includes time during which the machine was
+// suspended.
 func Now() time.Time {
 	now := time.Now()
 	return now.Add(processCounter.suspended(now))
 }
 
-// Since returns how long ago a time of Now was.
+// Since returns the time elapsed since t, which is based on Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a time of Now.
+// Until returns the time remaining until t, which is based on Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Timer returns the time of package time that is as far away as a time of Now.
+// SystemTime converts t, which is based on Now, to a time of package time that is equally far away.
 func SystemTime(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// Suspend has all later times be as after a suspension of the machine. It is for tests.
+// SimulateSuspend advances all later times as if the machine had been suspended for d. It is for tests.
 func SimulateSuspend(d time.Duration) {
 	processCounter.mu.Lock()
 	defer processCounter.mu.Unlock()
 	processCounter.simulated += d
 }
 
-// lookAgain is how long what is known of suspensions holds: a look is a call of the system, and a
-// box takes hundreds of times in a second. It is far below any age that decides.
+// refreshInterval is how long a suspension count is reused, since refreshing it costs a system call and a
+// box reads the time hundreds of times per second. It is far below any duration on which a decision depends.
 const refreshInterval = time.Millisecond
 
-// counter counts how long the machine was suspended since the counter was made.
+// suspendCounter measures how long the machine has been suspended since the counter was created.
 type suspendCounter struct {
-	boot func() time.Duration // since the machine started, suspensions included
+	boot func() time.Duration // time since the machine started, including suspensions
 
 	mu            sync.Mutex
-	startedAt     time.Time     // when it was made, and
-	startedAtBoot time.Duration // the same by boot
-	refreshedAt   time.Time     // when boot was asked last
-	total         time.Duration // never falls
+	startedAt     time.Time     // creation of the counter
+	startedAtBoot time.Duration // the same as a reading of boot
+	refreshedAt   time.Time     // latest reading of boot
+	total         time.Duration // never decreases
 	simulated     time.Duration
 }
 
 var processCounter = newSuspendCounter(sinceBoot)
 
 func newSuspendCounter(boot func() time.Duration) *suspendCounter {
-	began := time.Now() // first: what passes before the other reading must not count as a suspension
-	return &suspendCounter{boot: boot, startedAt: began, startedAtBoot: boot()}
+	now := time.Now() // before boot, so that a delay between the readings does not count as a suspension
+	return &suspendCounter{boot: boot, startedAt: now, startedAtBoot: boot()}
 }
 
-// suspended returns how long the machine was suspended until now, or somewhat less: what passes
-// between the readings of two clocks must not count.
+// suspended returns how long the machine has been suspended until now, or slightly less, since a delay
+// between the readings of the two clocks must not count.
 func (c *suspendCounter) suspended(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !now.Before(c.startedAt) && now.Sub(c.refreshedAt) >= refreshInterval { // a time before that is of a test's own clock
+	if !now.Before(c.startedAt) && now.Sub(c.refreshedAt) >= refreshInterval { // earlier times are from a test's fake clock
 		boot := c.boot()
 		c.refreshedAt = time.Now()
 		c.total = max(c.total, boot-c.startedAtBoot-c.refreshedAt.Sub(c.startedAt))
@@ -83,8 +83,8 @@
 	return c.total + c.simulated
 }
 
-// sinceBoot returns how long ago the machine started; zero where the system does not say, which
-// Check reports.
+// sinceBoot returns the time since the machine started, or zero if CLOCK_BOOTTIME is unavailable, which Check
+// reports.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
