--- a/clock/clock.go
+++ b/clock/clock.go
@@ -5,7 +5,7 @@
 //
 // The monotonic reading of time.Time stops while the machine is suspended, and the wall clock
 // may jump. A box that was suspended for five seconds would treat data received before as current: it
-// would accept revoked API keys and write under expired leases. Times of this
+// would accept revoked API keys and write under expired grants. Times of this
 // package include suspensions. Compare them only with each other: timers, deadlines of connections and
 // contexts, and the time of day need times of package time.
 package clock
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestATimeInWhichTheMachineWasSuspendedCounts(t *testing.T) {
+func TestSuspendedTimeCounts(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(Check(), quicktest.IsNil)
 	asleep := time.Duration(0)
@@ -28,7 +28,7 @@
 	c.Assert(k.suspended(time.Now()) >= counted, quicktest.IsTrue)
 }
 
-func TestTimesCountASimulatedSuspension(t *testing.T) {
+func TestSimulatedSuspensionCounts(t *testing.T) {
 	c := quicktest.New(t)
 	deadline := Now().Add(10 * time.Second)
 	SimulateSuspend(8 * time.Second)
@@ -47,7 +47,7 @@
 }
 
 // Tests under simulated time compared ages of two clocks that were years apart, so that no age was ever low.
-func TestUnderSimulatedTimeNoSuspensionIsCounted(t *testing.T) {
+func TestNoSuspensionIsCountedUnderFakeTime(t *testing.T) {
 	k := newSuspendCounter(sinceBoot)
 	synctest.Test(t, func(t *testing.T) {
 		quicktest.Assert(t, k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
--- a/member/cluster_test.go
+++ b/member/cluster_test.go
@@ -127,7 +127,7 @@
 // The evidence: real loops under simulated time: 27 of 195 knew of a restart after one second, with
 // up to 300 whole views told in the second after it; on a day of the users, 14,039 whole views of
 // 14 KB within 30 s.
-func TestARestartAmongManyIsKnownSoonAndCostsLittle(t *testing.T) {
+func TestRestartInLargeClusterSpreadsQuicklyAndCheaply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
 		m := newLargeCluster()
--- a/member/fuzz_test.go
+++ b/member/fuzz_test.go
@@ -59,7 +59,7 @@
 
 // Found by fuzzing heartbeats: a claim of the highest incarnation made a member's own begin
 // again at zero, so that all that it told was old news to everyone else, for good.
-func TestAClaimOfTheHighestIncarnationDoesNotWrapTheOwn(t *testing.T) {
+func TestClaimOfHighestIncarnationDoesNotOverflowOwn(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("a", math.MaxUint64)}, start)
--- a/member/loop_test.go
+++ b/member/loop_test.go
@@ -74,7 +74,7 @@
 	return true
 }
 
-func TestDaemonsThatStartTogetherSeeEachOther(t *testing.T) {
+func TestSimultaneouslyStartedDaemonsDiscoverEachOther(t *testing.T) {
 	c := quicktest.New(t)
 	w := make(memoryNetwork)
 	for i := range 16 {
@@ -84,7 +84,7 @@
 	c.Assert(w.allSeeServing(16), quicktest.IsTrue)
 }
 
-func TestTwoGroupsThatDoNotKnowEachOtherMerge(t *testing.T) {
+func TestSeparateGroupsMerge(t *testing.T) {
 	c := quicktest.New(t)
 	w := make(memoryNetwork)
 	for i := range 4 {
@@ -104,7 +104,7 @@
 
 // One daemon believed another dead. Those who saw that one themselves passed the gossip
 // over, so it never heard of its death and never refuted it.
-func TestAMemberHearsOfItsDeathFromThoseWhoKnowBetter(t *testing.T) {
+func TestMemberReceivesClaimOfItsDeathFromMembersThatRejectIt(t *testing.T) {
 	c := quicktest.New(t)
 	w := make(memoryNetwork)
 	for i := range 6 {
@@ -117,7 +117,7 @@
 	c.Assert(w.allSeeServing(6), quicktest.IsTrue)
 }
 
-func TestAHeartbeatNamesItsSenderWhole(t *testing.T) {
+func TestHeartbeatContainsCompleteSender(t *testing.T) {
 	c := quicktest.New(t)
 	w := make(memoryNetwork)
 	a := w.join("a", "b:1")
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -177,7 +177,7 @@
 	return k.String()
 }
 
-func TestMembersInAllOrders(t *testing.T) {
+func TestModelOfMembership(t *testing.T) {
 	for _, w := range []struct {
 		name    string
 		daemons int
--- a/member/snapshot_test.go
+++ b/member/snapshot_test.go
@@ -15,7 +15,7 @@
 
 // Whatever happens to a table, what it tells of its members and of their digest is what a table
 // made anew of the same members tells.
-func TestASnapshotFollowsEachChange(t *testing.T) {
+func TestSnapshotMatchesTableAfterEachChange(t *testing.T) {
 	c := quicktest.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
 	v := tableOf("m5")
@@ -49,7 +49,7 @@
 
 // One exchange between two of 195 members: 0.16 ms and 75 KB where the members were sorted for
 // each question, 0.009 ms and 0.9 KB with a snapshot (one run each).
-func BenchmarkExchangeAtRest(b *testing.B) {
+func BenchmarkIdleExchange(b *testing.B) {
 	w := make(memoryNetwork)
 	first := w.join("box000")
 	second := w.join("box001", "box000:1")
--- a/member/suspend_test.go
+++ b/member/suspend_test.go
@@ -13,7 +13,7 @@
 
 // A machine was suspended, and the others took its daemons for dead. A daemon that does not see the
 // gap goes on by what it knew: it leads, owns and hands out what others have by now.
-func TestADaemonThatWasSuspendedDistrustsItsView(t *testing.T) {
+func TestSuspendedDaemonInvalidatesItsView(t *testing.T) {
 	c := quicktest.New(t)
 	l := make(memoryNetwork).join("a")
 	l.Interval, l.PauseLimit = 10*time.Millisecond, 3*time.Second
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -31,7 +31,7 @@
 	return m.State()
 }
 
-func TestASilentMemberIsSuspectedThenDead(t *testing.T) {
+func TestUnresponsiveMemberBecomesSuspectThenDead(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.RecordTimeout("b", start)
@@ -42,7 +42,7 @@
 	c.Assert(v.Serving(Scheduler), quicktest.HasLen, 1)
 }
 
-func TestOldNewsOfARestartedBoxIsIgnored(t *testing.T) {
+func TestOutdatedUpdateAboutRestartedBoxIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("b", 5)}, start)
@@ -52,7 +52,7 @@
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Alive)
 }
 
-func TestAWronglySuspectedMemberRefutes(t *testing.T) {
+func TestWronglySuspectedMemberRefutes(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	claim := box("a", 1)
@@ -62,13 +62,13 @@
 	c.Assert(v.Self().State(), quicktest.Equals, Alive)
 }
 
-func TestAMemberOfAnotherDataCentreIsNotTakenIn(t *testing.T) {
+func TestMemberOfAnotherDataCentreIsIgnored(t *testing.T) {
 	v := tableOf("a")
 	v.Merge([]Member{New("z", "z:1", Scheduler, "d2", 1)}, start)
 	quicktest.Assert(t, v.Members(), quicktest.HasLen, 1)
 }
 
-func TestAPauseMakesTheViewStaleUntilAnExchange(t *testing.T) {
+func TestPauseMakesViewStaleUntilNextExchange(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.RecordExchange("b", start)
@@ -79,7 +79,7 @@
 	c.Assert(v.Fresh(start.Add(2*time.Second)), quicktest.IsTrue)
 }
 
-func TestNeighboursFollowOnTheRing(t *testing.T) {
+func TestNeighboursFollowSelfOnTheRing(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("b", "a", "c", "d")
 	v.RecordRefusal("c", start)
@@ -90,7 +90,7 @@
 	c.Assert(names, quicktest.DeepEquals, []string{"d", "a"})
 }
 
-func TestNewsIsToldABoundedNumberOfTimes(t *testing.T) {
+func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b", "c")
 	told := 0
@@ -109,7 +109,7 @@
 
 // A box that was frozen came back as the oldest, and the lead of its data centre
 // changed hands twice for one freeze.
-func TestAMemberThatWasBelievedDeadComesBackAsTheYoungest(t *testing.T) {
+func TestMemberDeclaredDeadReturnsAsYoungest(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	young := uint64(now.Add(-time.Minute).UnixMicro())
@@ -122,7 +122,7 @@
 
 // After a cut between data centres every box had been believed dead elsewhere, and the
 // lead of a data centre that nobody had left changed hands.
-func TestAMemberThatItsDataCentreSawAllTheTimeStaysAsOldAsItIs(t *testing.T) {
+func TestMemberConnectedToItsDataCentreKeepsSeniority(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	old := uint64(now.Add(-time.Minute).UnixMicro())
@@ -142,7 +142,7 @@
 	c.Assert(v.Self().Incarnation() > old+2, quicktest.IsTrue)
 }
 
-func TestGossipOfADeathDoesNotCountAgainstASignOfLife(t *testing.T) {
+func TestDirectContactOverridesGossipOfDeath(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b", "c")
 	v.RecordExchange("b", start)
@@ -158,7 +158,7 @@
 
 // A box that had started again was called dead for a refusal that its life before had
 // earned, which the connection remembered.
-func TestARememberedRefusalDoesNotEndTheNextLife(t *testing.T) {
+func TestCachedRefusalDoesNotKillRestartedMember(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("b", 2)}, start)
--- a/share/compress_test.go
+++ b/share/compress_test.go
@@ -25,7 +25,7 @@
 	return []byte(b.String())
 }
 
-func TestALongValueIsPackedAndReadAgain(t *testing.T) {
+func TestLongValueIsCompressedAndRead(t *testing.T) {
 	c := quicktest.New(t)
 	raw := routes(1700)
 	i := Compress(&wire.Item{Key: "config", Version: 3, Value: raw, Settled: true, DataCentre: "d1"})
@@ -41,7 +41,7 @@
 	c.Assert(Compress(short), quicktest.Equals, short)
 }
 
-func TestAPackedValueThatIsBrokenOrTooLongIsRefused(t *testing.T) {
+func TestCorruptOrTooLongCompressedValueIsRejected(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := Value(&wire.Item{Key: "config", Packed: []byte("no gzip")})
 	c.Assert(err, quicktest.ErrorMatches, "share: packed value of config: .*")
@@ -69,14 +69,14 @@
 // opened again, and all is told from the start.
 //
 // The evidence: counts of messages by kind, and "the followed box is silent" in the boxes' logs.
-func TestALargeConfigurationLeavesStreamsTimeToSpeak(t *testing.T) {
+func TestLargeConfigurationDoesNotTimeOutStreams(t *testing.T) {
 	c := quicktest.New(t)
 	i := Compress(&wire.Item{Key: "config", Version: 3, Value: routes(1700), Settled: true})
 	takes := time.Duration(float64(followerCount*proto.Size(i)) / linkBytesPerSecond * float64(time.Second))
 	c.Assert(takes < IdleTimeout/4, quicktest.IsTrue, quicktest.Commentf("it takes %v", takes))
 }
 
-func TestAFollowerIsNotToldWhatItHas(t *testing.T) {
+func TestFollowerIsNotSentKnownItems(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
 	from.Merge(item("same", 3), item("newer", 4), item("unknown", 1), Compress(&wire.Item{Key: "config", Version: 9, Value: routes(100)}))
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -20,7 +20,7 @@
 	return &wire.Item{Key: key, Version: version, DataCentre: "d1"}
 }
 
-func TestTheHigherVersionWinsInAnyOrder(t *testing.T) {
+func TestHigherVersionWinsInAnyOrder(t *testing.T) {
 	c := quicktest.New(t)
 	a, b := NewTable(), NewTable()
 	a.Merge(item("k", 1), item("k", 2))
@@ -30,7 +30,7 @@
 	c.Assert(b.Version("k"), quicktest.Equals, uint64(2))
 }
 
-func TestOnlyWhatIsNewerIsTold(t *testing.T) {
+func TestOnChangeGetsOnlyNewerItems(t *testing.T) {
 	c := quicktest.New(t)
 	var told []string
 	a := NewTable()
@@ -44,7 +44,7 @@
 	c.Assert(told, quicktest.DeepEquals, []string{"x", "y", "y"})
 }
 
-func TestWhatAnotherBoxToldIsNotTakenInWhereItIsKnownToBeOver(t *testing.T) {
+func TestReceivedItemThatHasEndedIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
 	a.HasEnded = func(i *wire.Item) bool { return i.GetVersion() <= 2 }
@@ -57,7 +57,7 @@
 
 // Entries of endpoints change with each load, which all boxes hear of in another way. What says
 // nothing new is kept, for those that begin to follow, and is not told.
-func TestAVersionThatSaysTheSameIsKeptAndNotTold(t *testing.T) {
+func TestEquivalentVersionIsKeptButNotSent(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
 	told := 0
@@ -84,7 +84,7 @@
 
 // A box was not told of version 5, which said the same as 1, and misses nothing up to 6. Version 3,
 // which said something else, comes late from a box that is behind.
-func TestAnOldVersionIsPassedOverWhereANewerOneSaidTheSame(t *testing.T) {
+func TestSupersededVersionIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
 	a.Merge(item("k", 1))
@@ -95,7 +95,7 @@
 	c.Assert(a.Version("k"), quicktest.Equals, uint64(7))
 }
 
-func TestSinceReturnsEachChangedItemOnce(t *testing.T) {
+func TestItemsSinceReturnsEachChangedItemOnce(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
 	a.Merge(item("x", 1), item("y", 1))
@@ -141,7 +141,7 @@
 	return wire.NewShareClient(conn)
 }
 
-func TestAFollowerGetsWhatIsKnownAndEachChange(t *testing.T) {
+func TestFollowerReceivesKnownItemsAndChanges(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
 	from.Merge(item("early", 1), &wire.Item{Key: "foreign", Version: 1, DataCentre: "d2"})
@@ -164,7 +164,7 @@
 	c.Assert(<-done, quicktest.IsNotNil)
 }
 
-func TestAStreamThatSaysNothingCountsAsBroken(t *testing.T) {
+func TestIdleStreamCountsAsBroken(t *testing.T) {
 	c := quicktest.New(t)
 	client := serve(c, shareServer{silent: true})
 	err := Follow(context.Background(), client, &wire.FollowRequest{}, NewTable(), func(*wire.Update, time.Time) {})
@@ -173,7 +173,7 @@
 
 // A box was told that the store had just been heard, and an endpoint's removal that had been
 // read by then came with the next message.
-func TestAWordHoldsOfWhatWasToldWithIt(t *testing.T) {
+func TestReadStatusCoversItemsSentBeforeIt(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
 	for i := range maxBatchItems + 1 {
--- a/topology/evictions_test.go
+++ b/topology/evictions_test.go
@@ -11,7 +11,7 @@
 
 func adapterNumber(n int) Adapter { return Adapter{Model: "m", Name: fmt.Sprint(n)} }
 
-func TestWhatLeftAnEndpointIsRememberedByOrder(t *testing.T) {
+func TestEvictionsAreCountedInOrder(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e", Service: "s"}))
@@ -32,7 +32,7 @@
 	c.Assert(v.LastHolder(adapterNumber(1)), quicktest.IsNil)
 }
 
-func TestAnEndpointsMemoryIsBounded(t *testing.T) {
+func TestEvictionHistoryIsBounded(t *testing.T) {
 	c := quicktest.New(t)
 	var m evictionHistory
 	for n := range maxEvictionHistory + 1 {
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -13,7 +13,7 @@
 	return NewRoute(RouteSpec{Name: name, Host: "h", Prefix: prefix, Services: []WeightedService{{Name: "s", Weight: 1}}})
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteMatchesLongestPrefixOfHost(t *testing.T) {
 	c := quicktest.New(t)
 	cfg := NewConfig(1, []*Route{route("short", "/a/"), route("long", "/a/b/")}, nil, RequestLimits{})
 	c.Assert(cfg.Route("h", "/a/b/c").Name(), quicktest.Equals, "long")
@@ -22,7 +22,7 @@
 	c.Assert(cfg.Route("other", "/a/"), quicktest.IsNil)
 }
 
-func TestASplitFollowsItsWeights(t *testing.T) {
+func TestSelectServiceFollowsWeights(t *testing.T) {
 	c := quicktest.New(t)
 	r := NewRoute(RouteSpec{Services: []WeightedService{{Name: "a", Weight: 3}, {Name: "b", Weight: 1}}})
 	count := make(map[string]int)
@@ -32,7 +32,7 @@
 	c.Assert(count, quicktest.DeepEquals, map[string]int{"a": 750, "b": 250})
 }
 
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+func TestSetConfigRejectsOlderVersion(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	c.Assert(v.SetConfig(NewConfig(5, nil, nil, RequestLimits{})), quicktest.IsTrue)
@@ -40,7 +40,7 @@
 	c.Assert(v.Config().Version(), quicktest.Equals, uint64(5))
 }
 
-func TestOnlyTheNewestVersionThatIsReadyIsHeld(t *testing.T) {
+func TestEndpointsReadyRequiresLatestReadyVersion(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	a := Adapter{Model: "m", Name: "x"}
@@ -60,7 +60,7 @@
 	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 0)
 }
 
-func TestEndpointsOfAServiceStaySortedAndListsThatWereReadStay(t *testing.T) {
+func TestEndpointListsStaySortedAndReturnedListsUnchanged(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	ids := func(service string) (names []string) {
@@ -87,7 +87,7 @@
 	c.Assert(v.All(), quicktest.HasLen, 1)
 }
 
-func TestSlotsBesideTheModelsAreBoundByWeights(t *testing.T) {
+func TestAdapterCapacityIsBoundedByMemory(t *testing.T) {
 	c := quicktest.New(t)
 	e := &EngineSpec{MemoryMB: 100, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", WeightsMB: 90, AdapterMB: 3}}}
 	c.Assert(e.AdapterCapacity(map[string]bool{"m": true}), quicktest.Equals, 3)
@@ -96,7 +96,7 @@
 
 // Found by fuzzing configurations: adapters that are said to weigh next to nothing left room
 // for fewer than none.
-func TestAdaptersThatWeighNothingLeaveEverySlot(t *testing.T) {
+func TestAdapterCapacityWithTinyAdapters(t *testing.T) {
 	c := quicktest.New(t)
 	e := &EngineSpec{MemoryMB: 1e300, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", WeightsMB: 1, AdapterMB: 1e-300}}}
 	c.Assert(e.AdapterCapacity(map[string]bool{"m": true}), quicktest.Equals, 16)
@@ -104,7 +104,7 @@
 
 // While its source was silent an endpoint said in its answers that it leaves; the source's older word, that it
 // serves, came again afterwards.
-func TestAnEndpointThatSaidThatItLeavesDoesNotComeBack(t *testing.T) {
+func TestDrainingEndpointStaysDraining(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	serves := NewEndpoint(EndpointSpec{ID: "e1@1", Service: "s"})
@@ -127,7 +127,7 @@
 	c.Assert(v.Endpoint("e2@1").Draining(), quicktest.IsTrue)
 }
 
-func TestTheLivesThatAreRememberedToLeaveAreBounded(t *testing.T) {
+func TestDrainingSetIsBounded(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
 	for i := range 2 * maxDraining {
--- a/topology/view_bench_test.go
+++ b/topology/view_bench_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// BenchmarkEndpointsOfALargeFleetAreLearnt is what a box does at its start: it hears of 3,000
+// BenchmarkSetEndpointsOfLargeFleet is what a box does at its start: it hears of 3,000
 // endpoints, one after the other, and looks at one service now and then. Before: 1,254 ms for all,
 // as each sorted all that were known; after: 27 ms.
-func BenchmarkEndpointsOfALargeFleetAreLearnt(b *testing.B) {
+func BenchmarkSetEndpointsOfLargeFleet(b *testing.B) {
 	for range b.N {
 		v := NewView()
 		for i := range 3000 {
