--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,19 +13,19 @@
 func TestSuspendedTimeCounts(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(Check(), quicktest.IsNil)
-	asleep := time.Duration(0)
-	k := newSuspendCounter(func() time.Duration { return sinceBoot() + asleep })
-	c.Assert(k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
-	asleep = 5 * time.Second
+	simulated := time.Duration(0)
+	counter := newSuspendCounter(func() time.Duration { return sinceBoot() + simulated })
+	c.Assert(counter.suspended(time.Now()), quicktest.Equals, time.Duration(0))
+	simulated = 5 * time.Second
 	counted := time.Duration(0)
-	for counted < 5*time.Second-time.Millisecond { // less where this test stood still between two clocks
+	for counted < 5*time.Second-time.Millisecond { // lower if the test was delayed between the readings of two clocks
 		time.Sleep(2 * refreshInterval)
-		counted = k.suspended(time.Now())
+		counted = counter.suspended(time.Now())
 	}
 	c.Assert(counted <= 5*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", counted))
-	asleep = 4 * time.Second // a reading that was held up between the clocks
+	simulated = 4 * time.Second // as if delayed between the readings of the two clocks
 	time.Sleep(2 * refreshInterval)
-	c.Assert(k.suspended(time.Now()) >= counted, quicktest.IsTrue)
+	c.Assert(counter.suspended(time.Now()) >= counted, quicktest.IsTrue)
 }
 
 func TestSimulatedSuspensionCounts(t *testing.T) {
@@ -33,25 +33,26 @@
 	deadline := Now().Add(10 * time.Second)
 	SimulateSuspend(8 * time.Second)
 	c.Cleanup(func() { SimulateSuspend(-8 * time.Second) })
-	left := Until(deadline)
-	c.Assert(left <= 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", left))
+	remaining := Until(deadline)
+	c.Assert(remaining <= 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", remaining))
 	timer := time.Until(SystemTime(deadline))
 	c.Assert(timer <= 2*time.Second, quicktest.IsTrue, quicktest.Commentf("%v", timer))
 }
 
-// 83 ns, where time.Now takes 75.
+// Now takes 83 ns, time.Now 75 ns.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
 	}
 }
 
-// Tests under simulated time compared ages of two clocks that were years apart, so that no age was ever low.
+// In tests with a fake clock, which is years apart from the system clock, the difference counted as a suspension and
+// every age was too high.
 func TestNoSuspensionIsCountedUnderFakeTime(t *testing.T) {
-	k := newSuspendCounter(sinceBoot)
+	counter := newSuspendCounter(sinceBoot)
 	synctest.Test(t, func(t *testing.T) {
-		quicktest.Assert(t, k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
+		quicktest.Assert(t, counter.suspended(time.Now()), quicktest.Equals, time.Duration(0))
 		time.Sleep(time.Hour)
-		quicktest.Assert(t, k.suspended(time.Now()), quicktest.Equals, time.Duration(0))
+		quicktest.Assert(t, counter.suspended(time.Now()), quicktest.Equals, time.Duration(0))
 	})
 }
--- a/share/compress_test.go
+++ b/share/compress_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// routes returns a configuration's text as a publisher writes it, with so many routes.
+// routes returns the text of a configuration with count routes, in a publisher's format.
 func routes(count int) []byte {
 	var b strings.Builder
 	for i := range count {
@@ -55,25 +55,20 @@
 	c.Assert(err, quicktest.ErrorMatches, "share: packed value of config: .*")
 }
 
-// slowLink carries so many bytes a second to each of so many followers, one after the other.
 const (
-	linkBytesPerSecond = 20e6 / 8
+	linkBytesPerSecond = 20e6 / 8 // shared by the streams to all followers
 	followerCount      = 6
 )
 
-// A configuration that had grown by 1,640 routes did not get through the boxes: 1,713 copies of
-// 300 KB were sent to 195 boxes within 20 s, and streams ended 512 times.
-//
-// The order of events: a box tells it to six followers over its link of 20 Mbit/s. For 0.7 s
-// nothing else gets through; a stream that says nothing for 0.75 s counts as broken. It is
-// opened again, and all is told from the start.
-//
-// The evidence: counts of messages by kind, and "the followed box is silent" in the boxes' logs.
+// Guards against streams that time out while a large configuration is sent. Sending it uncompressed to six followers
+// over a link of 20 Mbit/s blocks all other messages for 0.7 s. A stream without messages for 0.75 s counts as
+// broken, reconnects, and receives everything again. After a configuration had grown by 1,640 routes, 1,713 copies of
+// 300 KB were sent to 195 boxes within 20 s, and 512 streams failed with ErrIdleTimeout.
 func TestLargeConfigurationDoesNotTimeOutStreams(t *testing.T) {
 	c := quicktest.New(t)
 	i := Compress(&wire.Item{Key: "config", Version: 3, Value: routes(1700), Settled: true})
-	takes := time.Duration(float64(followerCount*proto.Size(i)) / linkBytesPerSecond * float64(time.Second))
-	c.Assert(takes < IdleTimeout/4, quicktest.IsTrue, quicktest.Commentf("it takes %v", takes))
+	transfer := time.Duration(float64(followerCount*proto.Size(i)) / linkBytesPerSecond * float64(time.Second))
+	c.Assert(transfer < IdleTimeout/4, quicktest.IsTrue, quicktest.Commentf("transfer takes %v", transfer))
 }
 
 func TestFollowerIsNotSentKnownItems(t *testing.T) {
@@ -84,10 +79,10 @@
 	client := serve(c, shareServer{server: &Server{Table: from, DataCentre: "d1", ReadStatus: func() (ReadStatus, bool) { return ReadStatus{}, true }}})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var told []string
+	var sent []string
 	err := Follow(ctx, client, &wire.FollowRequest{Everything: true}, to, func(u *wire.Update, _ time.Time) {
 		for _, i := range u.GetItems() {
-			told = append(told, i.GetKey())
+			sent = append(sent, i.GetKey())
 		}
 		from.Merge(item("same", 4))
 		if to.Version("same") == 4 {
@@ -95,5 +90,5 @@
 		}
 	})
 	c.Assert(err, quicktest.IsNotNil)
-	c.Assert(told, quicktest.DeepEquals, []string{"newer", "unknown", "same"})
+	c.Assert(sent, quicktest.DeepEquals, []string{"newer", "unknown", "same"})
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -32,16 +32,16 @@
 
 func TestOnChangeGetsOnlyNewerItems(t *testing.T) {
 	c := quicktest.New(t)
-	var told []string
+	var changed []string
 	a := NewTable()
 	a.OnChange = func(items []*wire.Item) {
 		for _, i := range items {
-			told = append(told, i.GetKey())
+			changed = append(changed, i.GetKey())
 		}
 	}
 	a.Merge(item("x", 5), item("y", 1))
 	a.Merge(item("x", 4), item("y", 2))
-	c.Assert(told, quicktest.DeepEquals, []string{"x", "y", "y"})
+	c.Assert(changed, quicktest.DeepEquals, []string{"x", "y", "y"})
 }
 
 func TestReceivedItemThatHasEndedIsIgnored(t *testing.T) {
@@ -50,40 +50,40 @@
 	a.HasEnded = func(i *wire.Item) bool { return i.GetVersion() <= 2 }
 	a.Receive(item("x", 2), item("y", 3))
 	c.Assert(a.Keys(), quicktest.DeepEquals, []string{"y"})
-	a.Merge(item("x", 2)) // this box's own word
+	a.Merge(item("x", 2)) // not received, so applied
 	a.Receive(item("x", 1))
 	c.Assert(a.Version("x"), quicktest.Equals, uint64(2))
 }
 
-// Entries of endpoints change with each load, which all boxes hear of in another way. What says
-// nothing new is kept, for those that begin to follow, and is not told.
+// Entries of endpoints change with each adapter load, which boxes learn of through another channel. A version
+// without new content is kept for new followers, but not sent.
 func TestEquivalentVersionIsKeptButNotSent(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
-	told := 0
-	a.OnChange = func(items []*wire.Item) { told += len(items) }
+	changed := 0
+	a.OnChange = func(items []*wire.Item) { changed += len(items) }
 	a.IsEquivalent = func(old, now *wire.Item) bool { return string(old.GetValue()) == string(now.GetValue()) }
-	say := func(version uint64, value string) {
+	merge := func(version uint64, value string) {
 		i := item("k", version)
 		i.Value = []byte(value)
 		a.Merge(i)
 	}
-	say(1, "x")
+	merge(1, "x")
 	_, seq, _ := a.ItemsSince(0)
-	say(5, "x")
+	merge(5, "x")
 	items, _, _ := a.ItemsSince(seq)
 	c.Assert(items, quicktest.HasLen, 0)
 	c.Assert(a.Version("k"), quicktest.Equals, uint64(5))
-	say(3, "y") // late
-	c.Assert(told, quicktest.Equals, 1)
-	say(7, "y")
-	c.Assert(told, quicktest.Equals, 2)
+	merge(3, "y") // arrives late
+	c.Assert(changed, quicktest.Equals, 1)
+	merge(7, "y")
+	c.Assert(changed, quicktest.Equals, 2)
 	items, _, _ = a.ItemsSince(0)
 	c.Assert(items[0].GetVersion(), quicktest.Equals, uint64(7))
 }
 
-// A box was not told of version 5, which said the same as 1, and misses nothing up to 6. Version 3,
-// which said something else, comes late from a box that is behind.
+// A box was not sent version 5, which is equivalent to version 1, and is up to date as of 6. Version 3,
+// with other content, arrives late from a box that is behind.
 func TestSupersededVersionIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	a := NewTable()
@@ -107,7 +107,7 @@
 	c.Assert(items[0].GetVersion(), quicktest.Equals, uint64(3))
 }
 
-// shareServer serves a table for tests; where it is silent it says nothing at all.
+// shareServer serves a table. If silent, it sends no messages.
 type shareServer struct {
 	wire.UnimplementedShareServer
 
@@ -159,7 +159,7 @@
 	for to.Version("early") == 0 || to.Version("late") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.Assert(to.Version("foreign"), quicktest.Equals, uint64(0)) // not asked for
+	c.Assert(to.Version("foreign"), quicktest.Equals, uint64(0)) // not requested
 	cancel()
 	c.Assert(<-done, quicktest.IsNotNil)
 }
@@ -171,15 +171,15 @@
 	c.Assert(errors.Is(err, ErrIdleTimeout), quicktest.IsTrue)
 }
 
-// A box was told that the store had just been heard, and an endpoint's removal that had been
-// read by then came with the next message.
+// A follower received a status that the store had just been read, while an endpoint's removal that had been
+// read by then arrived only with the next message.
 func TestReadStatusCoversItemsSentBeforeIt(t *testing.T) {
 	c := quicktest.New(t)
 	from, to := NewTable(), NewTable()
 	for i := range maxBatchItems + 1 {
 		from.Merge(item(fmt.Sprint("k", i), 1))
 	}
-	read := func() (ReadStatus, bool) { // the store is read at the last moment
+	read := func() (ReadStatus, bool) { // a read of the store just before the status is taken
 		from.Merge(item("removal", 2))
 		return ReadStatus{}, true
 	}
--- a/topology/evictions_test.go
+++ b/topology/evictions_test.go
@@ -15,15 +15,15 @@
 	c := quicktest.New(t)
 	v := NewView()
 	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e", Service: "s"}))
-	for n := range 4 { // one after the other takes the slot
+	for n := range 4 { // each replaces the one before in the slot
 		v.SetAdapterStates("e", map[Adapter]AdapterState{adapterNumber(n): {Ready: true}})
 	}
 	for n, want := range []int{2, 1, 0} {
-		later, known := v.EvictionsSince("e", adapterNumber(n))
+		count, known := v.EvictionsSince("e", adapterNumber(n))
 		c.Assert(known, quicktest.IsTrue)
-		c.Assert(later, quicktest.Equals, want)
+		c.Assert(count, quicktest.Equals, want)
 	}
-	_, known := v.EvictionsSince("e", adapterNumber(3)) // it is there
+	_, known := v.EvictionsSince("e", adapterNumber(3)) // still loaded
 	c.Assert(known, quicktest.IsFalse)
 	c.Assert(v.LastHolder(adapterNumber(1)).ID(), quicktest.Equals, "e")
 	v.RemoveEndpoint("e")
@@ -34,15 +34,15 @@
 
 func TestEvictionHistoryIsBounded(t *testing.T) {
 	c := quicktest.New(t)
-	var m evictionHistory
+	var h evictionHistory
 	for n := range maxEvictionHistory + 1 {
-		m.add(adapterNumber(n))
+		h.add(adapterNumber(n))
 	}
-	m.add(adapterNumber(1)) // held once more
-	_, known := m.evictionsSince(adapterNumber(0))
+	h.add(adapterNumber(1)) // evicted again
+	_, known := h.evictionsSince(adapterNumber(0))
 	c.Assert(known, quicktest.IsFalse)
-	later, known := m.evictionsSince(adapterNumber(1))
+	count, known := h.evictionsSince(adapterNumber(1))
 	c.Assert(known, quicktest.IsTrue)
-	c.Assert(later, quicktest.Equals, 0)
-	c.Assert(m.sequences, quicktest.HasLen, maxEvictionHistory)
+	c.Assert(count, quicktest.Equals, 0)
+	c.Assert(h.sequences, quicktest.HasLen, maxEvictionHistory)
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -52,7 +52,7 @@
 	v.SetAdapterStates("e3", map[Adapter]AdapterState{a: {Version: 2}})
 	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 2)
 	v.SetLatestVersion(a, 2)
-	v.SetLatestVersion(a, 1) // an older one changes nothing
+	v.SetLatestVersion(a, 1) // ignored, since it is older
 	c.Assert(v.EndpointsReady(a), quicktest.HasLen, 1)
 	c.Assert(v.EndpointsReady(a)[0].ID(), quicktest.Equals, "e2")
 	c.Assert(v.EndpointsLoading(a)[0].ID(), quicktest.Equals, "e3")
@@ -74,13 +74,13 @@
 		set(id, "s")
 	}
 	c.Assert(ids("s"), quicktest.DeepEquals, []string{"a", "b", "c"})
-	read := v.Endpoints("s")
+	returned := v.Endpoints("s")
 	set("b", "other")
 	v.RemoveEndpoint("a")
 	c.Assert(ids("s"), quicktest.DeepEquals, []string{"c"})
 	c.Assert(ids("other"), quicktest.DeepEquals, []string{"b"})
-	c.Assert(read, quicktest.HasLen, 3)
-	c.Assert(read[1].ID()+read[1].Service(), quicktest.Equals, "bs")
+	c.Assert(returned, quicktest.HasLen, 3)
+	c.Assert(returned[1].ID()+returned[1].Service(), quicktest.Equals, "bs")
 	v.RemoveEndpoint("c")
 	v.RemoveEndpoint("c")
 	c.Assert(v.Endpoints("s"), quicktest.HasLen, 0)
@@ -94,35 +94,35 @@
 	c.Assert(e.AdapterCapacity(nil), quicktest.Equals, 16)
 }
 
-// Found by fuzzing configurations: adapters that are said to weigh next to nothing left room
-// for fewer than none.
+// Found by fuzzing configurations: for adapters with an extremely small size, the conversion to int overflowed and the
+// capacity was negative.
 func TestAdapterCapacityWithTinyAdapters(t *testing.T) {
 	c := quicktest.New(t)
 	e := &EngineSpec{MemoryMB: 1e300, AdapterSlots: 16, Models: []ModelSpec{{Name: "m", WeightsMB: 1, AdapterMB: 1e-300}}}
 	c.Assert(e.AdapterCapacity(map[string]bool{"m": true}), quicktest.Equals, 16)
 }
 
-// While its source was silent an endpoint said in its answers that it leaves; the source's older word, that it
-// serves, came again afterwards.
+// An endpoint announced in its responses that it drains while its source was unavailable. When the source
+// returned, its outdated entry made the endpoint active again.
 func TestDrainingEndpointStaysDraining(t *testing.T) {
 	c := quicktest.New(t)
 	v := NewView()
-	serves := NewEndpoint(EndpointSpec{ID: "e1@1", Service: "s"})
-	v.SetEndpoint(serves)
+	active := NewEndpoint(EndpointSpec{ID: "e1@1", Service: "s"})
+	v.SetEndpoint(active)
 	changed := v.Changed()
 	c.Assert(v.MarkDraining("e1@1"), quicktest.IsTrue)
 	c.Assert(v.MarkDraining("e1@1"), quicktest.IsFalse)
 	<-changed
 	c.Assert(v.Endpoint("e1@1").Draining(), quicktest.IsTrue)
 	c.Assert(v.Endpoints("s")[0].Draining(), quicktest.IsTrue)
-	v.SetEndpoint(serves)
+	v.SetEndpoint(active)
 	c.Assert(v.Endpoint("e1@1").Draining(), quicktest.IsTrue)
 	v.RemoveEndpoint("e1@1")
-	v.SetEndpoint(serves)
+	v.SetEndpoint(active)
 	c.Assert(v.Endpoint("e1@1").Draining(), quicktest.IsTrue)
-	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e1@2", Service: "s"})) // the next life
+	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e1@2", Service: "s"})) // the next instance
 	c.Assert(v.Endpoint("e1@2").Draining(), quicktest.IsFalse)
-	c.Assert(v.MarkDraining("e2@1"), quicktest.IsTrue) // another box told so before the source did
+	c.Assert(v.MarkDraining("e2@1"), quicktest.IsTrue) // reported by another box before the source listed it
 	v.SetEndpoint(NewEndpoint(EndpointSpec{ID: "e2@1", Service: "s"}))
 	c.Assert(v.Endpoint("e2@1").Draining(), quicktest.IsTrue)
 }
--- a/topology/view_bench_test.go
+++ b/topology/view_bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// BenchmarkSetEndpointsOfLargeFleet is what a box does at its start: it hears of 3,000
-// endpoints, one after the other, and looks at one service now and then. Before: 1,254 ms for all,
-// as each sorted all that were known; after: 27 ms.
+// BenchmarkSetEndpointsOfLargeFleet simulates the start of a box: it adds 3,000 endpoints one by one and
+// occasionally reads the list of a service. It takes 27 ms, and took 1,254 ms when each addition sorted all
+// known endpoints.
 func BenchmarkSetEndpointsOfLargeFleet(b *testing.B) {
 	for range b.N {
 		v := NewView()
