--- a/member/fuzz_test.go
+++ b/member/fuzz_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func heartbeat(t testing.TB, news ...*wire.Member) []byte {
-	raw, err := proto.Marshal(&wire.Heartbeat{From: box("b", 1).Wire(), News: news})
+func heartbeat(t testing.TB, updates ...*wire.Member) []byte {
+	raw, err := proto.Marshal(&wire.Heartbeat{From: box("b", 1).Wire(), News: updates})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -5,7 +5,7 @@
 //
 // Every member has an incarnation. The entry with the higher incarnation wins, and at
 // the same incarnation the worse state wins. Only a member itself raises its
-// incarnation, so that a restarted box is told from its earlier run and a wrongly
+// incarnation, so that a restarted box is distinguished from its earlier run and a wrongly
 // suspected one can refute the suspicion.
 //
 // HeartbeatLoop sends and answers heartbeats. Table holds the resulting view: Merge applies what peers
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -109,8 +109,8 @@
 }
 
 func (s *modelState) send(i, j int) {
-	told := append([]Member{s.tables[i].Self()}, s.tables[i].Members()...)
-	s.inFlight = append(s.inFlight, modelMessage{from: i, to: j, members: append(told, s.tables[i].ClaimsAbout(modelName(j)+":1")...)})
+	members := append([]Member{s.tables[i].Self()}, s.tables[i].Members()...)
+	s.inFlight = append(s.inFlight, modelMessage{from: i, to: j, members: append(members, s.tables[i].ClaimsAbout(modelName(j)+":1")...)})
 }
 
 func (s *modelState) deliver(k int) {
@@ -181,7 +181,7 @@
 	for _, w := range []struct {
 		name    string
 		daemons int
-		left    modelBudget
+		budget  modelBudget
 		depth   int
 	}{
 		{"two daemons", 2, modelBudget{messages: 3, stops: 1, leaves: 1, timeouts: 1, ticks: 3}, 6},
@@ -191,7 +191,7 @@
 		t.Run(w.name, func(t *testing.T) {
 			c := quicktest.New(t)
 			now := time.Unix(1_800_000_000, 0)
-			s := &modelState{now: now, down: make([]bool, w.daemons), budget: w.left, restarted: -1}
+			s := &modelState{now: now, down: make([]bool, w.daemons), budget: w.budget, restarted: -1}
 			for i := range w.daemons {
 				s.tables = append(s.tables, NewTable(box(modelName(i), uint64(now.UnixMicro())-uint64(i)-9), testOptions))
 			}
