--- a/member/loop.go
+++ b/member/loop.go
@@ -35,10 +35,10 @@
 
 const (
 	maxUpdates   = 8 // members in a heartbeat without the full view
-	remoteRounds = 2 // a bridge contacts another data centre once in so many rounds
+	remoteRounds = 2 // rounds of a bridge per exchange with another data centre
 
 	// The first rounds are faster, so that daemons that start together discover each other quickly;
-	// until then they disagree on which daemon has which role.
+	// until then they disagree on which daemon is responsible for what.
 	fastRounds      = 10
 	fastRoundFactor = 3
 
