--- a/edge/departures.go
+++ b/edge/departures.go
@@ -46,14 +46,14 @@
 func (d departures) forgetGone() {
 	for _, k := range d.node.items.Keys() {
 		if e, ok := strings.CutPrefix(k, leavingPrefix); ok && d.node.view.Endpoint(e) == nil {
-			d.node.items.Forget(k)
+			d.node.items.Discard(k)
 		}
 	}
 }
 
 // applyLeaving applies a fact that an endpoint announced draining.
 func (s *state) applyLeaving(endpoint string) {
-	if s.view.Leave(endpoint) {
+	if s.view.MarkDraining(endpoint) {
 		s.log.Info("Endpoint announced draining to another box", "endpoint", endpoint)
 	}
 }
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -122,10 +122,10 @@
 }
 
 // status returns how far this box has read the source, for the boxes that follow it.
-func (n *Node) status() (share.Status, bool) {
+func (n *Node) status() (share.ReadStatus, bool) {
 	settled, endpoints := n.checkpoints.of(Configuration), n.checkpoints.of(Endpoints) // read before the age: they hold at least up to then
 	age, ok := n.sourceAge()
-	return share.Status{Age: age, Settled: uint64(settled.revision), Endpoints: uint64(endpoints.revision)}, ok
+	return share.ReadStatus{Age: age, SettledRevision: uint64(settled.revision), EndpointsRevision: uint64(endpoints.revision)}, ok
 }
 
 // mustRead reports whether this box has to read a collection: it leads its data centre, or its
@@ -176,7 +176,7 @@
 	}
 	a, errA := n.endpointOf(old)
 	b, errB := n.endpointOf(now)
-	return errA == nil && errB == nil && a.Alike(b)
+	return errA == nil && errB == nil && a.EqualIgnoringAdapters(b)
 }
 
 func (n *Node) endpointOf(i *wire.Item) (*topology.Endpoint, error) {
--- a/edge/freshness_test.go
+++ b/edge/freshness_test.go
@@ -33,7 +33,7 @@
 	const call = 300 * time.Millisecond // to read the source from a loaded box
 	for _, behind := range []time.Duration{2 * time.Second, 3 * time.Second} {
 		c.Check(maxStatusAge(behind)+standbyPollInterval+call < behind, quicktest.IsTrue)
-		c.Check(maxAnswerInterval(behind)+minWatchTimeout+2*share.BeatPause < maxStatusAge(behind), quicktest.IsTrue)
+		c.Check(maxAnswerInterval(behind)+minWatchTimeout+2*share.HeartbeatInterval < maxStatusAge(behind), quicktest.IsTrue)
 	}
 }
 
--- a/edge/node.go
+++ b/edge/node.go
@@ -77,11 +77,11 @@
 	n.state = &state{view: n.view, table: n.items, decoder: n.Decoder, fences: fences, log: n.Log}
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
-	n.items.Same, n.items.Outlives = n.isSame, n.outlives
+	n.items.IsEquivalent, n.items.ResolveRollback = n.isSame, n.outlives
 	n.items.OnIgnored = n.countIgnored
 	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
-	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
+	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, ReadStatus: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
@@ -102,7 +102,7 @@
 		AskToResign: n.peers.requestHandover,
 		Headroom:    n.room,
 		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
-		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
+		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.AdapterState) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
@@ -152,19 +152,19 @@
 	}
 	self := member.New(s.Box, s.Peers, roleBox, s.DataCentre, uint64(time.Now().UnixMicro())).
 		WithCapacity(int(s.Limits.Cores * 1000))
-	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectTimeout, ForgetDead: deadRetention, Fresh: exchangeFreshness, Wide: true})
-	p.loop = &member.Loop{
-		Table:      p.table,
-		Dial:       p.dialer.Peer,
-		Seeds:      p.seeds,
-		Bridges:    func() bool { return true },
-		Remote:     p.deadAddresses,
-		Extras:     noExtras{},
-		Log:        n.Log,
-		Interval:   heartbeatInterval,
-		Timeout:    heartbeatInterval,
-		PauseLimit: maxHeartbeatGap,
-		Neighbours: heartbeatNeighbours,
+	p.table = member.NewTable(self, member.TableOptions{SuspectTimeout: suspectTimeout, DeadRetention: deadRetention, FreshFor: exchangeFreshness, AllDataCentres: true})
+	p.loop = &member.HeartbeatLoop{
+		Table:          p.table,
+		Dial:           p.dialer.Peer,
+		Seeds:          p.seeds,
+		IsBridge:       func() bool { return true },
+		RemotePeers:    p.deadAddresses,
+		Payload:        noExtras{},
+		Log:            n.Log,
+		Interval:       heartbeatInterval,
+		Timeout:        heartbeatInterval,
+		PauseLimit:     maxHeartbeatGap,
+		NeighbourCount: heartbeatNeighbours,
 	}
 	return p
 }
@@ -172,11 +172,11 @@
 // noExtras adds nothing to heartbeats: facts are sent over streams.
 type noExtras struct{}
 
-// Fill implements member.Extras.
-func (noExtras) Fill(*wire.Heartbeat) {}
+// Attach implements member.PayloadHandler.
+func (noExtras) Attach(*wire.Heartbeat) {}
 
-// Heard implements member.Extras.
-func (noExtras) Heard(*wire.Heartbeat, string) {}
+// Receive implements member.PayloadHandler.
+func (noExtras) Receive(*wire.Heartbeat, string) {}
 
 // owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -328,7 +328,7 @@
 			r.deferring = true
 			continue
 		}
-		items = append(items, share.Pack(&wire.Item{Key: f.Key, Version: uint64(f.Revision), Value: f.Value, Removed: f.Removed, Settled: r.collection == Configuration}))
+		items = append(items, share.Compress(&wire.Item{Key: f.Key, Version: uint64(f.Revision), Value: f.Value, Removed: f.Removed, Settled: r.collection == Configuration}))
 	}
 	r.table.Merge(items...)
 }
