--- a/scheduler/budget.go
+++ b/scheduler/budget.go
@@ -10,39 +10,39 @@
 )
 
 // storeBudget is the policy.Budget behind a lock of its own.
-type storeBudget struct {
+type lockedBudget struct {
 	mu     sync.Mutex
 	budget policy.Budget
 }
 
 // share sets the fair share by owned endpoints.
-func (b *storeBudget) share(mine, total int, rate float64) {
+func (b *lockedBudget) setShare(owned, total int, rate float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if total > 0 {
-		b.budget.SetShare(rate*float64(mine)/float64(total), rate)
+		b.budget.SetShare(rate*float64(owned)/float64(total), rate)
 	}
 }
 
-func (b *storeBudget) take(now time.Time) bool {
+func (b *lockedBudget) take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.Take(now)
 }
 
-func (b *storeBudget) wait(loads int, now time.Time) time.Duration {
+func (b *lockedBudget) wait(loads int, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.Wait(loads, now)
 }
 
-func (b *storeBudget) refused() {
+func (b *lockedBudget) recordRefusal() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.Refused()
 }
 
-func (b *storeBudget) loaded() {
+func (b *lockedBudget) recordLoad() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.Loaded()
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -110,22 +110,22 @@
 	b.catalog = b.configure("serving", true)
 	self := member.New("box/scheduler", "127.0.0.1:1", member.Scheduler, "d1", 1)
 	b.scheduler = &Scheduler{
-		Name: "box/scheduler", Box: "box", Centre: "d1",
-		Catalog:   func() *catalog.Catalog { return b.catalog },
-		Changed:   func() <-chan struct{} { return nil },
-		Members:   member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Fresh: time.Second}),
-		Listed:    func() []string { return []string{"box/scheduler"} },
-		Ready:     func() bool { return true },
-		Dial:      func(string) engine.Endpoint { return b.engine },
-		Eviction:  must(policy.NewEviction(policy.EvictOldest)),
-		Spans:     Spans{SendWindow: 20 * time.Millisecond, Verify: 10 * time.Millisecond, Trust: 200 * time.Millisecond, Backoff: 20 * time.Millisecond, HalfLife: time.Minute, OrderLimit: time.Second},
-		Store:     Store{Rate: 1000, AtOnce: 8},
-		QueueMost: 4,
-		HomeShare: 0.5,
-		Workers:   2,
-		Record:    decision.NewRecord(16),
-		Keys:      NewKeys(KeySpans{Margin: time.Second, Keep: time.Minute}, 4, time.Now()),
-		Log:       logr.Discard(),
+		Name: "box/scheduler", Box: "box", DataCentre: "d1",
+		Catalog:          func() *catalog.Catalog { return b.catalog },
+		CatalogChanged:   func() <-chan struct{} { return nil },
+		Members:          member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Fresh: time.Second}),
+		ListedSchedulers: func() []string { return []string{"box/scheduler"} },
+		Ready:            func() bool { return true },
+		Dial:             func(string) engine.Endpoint { return b.engine },
+		Eviction:         must(policy.NewEviction(policy.EvictOldest)),
+		Timing:           Timing{SendWindow: 20 * time.Millisecond, VerifyInterval: 10 * time.Millisecond, OwnershipTTL: 200 * time.Millisecond, Backoff: 20 * time.Millisecond, PopularityHalfLife: time.Minute, LoadTimeout: time.Second},
+		StoreLimits:      StoreLimits{Rate: 1000, Concurrency: 8},
+		MaxQueue:         4,
+		HomeUtilisation:  0.5,
+		LoadWorkers:      2,
+		Decisions:        decision.NewRecord(16),
+		Keys:             NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, 4, time.Now()),
+		Log:              logr.Discard(),
 	}
 	b.scheduler.Init()
 	return b
@@ -167,9 +167,9 @@
 // own makes the scheduler own the endpoint without its own work running.
 func (b *bench) own() *endpoint {
 	s := b.scheduler
-	s.assign(time.Now())
-	s.look(context.Background(), <-s.looks)
-	return s.find("e1")
+	s.reconcile(time.Now())
+	s.probe(context.Background(), <-s.probes)
+	return s.findEndpoint("e1")
 }
 
 func (b *bench) ask(adapter, class string) *wire.AcquireReply {
--- a/scheduler/keys_test.go
+++ b/scheduler/keys_test.go
@@ -12,8 +12,8 @@
 )
 
 // ledger is one whose tenure began long ago.
-func ledger(most int) *Keys {
-	return NewKeys(KeySpans{Margin: time.Second, Keep: time.Minute}, most, time.Now().Add(-time.Hour))
+func ledger(most int) *KeyLedger {
+	return NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, most, time.Now().Add(-time.Hour))
 }
 
 func newKey(c *quicktest.C) string {
@@ -22,7 +22,7 @@
 	return u.String()
 }
 
-func begin(k *Keys, key, request string) wire.KeyState {
+func begin(k *KeyLedger, key, request string) wire.KeyState {
 	state, _ := k.Begin(key, request, time.Now())
 	return state
 }
@@ -51,7 +51,7 @@
 func TestAKeyFromBeforeTheTenureIsRefused(t *testing.T) {
 	c := quicktest.New(t)
 	k, key := ledger(4), newKey(c)
-	k.NewTenure(time.Now())
+	k.StartTerm(time.Now())
 	c.Assert(begin(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
 	later, _ := k.Begin(newKey(c), "one", time.Now())
 	c.Assert(later, quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD) // within the margin
@@ -88,18 +88,18 @@
 func TestOnlyOneSideOfACutHasMost(t *testing.T) {
 	c := quicktest.New(t)
 	listed := []string{"a", "b", "c", "d"}
-	c.Assert(majority([]string{"a", "b", "c"}, listed), quicktest.IsTrue)
-	c.Assert(majority([]string{"d"}, listed), quicktest.IsFalse)
-	c.Assert(majority([]string{"a", "d"}, listed), quicktest.IsTrue)
-	c.Assert(majority([]string{"b", "c"}, listed), quicktest.IsFalse)
-	c.Assert(majority([]string{"a", "b", "x", "y", "z"}, listed), quicktest.IsTrue)
-	c.Assert(majority([]string{"a"}, nil), quicktest.IsFalse)
+	c.Assert(hasMajority([]string{"a", "b", "c"}, listed), quicktest.IsTrue)
+	c.Assert(hasMajority([]string{"d"}, listed), quicktest.IsFalse)
+	c.Assert(hasMajority([]string{"a", "d"}, listed), quicktest.IsTrue)
+	c.Assert(hasMajority([]string{"b", "c"}, listed), quicktest.IsFalse)
+	c.Assert(hasMajority([]string{"a", "b", "x", "y", "z"}, listed), quicktest.IsTrue)
+	c.Assert(hasMajority([]string{"a"}, nil), quicktest.IsFalse)
 }
 
 func TestASchedulerThatSeesFewIsNoHome(t *testing.T) {
 	b := newBench(t)
 	key := newKey(b.C)
 	b.Assert(b.scheduler.isKeyHome(key), quicktest.IsTrue)
-	b.scheduler.Listed = func() []string { return []string{"a/scheduler", "b/scheduler", "box/scheduler"} }
+	b.scheduler.ListedSchedulers = func() []string { return []string{"a/scheduler", "b/scheduler", "box/scheduler"} }
 	b.Assert(b.scheduler.isKeyHome(key), quicktest.IsFalse)
 }
--- a/scheduler/own.go
+++ b/scheduler/ownership.go
@@ -15,56 +15,56 @@
 )
 
 const (
-	mostLosses = 5                // doublings of the back-off after lost claims
-	longHeld   = 30 * time.Second // an endpoint held so long was not fought for
+	maxLossDoublings = 5                // doublings of the back-off after lost claims
+	stableOwnership  = 30 * time.Second // an endpoint held so long was not fought for
 )
 
 // look sees the endpoint's fence, and claims the endpoint when that is wanted.
-func (s *Scheduler) look(ctx context.Context, e *endpoint) {
+func (s *Scheduler) probe(ctx context.Context, e *endpoint) {
 	e.mu.Lock()
-	p, fence, checks := e.phase, e.fence, e.spec.ChecksFences()
+	state, fence, checksFences := e.ownership, e.fence, e.spec.ChecksFences()
 	e.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, s.Spans.Verify)
+	ctx, cancel := context.WithTimeout(ctx, s.Timing.VerifyInterval)
 	defer cancel()
-	begun := clock.Now()
+	startedAt := clock.Now()
 	var err error
-	switch p {
+	switch state {
 	case claiming:
-		err = s.claim(ctx, e, checks, begun)
+		err = s.claim(ctx, e, checksFences, startedAt)
 	case owned:
-		err = s.verify(ctx, e, fence, begun)
+		err = s.verify(ctx, e, fence, startedAt)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.looking = false
-	e.nextLook = begun.Add(s.Spans.Verify)
+	e.probing = false
+	e.nextProbe = startedAt.Add(s.Timing.VerifyInterval)
 	if err != nil {
-		e.nextLook = begun.Add(min(s.Spans.Verify, s.Spans.Backoff))
+		e.nextProbe = startedAt.Add(min(s.Timing.VerifyInterval, s.Timing.Backoff))
 		s.Log.V(1).Info("Endpoint gave no sight", "endpoint", e.name, "err", err.Error())
 	}
 }
 
 // trustBeforeOver tells whether the trust of whoever owned an endpoint without fences before is
 // over. Until then its orders would still be carried out, and unload what is granted here.
-func (s *Scheduler) trustBeforeOver(e *endpoint, now time.Time) bool {
+func (s *Scheduler) previousOwnershipExpired(e *endpoint, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.taken.IsZero() || now.Sub(e.taken) > s.Spans.Trust
+	return e.claimingSince.IsZero() || now.Sub(e.claimingSince) > s.Timing.OwnershipTTL
 }
 
 // claim goes above the endpoint's highest fence and learns what it holds. One that checks
 // no fences is claimed only when the owner before can give it no orders any more.
-func (s *Scheduler) claim(ctx context.Context, e *endpoint, checks bool, begun time.Time) error {
-	if !checks && !s.trustBeforeOver(e, begun) {
+func (s *Scheduler) claim(ctx context.Context, e *endpoint, checksFences bool, startedAt time.Time) error {
+	if !checksFences && !s.previousOwnershipExpired(e, startedAt) {
 		return nil
 	}
 	sight, err := e.client.Look(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: look")
 	}
-	before := sight.Fence()
-	fence := before.Above(s.Box)
-	if checks {
+	previous := sight.Fence()
+	fence := previous.Above(s.Box)
+	if checksFences {
 		if sight, err = e.client.Claim(ctx, fence); err != nil {
 			return errors.Wrap(err, "scheduler: claim")
 		}
@@ -75,14 +75,14 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.phase != claiming {
+	if e.ownership != claiming {
 		return nil
 	}
-	e.phase = owned
+	e.ownership = owned
 	e.fence = fence
-	e.seen = begun
-	e.claimed, e.taken = begun, time.Time{}
-	s.setSlotsLocked(e, sight.Boot(), models, clock.Now().Add(s.grantsOutlive(before)))
+	e.verifiedAt = startedAt
+	e.claimedAt, e.claimingSince = startedAt, time.Time{}
+	s.resetSlotsLocked(e, sight.Boot(), models, clock.Now().Add(s.previousGrantLifetime(previous)))
 	s.Log.Info("Endpoint is owned", "endpoint", e.name, "fence", fence.String(), "adapters", len(models))
 	s.serveWaitersLocked(e, clock.Now())
 	return nil
@@ -91,59 +91,59 @@
 // grantsOutlive is how long grants of the owner before may still be used: its
 // trust, in which it may still give some, and the send window. One that left in
 // order gave its last before it told so.
-func (s *Scheduler) grantsOutlive(before engine.Fence) time.Duration {
-	m, ok := s.Members.Find(before.Box() + "/" + member.Scheduler)
+func (s *Scheduler) previousGrantLifetime(previous engine.Fence) time.Duration {
+	m, ok := s.Members.Find(previous.Box() + "/" + member.Scheduler)
 	if ok && m.State() == member.Leaving {
-		return s.Spans.SendWindow
+		return s.Timing.SendWindow
 	}
-	return s.Spans.Trust + s.Spans.SendWindow
+	return s.Timing.OwnershipTTL + s.Timing.SendWindow
 }
 
 // setSlotsLocked describes the slots anew. Each is unsure for as long as grants of
 // an earlier owner may still be used.
-func (s *Scheduler) setSlotsLocked(e *endpoint, boot string, models []string, unsure time.Time) {
+func (s *Scheduler) resetSlotsLocked(e *endpoint, bootID string, models []string, unaccountedUntil time.Time) {
 	now := clock.Now()
-	e.boot = boot
+	e.bootID = bootID
 	e.slots = make(map[string]*slot)
 	for _, n := range models {
-		e.slots[n] = &slot{state: ready, since: now, used: now, unsure: unsure}
+		e.slots[n] = &slot{state: ready, stateSince: now, lastUsed: now, unaccountedUntil: unaccountedUntil}
 	}
 }
 
 // verify sees whether the endpoint still has this scheduler's fence and boot.
-func (s *Scheduler) verify(ctx context.Context, e *endpoint, fence engine.Fence, begun time.Time) error {
+func (s *Scheduler) verify(ctx context.Context, e *endpoint, fence engine.Fence, startedAt time.Time) error {
 	sight, err := e.client.Look(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: look")
 	}
 	e.mu.Lock()
-	if e.phase != owned || e.fence != fence {
+	if e.ownership != owned || e.fence != fence {
 		e.mu.Unlock()
 		return nil
 	}
-	if e.spec.ChecksFences() && sight.Boot() == e.boot && fence.Less(sight.Fence()) {
-		s.loseLocked(e, sight.Fence(), clock.Now())
+	if e.spec.ChecksFences() && sight.Boot() == e.bootID && fence.Less(sight.Fence()) {
+		s.ownershipLostLocked(e, sight.Fence(), clock.Now())
 		e.mu.Unlock()
 		return nil
 	}
-	if sight.Boot() != e.boot {
-		s.restartedLocked(e, clock.Now())
+	if sight.Boot() != e.bootID {
+		s.handleRestartLocked(e, clock.Now())
 		e.mu.Unlock()
 		return nil
 	}
-	if !e.spec.ChecksFences() && begun.Sub(e.seen) > s.Spans.Trust {
-		s.relearnLocked(e, begun)
+	if !e.spec.ChecksFences() && startedAt.Sub(e.verifiedAt) > s.Timing.OwnershipTTL {
+		s.reclaimLocked(e, startedAt)
 		e.mu.Unlock()
 		return nil
 	}
-	if e.spec.ChecksFences() || s.Members.Fresh(begun) {
-		e.seen = begun
+	if e.spec.ChecksFences() || s.Members.Fresh(startedAt) {
+		e.verifiedAt = startedAt
 	}
-	wanted := e.reportWanted || e.oldGrantLocked(begun, s.Spans)
+	reportNeeded := e.reportNeeded || e.hasStaleGrantLocked(startedAt, s.Timing)
 	s.serveWaitersLocked(e, clock.Now())
 	e.mu.Unlock()
-	if wanted {
-		return s.readReport(ctx, e)
+	if reportNeeded {
+		return s.reconcileReport(ctx, e)
 	}
 	return nil
 }
@@ -151,35 +151,35 @@
 // loseLocked drops an endpoint that another scheduler has claimed. It is left
 // alone for a time that doubles with each loss, so that two views that last do
 // not make it change hands all the time.
-func (s *Scheduler) loseLocked(e *endpoint, winner engine.Fence, now time.Time) {
+func (s *Scheduler) ownershipLostLocked(e *endpoint, winner engine.Fence, now time.Time) {
 	s.Log.Info("Endpoint was claimed by another scheduler", "endpoint", e.name, "fence", winner.String())
 	e.owner = winner.Box() + "/" + member.Scheduler
-	s.dropLocked(e, wire.Reason_REASON_NOT_OWNER)
-	if now.Sub(e.claimed) > longHeld {
+	s.relinquishLocked(e, wire.Reason_REASON_NOT_OWNER)
+	if now.Sub(e.claimedAt) > stableOwnership {
 		e.losses = 0
 	}
-	e.nextLook = now.Add(s.Spans.Backoff << e.losses)
-	e.losses = min(e.losses+1, mostLosses)
+	e.nextProbe = now.Add(s.Timing.Backoff << e.losses)
+	e.losses = min(e.losses+1, maxLossDoublings)
 }
 
 // relearnLocked claims an endpoint anew that does not check fences: another may have
 // owned it while this scheduler did not look, and nothing there would tell.
-func (s *Scheduler) relearnLocked(e *endpoint, now time.Time) {
+func (s *Scheduler) reclaimLocked(e *endpoint, now time.Time) {
 	s.Log.Info("Endpoint without fences was not looked at for long and is claimed anew", "endpoint", e.name)
-	e.phase = claiming
-	e.taken = now
-	e.nextLook = now
+	e.ownership = claiming
+	e.claimingSince = now
+	e.nextProbe = now
 }
 
 // restartedLocked begins anew with an engine that restarted empty. Its old
 // runs ended with it, so the grants on them are over; requests that waited keep
 // waiting.
-func (s *Scheduler) restartedLocked(e *endpoint, now time.Time) {
+func (s *Scheduler) handleRestartLocked(e *endpoint, now time.Time) {
 	s.Log.Info("Endpoint restarted empty", "endpoint", e.name)
-	s.limits.Forget(e.name) // each life names its own
-	e.takes = ratelimit.Limit{}
-	e.phase = claiming
+	s.rateLimits.Forget(e.name) // each life names its own
+	e.rateLimit = ratelimit.Limit{}
+	e.ownership = claiming
 	e.slots = make(map[string]*slot)
-	e.nextLook = now
-	s.queueLookLocked(e)
+	e.nextProbe = now
+	s.queueProbeLocked(e)
 }
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -9,24 +9,24 @@
 )
 
 // planLocked hands out the loads that waiting requests need.
-func (s *Scheduler) planLocked(e *endpoint, now time.Time) {
-	defer s.countWantedLocked(e, now)
-	for e.loadsInFlightLocked() < loadsInFlight {
-		names, facts := s.wantedLocked(e, now)
+func (s *Scheduler) planLoadsLocked(e *endpoint, now time.Time) {
+	defer s.updatePendingLoadsLocked(e, now)
+	for e.loadsInFlightLocked() < maxLoadsInFlight {
+		names, candidates := s.awaitedLoadsLocked(e, now)
 		if len(names) == 0 {
-			names, facts = s.demandedLocked(e, now)
+			names, candidates = s.unmetLoadsLocked(e, now)
 		}
-		i := policy.NextLoad(facts, e.loadTime)
+		i := policy.NextLoad(candidates, e.loadTime)
 		if i < 0 {
 			return
 		}
-		o, ok := s.orderLocked(e, names[i], facts[i], now)
+		task, ok := s.newLoadTaskLocked(e, names[i], candidates[i], now)
 		if !ok {
 			return
 		}
 		select {
-		case s.orders <- o:
-			s.noteOrderLocked(e, o, now)
+		case s.loadTasks <- task:
+			s.markSlotsLocked(e, task, now)
 		default: // every worker is busy; the next event plans again
 			return
 		}
@@ -34,10 +34,10 @@
 }
 
 // countWantedLocked keeps the number of loads that are wanted at all endpoints.
-func (s *Scheduler) countWantedLocked(e *endpoint, now time.Time) {
-	names, _ := s.wantedLocked(e, now)
-	s.loadsWanted.Add(int64(len(names) - e.loadsWanted))
-	e.loadsWanted = len(names)
+func (s *Scheduler) updatePendingLoadsLocked(e *endpoint, now time.Time) {
+	names, _ := s.awaitedLoadsLocked(e, now)
+	s.pendingLoads.Add(int64(len(names) - e.pendingLoads))
+	e.pendingLoads = len(names)
 }
 
 func (e *endpoint) loadsInFlightLocked() int {
@@ -52,63 +52,63 @@
 
 // wantedLocked lists the adapters that requests wait for and that are in no slot,
 // and may be tried now.
-func (s *Scheduler) wantedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+func (s *Scheduler) awaitedLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
 	var names []string
-	var facts []policy.LoadFacts
-	at := make(map[string]int)
+	var candidates []policy.LoadFacts
+	index := make(map[string]int)
 	for _, w := range e.waiters {
 		n := w.request.GetAdapter()
 		if !e.loadableLocked(n, now) {
 			continue
 		}
-		i, ok := at[n]
+		i, ok := index[n]
 		if !ok {
 			i = len(names)
-			at[n] = i
+			index[n] = i
 			names = append(names, n)
-			facts = append(facts, s.loadFactsLocked(e, n, now))
+			candidates = append(candidates, s.loadCandidateLocked(e, n, now))
 		}
-		facts[i].Waiting++
-		facts[i].Waited = max(facts[i].Waited, now.Sub(w.arrived))
-		facts[i].Urgent = facts[i].Urgent || w.deadline.Sub(now) < 2*e.loadTime
+		candidates[i].Waiting++
+		candidates[i].Waited = max(candidates[i].Waited, now.Sub(w.arrived))
+		candidates[i].Urgent = candidates[i].Urgent || w.deadline.Sub(now) < 2*e.loadTime
 	}
-	return names, facts
+	return names, candidates
 }
 
 // demandedLocked lists the adapters that requests were refused for. They are
 // loaded only while nobody anywhere waits for a load, and press for no slot.
-func (s *Scheduler) demandedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
-	if s.loadsWanted.Load() > 0 {
+func (s *Scheduler) unmetLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+	if s.pendingLoads.Load() > 0 {
 		return nil, nil
 	}
 	var names []string
-	var facts []policy.LoadFacts
-	for n, d := range e.demands {
+	var candidates []policy.LoadFacts
+	for n, d := range e.unmetDemands {
 		if e.loadableLocked(n, now) {
-			f := s.loadFactsLocked(e, n, now)
+			f := s.loadCandidateLocked(e, n, now)
 			f.Waiting = d.count
 			names = append(names, n)
-			facts = append(facts, f)
+			candidates = append(candidates, f)
 		}
 	}
-	return names, facts
+	return names, candidates
 }
 
 // loadableLocked tells whether an adapter is in no slot and may be tried now.
-func (e *endpoint) loadableLocked(name string, now time.Time) bool {
-	return e.slots[name] == nil && !now.Before(e.failed[name].until)
+func (e *endpoint) loadableLocked(adapter string, now time.Time) bool {
+	return e.slots[adapter] == nil && !now.Before(e.loadFailures[adapter].retryAt)
 }
 
-func (s *Scheduler) loadFactsLocked(e *endpoint, name string, now time.Time) policy.LoadFacts {
+func (s *Scheduler) loadCandidateLocked(e *endpoint, adapter string, now time.Time) policy.LoadFacts {
 	return policy.LoadFacts{
-		Rate:     e.rateLocked(name, now, s.Spans.HalfLife).Rate(now, s.Spans.HalfLife),
-		Priority: s.priorityOf(name),
+		Rate:     e.popularityLocked(adapter, now, s.Timing.PopularityHalfLife).Rate(now, s.Timing.PopularityHalfLife),
+		Priority: s.adapterPriority(adapter),
 	}
 }
 
 // priorityOf returns an adapter's published priority; zero when it is not published.
-func (s *Scheduler) priorityOf(name string) int {
-	m, err := s.Catalog().Resolve(name)
+func (s *Scheduler) adapterPriority(adapter string) int {
+	m, err := s.Catalog().Resolve(adapter)
 	if err != nil {
 		return 0
 	}
@@ -116,60 +116,60 @@
 }
 
 // orderLocked makes the order for one load, if a slot and the budget allow it.
-func (s *Scheduler) orderLocked(e *endpoint, name string, f policy.LoadFacts, now time.Time) (order, bool) {
-	m, err := s.Catalog().Resolve(name)
+func (s *Scheduler) newLoadTaskLocked(e *endpoint, adapter string, candidate policy.LoadFacts, now time.Time) (loadTask, bool) {
+	m, err := s.Catalog().Resolve(adapter)
 	if err != nil {
-		return order{}, false // retired while it waited; the wait ends at its deadline
+		return loadTask{}, false // retired while it waited; the wait ends at its deadline
 	}
 	path, _ := m.Adapter().Path(m.Version())
-	o := order{endpoint: e, fence: e.fence, boot: e.boot, load: name, path: path}
+	task := loadTask{endpoint: e, fence: e.fence, boot: e.bootID, load: adapter, path: path}
 	if len(e.slots) >= e.spec.Slots() {
-		victim, ok := s.victimLocked(e, f, now)
+		victim, ok := s.chooseVictimLocked(e, candidate, now)
 		if !ok {
-			return order{}, false
+			return loadTask{}, false
 		}
-		o.unload = victim
+		task.unload = victim
 	}
-	return o, s.budget.take(now)
+	return task, s.storeBudget.take(now)
 }
 
 // victimLocked chooses the adapter to unload for another one. When none can go
 // it asks for a report, which may show that an unsure slot is unused.
-func (s *Scheduler) victimLocked(e *endpoint, f policy.LoadFacts, now time.Time) (string, bool) {
+func (s *Scheduler) chooseVictimLocked(e *endpoint, candidate policy.LoadFacts, now time.Time) (string, bool) {
 	names := make([]string, 0, len(e.slots))
 	slots := make([]policy.SlotFacts, 0, len(e.slots))
 	for n, sl := range e.slots {
 		names = append(names, n)
-		slots = append(slots, s.slotFactsLocked(e, n, sl, now))
+		slots = append(slots, s.slotStateLocked(e, n, sl, now))
 	}
 	i := s.Eviction.Victim(slots, policy.WantedFacts{
-		Rate:     f.Rate,
-		Priority: f.Priority,
-		Waited:   f.Waited,
-		Waiting:  f.Waiting,
-		Patience: s.Spans.Patience,
+		Rate:     candidate.Rate,
+		Priority: candidate.Priority,
+		Waited:   candidate.Waited,
+		Waiting:  candidate.Waiting,
+		Patience: s.Timing.MaxDeferral,
 	})
 	if i < 0 {
-		s.wantReportLocked(e, now)
+		s.scheduleReportLocked(e, now)
 		return "", false
 	}
 	return names[i], true
 }
 
-func (s *Scheduler) slotFactsLocked(e *endpoint, name string, sl *slot, now time.Time) policy.SlotFacts {
+func (s *Scheduler) slotStateLocked(e *endpoint, adapter string, sl *slot, now time.Time) policy.SlotFacts {
 	return policy.SlotFacts{
-		Busy:     sl.state != ready || e.inUse[name] > 0 || !sl.unsure.IsZero() || e.wantsLocked(name),
-		LastUsed: sl.used,
+		Busy:     sl.state != ready || e.inUse[adapter] > 0 || !sl.unaccountedUntil.IsZero() || e.hasWaiterLocked(adapter),
+		LastUsed: sl.lastUsed,
 		LoadCost: e.loadTime,
-		Rate:     e.rateLocked(name, now, s.Spans.HalfLife).Rate(now, s.Spans.HalfLife),
-		Priority: s.priorityOf(name),
+		Rate:     e.popularityLocked(adapter, now, s.Timing.PopularityHalfLife).Rate(now, s.Timing.PopularityHalfLife),
+		Priority: s.adapterPriority(adapter),
 	}
 }
 
 // wantsLocked tells whether a request waits for the adapter.
-func (e *endpoint) wantsLocked(name string) bool {
+func (e *endpoint) hasWaiterLocked(adapter string) bool {
 	for _, w := range e.waiters {
-		if w.request.GetAdapter() == name {
+		if w.request.GetAdapter() == adapter {
 			return true
 		}
 	}
@@ -178,22 +178,22 @@
 
 // wantReportLocked reads a report as soon as it can show that an unsure slot is
 // unused.
-func (s *Scheduler) wantReportLocked(e *endpoint, now time.Time) {
-	var first time.Time
+func (s *Scheduler) scheduleReportLocked(e *endpoint, now time.Time) {
+	var earliest time.Time
 	for _, sl := range e.slots {
-		if !sl.unsure.IsZero() && (first.IsZero() || sl.unsure.Before(first)) {
-			first = sl.unsure
+		if !sl.unaccountedUntil.IsZero() && (earliest.IsZero() || sl.unaccountedUntil.Before(earliest)) {
+			earliest = sl.unaccountedUntil
 		}
 	}
-	if first.IsZero() {
+	if earliest.IsZero() {
 		return
 	}
-	e.reportWanted = true
-	due := first.Add(e.spec.ReportLag() + time.Millisecond)
+	e.reportNeeded = true
+	due := earliest.Add(e.spec.ReportLag() + time.Millisecond)
 	if due.Before(now) {
 		due = now
 	}
-	if due.Before(e.nextLook) {
-		e.nextLook = due
+	if due.Before(e.nextProbe) {
+		e.nextProbe = due
 	}
 }
--- a/scheduler/limits_test.go
+++ b/scheduler/ratelimit_test.go
@@ -27,7 +27,7 @@
 // its free places alone.
 func TestAnEndpointThatNamesALimitIsGrantedNoFaster(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().seen = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
 	const perSecond = 20
 	begun := time.Now()
 	granted := 0
@@ -48,7 +48,7 @@
 // Those that may wait get their turn when the endpoint takes one more, though no other event wakes it.
 func TestARequestWaitsForRoomAtAnEndpointThatNamesALimit(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().seen = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
 	for range 4 {
 		a := b.askKnowing(ratelimit.Of(20), time.Second)
 		b.Assert(a.GetGrant(), quicktest.IsNotNil)
@@ -60,7 +60,7 @@
 // One that would wait for longer than it can is refused at once.
 func TestARequestThatCannotWaitForRoomIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().seen = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
 	begun := time.Now()
 	a := b.askKnowing(ratelimit.Of(0), 300*time.Millisecond)
 	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
--- a/scheduler/assign_bench_test.go
+++ b/scheduler/reconcile_bench_test.go
@@ -16,7 +16,7 @@
 	}
 	for b.Loop() {
 		for i := range 153 {
-			Owner(fmt.Sprintf("dc1-engine%d", i), names)
+			PreferredOwner(fmt.Sprintf("dc1-engine%d", i), names)
 		}
 	}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -37,138 +37,138 @@
 )
 
 // Spans are the time spans of a scheduler.
-type Spans struct {
-	SendWindow time.Duration // a grant must be used within it
-	Verify     time.Duration // between looks at an endpoint's fence
-	Trust      time.Duration // how long a look vouches for ownership; above Verify
-	Backoff    time.Duration // after a refused claim or a lost endpoint
-	Patience   time.Duration // a one-off request is held back so long before it evicts
-	HalfLife   time.Duration // of popularity
-	OrderLimit time.Duration // longest load or unload
+type Timing struct {
+	SendWindow         time.Duration // a grant must be used within it
+	VerifyInterval     time.Duration // between looks at an endpoint's fence
+	OwnershipTTL       time.Duration // how long a look vouches for ownership; above Verify
+	Backoff            time.Duration // after a refused claim or a lost endpoint
+	MaxDeferral        time.Duration // a one-off request is held back so long before it evicts
+	PopularityHalfLife time.Duration // of popularity
+	LoadTimeout        time.Duration // longest load or unload
 }
 
 // Store is the published rate of the weight store.
-type Store struct {
-	Rate   float64 // loads a second for the whole system
-	AtOnce int     // loads at full speed
+type StoreLimits struct {
+	Rate        float64 // loads a second for the whole system
+	Concurrency int     // loads at full speed
 }
 
 // Scheduler owns endpoints. Set every exported field before Run.
 type Scheduler struct {
 	wire.UnimplementedSchedulerServer
 
-	Name      string // as a member
-	Box       string
-	Centre    string // its data centre
-	Catalog   func() *catalog.Catalog
-	Changed   func() <-chan struct{} // closes when the catalog changes
-	Members   *member.Table
-	Listed    func() []string // schedulers of the data centre, as the platform lists them
-	Ready     func() bool     // whether the daemon has joined its data centre
-	Dial      func(address string) engine.Endpoint
-	Eviction  policy.Eviction
-	Weights   policy.Weights
-	Spans     Spans
-	Store     Store
-	QueueMost int     // requests waiting at one endpoint
-	HomeShare float64 // how full its own load may make one home of an adapter
-	Workers   int     // orders at a time
-	Record    *decision.Record
-	Keys      *Keys
-	Log       logr.Logger
-
-	mu        sync.Mutex
-	endpoints map[string]*endpoint // by name; every one of the data centre
-	known     []string             // serving schedulers as assign last saw them
-	leaving   bool                 // hands out no new ownership
-
-	looks       chan *endpoint // to look at
-	orders      chan order     // to carry out
-	budget      *storeBudget
-	limits      ratelimit.Counter // by endpoint; its lock is taken last and alone
-	loadsWanted atomic.Int64      // at all endpoints, and not begun
-	stats       stats
+	Name             string // as a member
+	Box              string
+	DataCentre       string // its data centre
+	Catalog          func() *catalog.Catalog
+	CatalogChanged   func() <-chan struct{} // closes when the catalog changes
+	Members          *member.Table
+	ListedSchedulers func() []string // schedulers of the data centre, as the platform lists them
+	Ready            func() bool     // whether the daemon has joined its data centre
+	Dial             func(address string) engine.Endpoint
+	Eviction         policy.Eviction
+	Weights          policy.Weights
+	Timing           Timing
+	StoreLimits      StoreLimits
+	MaxQueue         int     // requests waiting at one endpoint
+	HomeUtilisation  float64 // how full its own load may make one home of an adapter
+	LoadWorkers      int     // orders at a time
+	Decisions        *decision.Record
+	Keys             *KeyLedger
+	Log              logr.Logger
+
+	mu              sync.Mutex
+	endpoints       map[string]*endpoint // by name; every one of the data centre
+	knownSchedulers []string             // serving schedulers as assign last saw them
+	leaving         bool                 // hands out no new ownership
+
+	probes       chan *endpoint // to look at
+	loadTasks    chan loadTask  // to carry out
+	storeBudget  *lockedBudget
+	rateLimits   ratelimit.Counter // by endpoint; its lock is taken last and alone
+	pendingLoads atomic.Int64      // at all endpoints, and not begun
+	stats        stats
 }
 
 // stats are the scheduler's figures for /debug/vars.
 type stats struct {
-	Stall   *metrics.Histogram // time that requests waited for a load
-	Queue   *metrics.Histogram // time that requests waited for a place
-	Classes *metrics.Family    // waits by class
-	Callers *metrics.Family    // waits by caller
-	Reasons *metrics.Family    // waits by reason of the answer
-	Load    *metrics.Histogram // time of loads
+	LoadWait *metrics.Histogram // time that requests waited for a load
+	Wait     *metrics.Histogram // time that requests waited for a place
+	Classes  *metrics.Family    // waits by class
+	Callers  *metrics.Family    // waits by caller
+	Reasons  *metrics.Family    // waits by reason of the answer
+	LoadTime *metrics.Histogram // time of loads
 }
 
 const (
-	familyLimit = 64                     // callers, classes or reasons counted apart
-	lookWorkers = 4                      // looks at a time, so that an endpoint that hangs delays few others
-	jobBuffer   = 256                    // looks or orders that wait for a worker
-	ownInterval = 250 * time.Millisecond // between checks for looks that are due
+	maxLabels         = 64                     // callers, classes or reasons counted apart
+	probeWorkers      = 4                      // looks at a time, so that an endpoint that hangs delays few others
+	taskBuffer        = 256                    // looks or orders that wait for a worker
+	reconcileInterval = 250 * time.Millisecond // between checks for looks that are due
 )
 
 // Init prepares the tables; call it before the server takes requests.
 func (s *Scheduler) Init() {
 	s.endpoints = make(map[string]*endpoint)
-	s.looks = make(chan *endpoint, jobBuffer)
-	s.orders = make(chan order, jobBuffer)
-	s.budget = &storeBudget{}
+	s.probes = make(chan *endpoint, taskBuffer)
+	s.loadTasks = make(chan loadTask, taskBuffer)
+	s.storeBudget = &lockedBudget{}
 	s.stats = stats{
-		Stall:   metrics.NewHistogram(),
-		Queue:   metrics.NewHistogram(),
-		Classes: metrics.NewFamily(familyLimit),
-		Callers: metrics.NewFamily(familyLimit),
-		Reasons: metrics.NewFamily(familyLimit),
-		Load:    metrics.NewHistogram(),
+		LoadWait: metrics.NewHistogram(),
+		Wait:     metrics.NewHistogram(),
+		Classes:  metrics.NewFamily(maxLabels),
+		Callers:  metrics.NewFamily(maxLabels),
+		Reasons:  metrics.NewFamily(maxLabels),
+		LoadTime: metrics.NewHistogram(),
 	}
 }
 
 // Run keeps ownership, looks and orders going until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) error {
-	tasks := []daemon.Task{s.ownLoop}
-	for range lookWorkers {
-		tasks = append(tasks, s.lookWorker)
+	tasks := []daemon.Task{s.reconcileLoop}
+	for range probeWorkers {
+		tasks = append(tasks, s.probeWorker)
 	}
-	for range s.Workers {
-		tasks = append(tasks, s.orderWorker)
+	for range s.LoadWorkers {
+		tasks = append(tasks, s.loadWorker)
 	}
 	return daemon.RunAll(ctx, tasks...)
 }
 
-func (s *Scheduler) lookWorker(ctx context.Context) error {
+func (s *Scheduler) probeWorker(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case e := <-s.looks:
-			s.look(ctx, e)
+		case e := <-s.probes:
+			s.probe(ctx, e)
 		}
 	}
 }
 
-func (s *Scheduler) orderWorker(ctx context.Context) error {
+func (s *Scheduler) loadWorker(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case o := <-s.orders:
-			s.carryOut(ctx, o)
+		case task := <-s.loadTasks:
+			s.runLoadTask(ctx, task)
 		}
 	}
 }
 
 // ownLoop follows members and configuration, and schedules looks.
-func (s *Scheduler) ownLoop(ctx context.Context) error {
-	tick := time.NewTicker(ownInterval)
-	defer tick.Stop()
+func (s *Scheduler) reconcileLoop(ctx context.Context) error {
+	ticker := time.NewTicker(reconcileInterval)
+	defer ticker.Stop()
 	for {
-		s.assign(clock.Now())
+		s.reconcile(clock.Now())
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-s.Members.Changed():
-		case <-s.Changed():
-		case <-tick.C:
+		case <-s.CatalogChanged():
+		case <-ticker.C:
 		}
 	}
 }
@@ -179,9 +179,9 @@
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
-	for _, e := range s.all() {
+	for _, e := range s.allEndpoints() {
 		e.mu.Lock()
-		s.dropLocked(e, wire.Reason_REASON_NOT_OWNER)
+		s.relinquishLocked(e, wire.Reason_REASON_NOT_OWNER)
 		e.mu.Unlock()
 	}
 }
@@ -192,7 +192,7 @@
 }
 
 // all returns every endpoint of the data centre.
-func (s *Scheduler) all() []*endpoint {
+func (s *Scheduler) allEndpoints() []*endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*endpoint, 0, len(s.endpoints))
@@ -202,7 +202,7 @@
 	return list
 }
 
-func (s *Scheduler) find(name string) *endpoint {
+func (s *Scheduler) findEndpoint(name string) *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints[name]
@@ -211,7 +211,7 @@
 // Outstanding returns how many grants are not given back and how many requests
 // wait.
 func (s *Scheduler) Outstanding() (grants, waiting int) {
-	for _, e := range s.all() {
+	for _, e := range s.allEndpoints() {
 		e.mu.Lock()
 		grants += len(e.grants)
 		waiting += len(e.waiters)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -48,17 +48,17 @@
 func TestAnOwnerThatHasNotLookedLatelyGivesNoGrant(t *testing.T) {
 	b := newBench(t, "a@1")
 	e := b.own()
-	e.seen = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond) // as after a pause of the process
+	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond) // as after a pause of the process
 	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
 }
 
 func TestAnOwnerThatHasNotLookedLatelyGivesNoOrder(t *testing.T) {
 	b := newBench(t)
 	e := b.own()
-	o := order{endpoint: e, fence: e.fence, boot: e.boot, load: "a@1", path: "p/a"}
+	o := loadTask{endpoint: e, fence: e.fence, boot: e.bootID, load: "a@1", path: "p/a"}
 	e.slots["a@1"] = &slot{state: loading}
-	e.seen = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond)
-	b.scheduler.carryOut(context.Background(), o)
+	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	b.scheduler.runLoadTask(context.Background(), o)
 	b.Assert(b.engine.ordered(), quicktest.HasLen, 0)
 	b.Assert(e.slots["a@1"], quicktest.IsNil)
 }
@@ -66,8 +66,8 @@
 func TestAnOrderOfAnEarlierOwnershipIsNotGiven(t *testing.T) {
 	b := newBench(t)
 	e := b.own()
-	o := order{endpoint: e, fence: engine.NewFence(0, "box"), boot: e.boot, load: "a@1", path: "p/a"}
-	b.scheduler.carryOut(context.Background(), o)
+	o := loadTask{endpoint: e, fence: engine.NewFence(0, "box"), boot: e.bootID, load: "a@1", path: "p/a"}
+	b.scheduler.runLoadTask(context.Background(), o)
 	b.Assert(b.engine.ordered(), quicktest.HasLen, 0)
 }
 
@@ -85,44 +85,44 @@
 	b := newBench(t, "a@1", "b@1")
 	e := b.own()
 	for n, sl := range e.slots {
-		f := b.scheduler.slotFactsLocked(e, n, sl, time.Now())
+		f := b.scheduler.slotStateLocked(e, n, sl, time.Now())
 		b.Assert(f.Busy, quicktest.IsTrue)
 	}
-	b.Assert(b.scheduler.readReport(context.Background(), e), quicktest.IsNil)
+	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	for _, sl := range e.slots {
-		b.Assert(sl.unsure.IsZero(), quicktest.IsFalse) // the report was too early
-		sl.unsure = time.Now().Add(-time.Millisecond)
+		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsFalse) // the report was too early
+		sl.unaccountedUntil = time.Now().Add(-time.Millisecond)
 	}
-	b.Assert(b.scheduler.readReport(context.Background(), e), quicktest.IsNil)
+	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	for _, sl := range e.slots {
-		b.Assert(sl.unsure.IsZero(), quicktest.IsTrue)
+		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsTrue)
 	}
 }
 
 func TestAnOwnerAfterOneThatLeftWaitsOutTheSendWindowAlone(t *testing.T) {
 	b := newBench(t)
 	s := b.scheduler
-	b.Assert(s.grantsOutlive(engine.NewFence(1, "gone")), quicktest.Equals, s.Spans.Trust+s.Spans.SendWindow)
+	b.Assert(s.previousGrantLifetime(engine.NewFence(1, "gone")), quicktest.Equals, s.Timing.OwnershipTTL+s.Timing.SendWindow)
 	s.Members.Leave()
-	b.Assert(s.grantsOutlive(engine.NewFence(1, "box")), quicktest.Equals, s.Spans.SendWindow)
+	b.Assert(s.previousGrantLifetime(engine.NewFence(1, "box")), quicktest.Equals, s.Timing.SendWindow)
 }
 
 func TestAnUnknownOutcomeKeepsTheSlot(t *testing.T) {
 	b := newBench(t, "a@1")
 	e := b.own()
-	e.slots["a@1"].unsure = time.Time{}
+	e.slots["a@1"].unaccountedUntil = time.Time{}
 	b.release(b.ask("a@1", "urgent"), wire.Outcome_OUTCOME_UNKNOWN)
-	b.Assert(b.scheduler.slotFactsLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
+	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
 }
 
 func TestAnAdapterWithAGrantIsBusy(t *testing.T) {
 	b := newBench(t, "a@1")
 	e := b.own()
-	e.slots["a@1"].unsure = time.Time{}
+	e.slots["a@1"].unaccountedUntil = time.Time{}
 	a := b.ask("a@1", "urgent")
-	b.Assert(b.scheduler.slotFactsLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
+	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
 	b.release(a, wire.Outcome_OUTCOME_COMPLETED)
-	b.Assert(b.scheduler.slotFactsLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsFalse)
+	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsFalse)
 }
 
 // A claim reads anew what the endpoint holds. Grants of before it that ended were taken off the count of those given
@@ -132,14 +132,14 @@
 	e := b.own()
 	before := b.ask("a@1", "urgent")
 	e.mu.Lock()
-	b.scheduler.unclearLocked(e, time.Now())
-	b.scheduler.queueLookLocked(e)
+	b.scheduler.resyncLocked(e, time.Now())
+	b.scheduler.queueProbeLocked(e)
 	e.mu.Unlock()
-	b.scheduler.look(context.Background(), <-b.scheduler.looks)
-	b.Assert(e.phase, quicktest.Equals, owned)
+	b.scheduler.probe(context.Background(), <-b.scheduler.probes)
+	b.Assert(e.ownership, quicktest.Equals, owned)
 	busy := func() bool {
-		e.slots["a@1"].unsure = time.Time{} // a report has shown that nothing else runs
-		return b.scheduler.slotFactsLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy
+		e.slots["a@1"].unaccountedUntil = time.Time{} // a report has shown that nothing else runs
+		return b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy
 	}
 	b.Assert(busy(), quicktest.IsTrue)
 	b.release(before, wire.Outcome_OUTCOME_COMPLETED)
@@ -152,8 +152,8 @@
 	b := newBench(t, "a@1")
 	e := b.own()
 	b.ask("a@1", "urgent")
-	time.Sleep(b.scheduler.Spans.SendWindow + 5*time.Millisecond)
-	b.Assert(b.scheduler.readReport(context.Background(), e), quicktest.IsNil)
+	time.Sleep(b.scheduler.Timing.SendWindow + 5*time.Millisecond)
+	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	grants, _ := b.scheduler.Outstanding()
 	b.Assert(grants, quicktest.Equals, 0)
 }
@@ -164,9 +164,9 @@
 	b.engine.boot, b.engine.fence = "2", engine.Fence{}
 	delete(b.engine.slots, "a@1")
 	b.Assert(b.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
-	b.Assert(e.phase, quicktest.Equals, claiming)
-	b.scheduler.look(context.Background(), <-b.scheduler.looks)
-	b.Assert(e.phase, quicktest.Equals, owned)
+	b.Assert(e.ownership, quicktest.Equals, claiming)
+	b.scheduler.probe(context.Background(), <-b.scheduler.probes)
+	b.Assert(e.ownership, quicktest.Equals, owned)
 	b.Assert(e.slots, quicktest.HasLen, 0)
 }
 
@@ -174,7 +174,7 @@
 	b := newBench(t, "a@1")
 	b.own()
 	b.catalog = b.configure("draining", true)
-	b.scheduler.assign(time.Now())
+	b.scheduler.reconcile(time.Now())
 	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_LEAVING)
 }
 
@@ -208,7 +208,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	e.mu.Lock()
-	b.scheduler.loadFailedLocked(e, "a@1", time.Now())
+	b.scheduler.recordLoadFailureLocked(e, "a@1", time.Now())
 	e.mu.Unlock()
 	r := (<-answer).GetRefusal()
 	b.Assert(r.GetReason(), quicktest.Equals, wire.Reason_REASON_LOAD_FAILED)
@@ -246,34 +246,34 @@
 
 func TestWantedLoadsAreCountedAndForgotten(t *testing.T) {
 	b := newBench(t)
-	b.scheduler.Store.Rate = 1 // at a thousand a load was allowed again 1 ms after the budget was emptied
+	b.scheduler.StoreLimits.Rate = 1 // at a thousand a load was allowed again 1 ms after the budget was emptied
 	b.own()
 	q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "b@1", Class: "urgent"}
-	for b.scheduler.budget.take(time.Now()) { // so that no load begins
+	for b.scheduler.storeBudget.take(time.Now()) { // so that no load begins
 	}
 	_, err := b.scheduler.Acquire(context.Background(), q)
 	b.Assert(err, quicktest.IsNil)
-	b.Assert(b.scheduler.loadsWanted.Load(), quicktest.Equals, int64(0)) // a refused request presses for nothing
+	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0)) // a refused request presses for nothing
 	waiting := make(chan *wire.AcquireReply, 1)
 	go func() { waiting <- b.ask("b@1", "counter") }()
-	for b.scheduler.loadsWanted.Load() == 0 {
+	for b.scheduler.pendingLoads.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.scheduler.Leave()
 	<-waiting
-	b.Assert(b.scheduler.loadsWanted.Load(), quicktest.Equals, int64(0))
+	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0))
 }
 
 func TestAnEndpointWithoutFencesIsClaimedAnewAfterASilence(t *testing.T) {
 	b := newBench(t, "a@1")
 	b.catalog = b.configure("serving", false)
 	e := b.own()
-	e.taken = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond)
-	b.scheduler.look(context.Background(), e)
-	b.Assert(e.phase, quicktest.Equals, owned)
-	e.seen = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond)
+	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	b.scheduler.probe(context.Background(), e)
+	b.Assert(e.ownership, quicktest.Equals, owned)
+	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
 	b.Assert(b.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
-	b.Assert(e.phase, quicktest.Equals, claiming)
+	b.Assert(e.ownership, quicktest.Equals, claiming)
 }
 
 func TestANewOwnerOfAnEndpointWithoutFencesWaitsOutTheTrustOfTheOneBefore(t *testing.T) {
@@ -281,8 +281,8 @@
 	b.catalog = b.configure("serving", false)
 	e := b.own()
 	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_READY)
-	e.taken = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond)
-	b.scheduler.look(context.Background(), e)
+	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	b.scheduler.probe(context.Background(), e)
 	b.Assert(b.ask("a@1", "urgent").GetGrant(), quicktest.IsNotNil)
 }
 
@@ -290,13 +290,13 @@
 	b := newBench(t, "a@1")
 	b.catalog = b.configure("serving", false)
 	e := b.own()
-	e.taken = time.Now().Add(-b.scheduler.Spans.Trust - time.Millisecond)
-	b.scheduler.look(context.Background(), e)
+	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	b.scheduler.probe(context.Background(), e)
 	e.mu.Lock()
-	b.scheduler.unclearLocked(e, time.Now())
+	b.scheduler.resyncLocked(e, time.Now())
 	e.mu.Unlock()
-	b.scheduler.look(context.Background(), e)
-	b.Assert(e.phase, quicktest.Equals, owned)
+	b.scheduler.probe(context.Background(), e)
+	b.Assert(e.ownership, quicktest.Equals, owned)
 }
 
 func TestAHeldRequestKeepsNobodyElseWaiting(t *testing.T) {
--- a/scheduler/status.go
+++ b/scheduler/status.go
@@ -14,9 +14,9 @@
 // Status describes the endpoints that this scheduler owns or claims.
 func (s *Scheduler) Status() []*wire.EndpointStatus {
 	var list []*wire.EndpointStatus
-	for _, e := range s.all() {
+	for _, e := range s.allEndpoints() {
 		e.mu.Lock()
-		if e.phase != foreign {
+		if e.ownership != notOwned {
 			list = append(list, e.statusLocked(clock.Now()))
 		}
 		e.mu.Unlock()
@@ -26,19 +26,19 @@
 }
 
 func (e *endpoint) statusLocked(now time.Time) *wire.EndpointStatus {
-	st := &wire.EndpointStatus{
+	status := &wire.EndpointStatus{
 		Name:      e.name,
 		Base:      e.spec.Base(),
-		State:     e.phase.String() + ", " + string(e.spec.State()),
+		State:     e.ownership.String() + ", " + string(e.spec.State()),
 		Fence:     e.fence.String(),
 		Running:   int32(e.running()),
-		Limit:     int32(e.limitLocked()),
+		Limit:     int32(e.concurrencyLimitLocked()),
 		Waiting:   int32(len(e.waiters)),
-		AgeMicros: now.Sub(e.seen).Microseconds(),
+		AgeMicros: now.Sub(e.verifiedAt).Microseconds(),
 	}
 	for n, sl := range e.slots {
-		st.Slots = append(st.Slots, &wire.SlotStatus{Adapter: n, State: sl.state.String(), Grants: int32(e.inUse[n])})
+		status.Slots = append(status.Slots, &wire.SlotStatus{Adapter: n, State: sl.state.String(), Grants: int32(e.inUse[n])})
 	}
-	slices.SortFunc(st.Slots, func(a, b *wire.SlotStatus) int { return strings.Compare(a.Adapter, b.Adapter) })
-	return st
+	slices.SortFunc(status.Slots, func(a, b *wire.SlotStatus) int { return strings.Compare(a.Adapter, b.Adapter) })
+	return status
 }
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -16,7 +16,7 @@
 func TestAnOwnerThatWasSuspendedGivesNoGrant(t *testing.T) {
 	b := newBench(t, "a@1")
 	b.own()
-	pass := b.scheduler.Spans.Trust + time.Millisecond
+	pass := b.scheduler.Timing.OwnershipTTL + time.Millisecond
 	clock.Suspend(pass)
 	b.Cleanup(func() { clock.Suspend(-pass) })
 	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
