--- a/scheduler/acquire.go
+++ b/scheduler/acquire.go
@@ -11,14 +11,14 @@
 	"cairnwick.example/wire"
 )
 
-// waiter is one request that waits at an endpoint.
+// waiter is a request queued at an endpoint.
 type waiter struct {
 	request       *wire.AcquireRequest
 	class         catalog.Class
 	arrived       time.Time
-	deadline      time.Time               // of the wait
+	deadline      time.Time               // after which the request is refused
 	loadWaitStart time.Time               // when it began to wait for a load; zero: never
-	reply         chan *wire.AcquireReply // holds one; written once, under endpoint.mu
+	reply         chan *wire.AcquireReply // buffered for one reply; written once, under endpoint.mu
 }
 
 func (w *waiter) refuse(reason wire.Reason, retryAfter time.Duration, owner string) {
@@ -29,8 +29,8 @@
 	return &wire.AcquireReply{Refusal: &wire.Refusal{Reason: reason, RetryMicros: retryAfter.Microseconds(), Owner: owner}}
 }
 
-// Acquire implements the Scheduler service: it answers with a grant at once,
-// after a wait, or with a refusal as soon as it is known.
+// Acquire implements the Scheduler service. It replies with a grant, immediately or after a wait,
+// or with a refusal as soon as it is known that the request cannot run in time.
 func (s *Scheduler) Acquire(ctx context.Context, req *wire.AcquireRequest) (*wire.AcquireReply, error) {
 	arrived := clock.Now()
 	reply, e := s.acquire(ctx, req, arrived)
@@ -60,7 +60,7 @@
 	return s.awaitReply(ctx, e, w), e
 }
 
-// enter answers a request at once, or makes it wait.
+// admitOrEnqueue replies to a request immediately, or adds it to the queue.
 func (s *Scheduler) admitOrEnqueue(e *endpoint, req *wire.AcquireRequest, class catalog.Class, now time.Time) (*waiter, *wire.AcquireReply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +92,7 @@
 	return w, nil
 }
 
-// wait holds a request until it is granted, refused or given up.
+// awaitReply blocks until a request is granted or refused, times out or is cancelled.
 func (s *Scheduler) awaitReply(ctx context.Context, e *endpoint, w *waiter) *wire.AcquireReply {
 	timer := time.NewTimer(clock.Until(w.deadline))
 	defer timer.Stop()
@@ -112,8 +112,8 @@
 	return reply
 }
 
-// overdueLocked is the answer to a request whose time to wait has passed. Where loads of
-// its adapter failed meanwhile, that is the reason, however few they were.
+// timeoutReplyLocked returns the refusal for a request whose time to wait has passed. If any load
+// of its adapter failed in the meantime, even a single one, the reason is the failed load.
 func (s *Scheduler) timeoutReplyLocked(e *endpoint, w *waiter, now time.Time) *wire.AcquireReply {
 	adapter := w.request.GetAdapter()
 	retryAfter := s.estimatedWaitLocked(e, w, now)
@@ -126,7 +126,7 @@
 	return refusal(wire.Reason_REASON_DEADLINE, s.retryAfterLocked(e, retryAfter, now), "")
 }
 
-// deliver passes an answer on, and gives a grant back that nobody will receive.
+// deliver returns the reply, and releases its grant if the caller is no longer there to receive it.
 func (s *Scheduler) deliver(ctx context.Context, e *endpoint, reply *wire.AcquireReply) *wire.AcquireReply {
 	if g := reply.GetGrant(); g != nil && ctx.Err() != nil {
 		s.releaseGrant(e, &wire.ReleaseRequest{Id: g.GetId(), Outcome: wire.Outcome_OUTCOME_NOT_SENT})
@@ -135,7 +135,7 @@
 	return reply
 }
 
-// removeLocked takes a waiter out; false when it was answered already.
+// removeWaiterLocked removes a waiter from the queue; false if it was already answered.
 func (e *endpoint) removeWaiterLocked(w *waiter) bool {
 	for i, queued := range e.waiters {
 		if queued == w {
@@ -146,7 +146,7 @@
 	return false
 }
 
-// note counts and records the answer.
+// recordReply adds the reply to the metrics and to the record of decisions.
 func (s *Scheduler) recordReply(req *wire.AcquireRequest, reply *wire.AcquireReply, waited time.Duration) {
 	reason := reply.GetGrant().GetReason()
 	if reply.GetRefusal() != nil {
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -10,7 +10,7 @@
 	"cairnwick.example/wire"
 )
 
-// closedReasonLocked tells why an endpoint takes no request now; zero when it does.
+// unavailableReasonLocked returns why an endpoint accepts no requests now; zero if it does.
 func (s *Scheduler) unavailableReasonLocked(e *endpoint, now time.Time) wire.Reason {
 	switch {
 	case e.ownership == notOwned && e.owner != s.Name:
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// adapterKnown tells whether the configuration here names the adapter's version.
+// adapterKnown reports whether the local configuration contains the adapter's version.
 func (s *Scheduler) adapterKnown(adapter string) bool {
 	_, err := s.Catalog().Resolve(adapter)
 	return err == nil
@@ -36,8 +36,8 @@
 	return sl != nil && sl.state == ready
 }
 
-// freeLocked tells whether a new request for the adapter may run now: its adapter
-// is ready, a place is free and no other request that could run waits for it.
+// canRunNowLocked reports whether a new request for the adapter may run now: the adapter is
+// ready, the endpoint has spare capacity and no runnable request is queued before it.
 func (s *Scheduler) canRunNowLocked(e *endpoint, adapter string, now time.Time) bool {
 	if !s.adapterReadyLocked(e, adapter) || e.running() >= e.concurrencyLimitLocked() {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// admitLocked refuses a request that had better not wait; nil lets it wait.
+// admitLocked returns a refusal for a request that should not be queued; nil if it may wait.
 func (s *Scheduler) admitLocked(e *endpoint, w *waiter, now time.Time) *wire.AcquireReply {
 	adapter := w.request.GetAdapter()
 	if f := e.loadFailures[adapter]; now.Before(f.retryAt) && !s.adapterReadyLocked(e, adapter) {
@@ -65,7 +65,7 @@
 		CallerMax: s.callerQueueLimit(w.request.GetCaller()),
 	})
 	if rateLimitWait := s.rateLimitWait(e, s.queuedAheadLocked(e, w), now); verdict == policy.Wait && rateLimitWait > e.loadTime {
-		verdict, retryAfter = policy.RefuseDeadline, rateLimitWait // another endpoint can have loaded the adapter by then
+		verdict, retryAfter = policy.RefuseDeadline, rateLimitWait // by then another endpoint can have loaded the adapter
 	}
 	if verdict != policy.Wait && !s.adapterReadyLocked(e, adapter) {
 		e.recordUnmetDemandLocked(adapter, now)
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// waitingOf counts the requests of a caller that wait.
+// countWaiting returns how many queued requests belong to the caller.
 func countWaiting(waiters []*waiter, caller string) int {
 	n := 0
 	for _, w := range waiters {
@@ -94,8 +94,8 @@
 	return n
 }
 
-// callerMost is how many requests of a caller may wait here; callers that the
-// configuration does not name get half the queue.
+// callerQueueLimit returns how many requests of a caller may be queued per endpoint. Callers
+// without a configuration entry get half the queue.
 func (s *Scheduler) callerQueueLimit(caller string) int {
 	if spec, ok := s.Catalog().Caller(caller); ok {
 		return spec.Queue()
@@ -103,8 +103,8 @@
 	return max(1, s.MaxQueue/2)
 }
 
-// estimateLocked is how long a new request would wait: for a place, and for
-// its adapter's load behind the loads before it.
+// estimatedWaitLocked estimates how long a new request would wait: for spare capacity, and for its
+// adapter's load behind the loads queued before it.
 func (s *Scheduler) estimatedWaitLocked(e *endpoint, w *waiter, now time.Time) time.Duration {
 	ahead := s.queuedAheadLocked(e, w)
 	runWait := max(policy.WaitForPlace(e.running(), e.concurrencyLimitLocked(), ahead, e.serviceTime), s.rateLimitWait(e, ahead, now))
@@ -118,7 +118,7 @@
 	return max(runWait, s.estimatedLoadWaitLocked(e, now))
 }
 
-// aheadLocked counts the waiting requests that would run before w.
+// queuedAheadLocked counts the queued requests that would run before w.
 func (s *Scheduler) queuedAheadLocked(e *endpoint, w *waiter) int {
 	n := 0
 	for _, queued := range e.waiters {
@@ -129,8 +129,8 @@
 	return n
 }
 
-// loadEstimateLocked is how long a load that is not begun would take at best:
-// behind those that requests wait for here, when the store's rate is there.
+// estimatedLoadWaitLocked estimates the shortest time in which a load that has not begun can
+// finish: behind the loads that requests wait for here, as soon as the store's rate allows.
 func (s *Scheduler) estimatedLoadWaitLocked(e *endpoint, now time.Time) time.Duration {
 	queued := make(map[string]bool)
 	for _, w := range e.waiters {
@@ -142,14 +142,15 @@
 	return s.storeBudget.wait(1, now) + rounds*e.loadTime
 }
 
-// comeBackLocked is when a refused caller had better come back: when the loads
-// that are wanted at all endpoints can have begun, and its own after them.
+// retryAfterLocked returns when a refused caller should retry: when the loads pending at all
+// endpoints can have begun, and its own load after them has finished.
 func (s *Scheduler) retryAfterLocked(e *endpoint, atLeast time.Duration, now time.Time) time.Duration {
 	return max(atLeast, s.storeBudget.wait(1+int(s.pendingLoads.Load()), now)+e.loadTime)
 }
 
-// widthLocked is how many homes the adapter should have. Its load here is one
-// part of the whole, as many as the gateway believes it has homes.
+// homeCountLocked returns how many homes, the endpoints that its requests prefer, the adapter should
+// have. The request rate seen here is one home's part of the total, which is estimated with the
+// number of homes that the gateway reports.
 func (s *Scheduler) homeCountLocked(e *endpoint, req *wire.AcquireRequest, now time.Time) int {
 	popularity := e.popularity[req.GetAdapter()]
 	if popularity == nil {
--- a/scheduler/budget.go
+++ b/scheduler/budget.go
@@ -9,13 +9,13 @@
 	"cairnwick.example/policy"
 )
 
-// storeBudget is the policy.Budget behind a lock of its own.
+// lockedBudget is a policy.Budget with its own lock.
 type lockedBudget struct {
 	mu     sync.Mutex
 	budget policy.Budget
 }
 
-// share sets the fair share by owned endpoints.
+// setShare sets the fair share of the store's rate by the share of endpoints owned here.
 func (b *lockedBudget) setShare(owned, total int, rate float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -15,53 +15,53 @@
 	"cairnwick.example/wire"
 )
 
-// phase says how far ownership of an endpoint is.
+// ownership is the state of this scheduler's ownership of an endpoint.
 type ownership int
 
 const (
 	notOwned ownership = iota // another scheduler owns it
-	claiming                  // this one wants it and has not seen its own fence there
+	claiming                  // to be claimed; this scheduler's fence was not yet seen at the endpoint
 	owned                     // the endpoint has this scheduler's fence
 )
 
 func (o ownership) String() string { return [...]string{"foreign", "claiming", "owned"}[o] }
 
-// endpoint is what one scheduler knows of one model server.
+// endpoint is the state that one scheduler keeps about one model server.
 type endpoint struct {
 	name           string
 	client         engine.Endpoint
-	preferredOwner string // who should own it, in the view that assign last saw; only assign uses it
+	preferredOwner string // scheduler that should own it, as of the last reconcile; only reconcile uses it
 
 	mu             sync.Mutex
 	spec           catalog.Endpoint
 	ownership      ownership
-	owner          string       // of the scheduler believed to own it; a member's name
+	owner          string       // member name of the scheduler believed to own it
 	fence          engine.Fence // this scheduler's, while owned
-	bootID         string       // the engine's life that slots describe
-	verifiedAt     time.Time    // when a look that showed the own fence was begun
-	claimedAt      time.Time    // when the claim that holds was begun
-	claimingSince  time.Time    // when this scheduler began to claim it, while another may have owned it; zero: none may
-	losses         int          // claims lost to others lately
-	probing        bool         // a look is queued or under way
+	bootID         string       // identifies the run of the engine that slots describes
+	verifiedAt     time.Time    // start of the last probe that saw this scheduler's fence
+	claimedAt      time.Time    // start of the claim that is in force
+	claimingSince  time.Time    // start of claiming, while another scheduler may still act as owner; zero: none may
+	losses         int          // recent claims lost to others, up to maxLossDoublings
+	probing        bool         // a probe is queued or running
 	nextProbe      time.Time
 	slots          map[string]*slot  // by adapter@version; at most spec.Slots()
-	grants         map[uint64]*grant // not given back; through claims of the same owner
-	inUse          map[string]int    // how many of them, by adapter@version; never zero
+	grants         map[uint64]*grant // not yet released; kept when the same owner claims again
+	inUse          map[string]int    // number of these grants by adapter@version; never zero
 	waiters        []*waiter         // in order of arrival
 	popularity     map[string]*policy.Popularity
-	concurrency    float64         // of requests running; adapts below spec.Running()
-	rateLimit      ratelimit.Limit // that it names, by the latest word
-	serviceTime    time.Duration   // moving mean of a request's time at the engine
-	loadTime       time.Duration   // moving mean of a load's time
+	concurrency    float64         // limit of running requests; adapts, up to the configured maximum
+	rateLimit      ratelimit.Limit // rate limit that the endpoint announced last
+	serviceTime    time.Duration   // moving average of the time a request takes at the engine
+	loadTime       time.Duration   // moving average of the time a load takes
 	loadFailures   map[string]loadFailure
-	pendingLoads   int                     // adapters to load, as last counted
+	pendingLoads   int                     // this endpoint's part of Scheduler.pendingLoads, as last counted
 	unmetDemands   map[string]*unmetDemand // adapters whose requests were refused because they are not loaded
-	reportNeeded   bool                    // a report may show slots to be free
-	leavingUntil   time.Time               // until then it gets nothing new: it said that it is leaving
-	rateLimitTimer *time.Timer             // serves those that wait once the endpoint takes one more; nil: it names no limit, or nobody waits
+	reportNeeded   bool                    // a report may show that slots are unused
+	leavingUntil   time.Time               // no new requests until then, because the endpoint announced that it is leaving
+	rateLimitTimer *time.Timer             // serves the queue when the rate limit allows one more request; nil: no limit, or none has to wait for it
 }
 
-// slotState says what a slot holds.
+// slotState is the state of a slot.
 type slotState int
 
 const (
@@ -72,34 +72,34 @@
 
 func (s slotState) String() string { return [...]string{"loading", "ready", "unloading"}[s] }
 
-// slot is one adapter at the engine.
+// slot is an adapter in an engine's slot.
 type slot struct {
 	state            slotState
-	unaccountedUntil time.Time // a request may begin on it until then, and run after; zero: none unaccounted
-	lastUsed         time.Time // when a grant was last given
-	stateSince       time.Time // when the state began
+	unaccountedUntil time.Time // requests unknown here may start on it until then, and still run later; zero: there are none
+	lastUsed         time.Time // when a grant was last issued
+	stateSince       time.Time // when the slot entered its state
 }
 
-// demand is what refused requests would have waited for: they were told when to
-// come back, so their adapter is loaded meanwhile.
+// unmetDemand counts refused requests for an adapter. Their callers were told when to retry, so
+// the adapter is loaded in the meantime.
 type unmetDemand struct {
 	count int
 	last  time.Time
 }
 
-// failure remembers a load that failed, so that it is not repeated at once.
+// loadFailure records failed loads of an adapter, so that the next attempt is delayed.
 type loadFailure struct {
 	count   int
-	retryAt time.Time // not tried before
+	retryAt time.Time // earliest next attempt
 }
 
 const (
-	initialServiceTime = time.Second // of a request's time, assumed until measured
-	initialLoadTime    = time.Second // of a load's time, assumed until measured
-	sampleWeight       = 0.1         // of a new sample in a moving mean
-	maxPopularity      = 4096        // adapters whose popularity is remembered
-	maxLoadsInFlight   = 2           // at one endpoint
-	maxUnmetDemands    = 256         // adapters of refused requests
+	initialServiceTime = time.Second // assumed time of a request until one is measured
+	initialLoadTime    = time.Second // assumed time of a load until one is measured
+	sampleWeight       = 0.1         // weight of a new sample in a moving average
+	maxPopularity      = 4096        // adapters whose popularity is tracked
+	maxLoadsInFlight   = 2           // per endpoint
+	maxUnmetDemands    = 256         // adapters of refused requests that are tracked
 	unmetDemandTTL     = 10 * time.Second
 )
 
@@ -120,14 +120,14 @@
 	}
 }
 
-// trustedLocked tells whether the own fence was seen lately enough to act on.
+// ownershipValidLocked reports whether this scheduler's fence was seen recently enough to act on.
 func (e *endpoint) ownershipValidLocked(now time.Time, ttl time.Duration) bool {
 	return e.ownership == owned && now.Sub(e.verifiedAt) <= ttl
 }
 
-// dropLocked gives up ownership: what waits is refused so that the gateways ask
-// the next owner. Grants already given stay good; the endpoint's next owner
-// waits them out.
+// relinquishLocked gives up ownership and refuses the queued requests, so that the gateways ask the
+// next owner. Grants already issued stay valid; the next owner waits until they have ended or
+// expired.
 func (s *Scheduler) relinquishLocked(e *endpoint, reason wire.Reason) {
 	if e.ownership == notOwned && len(e.waiters) == 0 {
 		return
@@ -145,13 +145,12 @@
 	}
 }
 
-// addGrantLocked adds a grant that was given.
 func (e *endpoint) addGrantLocked(id uint64, g *grant) {
 	e.grants[id] = g
 	e.inUse[g.adapter]++
 }
 
-// endGrantLocked takes a grant away, and returns it; nil: there is none.
+// removeGrantLocked removes a grant and returns it; nil if there is none.
 func (e *endpoint) removeGrantLocked(id uint64) *grant {
 	g := e.grants[id]
 	if g == nil {
@@ -165,17 +164,17 @@
 	return g
 }
 
-// running is how many grants are not given back.
+// running returns the number of grants that are not released.
 func (e *endpoint) running() int { return len(e.grants) }
 
-// limitLocked is how many requests may run.
+// concurrencyLimitLocked returns how many requests may run at a time.
 func (e *endpoint) concurrencyLimitLocked() int {
 	return max(1, min(int(e.concurrency), e.maxConcurrencyLocked()))
 }
 
-// mostLocked is how many requests it can run at a time. One that names how many it takes counts as one
-// that runs as many at a time as come at that rate: so its adapters get further homes, and requests
-// choose those that are less full.
+// maxConcurrencyLocked returns how many requests the endpoint can run at a time at most. For an
+// endpoint with a rate limit this is the concurrency that results from requests at that rate, so
+// that its adapters get further homes and requests prefer endpoints with more spare capacity.
 func (e *endpoint) maxConcurrencyLocked() int {
 	if !e.rateLimit.Named() {
 		return e.spec.Running()
@@ -183,8 +182,8 @@
 	return min(int(math.Ceil(e.rateLimit.Rate()*e.serviceTime.Seconds())), e.spec.Running())
 }
 
-// rateLocked returns the popularity of an adapter, forgetting the faintest when
-// there are too many.
+// popularityLocked returns the popularity of an adapter. When too many are tracked, it evicts the
+// least popular first.
 func (e *endpoint) popularityLocked(adapter string, now time.Time, halfLife time.Duration) *policy.Popularity {
 	if p := e.popularity[adapter]; p != nil {
 		return p
@@ -197,8 +196,8 @@
 	return p
 }
 
-// forgetRatesLocked drops the adapters that are not in a slot and were not
-// asked for in the last half-lives, or arbitrary ones when there are none.
+// evictPopularityLocked removes adapters that are in no slot and were hardly requested in the last
+// half-lives, or arbitrary ones in no slot when that does not suffice.
 func (e *endpoint) evictPopularityLocked(now time.Time, halfLife time.Duration) {
 	minRate := 0.01 / halfLife.Seconds()
 	for n, p := range e.popularity {
@@ -216,7 +215,7 @@
 	}
 }
 
-// demandLocked notes that a request was refused for want of its adapter.
+// recordUnmetDemandLocked counts a request that was refused because its adapter is not loaded.
 func (e *endpoint) recordUnmetDemandLocked(adapter string, now time.Time) {
 	d := e.unmetDemands[adapter]
 	if d == nil && len(e.unmetDemands) >= maxUnmetDemands {
@@ -230,7 +229,7 @@
 	d.last = now
 }
 
-// dropDemandsLocked forgets demands that are met or old.
+// expireUnmetDemandsLocked removes demands that are met or too old.
 func (e *endpoint) expireUnmetDemandsLocked(now time.Time) {
 	for n, d := range e.unmetDemands {
 		if e.slots[n] != nil || now.Sub(d.last) > unmetDemandTTL {
@@ -239,12 +238,12 @@
 	}
 }
 
-// movingMean moves a mean by one sample.
+// movingMean returns the moving average after one more sample.
 func movingMean(old, sample time.Duration) time.Duration {
 	return old + time.Duration(sampleWeight*float64(sample-old))
 }
 
-// factsLocked is what replies tell of the endpoint.
+// factsLocked returns the state of the endpoint that is sent with every reply.
 func (e *endpoint) factsLocked(adapter string, width int, now time.Time) *wire.EndpointFacts {
 	s := e.slots[adapter]
 	return &wire.EndpointFacts{
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -19,14 +19,14 @@
 	"github.com/go-logr/logr"
 )
 
-// fakeEngine is an engine.Endpoint in memory.
+// fakeEngine is an in-memory engine.Endpoint.
 type fakeEngine struct {
 	mu     sync.Mutex
 	fence  engine.Fence
 	boot   string
 	slots  map[string]bool
-	refuse error    // answers every load
-	orders []string // load and unload, in order
+	refuse error    // result of every load
+	orders []string // loads and unloads, in order
 }
 
 func (f *fakeEngine) sight() engine.Sight { return engine.NewSight(f.fence, f.boot) }
@@ -80,7 +80,7 @@
 	return list, nil
 }
 
-// Report implements engine.Endpoint: nothing runs.
+// Report implements engine.Endpoint. No request is running.
 func (f *fakeEngine) Report(context.Context) (engine.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +93,7 @@
 	return append([]string{}, f.orders...)
 }
 
-// bench is a scheduler with one endpoint e1 of two slots and a batch of two.
+// fixture is a scheduler with one endpoint, e1, with two slots and a limit of two running requests.
 type bench struct {
 	*quicktest.C
 
@@ -138,8 +138,7 @@
 	return e
 }
 
-// configure makes a configuration in which e1 has the state and checks fences or
-// not.
+// buildCatalog returns a configuration in which e1 has the state, and checks fences or does not.
 func (b *bench) configure(state string, checks bool) *catalog.Catalog {
 	shards := map[string][]byte{"all": []byte(fmt.Sprintf(`{
 		"bases": [{"name": "b"}],
@@ -153,7 +152,7 @@
 	return c
 }
 
-// run starts the scheduler's own work.
+// run starts the scheduler's background tasks.
 func (b *bench) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -164,7 +163,7 @@
 	})
 }
 
-// own makes the scheduler own the endpoint without its own work running.
+// own makes the scheduler own the endpoint without starting its background tasks.
 func (b *bench) own() *endpoint {
 	s := b.scheduler
 	s.reconcile(time.Now())
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -14,15 +14,15 @@
 	"github.com/pkg/errors"
 )
 
-// grant is the right to run one request, not given back yet.
+// grant is the right to run one request. It lasts until it is released.
 type grant struct {
 	adapter      string
 	caller       string
 	issuedAt     time.Time
-	sendDeadline time.Time // by this clock, the gateway's write begins before
+	sendDeadline time.Time // by this scheduler's clock; the gateway starts to send before it
 }
 
-// grantLocked gives a grant to a waiter whose adapter is ready.
+// issueGrantLocked issues a grant to a waiter whose adapter is ready.
 func (s *Scheduler) issueGrantLocked(e *endpoint, w *waiter, now time.Time, reason wire.Reason) *wire.AcquireReply {
 	id := rand.Uint64()
 	adapter := w.request.GetAdapter()
@@ -43,7 +43,7 @@
 	}}
 }
 
-// stall is the part of a wait that passed before the adapter was ready.
+// loadWait returns the part of the wait that passed before the adapter was ready.
 func (w *waiter) loadWait(now time.Time, sl *slot) time.Duration {
 	if w.loadWaitStart.IsZero() {
 		return 0
@@ -63,7 +63,7 @@
 	return &wire.ReleaseReply{}, nil
 }
 
-// giveBack ends a grant and lets the next requests run.
+// releaseGrant ends a grant and serves the queue.
 func (s *Scheduler) releaseGrant(e *endpoint, req *wire.ReleaseRequest) {
 	now := clock.Now()
 	e.mu.Lock()
@@ -74,29 +74,29 @@
 	}
 	g := e.removeGrantLocked(req.GetId())
 	if g == nil {
-		return // of an earlier ownership, or given back already
+		return // of an earlier ownership, or already released
 	}
 	s.updateSlotLocked(e, g, req, now)
 	s.adaptConcurrencyLocked(e, req)
 	s.serveWaitersLocked(e, now)
 }
 
-// endLocked updates the slot that a grant was for.
+// updateSlotLocked updates the slot that a released grant was for.
 func (s *Scheduler) updateSlotLocked(e *endpoint, g *grant, req *wire.ReleaseRequest, now time.Time) {
 	sl := e.slots[g.adapter]
 	if sl == nil {
 		return
 	}
 	if req.GetOutcome() == wire.Outcome_OUTCOME_UNKNOWN && sl.unaccountedUntil.Before(now) {
-		sl.unaccountedUntil = now // it may still run; a report must show that it does not
+		sl.unaccountedUntil = now // it may still run; only a report can show that it does not
 	}
 	if req.GetNotLoaded() && sl.state == ready && sl.stateSince.Before(g.issuedAt) {
 		delete(e.slots, g.adapter)
-		e.nextProbe = now // the table here is wrong: see what the engine holds
+		e.nextProbe = now // the slot table is wrong: read which adapters the engine holds
 	}
 }
 
-// sightedLocked uses what the endpoint's answer showed the gateway.
+// checkReleaseLocked checks the boot id and fence that the gateway saw in the endpoint's response.
 func (s *Scheduler) checkReleaseLocked(e *endpoint, req *wire.ReleaseRequest, now time.Time) {
 	if e.ownership != owned {
 		return
@@ -111,11 +111,12 @@
 	}
 }
 
-const leavingPause = 30 * time.Second // an endpoint that is leaving is asked again after it
+const leavingPause = 30 * time.Second // before an endpoint that announced that it is leaving gets requests again
 
-const concurrencyDecrease = 0.8 // of the limit when the endpoint says that it is full
+const concurrencyDecrease = 0.8 // factor for the concurrency limit when the endpoint reports that it is full
 
-// adaptLocked follows the endpoint's own words about how much it can take.
+// adaptConcurrencyLocked lowers the concurrency limit when the endpoint reports that it is full,
+// and raises it again with completed requests.
 func (s *Scheduler) adaptConcurrencyLocked(e *endpoint, req *wire.ReleaseRequest) {
 	if req.GetBusy() {
 		e.concurrency = max(1, e.concurrency*concurrencyDecrease)
@@ -127,7 +128,7 @@
 	}
 }
 
-// serveWaitersLocked lets every waiting request run that can, and plans loads for the
+// serveWaitersLocked issues grants to all queued requests that can run, and plans loads for the
 // others.
 func (s *Scheduler) serveWaitersLocked(e *endpoint, now time.Time) {
 	e.expireUnmetDemandsLocked(now)
@@ -173,7 +174,7 @@
 	return list
 }
 
-// patientLocked counts the patient requests that wait and could run.
+// countDeferrableLocked counts the queued requests that could run and may be deferred.
 func (s *Scheduler) countDeferrableLocked(e *endpoint) int {
 	n := 0
 	for _, w := range e.waiters {
@@ -184,7 +185,7 @@
 	return n
 }
 
-// heldBackLocked tells whether a request is held back to fill a batch.
+// shouldDeferLocked reports whether a request is deferred to fill a batch.
 func (s *Scheduler) shouldDeferLocked(e *endpoint, w *waiter, deferrable int, now time.Time) bool {
 	return s.Weights.Hold(policy.HoldFacts{
 		MayWait: w.class.MayWait(),
@@ -195,7 +196,7 @@
 	})
 }
 
-// oldGrantLocked tells whether a grant is so old that its gateway may be gone.
+// hasStaleGrantLocked reports whether a grant is so old that its gateway may be gone.
 func (e *endpoint) hasStaleGrantLocked(now time.Time, timing Timing) bool {
 	for _, g := range e.grants {
 		if now.Sub(g.sendDeadline) > timing.OwnershipTTL {
@@ -205,13 +206,13 @@
 	return false
 }
 
-// readReport reads the endpoint's own word on what runs, and ends what it shows
-// to be over: grants of gateways that are gone, and slots that were unsure.
+// reconcileReport reads the endpoint's report of what runs there. It ends grants of gateways that
+// are gone, and clears the slots on which no unaccounted request runs any more.
 func (s *Scheduler) reconcileReport(ctx context.Context, e *endpoint) error {
 	startedAt := clock.Now()
 	report, err := e.client.Report(ctx)
 	if err != nil {
-		return errors.Wrap(err, "scheduler: report")
+		return errors.Wrap(err, "scheduler: read report")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -219,7 +220,7 @@
 		return nil
 	}
 	e.reportNeeded = false
-	reportedSince := startedAt.Add(-e.spec.ReportLag()) // the state shown is at least this new
+	reportedSince := startedAt.Add(-e.spec.ReportLag()) // the report shows the state at this time or later
 	for id, g := range e.grants {
 		if g.sendDeadline.Before(reportedSince) && !report.InUse(g.adapter) {
 			e.removeGrantLocked(id)
--- a/scheduler/keys.go
+++ b/scheduler/keys.go
@@ -14,39 +14,38 @@
 	"github.com/pkg/errors"
 )
 
-// KeySpans are the time spans of a key ledger.
+// KeyTiming holds the durations of a key ledger.
 type KeyTiming struct {
-	ClockSkew time.Duration // for clocks that differ and views that lag
+	ClockSkew time.Duration // tolerance for clocks that differ and membership views that lag
 	Retention time.Duration // how long outcomes are remembered
 }
 
-// Keys is the ledger of keys of requests that are not repeatable, at their
-// home. It is held in memory alone: after a restart or a change of the home,
-// keys that were created before this tenure began are refused, because an
-// earlier home may have let them run.
+// KeyLedger records the idempotency keys of non-repeatable requests. Each key has a home, the one
+// scheduler that records it. The ledger is held in memory only. After a restart or a change of home, keys created before the current term are
+// refused, because an earlier home may have let their requests run.
 type KeyLedger struct {
 	timing     KeyTiming
-	maxEntries int // entries kept
+	maxEntries int
 
 	mu             sync.Mutex
 	minCreated     time.Time // keys created before it are refused
 	entries        map[string]*keyEntry
-	insertionOrder []string // keys by arrival, for forgetting
+	insertionOrder []string // keys in order of arrival, for eviction
 }
 
 type keyEntry struct {
-	holder    string // the attempt that holds it
+	holder    string // request id of the attempt that holds the key
 	state     wire.KeyState
-	created   time.Time // from the key
+	created   time.Time // creation time in the key
 	startedAt time.Time
 }
 
-// NewKeys returns an empty ledger whose tenure begins at now.
+// NewKeyLedger returns an empty ledger whose term begins at now.
 func NewKeyLedger(timing KeyTiming, maxEntries int, now time.Time) *KeyLedger {
 	return &KeyLedger{timing: timing, maxEntries: maxEntries, minCreated: now.Add(timing.ClockSkew), entries: make(map[string]*keyEntry)}
 }
 
-// NewTenure begins a new tenure at now: this home may have got keys that
+// StartTerm begins a new term at now, because this scheduler may have become the home of keys that
 // another one held.
 func (k *KeyLedger) StartTerm(now time.Time) {
 	k.mu.Lock()
@@ -56,19 +55,18 @@
 	}
 }
 
-// Created returns the creation time that a key carries. The key must be a
-// UUID of version 7.
+// KeyCreationTime returns the creation time encoded in a key, which must be a UUID of version 7.
 func KeyCreationTime(key string) (time.Time, error) {
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
-		return time.Time{}, errors.Errorf("scheduler: key %q: write a UUID of version 7", key)
+		return time.Time{}, errors.Errorf("scheduler: key %q is not a UUID of version 7", key)
 	}
 	sec, nsec := u.Time().UnixTime()
 	return time.Unix(sec, nsec), nil
 }
 
-// Begin claims a key for an attempt, or tells what became of it. A key seen
-// before is answered from the ledger also when it is older than the floor.
+// Begin claims a key for an attempt, or returns the state of the earlier attempt. A key already in
+// the ledger is answered from it even if it was created before minCreated.
 func (k *KeyLedger) Begin(key, request string, now time.Time) (wire.KeyState, string) {
 	created, err := KeyCreationTime(key)
 	k.mu.Lock()
@@ -86,10 +84,10 @@
 	return wire.KeyState_KEY_STATE_CLAIMED, request
 }
 
-// seen answers a second sight of a key. An attempt that never said how it
-// ended may have run.
+// claimAgain returns the state for an attempt with a key that is already in the ledger. An earlier
+// attempt whose outcome was never recorded may have run.
 func (e *keyEntry) claimAgain(request string, now time.Time, retention time.Duration) wire.KeyState {
-	if e.state == wire.KeyState_KEY_STATE_CLAIMED { // given back as not run
+	if e.state == wire.KeyState_KEY_STATE_CLAIMED { // released without having run
 		e.holder, e.state, e.startedAt = request, wire.KeyState_KEY_STATE_IN_PROGRESS, now
 		return wire.KeyState_KEY_STATE_CLAIMED
 	}
@@ -99,7 +97,7 @@
 	return e.state
 }
 
-// End records the outcome of an attempt that holds the key.
+// End records the outcome of the attempt that holds the key.
 func (k *KeyLedger) End(key, request string, state wire.KeyState) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -110,8 +108,8 @@
 	e.state = state
 }
 
-// forgetLocked drops the oldest entries; the floor rises above what they
-// carried, so a forgotten key is refused and never runs again.
+// evictLocked removes the oldest entries and raises minCreated above their creation times, so that
+// an evicted key is refused and its request never runs again.
 func (k *KeyLedger) evictLocked(now time.Time) {
 	for len(k.insertionOrder) > 0 {
 		key := k.insertionOrder[0]
@@ -127,7 +125,7 @@
 	}
 }
 
-// Len returns how many keys are held.
+// Len returns the number of keys in the ledger.
 func (k *KeyLedger) Len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -139,7 +137,7 @@
 	if !s.isKeyHome(req.GetKey()) {
 		return &wire.BeginKeyReply{State: wire.KeyState_KEY_STATE_NOT_HOME}, nil
 	}
-	state, holder := s.Keys.Begin(req.GetKey(), req.GetRequest(), time.Now()) // keys carry the time of day
+	state, holder := s.Keys.Begin(req.GetKey(), req.GetRequest(), time.Now()) // keys contain wall-clock time
 	return &wire.BeginKeyReply{State: state, Request: holder}, nil
 }
 
@@ -149,9 +147,9 @@
 	return &wire.EndKeyReply{}, nil
 }
 
-// isKeyHome tells whether this scheduler is the home of a key now: first among
-// the serving schedulers, in a view that is fresh and has most of those that the
-// platform lists, so that the two sides of a cut do not both have a home.
+// isKeyHome reports whether this scheduler is now the home of a key: first in rendezvous order of
+// the serving schedulers, in a fresh view that has the majority of the schedulers that the platform
+// lists. The majority keeps the two sides of a network partition from both having a home.
 func (s *Scheduler) isKeyHome(key string) bool {
 	s.mu.Lock()
 	leaving := s.leaving
@@ -160,11 +158,11 @@
 	return !leaving && s.Members.Fresh(clock.Now()) && PreferredOwner(key, serving) == s.Name && hasMajority(serving, s.ListedSchedulers())
 }
 
-// majority tells whether the serving are more than half of the listed; of two halves
-// the one with the first name counts as more.
+// hasMajority reports whether serving has more than half of listed. With exactly half, the side that
+// has the first name in sort order is the majority.
 func hasMajority(serving, listed []string) bool {
 	if len(listed) == 0 {
-		return false // nothing is known of how many there are
+		return false // the number of schedulers is unknown
 	}
 	reachable := 0
 	for _, n := range listed {
--- a/scheduler/keys_test.go
+++ b/scheduler/keys_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/uuid"
 )
 
-// ledger is one whose tenure began long ago.
+// newTestLedger returns a ledger whose term began an hour ago.
 func ledger(most int) *KeyLedger {
 	return NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, most, time.Now().Add(-time.Hour))
 }
@@ -44,7 +44,7 @@
 	begin(k, key, "one")
 	k.End(key, "one", wire.KeyState_KEY_STATE_CLAIMED)
 	c.Assert(begin(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_CLAIMED)
-	k.End(key, "one", wire.KeyState_KEY_STATE_CLAIMED) // late, of the attempt before
+	k.End(key, "one", wire.KeyState_KEY_STATE_CLAIMED) // late, from the previous attempt
 	c.Assert(begin(k, key, "three"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
 }
 
@@ -54,7 +54,7 @@
 	k.StartTerm(time.Now())
 	c.Assert(begin(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
 	later, _ := k.Begin(newKey(c), "one", time.Now())
-	c.Assert(later, quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD) // within the margin
+	c.Assert(later, quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD) // created within the clock skew after the term began
 }
 
 func TestAKeyFromTheFutureIsRefused(t *testing.T) {
@@ -70,7 +70,7 @@
 	begin(k, first, "one")
 	k.End(first, "one", wire.KeyState_KEY_STATE_RAN)
 	for range 4 {
-		time.Sleep(2 * time.Millisecond) // keys carry milliseconds
+		time.Sleep(2 * time.Millisecond) // creation times in keys have a resolution of one millisecond
 		begin(k, newKey(c), "more")
 	}
 	c.Assert(k.Len() <= 2, quicktest.IsTrue)
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -12,23 +12,23 @@
 	"github.com/pkg/errors"
 )
 
-// order is a load, after an unload when a slot has to be emptied first.
+// loadTask is a load of an adapter, after an unload if a slot has to be freed first.
 type loadTask struct {
 	endpoint *endpoint
 	fence    engine.Fence
 	boot     string
 	unload   string // adapter to unload first, or ""
 	load     string // adapter to load
-	path     string // where the store keeps it
+	path     string // of the adapter in the store
 }
 
-// currentLocked tells whether the order is still this scheduler's to give: its ownership
-// is the one it planned under, and the endpoint did not restart.
+// validLocked reports whether this scheduler may still run the task: it holds the ownership under
+// which it planned the task, and the endpoint has not restarted.
 func (t loadTask) validLocked() bool {
 	return t.endpoint.fence == t.fence && t.endpoint.bootID == t.boot
 }
 
-// noteOrderLocked notes in the slots that an order is on its way.
+// markSlotsLocked marks the slots that the task is going to change.
 func (s *Scheduler) markSlotsLocked(e *endpoint, task loadTask, now time.Time) {
 	if task.unload != "" {
 		e.slots[task.unload].state = unloading
@@ -37,7 +37,7 @@
 	e.slots[task.load] = &slot{state: loading, stateSince: now}
 }
 
-// carryOut gives an order to the endpoint.
+// runLoadTask sends the task's unload and load to the endpoint.
 func (s *Scheduler) runLoadTask(ctx context.Context, task loadTask) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timing.LoadTimeout)
 	defer cancel()
@@ -47,8 +47,8 @@
 	s.load(ctx, task)
 }
 
-// authority checks that the order still holds: this scheduler is the owner it was when
-// it planned, and has seen so lately. What it returns is checked once more in the write.
+// authority checks that this scheduler still holds the ownership under which it planned the task,
+// and verified it recently. The result is checked once more when the request is written.
 func (s *Scheduler) authority(task loadTask) (auth engine.Authority, ok bool) {
 	e := task.endpoint
 	e.mu.Lock()
@@ -57,7 +57,7 @@
 	return auth, task.validLocked() && e.ownershipValidLocked(clock.Now(), s.Timing.OwnershipTTL)
 }
 
-// unload empties a slot and reserves it for the load; false ends the order.
+// unload frees a slot and reserves it for the load; false ends the task.
 func (s *Scheduler) unload(ctx context.Context, task loadTask) bool {
 	e := task.endpoint
 	auth, ok := s.authority(task)
@@ -73,7 +73,7 @@
 	}
 	var refused *engine.RefusedError
 	if errors.As(err, &refused) && refused.Code == engine.CodeNotLoaded {
-		err = nil // it is gone, which is what was wanted
+		err = nil // already unloaded
 	}
 	if err != nil {
 		s.handleLoadErrorLocked(e, task, err)
@@ -84,7 +84,7 @@
 	return true
 }
 
-// undo takes back what planning noted of an order that was not given.
+// revertSlots undoes markSlotsLocked for a task that was not sent.
 func (s *Scheduler) revertSlots(task loadTask) {
 	e := task.endpoint
 	e.mu.Lock()
@@ -127,10 +127,10 @@
 	s.serveWaitersLocked(e, now)
 }
 
-// failedLocked takes in an order that was refused or got no answer.
+// handleLoadErrorLocked handles a load or unload that was refused or got no response.
 func (s *Scheduler) handleLoadErrorLocked(e *endpoint, task loadTask, err error) {
 	now := clock.Now()
-	s.Log.Info("Order failed", "endpoint", e.name, "load", task.load, "unload", task.unload, "err", err.Error())
+	s.Log.Info("Load or unload failed", "endpoint", e.name, "load", task.load, "unload", task.unload, "err", err.Error())
 	delete(e.slots, task.load)
 	if sl := e.slots[task.unload]; sl != nil && sl.state == unloading {
 		sl.state = ready
@@ -153,8 +153,8 @@
 	}
 }
 
-// unclearLocked reads anew what the engine holds, because an order's end is not
-// known or contradicts the table.
+// resyncLocked claims the endpoint again to read which adapters it holds, because the result of a
+// load or unload is unknown or contradicts the slot table.
 func (s *Scheduler) resyncLocked(e *endpoint, now time.Time) {
 	e.ownership = claiming
 	e.nextProbe = now.Add(s.Timing.Backoff / 4)
@@ -166,8 +166,8 @@
 	maxLoadRetry    = 30 * time.Second
 )
 
-// loadFailedLocked holds the next try back, and after some failures refuses
-// the requests that wait for the adapter.
+// recordLoadFailureLocked delays the next attempt to load the adapter. After maxLoadFailures
+// failures it refuses the requests that wait for it.
 func (s *Scheduler) recordLoadFailureLocked(e *endpoint, adapter string, now time.Time) {
 	f := e.loadFailures[adapter]
 	f.count++
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -16,10 +16,10 @@
 
 const (
 	maxLossDoublings = 5                // doublings of the back-off after lost claims
-	stableOwnership  = 30 * time.Second // an endpoint held so long was not fought for
+	stableOwnership  = 30 * time.Second // ownership held for longer resets the number of lost claims
 )
 
-// look sees the endpoint's fence, and claims the endpoint when that is wanted.
+// probe verifies the ownership of an endpoint, or claims the endpoint.
 func (s *Scheduler) probe(ctx context.Context, e *endpoint) {
 	e.mu.Lock()
 	state, fence, checksFences := e.ownership, e.fence, e.spec.ChecksFences()
@@ -40,38 +40,40 @@
 	e.nextProbe = startedAt.Add(s.Timing.VerifyInterval)
 	if err != nil {
 		e.nextProbe = startedAt.Add(min(s.Timing.VerifyInterval, s.Timing.Backoff))
-		s.Log.V(1).Info("Endpoint gave no sight", "endpoint", e.name, "err", err.Error())
+		s.Log.V(1).Info("Endpoint probe failed", "endpoint", e.name, "err", err.Error())
 	}
 }
 
-// trustBeforeOver tells whether the trust of whoever owned an endpoint without fences before is
-// over. Until then its orders would still be carried out, and unload what is granted here.
+// previousOwnershipExpired reports whether the ownership of the previous owner of an endpoint without
+// fences has expired. Until then the endpoint would still execute that owner's unloads, also of adapters
+// that have grants here.
 func (s *Scheduler) previousOwnershipExpired(e *endpoint, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.claimingSince.IsZero() || now.Sub(e.claimingSince) > s.Timing.OwnershipTTL
 }
 
-// claim goes above the endpoint's highest fence and learns what it holds. One that checks
-// no fences is claimed only when the owner before can give it no orders any more.
+// claim raises the endpoint's fence above the highest and reads which adapters it holds. An endpoint
+// that does not check fences is claimed only when its previous owner can no longer send it loads and
+// unloads.
 func (s *Scheduler) claim(ctx context.Context, e *endpoint, checksFences bool, startedAt time.Time) error {
 	if !checksFences && !s.previousOwnershipExpired(e, startedAt) {
 		return nil
 	}
 	sight, err := e.client.Look(ctx)
 	if err != nil {
-		return errors.Wrap(err, "scheduler: look")
+		return errors.Wrap(err, "scheduler: probe endpoint")
 	}
 	previous := sight.Fence()
 	fence := previous.Above(s.Box)
 	if checksFences {
 		if sight, err = e.client.Claim(ctx, fence); err != nil {
-			return errors.Wrap(err, "scheduler: claim")
+			return errors.Wrap(err, "scheduler: claim endpoint")
 		}
 	}
 	models, err := e.client.Models(ctx)
 	if err != nil {
-		return errors.Wrap(err, "scheduler: models")
+		return errors.Wrap(err, "scheduler: list adapters")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,9 +90,9 @@
 	return nil
 }
 
-// grantsOutlive is how long grants of the owner before may still be used: its
-// trust, in which it may still give some, and the send window. One that left in
-// order gave its last before it told so.
+// previousGrantLifetime returns how long grants of the previous owner may still be used: its
+// ownership TTL, in which it may still issue grants, and the send window. An owner that left in an
+// orderly way issued its last grant before it announced that.
 func (s *Scheduler) previousGrantLifetime(previous engine.Fence) time.Duration {
 	m, ok := s.Members.Find(previous.Box() + "/" + member.Scheduler)
 	if ok && m.State() == member.Leaving {
@@ -99,8 +101,8 @@
 	return s.Timing.OwnershipTTL + s.Timing.SendWindow
 }
 
-// setSlotsLocked describes the slots anew. Each is unsure for as long as grants of
-// an earlier owner may still be used.
+// resetSlotsLocked replaces the slot table. Each slot counts as busy for as long as grants of an
+// earlier owner may still be used.
 func (s *Scheduler) resetSlotsLocked(e *endpoint, bootID string, models []string, unaccountedUntil time.Time) {
 	now := clock.Now()
 	e.bootID = bootID
@@ -110,11 +112,11 @@
 	}
 }
 
-// verify sees whether the endpoint still has this scheduler's fence and boot.
+// verify checks that the endpoint still has this scheduler's fence and the same boot id.
 func (s *Scheduler) verify(ctx context.Context, e *endpoint, fence engine.Fence, startedAt time.Time) error {
 	sight, err := e.client.Look(ctx)
 	if err != nil {
-		return errors.Wrap(err, "scheduler: look")
+		return errors.Wrap(err, "scheduler: probe endpoint")
 	}
 	e.mu.Lock()
 	if e.ownership != owned || e.fence != fence {
@@ -148,9 +150,9 @@
 	return nil
 }
 
-// loseLocked drops an endpoint that another scheduler has claimed. It is left
-// alone for a time that doubles with each loss, so that two views that last do
-// not make it change hands all the time.
+// ownershipLostLocked gives up an endpoint that another scheduler has claimed. The time before the next
+// claim doubles with each loss, so that two schedulers whose views differ for long do not keep taking the
+// endpoint from each other.
 func (s *Scheduler) ownershipLostLocked(e *endpoint, winner engine.Fence, now time.Time) {
 	s.Log.Info("Endpoint was claimed by another scheduler", "endpoint", e.name, "fence", winner.String())
 	e.owner = winner.Box() + "/" + member.Scheduler
@@ -162,21 +164,20 @@
 	e.losses = min(e.losses+1, maxLossDoublings)
 }
 
-// relearnLocked claims an endpoint anew that does not check fences: another may have
-// owned it while this scheduler did not look, and nothing there would tell.
+// reclaimLocked claims an endpoint without fences again: another scheduler may have owned it while this
+// one could not probe it, and the endpoint has no fence that would show it.
 func (s *Scheduler) reclaimLocked(e *endpoint, now time.Time) {
-	s.Log.Info("Endpoint without fences was not looked at for long and is claimed anew", "endpoint", e.name)
+	s.Log.Info("Ownership of an endpoint without fences has expired; claiming it again", "endpoint", e.name)
 	e.ownership = claiming
 	e.claimingSince = now
 	e.nextProbe = now
 }
 
-// restartedLocked begins anew with an engine that restarted empty. Its old
-// runs ended with it, so the grants on them are over; requests that waited keep
-// waiting.
+// handleRestartLocked claims an engine again that restarted empty. The requests that ran on it ended
+// with the restart, and their grants with them; queued requests stay queued.
 func (s *Scheduler) handleRestartLocked(e *endpoint, now time.Time) {
 	s.Log.Info("Endpoint restarted empty", "endpoint", e.name)
-	s.rateLimits.Forget(e.name) // each life names its own
+	s.rateLimits.Forget(e.name) // a restarted engine announces its own limit
 	e.rateLimit = ratelimit.Limit{}
 	e.ownership = claiming
 	e.slots = make(map[string]*slot)
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -8,7 +8,7 @@
 	"cairnwick.example/policy"
 )
 
-// planLocked hands out the loads that waiting requests need.
+// planLoadsLocked starts the loads that queued requests need.
 func (s *Scheduler) planLoadsLocked(e *endpoint, now time.Time) {
 	defer s.updatePendingLoadsLocked(e, now)
 	for e.loadsInFlightLocked() < maxLoadsInFlight {
@@ -33,7 +33,7 @@
 	}
 }
 
-// countWantedLocked keeps the number of loads that are wanted at all endpoints.
+// updatePendingLoadsLocked updates this endpoint's part of the number of pending loads.
 func (s *Scheduler) updatePendingLoadsLocked(e *endpoint, now time.Time) {
 	names, _ := s.awaitedLoadsLocked(e, now)
 	s.pendingLoads.Add(int64(len(names) - e.pendingLoads))
@@ -50,8 +50,8 @@
 	return n
 }
 
-// wantedLocked lists the adapters that requests wait for and that are in no slot,
-// and may be tried now.
+// awaitedLoadsLocked lists the adapters that queued requests wait for, that are in no slot and may
+// be loaded now.
 func (s *Scheduler) awaitedLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
 	var names []string
 	var candidates []policy.LoadFacts
@@ -75,8 +75,8 @@
 	return names, candidates
 }
 
-// demandedLocked lists the adapters that requests were refused for. They are
-// loaded only while nobody anywhere waits for a load, and press for no slot.
+// unmetLoadsLocked lists the adapters for which requests were refused. They are loaded only while no
+// request at any endpoint waits for a load, and without the urgency that waiting requests give.
 func (s *Scheduler) unmetLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
 	if s.pendingLoads.Load() > 0 {
 		return nil, nil
@@ -94,7 +94,7 @@
 	return names, candidates
 }
 
-// loadableLocked tells whether an adapter is in no slot and may be tried now.
+// loadableLocked reports whether an adapter is in no slot and may be loaded now.
 func (e *endpoint) loadableLocked(adapter string, now time.Time) bool {
 	return e.slots[adapter] == nil && !now.Before(e.loadFailures[adapter].retryAt)
 }
@@ -106,7 +106,7 @@
 	}
 }
 
-// priorityOf returns an adapter's published priority; zero when it is not published.
+// adapterPriority returns the priority configured for an adapter; zero if it is not configured.
 func (s *Scheduler) adapterPriority(adapter string) int {
 	m, err := s.Catalog().Resolve(adapter)
 	if err != nil {
@@ -115,11 +115,11 @@
 	return m.Adapter().Priority()
 }
 
-// orderLocked makes the order for one load, if a slot and the budget allow it.
+// newLoadTaskLocked returns a task for one load, if a slot and the store's budget allow it.
 func (s *Scheduler) newLoadTaskLocked(e *endpoint, adapter string, candidate policy.LoadFacts, now time.Time) (loadTask, bool) {
 	m, err := s.Catalog().Resolve(adapter)
 	if err != nil {
-		return loadTask{}, false // retired while it waited; the wait ends at its deadline
+		return loadTask{}, false // removed while a request waited; the wait ends at its deadline
 	}
 	path, _ := m.Adapter().Path(m.Version())
 	task := loadTask{endpoint: e, fence: e.fence, boot: e.bootID, load: adapter, path: path}
@@ -133,8 +133,8 @@
 	return task, s.storeBudget.take(now)
 }
 
-// victimLocked chooses the adapter to unload for another one. When none can go
-// it asks for a report, which may show that an unsure slot is unused.
+// chooseVictimLocked chooses the adapter to unload for another one. If none can be unloaded, it
+// schedules a report, which may show that a slot with unaccounted requests is unused.
 func (s *Scheduler) chooseVictimLocked(e *endpoint, candidate policy.LoadFacts, now time.Time) (string, bool) {
 	names := make([]string, 0, len(e.slots))
 	slots := make([]policy.SlotFacts, 0, len(e.slots))
@@ -166,7 +166,7 @@
 	}
 }
 
-// wantsLocked tells whether a request waits for the adapter.
+// hasWaiterLocked reports whether a queued request needs the adapter.
 func (e *endpoint) hasWaiterLocked(adapter string) bool {
 	for _, w := range e.waiters {
 		if w.request.GetAdapter() == adapter {
@@ -176,8 +176,8 @@
 	return false
 }
 
-// wantReportLocked reads a report as soon as it can show that an unsure slot is
-// unused.
+// scheduleReportLocked schedules a report for the earliest time at which it can show that a slot with
+// unaccounted requests is unused.
 func (s *Scheduler) scheduleReportLocked(e *endpoint, now time.Time) {
 	var earliest time.Time
 	for _, sl := range e.slots {
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -10,7 +10,7 @@
 	"cairnwick.example/wire"
 )
 
-// hearLimit takes in what a gateway heard of how many requests an endpoint takes.
+// updateRateLimit applies an endpoint's rate limit that a gateway received.
 func (s *Scheduler) updateRateLimit(e *endpoint, reported *wire.LimitWord, now time.Time) {
 	if reported == nil || !s.rateLimits.Hear(e.name, reported.Word(now), now) {
 		return
@@ -19,13 +19,13 @@
 	e.mu.Lock()
 	e.rateLimit = limit
 	e.mu.Unlock()
-	s.Log.Info("Endpoint names another limit than before", "endpoint", e.name, "named", limit.Named(), "a_second", limit.Rate())
+	s.Log.Info("Endpoint's rate limit changed", "endpoint", e.name, "named", limit.Named(), "a_second", limit.Rate())
 }
 
-// takeRoomLocked takes one of the requests that an endpoint takes which names a limit. Each grant is one
-// send. Where there is none, those that wait are served when there is.
+// takeRateLimitLocked takes one request from an endpoint's rate limit. Each grant is for one request
+// sent. If the limit allows none now, a timer serves the queue when it does.
 func (s *Scheduler) takeRateLimitLocked(e *endpoint, now time.Time) bool {
-	permit := s.rateLimits.Take(e.name, ratelimit.Ask{}, now) // who goes first is decided among those that wait
+	permit := s.rateLimits.Take(e.name, ratelimit.Ask{}, now) // the order of requests is decided in the queue here
 	if permit.OK {
 		return true
 	}
@@ -35,7 +35,7 @@
 	return false
 }
 
-// roomAgain serves those that wait for an endpoint which may take one more request now.
+// serveAfterRateLimit serves the queue of an endpoint whose rate limit allows one more request now.
 func (s *Scheduler) serveAfterRateLimit(e *endpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -43,7 +43,7 @@
 	s.serveWaitersLocked(e, clock.Now())
 }
 
-// waitForRoom is how long a request waits until an endpoint takes it after so many others.
+// rateLimitWait returns how long a request behind so many others waits for the endpoint's rate limit.
 func (s *Scheduler) rateLimitWait(e *endpoint, ahead int, now time.Time) time.Duration {
 	return s.rateLimits.Room(e.name, now).Wait + s.rateLimits.Turns(e.name, ahead)
 }
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -12,7 +12,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// askKnowing asks for a grant as a gateway that heard of a limit just now, and can wait so long.
+// acquireWithLimit requests a grant as a gateway that has just received a rate limit, with a limited wait.
 func (b *bench) askKnowing(l ratelimit.Limit, wait time.Duration) *wire.AcquireReply {
 	now := time.Now()
 	a, err := b.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
@@ -23,11 +23,11 @@
 	return a
 }
 
-// An engine in need named how many requests it takes, and its owner went on to hand out grants for it by
-// its free places alone.
+// Guards against an owner that issues grants by free capacity alone, although an overloaded endpoint
+// announced a rate limit.
 func TestAnEndpointThatNamesALimitIsGrantedNoFaster(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	const perSecond = 20
 	begun := time.Now()
 	granted := 0
@@ -45,10 +45,10 @@
 	b.Assert(granted >= perSecond/2 && granted <= perSecond+5, quicktest.IsTrue, quicktest.Commentf("%d", granted))
 }
 
-// Those that may wait get their turn when the endpoint takes one more, though no other event wakes it.
+// Queued requests are served when the rate limit allows one more, even if no other event serves the queue.
 func TestARequestWaitsForRoomAtAnEndpointThatNamesALimit(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	for range 4 {
 		a := b.askKnowing(ratelimit.Of(20), time.Second)
 		b.Assert(a.GetGrant(), quicktest.IsNotNil)
@@ -57,13 +57,13 @@
 	}
 }
 
-// One that would wait for longer than it can is refused at once.
+// A request whose wait for the rate limit would exceed its maximum wait is refused immediately.
 func TestARequestThatCannotWaitForRoomIsRefusedAtOnce(t *testing.T) {
 	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // no look is needed in this test
+	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	begun := time.Now()
 	a := b.askKnowing(ratelimit.Of(0), 300*time.Millisecond)
 	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
 	b.Assert(time.Since(begun) < 200*time.Millisecond, quicktest.IsTrue)
-	b.Assert(b.askKnowing(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // its need is over
+	b.Assert(b.askKnowing(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // the endpoint has lifted its limit
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -11,14 +11,14 @@
 	"cairnwick.example/wire"
 )
 
-// Owner returns the name of the scheduler that should own an endpoint, among
-// the serving schedulers of its data centre; "" when there is none.
+// PreferredOwner returns the name of the scheduler that should own an endpoint, among the serving
+// schedulers of its data centre; "" if there is none.
 func PreferredOwner(endpoint string, schedulers []string) string {
 	return policy.First(endpoint, schedulers)
 }
 
-// assign brings the table in line with members and configuration, and queues
-// looks that are due.
+// reconcile updates the endpoints from the members and the configuration, and queues the probes
+// that are due.
 func (s *Scheduler) reconcile(now time.Time) {
 	cat := s.Catalog()
 	if cat == nil || !s.Ready() {
@@ -29,7 +29,7 @@
 	changed := !slices.Equal(schedulers, s.knownSchedulers)
 	if changed {
 		s.knownSchedulers = schedulers
-		s.Keys.StartTerm(now) // keys may have got another home
+		s.Keys.StartTerm(now) // this scheduler may have become the home of other keys
 	}
 	s.syncEndpointsLocked()
 	leaving := s.leaving
@@ -37,7 +37,7 @@
 	owned := 0
 	for _, e := range s.allEndpoints() {
 		if changed {
-			e.probeSoon(now) // another view may have claimed it in between
+			e.probeSoon(now) // a scheduler with another view may have claimed it in the meantime
 		}
 		if changed || e.preferredOwner == "" {
 			e.preferredOwner = PreferredOwner(e.name, schedulers)
@@ -58,7 +58,7 @@
 	return names
 }
 
-// syncLocked adds and removes endpoints as the configuration says.
+// syncEndpointsLocked adds and removes endpoints according to the configuration.
 func (s *Scheduler) syncEndpointsLocked() {
 	cat := s.Catalog()
 	for _, n := range cat.Endpoints() {
@@ -85,14 +85,14 @@
 	}
 }
 
-// assignOne follows the view's owner for one endpoint and tells whether that is
-// this scheduler.
+// reconcileEndpoint updates the ownership of one endpoint and reports whether this scheduler should
+// own it.
 func (s *Scheduler) reconcileEndpoint(e *endpoint, owner string, leaving bool, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	preferred := owner == s.Name && !leaving
 	if !preferred || !now.Before(e.nextProbe) {
-		e.owner = owner // until then a claim that was lost names the winner
+		e.owner = owner // until then the scheduler that won the endpoint stays recorded as its owner
 	}
 	if !preferred {
 		s.relinquishLocked(e, wire.Reason_REASON_NOT_OWNER)
@@ -109,7 +109,7 @@
 	return true
 }
 
-// lookSoon makes the next look due at now.
+// probeSoon makes the next probe due at now.
 func (e *endpoint) probeSoon(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,6 +120,6 @@
 	select {
 	case s.probes <- e:
 		e.probing = true
-	default: // the next tick tries again
+	default: // the next reconcile tries again
 	}
 }
--- a/scheduler/reconcile_bench_test.go
+++ b/scheduler/reconcile_bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkOwner is the rendezvous of 153 endpoints among 32 schedulers, those of
-// one data centre at the size of letter 1. It is done when the schedulers change.
+// BenchmarkPreferredOwner computes the owners of 153 endpoints among 32 schedulers, the size of one
+// data centre of the target system. This is done whenever the set of schedulers changes.
 func BenchmarkOwner(b *testing.B) {
 	names := make([]string, 32)
 	for i := range names {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,20 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package scheduler owns endpoints: it decides what their slots hold, hands
-// out grants to run requests on them, and refuses what cannot be in time.
+// Package scheduler owns endpoints: it decides which adapters their slots hold, issues grants to run
+// requests on them, and refuses requests that cannot run in time.
 //
-// Each endpoint of the data centre is owned by the scheduler that comes first
-// in the rendezvous order of the schedulers believed to serve. Views differ,
-// so two may believe it: the endpoint arbitrates by its fence, and a scheduler
-// hands out grants only while it has lately seen its own fence there.
+// Each endpoint of a data centre is owned by the serving scheduler that comes first in rendezvous
+// order. Views of the members differ, so two schedulers may both consider themselves the owner: the
+// endpoint's fence decides between them, and a scheduler issues grants only while it has recently
+// seen its own fence there.
 //
-// assign says which endpoints to own; a look claims one, or sees that it is still owned.
-// Acquire answers a request at once or makes it wait; whatever may let a waiting request
-// run (a grant given back, a load that ended, a look) calls serveWaitersLocked, which
-// hands out grants and plans loads. Orders are carried out by workers.
+// Scheduler.reconcile decides which endpoints to own; a probe claims one, or verifies that it is
+// still owned. Acquire replies to a request immediately or queues it. Every event that may let a
+// queued request run (a released grant, a finished load, a probe) calls serveWaitersLocked, which
+// issues grants and plans loads. Workers execute the loads and unloads.
 //
-// Lock order: Scheduler.mu before endpoint.mu; neither is held during a call to
-// an endpoint. Keys.mu and storeBudget.mu are taken last and alone.
+// Lock order: Scheduler.mu before endpoint.mu; neither is held during a call to an endpoint.
+// KeyLedger.mu and lockedBudget.mu are taken last, never together.
 package scheduler
 
 import (
@@ -36,21 +36,21 @@
 	"github.com/go-logr/logr"
 )
 
-// Spans are the time spans of a scheduler.
+// Timing holds the durations that a scheduler uses.
 type Timing struct {
 	SendWindow         time.Duration // a grant must be used within it
-	VerifyInterval     time.Duration // between looks at an endpoint's fence
-	OwnershipTTL       time.Duration // how long a look vouches for ownership; above Verify
-	Backoff            time.Duration // after a refused claim or a lost endpoint
-	MaxDeferral        time.Duration // a one-off request is held back so long before it evicts
-	PopularityHalfLife time.Duration // of popularity
-	LoadTimeout        time.Duration // longest load or unload
+	VerifyInterval     time.Duration // between probes of an endpoint's fence
+	OwnershipTTL       time.Duration // how long a probe proves ownership; above VerifyInterval
+	Backoff            time.Duration // after a refused claim or an endpoint that did not answer
+	MaxDeferral        time.Duration // how long a one-off request waits before it may evict an adapter
+	PopularityHalfLife time.Duration
+	LoadTimeout        time.Duration // longest time for an unload and load
 }
 
-// Store is the published rate of the weight store.
+// StoreLimits holds the published limits of the weight store.
 type StoreLimits struct {
 	Rate        float64 // loads a second for the whole system
-	Concurrency int     // loads at full speed
+	Concurrency int     // concurrent loads at full speed
 }
 
 // Scheduler owns endpoints. Set every exported field before Run.
@@ -59,9 +59,9 @@
 
 	Name             string // as a member
 	Box              string
-	DataCentre       string // its data centre
+	DataCentre       string
 	Catalog          func() *catalog.Catalog
-	CatalogChanged   func() <-chan struct{} // closes when the catalog changes
+	CatalogChanged   func() <-chan struct{} // closed when the catalog changes
 	Members          *member.Table
 	ListedSchedulers func() []string // schedulers of the data centre, as the platform lists them
 	Ready            func() bool     // whether the daemon has joined its data centre
@@ -70,44 +70,44 @@
 	Weights          policy.Weights
 	Timing           Timing
 	StoreLimits      StoreLimits
-	MaxQueue         int     // requests waiting at one endpoint
-	HomeUtilisation  float64 // how full its own load may make one home of an adapter
-	LoadWorkers      int     // orders at a time
+	MaxQueue         int     // queued requests per endpoint
+	HomeUtilisation  float64 // how far an adapter's own load may utilise one of its homes
+	LoadWorkers      int     // concurrent loads and unloads
 	Decisions        *decision.Record
 	Keys             *KeyLedger
 	Log              logr.Logger
 
 	mu              sync.Mutex
-	endpoints       map[string]*endpoint // by name; every one of the data centre
-	knownSchedulers []string             // serving schedulers as assign last saw them
-	leaving         bool                 // hands out no new ownership
+	endpoints       map[string]*endpoint // by name; all endpoints of the data centre
+	knownSchedulers []string             // serving schedulers at the last reconcile
+	leaving         bool                 // takes no new ownership
 
-	probes       chan *endpoint // to look at
-	loadTasks    chan loadTask  // to carry out
+	probes       chan *endpoint // endpoints to probe
+	loadTasks    chan loadTask  // loads and unloads to execute
 	storeBudget  *lockedBudget
-	rateLimits   ratelimit.Counter // by endpoint; its lock is taken last and alone
-	pendingLoads atomic.Int64      // at all endpoints, and not begun
+	rateLimits   ratelimit.Counter // by endpoint; its lock is taken last, with no other after it
+	pendingLoads atomic.Int64      // at all endpoints, not yet begun
 	stats        stats
 }
 
-// stats are the scheduler's figures for /debug/vars.
+// stats are the scheduler's metrics in /debug/vars.
 type stats struct {
-	LoadWait *metrics.Histogram // time that requests waited for a load
-	Wait     *metrics.Histogram // time that requests waited for a place
-	Classes  *metrics.Family    // waits by class
-	Callers  *metrics.Family    // waits by caller
-	Reasons  *metrics.Family    // waits by reason of the answer
-	LoadTime *metrics.Histogram // time of loads
+	LoadWait *metrics.Histogram // time that granted requests waited for a load
+	Wait     *metrics.Histogram // time that granted requests waited in all
+	Classes  *metrics.Family    // waiting time by class
+	Callers  *metrics.Family    // waiting time by caller
+	Reasons  *metrics.Family    // waiting time by reason of the reply
+	LoadTime *metrics.Histogram // time that loads took
 }
 
 const (
-	maxLabels         = 64                     // callers, classes or reasons counted apart
-	probeWorkers      = 4                      // looks at a time, so that an endpoint that hangs delays few others
-	taskBuffer        = 256                    // looks or orders that wait for a worker
-	reconcileInterval = 250 * time.Millisecond // between checks for looks that are due
+	maxLabels         = 64                     // callers, classes or reasons with their own label
+	probeWorkers      = 4                      // more than one, so that an endpoint that does not answer delays few others
+	taskBuffer        = 256                    // probes or load tasks that wait for a worker
+	reconcileInterval = 250 * time.Millisecond // between checks for due probes
 )
 
-// Init prepares the tables; call it before the server takes requests.
+// Init prepares the scheduler; call it before the server accepts requests.
 func (s *Scheduler) Init() {
 	s.endpoints = make(map[string]*endpoint)
 	s.probes = make(chan *endpoint, taskBuffer)
@@ -123,7 +123,7 @@
 	}
 }
 
-// Run keeps ownership, looks and orders going until ctx ends.
+// Run maintains ownership and executes probes and load tasks until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) error {
 	tasks := []daemon.Task{s.reconcileLoop}
 	for range probeWorkers {
@@ -157,7 +157,7 @@
 	}
 }
 
-// ownLoop follows members and configuration, and schedules looks.
+// reconcileLoop reconciles whenever members or configuration change, and periodically to queue probes.
 func (s *Scheduler) reconcileLoop(ctx context.Context) error {
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
@@ -173,8 +173,8 @@
 	}
 }
 
-// Leave makes the scheduler refuse new work; what waits is sent to the next
-// owners.
+// Leave makes the scheduler refuse new requests. Queued requests are refused, so that the gateways
+// ask the next owners.
 func (s *Scheduler) Leave() {
 	s.mu.Lock()
 	s.leaving = true
@@ -191,7 +191,7 @@
 	return &wire.PingReply{}, nil
 }
 
-// all returns every endpoint of the data centre.
+// allEndpoints returns every endpoint of the data centre.
 func (s *Scheduler) allEndpoints() []*endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,8 +208,8 @@
 	return s.endpoints[name]
 }
 
-// Outstanding returns how many grants are not given back and how many requests
-// wait.
+// Outstanding returns the number of grants that are not released and the number of queued
+// requests.
 func (s *Scheduler) Outstanding() (grants, waiting int) {
 	for _, e := range s.allEndpoints() {
 		e.mu.Lock()
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -90,7 +90,7 @@
 	}
 	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	for _, sl := range e.slots {
-		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsFalse) // the report was too early
+		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsFalse) // the report is from before unaccountedUntil
 		sl.unaccountedUntil = time.Now().Add(-time.Millisecond)
 	}
 	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
@@ -125,8 +125,8 @@
 	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsFalse)
 }
 
-// A claim reads anew what the endpoint holds. Grants of before it that ended were taken off the count of those given
-// after it, so an adapter with a running request could be unloaded.
+// Guards against an adapter being unloaded while a request runs on it. Grants from before a claim that ended
+// after it were subtracted from the count of grants issued since the claim.
 func TestAnAdapterWithAGrantIsBusyAfterGrantsOfBeforeAClaimHaveEnded(t *testing.T) {
 	b := newBench(t, "a@1")
 	e := b.own()
@@ -138,7 +138,7 @@
 	b.scheduler.probe(context.Background(), <-b.scheduler.probes)
 	b.Assert(e.ownership, quicktest.Equals, owned)
 	busy := func() bool {
-		e.slots["a@1"].unaccountedUntil = time.Time{} // a report has shown that nothing else runs
+		e.slots["a@1"].unaccountedUntil = time.Time{} // as after a report that shows no other request
 		return b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy
 	}
 	b.Assert(busy(), quicktest.IsTrue)
@@ -219,7 +219,7 @@
 	b := newBench(t, "a@1")
 	b.own()
 	b.ask("a@1", "counter")
-	b.ask("a@1", "counter") // the batch is full now
+	b.ask("a@1", "counter") // the endpoint is full now
 	waiting := make(chan *wire.AcquireReply, 1)
 	go func() { waiting <- b.ask("a@1", "counter") }()
 	for n := 0; n == 0; _, n = b.scheduler.Outstanding() {
@@ -246,14 +246,14 @@
 
 func TestWantedLoadsAreCountedAndForgotten(t *testing.T) {
 	b := newBench(t)
-	b.scheduler.StoreLimits.Rate = 1 // at a thousand a load was allowed again 1 ms after the budget was emptied
+	b.scheduler.StoreLimits.Rate = 1 // at 1000 a second the emptied budget allows a load again after 1 ms
 	b.own()
 	q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "b@1", Class: "urgent"}
-	for b.scheduler.storeBudget.take(time.Now()) { // so that no load begins
+	for b.scheduler.storeBudget.take(time.Now()) { // empty the budget, so that no load begins
 	}
 	_, err := b.scheduler.Acquire(context.Background(), q)
 	b.Assert(err, quicktest.IsNil)
-	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0)) // a refused request presses for nothing
+	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0)) // a refused request does not count as a pending load
 	waiting := make(chan *wire.AcquireReply, 1)
 	go func() { waiting <- b.ask("b@1", "counter") }()
 	for b.scheduler.pendingLoads.Load() == 0 {
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -15,7 +15,7 @@
 	"cairnwick.example/wire"
 )
 
-// The options of a scheduler.
+// Names of the settings.
 const (
 	optEviction         = "eviction"
 	optWeightBatch      = "weight_batch"
@@ -39,28 +39,28 @@
 // Options is the table of a scheduler's settings.
 var Options = daemon.Options(settings.Table{
 	{Name: optEviction, Kind: settings.Text, Default: policy.EvictReturn, Help: "expected_return or least_recently_used"},
-	{Name: optWeightBatch, Kind: settings.Number, Default: 0.0, Help: "what is weighed: 0 load stalls first, 1 batch fullness first; above 0 requests that may wait long are held for fuller batches"},
-	{Name: optSendWindow, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "a grant must be used within it"},
-	{Name: optVerifyInterval, Kind: settings.Duration, Default: 2 * time.Second, Least: time.Millisecond, Help: "time between looks at an endpoint's fence"},
-	{Name: optOwnershipTTL, Kind: settings.Duration, Default: 3 * time.Second, Least: time.Millisecond, Help: "how long a look vouches for ownership; above verify"},
-	{Name: optBackoff, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "pause after an endpoint gave no answer"},
-	{Name: optMaxDeferral, Kind: settings.Duration, Default: 500 * time.Millisecond, Help: "how long a one-off request is held back before it evicts"},
-	{Name: optHalfLife, Kind: settings.Duration, Default: time.Minute, Least: time.Second, Help: "half-life of popularity"},
-	{Name: optLoadTimeout, Kind: settings.Duration, Default: time.Minute, Least: time.Millisecond, Help: "longest load or unload"},
-	{Name: optStoreRate, Kind: settings.Number, Default: 9.0, Least: 0.01, Help: "loads a second that the store allows to all"},
-	{Name: optStoreConcurrency, Kind: settings.Count, Default: 6, Least: 1, Help: "loads that the store serves at full speed at once"},
+	{Name: optWeightBatch, Kind: settings.Number, Default: 0.0, Help: "priority of short load waits (0) or of full batches (1); above 0 requests that may wait long are deferred to fill batches"},
+	{Name: optSendWindow, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "time within which a grant must be used"},
+	{Name: optVerifyInterval, Kind: settings.Duration, Default: 2 * time.Second, Least: time.Millisecond, Help: "time between probes of an endpoint's fence"},
+	{Name: optOwnershipTTL, Kind: settings.Duration, Default: 3 * time.Second, Least: time.Millisecond, Help: "how long a probe proves ownership; above verify"},
+	{Name: optBackoff, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "pause after an endpoint did not answer"},
+	{Name: optMaxDeferral, Kind: settings.Duration, Default: 500 * time.Millisecond, Help: "how long a one-off request waits before it may evict an adapter"},
+	{Name: optHalfLife, Kind: settings.Duration, Default: time.Minute, Least: time.Second, Help: "half-life of an adapter's popularity"},
+	{Name: optLoadTimeout, Kind: settings.Duration, Default: time.Minute, Least: time.Millisecond, Help: "longest time for a load, with the unload before it"},
+	{Name: optStoreRate, Kind: settings.Number, Default: 9.0, Least: 0.01, Help: "loads a second that the store allows the whole system"},
+	{Name: optStoreConcurrency, Kind: settings.Count, Default: 6, Least: 1, Help: "concurrent loads that the store serves at full speed"},
 	{Name: optQueue, Kind: settings.Count, Default: 256, Least: 1, Help: "requests that may wait at one endpoint"},
-	{Name: optHomeUtilisation, Kind: settings.Number, Default: 0.5, Least: 0.01, Help: "how full an adapter's own load may make one of its homes"},
-	{Name: optLoadWorkers, Kind: settings.Count, Default: 16, Least: 1, Help: "orders carried out at a time"},
-	{Name: optKeyClockSkew, Kind: settings.Duration, Default: 3 * time.Second, Help: "allowance for clocks and views that differ, for keys"},
-	{Name: optKeyRetention, Kind: settings.Duration, Default: 10 * time.Minute, Least: time.Second, Help: "how long the outcome of a key is remembered"},
-	{Name: optMaxKeys, Kind: settings.Count, Default: 50000, Least: 1, Help: "keys remembered"},
+	{Name: optHomeUtilisation, Kind: settings.Number, Default: 0.5, Least: 0.01, Help: "how far an adapter's own load may utilise one of its homes"},
+	{Name: optLoadWorkers, Kind: settings.Count, Default: 16, Least: 1, Help: "concurrent loads and unloads"},
+	{Name: optKeyClockSkew, Kind: settings.Duration, Default: 3 * time.Second, Help: "tolerance for clocks and views that differ, for idempotency keys"},
+	{Name: optKeyRetention, Kind: settings.Duration, Default: 10 * time.Minute, Least: time.Second, Help: "how long the outcome of an idempotency key is remembered"},
+	{Name: optMaxKeys, Kind: settings.Count, Default: 50000, Least: 1, Help: "idempotency keys remembered"},
 })
 
-// idlePerEndpoint is for looks at the fence and orders, of which few go at once.
+// maxIdleConnections is per endpoint; probes, loads and unloads need few connections at a time.
 const maxIdleConnections = 4
 
-// Serve runs a scheduler with checked settings until ctx ends.
+// Serve runs a scheduler with validated settings until ctx ends.
 func Serve(ctx context.Context, v settings.Values) error {
 	eviction, err := policy.NewEviction(v.Text(optEviction))
 	if err != nil {
@@ -106,12 +106,12 @@
 	n.Endpoints = s.Status
 	n.OnPause = func(time.Duration) { s.Keys.StartTerm(time.Now()) }
 	n.Leave = s.Leave
-	n.Idle = func() bool { return true } // grants stay good without their scheduler
+	n.Idle = func() bool { return true } // grants stay valid without their scheduler
 	n.Add(s.Run)
 	return n.Run(ctx)
 }
 
-// publish exports the scheduler's figures.
+// publishMetrics exports the scheduler's metrics.
 func (s *Scheduler) publishMetrics() {
 	expvar.Publish("scheduler_load_stall", s.stats.LoadWait)
 	expvar.Publish("scheduler_wait", s.stats.Wait)
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -11,8 +11,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// A machine was suspended for longer than a look at a fence vouches for ownership. Its steady clock
-// did not count that, so the scheduler took its look for news, while another owned the endpoint.
+// Guards against grants from a scheduler whose machine was suspended for longer than its ownership TTL. The
+// monotonic clock does not advance during suspension, so the last probe still seemed recent, while another
+// scheduler owned the endpoint.
 func TestAnOwnerThatWasSuspendedGivesNoGrant(t *testing.T) {
 	b := newBench(t, "a@1")
 	b.own()
