--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -21,12 +21,12 @@
 
 // fakeEngine is an in-memory engine.Endpoint.
 type fakeEngine struct {
-	mu     sync.Mutex
-	fence  engine.Fence
-	boot   string
-	slots  map[string]bool
-	refuse error    // result of every load
-	orders []string // loads and unloads, in order
+	mu         sync.Mutex
+	fence      engine.Fence
+	boot       string
+	slots      map[string]bool
+	loadError  error    // result of every load
+	operations []string // loads and unloads, in order
 }
 
 func (f *fakeEngine) sight() engine.Sight { return engine.NewSight(f.fence, f.boot) }
@@ -50,21 +50,21 @@
 func (f *fakeEngine) Load(_ context.Context, u engine.Authority, name, _ string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, "load "+name)
+	f.operations = append(f.operations, "load "+name)
 	if u.Fence.Less(f.fence) {
 		return &engine.RefusedError{Code: engine.CodeStaleFence, Highest: f.fence}
 	}
-	if f.refuse == nil {
+	if f.loadError == nil {
 		f.slots[name] = true
 	}
-	return f.refuse
+	return f.loadError
 }
 
 // Unload implements engine.Endpoint.
 func (f *fakeEngine) Unload(_ context.Context, _ engine.Authority, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.orders = append(f.orders, "unload "+name)
+	f.operations = append(f.operations, "unload "+name)
 	delete(f.slots, name)
 	return nil
 }
@@ -87,14 +87,14 @@
 	return engine.NewReport(f.sight(), nil), nil
 }
 
-func (f *fakeEngine) ordered() []string {
+func (f *fakeEngine) sentOperations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string{}, f.orders...)
+	return append([]string{}, f.operations...)
 }
 
 // fixture is a scheduler with one endpoint, e1, with two slots and a limit of two running requests.
-type bench struct {
+type fixture struct {
 	*quicktest.C
 
 	scheduler *Scheduler
@@ -102,21 +102,21 @@
 	catalog   *catalog.Catalog
 }
 
-func newBench(t *testing.T, loaded ...string) *bench {
-	b := &bench{C: quicktest.New(t), engine: &fakeEngine{boot: "1", slots: make(map[string]bool)}}
+func newFixture(t *testing.T, loaded ...string) *fixture {
+	f := &fixture{C: quicktest.New(t), engine: &fakeEngine{boot: "1", slots: make(map[string]bool)}}
 	for _, n := range loaded {
-		b.engine.slots[n] = true
+		f.engine.slots[n] = true
 	}
-	b.catalog = b.configure("serving", true)
+	f.catalog = f.buildCatalog("serving", true)
 	self := member.New("box/scheduler", "127.0.0.1:1", member.Scheduler, "d1", 1)
-	b.scheduler = &Scheduler{
+	f.scheduler = &Scheduler{
 		Name: "box/scheduler", Box: "box", DataCentre: "d1",
-		Catalog:          func() *catalog.Catalog { return b.catalog },
+		Catalog:          func() *catalog.Catalog { return f.catalog },
 		CatalogChanged:   func() <-chan struct{} { return nil },
 		Members:          member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Fresh: time.Second}),
 		ListedSchedulers: func() []string { return []string{"box/scheduler"} },
 		Ready:            func() bool { return true },
-		Dial:             func(string) engine.Endpoint { return b.engine },
+		Dial:             func(string) engine.Endpoint { return f.engine },
 		Eviction:         must(policy.NewEviction(policy.EvictOldest)),
 		Timing:           Timing{SendWindow: 20 * time.Millisecond, VerifyInterval: 10 * time.Millisecond, OwnershipTTL: 200 * time.Millisecond, Backoff: 20 * time.Millisecond, PopularityHalfLife: time.Minute, LoadTimeout: time.Second},
 		StoreLimits:      StoreLimits{Rate: 1000, Concurrency: 8},
@@ -127,8 +127,8 @@
 		Keys:             NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, 4, time.Now()),
 		Log:              logr.Discard(),
 	}
-	b.scheduler.Init()
-	return b
+	f.scheduler.Init()
+	return f
 }
 
 func must(e policy.Eviction, err error) policy.Eviction {
@@ -139,47 +139,47 @@
 }
 
 // buildCatalog returns a configuration in which e1 has the state, and checks fences or does not.
-func (b *bench) configure(state string, checks bool) *catalog.Catalog {
+func (f *fixture) buildCatalog(state string, checks bool) *catalog.Catalog {
 	shards := map[string][]byte{"all": []byte(fmt.Sprintf(`{
 		"bases": [{"name": "b"}],
 		"classes": [{"name": "counter", "may_wait": "2s", "deadline": "5s", "default": true}, {"name": "urgent", "deadline": "5s"}, {"name": "night", "may_wait": "1h", "deadline": "2h"}],
 		"endpoints": [{"name": "e1", "data_centre": "d1", "base": "b", "address": "127.0.0.1:9", "slots": 2, "running": 2, "checks_fences": %v, "state": %q}],
 		"adapters": [{"name": "a", "base": "b", "versions": {"1": "p/a"}}, {"name": "b", "base": "b", "versions": {"1": "p/b"}}, {"name": "c", "base": "b", "versions": {"1": "p/c"}}]}`, checks, state))}
 	h, err := catalog.NewHead(catalog.Head{}, shards)
-	b.Assert(err, quicktest.IsNil)
+	f.Assert(err, quicktest.IsNil)
 	c, err := catalog.Build(h, shards, nil)
-	b.Assert(err, quicktest.IsNil)
+	f.Assert(err, quicktest.IsNil)
 	return c
 }
 
 // run starts the scheduler's background tasks.
-func (b *bench) run() {
+func (f *fixture) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- b.scheduler.Run(ctx) }()
-	b.Cleanup(func() {
+	go func() { ended <- f.scheduler.Run(ctx) }()
+	f.Cleanup(func() {
 		cancel()
 		<-ended
 	})
 }
 
 // own makes the scheduler own the endpoint without starting its background tasks.
-func (b *bench) own() *endpoint {
-	s := b.scheduler
+func (f *fixture) own() *endpoint {
+	s := f.scheduler
 	s.reconcile(time.Now())
 	s.probe(context.Background(), <-s.probes)
 	return s.findEndpoint("e1")
 }
 
-func (b *bench) ask(adapter, class string) *wire.AcquireReply {
-	a, err := b.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
+func (f *fixture) acquire(adapter, class string) *wire.AcquireReply {
+	a, err := f.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
 		Request: "r", Endpoint: "e1", Adapter: adapter, Class: class, Caller: "till", WaitMicros: (2 * time.Second).Microseconds(),
 	})
-	b.Assert(err, quicktest.IsNil)
+	f.Assert(err, quicktest.IsNil)
 	return a
 }
 
-func (b *bench) release(a *wire.AcquireReply, o wire.Outcome) {
-	_, err := b.scheduler.Release(context.Background(), &wire.ReleaseRequest{Endpoint: "e1", Id: a.GetGrant().GetId(), Outcome: o})
-	b.Assert(err, quicktest.IsNil)
+func (f *fixture) release(a *wire.AcquireReply, o wire.Outcome) {
+	_, err := f.scheduler.Release(context.Background(), &wire.ReleaseRequest{Endpoint: "e1", Id: a.GetGrant().GetId(), Outcome: o})
+	f.Assert(err, quicktest.IsNil)
 }
--- a/scheduler/keys_test.go
+++ b/scheduler/keys_test.go
@@ -12,8 +12,8 @@
 )
 
 // newTestLedger returns a ledger whose term began an hour ago.
-func ledger(most int) *KeyLedger {
-	return NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, most, time.Now().Add(-time.Hour))
+func newTestLedger(maxEntries int) *KeyLedger {
+	return NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, maxEntries, time.Now().Add(-time.Hour))
 }
 
 func newKey(c *quicktest.C) string {
@@ -22,70 +22,70 @@
 	return u.String()
 }
 
-func begin(k *KeyLedger, key, request string) wire.KeyState {
+func beginKey(k *KeyLedger, key, request string) wire.KeyState {
 	state, _ := k.Begin(key, request, time.Now())
 	return state
 }
 
-func TestAKeyIsClaimedOnce(t *testing.T) {
+func TestKeyIsClaimedOnce(t *testing.T) {
 	c := quicktest.New(t)
-	k, key := ledger(4), newKey(c)
-	c.Assert(begin(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_CLAIMED)
-	c.Assert(begin(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
+	k, key := newTestLedger(4), newKey(c)
+	c.Assert(beginKey(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_CLAIMED)
+	c.Assert(beginKey(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
 	k.End(key, "two", wire.KeyState_KEY_STATE_CLAIMED) // not the holder
-	c.Assert(begin(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
+	c.Assert(beginKey(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
 	k.End(key, "one", wire.KeyState_KEY_STATE_RAN)
-	c.Assert(begin(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_RAN)
+	c.Assert(beginKey(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_RAN)
 }
 
-func TestAKeyThatDidNotRunMayBeTriedAgain(t *testing.T) {
+func TestReleasedKeyCanBeClaimedAgain(t *testing.T) {
 	c := quicktest.New(t)
-	k, key := ledger(4), newKey(c)
-	begin(k, key, "one")
+	k, key := newTestLedger(4), newKey(c)
+	beginKey(k, key, "one")
 	k.End(key, "one", wire.KeyState_KEY_STATE_CLAIMED)
-	c.Assert(begin(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_CLAIMED)
+	c.Assert(beginKey(k, key, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_CLAIMED)
 	k.End(key, "one", wire.KeyState_KEY_STATE_CLAIMED) // late, from the previous attempt
-	c.Assert(begin(k, key, "three"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
+	c.Assert(beginKey(k, key, "three"), quicktest.Equals, wire.KeyState_KEY_STATE_IN_PROGRESS)
 }
 
-func TestAKeyFromBeforeTheTenureIsRefused(t *testing.T) {
+func TestKeyCreatedBeforeTermIsRefused(t *testing.T) {
 	c := quicktest.New(t)
-	k, key := ledger(4), newKey(c)
+	k, key := newTestLedger(4), newKey(c)
 	k.StartTerm(time.Now())
-	c.Assert(begin(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
+	c.Assert(beginKey(k, key, "one"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
 	later, _ := k.Begin(newKey(c), "one", time.Now())
 	c.Assert(later, quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD) // created within the clock skew after the term began
 }
 
-func TestAKeyFromTheFutureIsRefused(t *testing.T) {
+func TestKeyCreatedInFutureIsRefused(t *testing.T) {
 	c := quicktest.New(t)
-	k := ledger(4)
+	k := newTestLedger(4)
 	state, _ := k.Begin(newKey(c), "one", time.Now().Add(-time.Minute))
 	c.Assert(state, quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
 }
 
-func TestAForgottenKeyNeverRunsAgain(t *testing.T) {
+func TestEvictedKeyIsRefused(t *testing.T) {
 	c := quicktest.New(t)
-	k, first := ledger(2), newKey(c)
-	begin(k, first, "one")
+	k, first := newTestLedger(2), newKey(c)
+	beginKey(k, first, "one")
 	k.End(first, "one", wire.KeyState_KEY_STATE_RAN)
 	for range 4 {
 		time.Sleep(2 * time.Millisecond) // creation times in keys have a resolution of one millisecond
-		begin(k, newKey(c), "more")
+		beginKey(k, newKey(c), "more")
 	}
 	c.Assert(k.Len() <= 2, quicktest.IsTrue)
-	c.Assert(begin(k, first, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
+	c.Assert(beginKey(k, first, "two"), quicktest.Equals, wire.KeyState_KEY_STATE_TOO_OLD)
 }
 
-func TestAKeyWithoutAnEndBecomesUnknown(t *testing.T) {
+func TestKeyWithoutOutcomeBecomesUnknown(t *testing.T) {
 	c := quicktest.New(t)
-	k, key := ledger(4), newKey(c)
-	begin(k, key, "one")
+	k, key := newTestLedger(4), newKey(c)
+	beginKey(k, key, "one")
 	state, _ := k.Begin(key, "two", time.Now().Add(40*time.Second))
 	c.Assert(state, quicktest.Equals, wire.KeyState_KEY_STATE_UNKNOWN)
 }
 
-func TestOnlyOneSideOfACutHasMost(t *testing.T) {
+func TestOnlyOneSideOfPartitionHasMajority(t *testing.T) {
 	c := quicktest.New(t)
 	listed := []string{"a", "b", "c", "d"}
 	c.Assert(hasMajority([]string{"a", "b", "c"}, listed), quicktest.IsTrue)
@@ -96,10 +96,10 @@
 	c.Assert(hasMajority([]string{"a"}, nil), quicktest.IsFalse)
 }
 
-func TestASchedulerThatSeesFewIsNoHome(t *testing.T) {
-	b := newBench(t)
-	key := newKey(b.C)
-	b.Assert(b.scheduler.isKeyHome(key), quicktest.IsTrue)
-	b.scheduler.ListedSchedulers = func() []string { return []string{"a/scheduler", "b/scheduler", "box/scheduler"} }
-	b.Assert(b.scheduler.isKeyHome(key), quicktest.IsFalse)
+func TestSchedulerWithoutMajorityIsNoKeyHome(t *testing.T) {
+	f := newFixture(t)
+	key := newKey(f.C)
+	f.Assert(f.scheduler.isKeyHome(key), quicktest.IsTrue)
+	f.scheduler.ListedSchedulers = func() []string { return []string{"a/scheduler", "b/scheduler", "box/scheduler"} }
+	f.Assert(f.scheduler.isKeyHome(key), quicktest.IsFalse)
 }
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -16,7 +16,7 @@
 type loadTask struct {
 	endpoint *endpoint
 	fence    engine.Fence
-	boot     string
+	bootID   string
 	unload   string // adapter to unload first, or ""
 	load     string // adapter to load
 	path     string // of the adapter in the store
@@ -25,7 +25,7 @@
 // validLocked reports whether this scheduler may still run the task: it holds the ownership under
 // which it planned the task, and the endpoint has not restarted.
 func (t loadTask) validLocked() bool {
-	return t.endpoint.fence == t.fence && t.endpoint.bootID == t.boot
+	return t.endpoint.fence == t.fence && t.endpoint.bootID == t.bootID
 }
 
 // markSlotsLocked marks the slots that the task is going to change.
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -122,7 +122,7 @@
 		return loadTask{}, false // removed while a request waited; the wait ends at its deadline
 	}
 	path, _ := m.Adapter().Path(m.Version())
-	task := loadTask{endpoint: e, fence: e.fence, boot: e.bootID, load: adapter, path: path}
+	task := loadTask{endpoint: e, fence: e.fence, bootID: e.bootID, load: adapter, path: path}
 	if len(e.slots) >= e.spec.Slots() {
 		victim, ok := s.chooseVictimLocked(e, candidate, now)
 		if !ok {
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -13,57 +13,57 @@
 )
 
 // acquireWithLimit requests a grant as a gateway that has just received a rate limit, with a limited wait.
-func (b *bench) askKnowing(l ratelimit.Limit, wait time.Duration) *wire.AcquireReply {
+func (f *fixture) acquireWithLimit(l ratelimit.Limit, wait time.Duration) *wire.AcquireReply {
 	now := time.Now()
-	a, err := b.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
+	a, err := f.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
 		Request: "r", Endpoint: "e1", Adapter: "a@1", Class: "counter", Caller: "till", WaitMicros: wait.Microseconds(),
 		Limit: wire.NewLimitWord("e1", ratelimit.Word{Limit: l, At: now}, now),
 	})
-	b.Assert(err, quicktest.IsNil)
+	f.Assert(err, quicktest.IsNil)
 	return a
 }
 
 // Guards against an owner that issues grants by free capacity alone, although an overloaded endpoint
 // announced a rate limit.
-func TestAnEndpointThatNamesALimitIsGrantedNoFaster(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
+func TestGrantsFollowRateLimit(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	const perSecond = 20
 	begun := time.Now()
 	granted := 0
 	for time.Since(begun) < time.Second {
-		a := b.askKnowing(ratelimit.Of(perSecond), 0)
+		a := f.acquireWithLimit(ratelimit.Of(perSecond), 0)
 		if a.GetGrant() != nil {
 			granted++
-			b.release(a, wire.Outcome_OUTCOME_COMPLETED)
+			f.release(a, wire.Outcome_OUTCOME_COMPLETED)
 			continue
 		}
-		b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
-		b.Assert(a.GetRefusal().GetRetryMicros() > 0, quicktest.IsTrue)
+		f.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
+		f.Assert(a.GetRefusal().GetRetryMicros() > 0, quicktest.IsTrue)
 		time.Sleep(time.Millisecond)
 	}
-	b.Assert(granted >= perSecond/2 && granted <= perSecond+5, quicktest.IsTrue, quicktest.Commentf("%d", granted))
+	f.Assert(granted >= perSecond/2 && granted <= perSecond+5, quicktest.IsTrue, quicktest.Commentf("%d", granted))
 }
 
 // Queued requests are served when the rate limit allows one more, even if no other event serves the queue.
-func TestARequestWaitsForRoomAtAnEndpointThatNamesALimit(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
+func TestRequestWaitsForRateLimit(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	for range 4 {
-		a := b.askKnowing(ratelimit.Of(20), time.Second)
-		b.Assert(a.GetGrant(), quicktest.IsNotNil)
-		b.Assert(a.GetGrant().GetLimited(), quicktest.IsTrue)
-		b.release(a, wire.Outcome_OUTCOME_COMPLETED)
+		a := f.acquireWithLimit(ratelimit.Of(20), time.Second)
+		f.Assert(a.GetGrant(), quicktest.IsNotNil)
+		f.Assert(a.GetGrant().GetLimited(), quicktest.IsTrue)
+		f.release(a, wire.Outcome_OUTCOME_COMPLETED)
 	}
 }
 
 // A request whose wait for the rate limit would exceed its maximum wait is refused immediately.
-func TestARequestThatCannotWaitForRoomIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
+func TestRequestThatCannotWaitForRateLimitIsRefusedImmediately(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	begun := time.Now()
-	a := b.askKnowing(ratelimit.Of(0), 300*time.Millisecond)
-	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
-	b.Assert(time.Since(begun) < 200*time.Millisecond, quicktest.IsTrue)
-	b.Assert(b.askKnowing(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // the endpoint has lifted its limit
+	a := f.acquireWithLimit(ratelimit.Of(0), 300*time.Millisecond)
+	f.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
+	f.Assert(time.Since(begun) < 200*time.Millisecond, quicktest.IsTrue)
+	f.Assert(f.acquireWithLimit(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // the endpoint has lifted its limit
 }
--- a/scheduler/reconcile_bench_test.go
+++ b/scheduler/reconcile_bench_test.go
@@ -9,7 +9,7 @@
 
 // BenchmarkPreferredOwner computes the owners of 153 endpoints among 32 schedulers, the size of one
 // data centre of the target system. This is done whenever the set of schedulers changes.
-func BenchmarkOwner(b *testing.B) {
+func BenchmarkPreferredOwner(b *testing.B) {
 	names := make([]string, 32)
 	for i := range names {
 		names[i] = fmt.Sprintf("dc1-box%d/scheduler", i)
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -13,309 +13,309 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestALoadedAdapterIsGrantedAtOnce(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	a := b.ask("a@1", "urgent")
-	b.Assert(a.GetGrant().GetReason(), quicktest.Equals, wire.Reason_REASON_ADAPTER_READY)
-	b.Assert(a.GetGrant().GetFence(), quicktest.Equals, "1.box")
-	b.release(a, wire.Outcome_OUTCOME_COMPLETED)
-	grants, waiting := b.scheduler.Outstanding()
-	b.Assert(grants+waiting, quicktest.Equals, 0)
+func TestLoadedAdapterIsGrantedImmediately(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	a := f.acquire("a@1", "urgent")
+	f.Assert(a.GetGrant().GetReason(), quicktest.Equals, wire.Reason_REASON_ADAPTER_READY)
+	f.Assert(a.GetGrant().GetFence(), quicktest.Equals, "1.box")
+	f.release(a, wire.Outcome_OUTCOME_COMPLETED)
+	grants, waiting := f.scheduler.Outstanding()
+	f.Assert(grants+waiting, quicktest.Equals, 0)
 }
 
-func TestARequestWaitsForItsLoad(t *testing.T) {
-	b := newBench(t)
-	b.run()
+func TestRequestWaitsForLoad(t *testing.T) {
+	f := newFixture(t)
+	f.run()
 	var a *wire.AcquireReply
 	for a.GetGrant() == nil { // until the endpoint is owned
-		a = b.ask("a@1", "counter")
+		a = f.acquire("a@1", "counter")
 	}
-	b.Assert(a.GetGrant().GetReason(), quicktest.Equals, wire.Reason_REASON_AFTER_LOAD)
-	b.Assert(b.engine.ordered(), quicktest.DeepEquals, []string{"load a@1"})
+	f.Assert(a.GetGrant().GetReason(), quicktest.Equals, wire.Reason_REASON_AFTER_LOAD)
+	f.Assert(f.engine.sentOperations(), quicktest.DeepEquals, []string{"load a@1"})
 }
 
-func TestAClassThatMayNotWaitIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.own()
+func TestClassWithoutWaitIsRefusedImmediately(t *testing.T) {
+	f := newFixture(t)
+	f.own()
 	q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "a@1", Class: "urgent"}
-	a, err := b.scheduler.Acquire(context.Background(), q)
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
-	b.Assert(a.GetRefusal().GetRetryMicros() > 0, quicktest.IsTrue)
+	a, err := f.scheduler.Acquire(context.Background(), q)
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
+	f.Assert(a.GetRefusal().GetRetryMicros() > 0, quicktest.IsTrue)
 }
 
-func TestAnOwnerThatHasNotLookedLatelyGivesNoGrant(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
-	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond) // as after a pause of the process
-	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
+func TestNoGrantAfterOwnershipExpires(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
+	e.verifiedAt = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond) // as after a pause of the process
+	f.Assert(f.acquire("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
 }
 
-func TestAnOwnerThatHasNotLookedLatelyGivesNoOrder(t *testing.T) {
-	b := newBench(t)
-	e := b.own()
-	o := loadTask{endpoint: e, fence: e.fence, boot: e.bootID, load: "a@1", path: "p/a"}
+func TestNoLoadAfterOwnershipExpires(t *testing.T) {
+	f := newFixture(t)
+	e := f.own()
+	o := loadTask{endpoint: e, fence: e.fence, bootID: e.bootID, load: "a@1", path: "p/a"}
 	e.slots["a@1"] = &slot{state: loading}
-	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
-	b.scheduler.runLoadTask(context.Background(), o)
-	b.Assert(b.engine.ordered(), quicktest.HasLen, 0)
-	b.Assert(e.slots["a@1"], quicktest.IsNil)
+	e.verifiedAt = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	f.scheduler.runLoadTask(context.Background(), o)
+	f.Assert(f.engine.sentOperations(), quicktest.HasLen, 0)
+	f.Assert(e.slots["a@1"], quicktest.IsNil)
 }
 
-func TestAnOrderOfAnEarlierOwnershipIsNotGiven(t *testing.T) {
-	b := newBench(t)
-	e := b.own()
-	o := loadTask{endpoint: e, fence: engine.NewFence(0, "box"), boot: e.bootID, load: "a@1", path: "p/a"}
-	b.scheduler.runLoadTask(context.Background(), o)
-	b.Assert(b.engine.ordered(), quicktest.HasLen, 0)
+func TestLoadTaskOfEarlierOwnershipIsNotSent(t *testing.T) {
+	f := newFixture(t)
+	e := f.own()
+	o := loadTask{endpoint: e, fence: engine.NewFence(0, "box"), bootID: e.bootID, load: "a@1", path: "p/a"}
+	f.scheduler.runLoadTask(context.Background(), o)
+	f.Assert(f.engine.sentOperations(), quicktest.HasLen, 0)
 }
 
-func TestASchedulerWhoseFenceWasRaisedStops(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
-	b.engine.fence = engine.NewFence(9, "other")
-	b.Assert(b.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
-	a := b.ask("a@1", "urgent").GetRefusal()
-	b.Assert(a.GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_OWNER)
-	b.Assert(a.GetOwner(), quicktest.Equals, "other/scheduler")
+func TestHigherFenceEndsOwnership(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
+	f.engine.fence = engine.NewFence(9, "other")
+	f.Assert(f.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
+	a := f.acquire("a@1", "urgent").GetRefusal()
+	f.Assert(a.GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_OWNER)
+	f.Assert(a.GetOwner(), quicktest.Equals, "other/scheduler")
 }
 
-func TestANewOwnerUnloadsNothingBeforeOldGrantsRanOut(t *testing.T) {
-	b := newBench(t, "a@1", "b@1")
-	e := b.own()
+func TestNewOwnerUnloadsNothingBeforeEarlierGrantsExpire(t *testing.T) {
+	f := newFixture(t, "a@1", "b@1")
+	e := f.own()
 	for n, sl := range e.slots {
-		f := b.scheduler.slotStateLocked(e, n, sl, time.Now())
-		b.Assert(f.Busy, quicktest.IsTrue)
+		state := f.scheduler.slotStateLocked(e, n, sl, time.Now())
+		f.Assert(state.Busy, quicktest.IsTrue)
 	}
-	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
+	f.Assert(f.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	for _, sl := range e.slots {
-		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsFalse) // the report is from before unaccountedUntil
+		f.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsFalse) // the report is from before unaccountedUntil
 		sl.unaccountedUntil = time.Now().Add(-time.Millisecond)
 	}
-	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
+	f.Assert(f.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
 	for _, sl := range e.slots {
-		b.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsTrue)
+		f.Assert(sl.unaccountedUntil.IsZero(), quicktest.IsTrue)
 	}
 }
 
-func TestAnOwnerAfterOneThatLeftWaitsOutTheSendWindowAlone(t *testing.T) {
-	b := newBench(t)
-	s := b.scheduler
-	b.Assert(s.previousGrantLifetime(engine.NewFence(1, "gone")), quicktest.Equals, s.Timing.OwnershipTTL+s.Timing.SendWindow)
+func TestNewOwnerAfterOrderlyLeaveWaitsOnlyForSendWindow(t *testing.T) {
+	f := newFixture(t)
+	s := f.scheduler
+	f.Assert(s.previousGrantLifetime(engine.NewFence(1, "gone")), quicktest.Equals, s.Timing.OwnershipTTL+s.Timing.SendWindow)
 	s.Members.Leave()
-	b.Assert(s.previousGrantLifetime(engine.NewFence(1, "box")), quicktest.Equals, s.Timing.SendWindow)
+	f.Assert(s.previousGrantLifetime(engine.NewFence(1, "box")), quicktest.Equals, s.Timing.SendWindow)
 }
 
-func TestAnUnknownOutcomeKeepsTheSlot(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
+func TestUnknownOutcomeKeepsSlotBusy(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
 	e.slots["a@1"].unaccountedUntil = time.Time{}
-	b.release(b.ask("a@1", "urgent"), wire.Outcome_OUTCOME_UNKNOWN)
-	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
+	f.release(f.acquire("a@1", "urgent"), wire.Outcome_OUTCOME_UNKNOWN)
+	f.Assert(f.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
 }
 
-func TestAnAdapterWithAGrantIsBusy(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
+func TestAdapterWithGrantIsBusy(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
 	e.slots["a@1"].unaccountedUntil = time.Time{}
-	a := b.ask("a@1", "urgent")
-	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
-	b.release(a, wire.Outcome_OUTCOME_COMPLETED)
-	b.Assert(b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsFalse)
+	a := f.acquire("a@1", "urgent")
+	f.Assert(f.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsTrue)
+	f.release(a, wire.Outcome_OUTCOME_COMPLETED)
+	f.Assert(f.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy, quicktest.IsFalse)
 }
 
 // Guards against an adapter being unloaded while a request runs on it. Grants from before a claim that ended
 // after it were subtracted from the count of grants issued since the claim.
-func TestAnAdapterWithAGrantIsBusyAfterGrantsOfBeforeAClaimHaveEnded(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
-	before := b.ask("a@1", "urgent")
+func TestAdapterWithGrantIsBusyAfterGrantsFromBeforeClaimEnd(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
+	before := f.acquire("a@1", "urgent")
 	e.mu.Lock()
-	b.scheduler.resyncLocked(e, time.Now())
-	b.scheduler.queueProbeLocked(e)
+	f.scheduler.resyncLocked(e, time.Now())
+	f.scheduler.queueProbeLocked(e)
 	e.mu.Unlock()
-	b.scheduler.probe(context.Background(), <-b.scheduler.probes)
-	b.Assert(e.ownership, quicktest.Equals, owned)
+	f.scheduler.probe(context.Background(), <-f.scheduler.probes)
+	f.Assert(e.ownership, quicktest.Equals, owned)
 	busy := func() bool {
 		e.slots["a@1"].unaccountedUntil = time.Time{} // as after a report that shows no other request
-		return b.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy
+		return f.scheduler.slotStateLocked(e, "a@1", e.slots["a@1"], time.Now()).Busy
 	}
-	b.Assert(busy(), quicktest.IsTrue)
-	b.release(before, wire.Outcome_OUTCOME_COMPLETED)
-	b.Assert(busy(), quicktest.IsFalse)
-	b.Assert(b.ask("a@1", "urgent").GetGrant(), quicktest.IsNotNil)
-	b.Assert(busy(), quicktest.IsTrue)
+	f.Assert(busy(), quicktest.IsTrue)
+	f.release(before, wire.Outcome_OUTCOME_COMPLETED)
+	f.Assert(busy(), quicktest.IsFalse)
+	f.Assert(f.acquire("a@1", "urgent").GetGrant(), quicktest.IsNotNil)
+	f.Assert(busy(), quicktest.IsTrue)
 }
 
-func TestGrantsOfAGatewayThatIsGoneEnd(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
-	b.ask("a@1", "urgent")
-	time.Sleep(b.scheduler.Timing.SendWindow + 5*time.Millisecond)
-	b.Assert(b.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
-	grants, _ := b.scheduler.Outstanding()
-	b.Assert(grants, quicktest.Equals, 0)
+func TestReportEndsGrantsOfLostGateway(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
+	f.acquire("a@1", "urgent")
+	time.Sleep(f.scheduler.Timing.SendWindow + 5*time.Millisecond)
+	f.Assert(f.scheduler.reconcileReport(context.Background(), e), quicktest.IsNil)
+	grants, _ := f.scheduler.Outstanding()
+	f.Assert(grants, quicktest.Equals, 0)
 }
 
-func TestAnEmptyRestartIsSeenAndClaimedAnew(t *testing.T) {
-	b := newBench(t, "a@1")
-	e := b.own()
-	b.engine.boot, b.engine.fence = "2", engine.Fence{}
-	delete(b.engine.slots, "a@1")
-	b.Assert(b.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
-	b.Assert(e.ownership, quicktest.Equals, claiming)
-	b.scheduler.probe(context.Background(), <-b.scheduler.probes)
-	b.Assert(e.ownership, quicktest.Equals, owned)
-	b.Assert(e.slots, quicktest.HasLen, 0)
+func TestEmptyRestartIsDetectedAndReclaimed(t *testing.T) {
+	f := newFixture(t, "a@1")
+	e := f.own()
+	f.engine.boot, f.engine.fence = "2", engine.Fence{}
+	delete(f.engine.slots, "a@1")
+	f.Assert(f.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
+	f.Assert(e.ownership, quicktest.Equals, claiming)
+	f.scheduler.probe(context.Background(), <-f.scheduler.probes)
+	f.Assert(e.ownership, quicktest.Equals, owned)
+	f.Assert(e.slots, quicktest.HasLen, 0)
 }
 
-func TestADrainingEndpointTakesNothing(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	b.catalog = b.configure("draining", true)
-	b.scheduler.reconcile(time.Now())
-	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_LEAVING)
+func TestDrainingEndpointRefusesRequests(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	f.catalog = f.buildCatalog("draining", true)
+	f.scheduler.reconcile(time.Now())
+	f.Assert(f.acquire("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_LEAVING)
 }
 
-func TestAnEndpointThatSaysItIsLeavingIsClosed(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	a := b.ask("a@1", "urgent")
-	_, err := b.scheduler.Release(context.Background(), &wire.ReleaseRequest{Endpoint: "e1", Id: a.GetGrant().GetId(), Outcome: wire.Outcome_OUTCOME_REFUSED, Leaving: true})
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_LEAVING)
+func TestLeavingEndpointRefusesRequests(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	a := f.acquire("a@1", "urgent")
+	_, err := f.scheduler.Release(context.Background(), &wire.ReleaseRequest{Endpoint: "e1", Id: a.GetGrant().GetId(), Outcome: wire.Outcome_OUTCOME_REFUSED, Leaving: true})
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(f.acquire("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_LEAVING)
 }
 
-func TestLoadsThatKeepFailingRefuseWhoWaits(t *testing.T) {
-	b := newBench(t)
-	b.engine.refuse = &engine.RefusedError{Code: engine.CodeLoadFailed}
-	b.run()
+func TestRepeatedLoadFailuresRefuseWaitingRequests(t *testing.T) {
+	f := newFixture(t)
+	f.engine.loadError = &engine.RefusedError{Code: engine.CodeLoadFailed}
+	f.run()
 	var r *wire.Refusal
 	for r.GetReason() == 0 || r.GetReason() == wire.Reason_REASON_NOT_READY || r.GetReason() == wire.Reason_REASON_NOT_OWNER {
-		r = b.ask("a@1", "counter").GetRefusal()
+		r = f.acquire("a@1", "counter").GetRefusal()
 	}
-	b.Assert(r.GetReason(), quicktest.Equals, wire.Reason_REASON_LOAD_FAILED)
-	b.Assert(r.GetRetryMicros() > 0, quicktest.IsTrue)
+	f.Assert(r.GetReason(), quicktest.Equals, wire.Reason_REASON_LOAD_FAILED)
+	f.Assert(r.GetRetryMicros() > 0, quicktest.IsTrue)
 }
 
-func TestARequestWhoseTimeEndsAfterAFailedLoadIsToldOfTheLoad(t *testing.T) {
-	b := newBench(t)
-	e := b.own()
+func TestTimeoutAfterFailedLoadReportsLoadFailure(t *testing.T) {
+	f := newFixture(t)
+	e := f.own()
 	answer := make(chan *wire.AcquireReply, 1)
-	go func() { answer <- b.ask("a@1", "counter") }()
-	for n := 0; n == 0; _, n = b.scheduler.Outstanding() {
+	go func() { answer <- f.acquire("a@1", "counter") }()
+	for n := 0; n == 0; _, n = f.scheduler.Outstanding() {
 		time.Sleep(time.Millisecond)
 	}
 	e.mu.Lock()
-	b.scheduler.recordLoadFailureLocked(e, "a@1", time.Now())
+	f.scheduler.recordLoadFailureLocked(e, "a@1", time.Now())
 	e.mu.Unlock()
 	r := (<-answer).GetRefusal()
-	b.Assert(r.GetReason(), quicktest.Equals, wire.Reason_REASON_LOAD_FAILED)
-	b.Assert(r.GetRetryMicros() > 0, quicktest.IsTrue)
+	f.Assert(r.GetReason(), quicktest.Equals, wire.Reason_REASON_LOAD_FAILED)
+	f.Assert(r.GetRetryMicros() > 0, quicktest.IsTrue)
 }
 
-func TestALeavingSchedulerSendsItsWaitersOn(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	b.ask("a@1", "counter")
-	b.ask("a@1", "counter") // the endpoint is full now
+func TestLeaveRefusesQueuedRequestsAsNotOwner(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	f.acquire("a@1", "counter")
+	f.acquire("a@1", "counter") // the endpoint is full now
 	waiting := make(chan *wire.AcquireReply, 1)
-	go func() { waiting <- b.ask("a@1", "counter") }()
-	for n := 0; n == 0; _, n = b.scheduler.Outstanding() {
+	go func() { waiting <- f.acquire("a@1", "counter") }()
+	for n := 0; n == 0; _, n = f.scheduler.Outstanding() {
 		time.Sleep(time.Millisecond)
 	}
-	b.scheduler.Leave()
-	b.Assert((<-waiting).GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_OWNER)
+	f.scheduler.Leave()
+	f.Assert((<-waiting).GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_OWNER)
 }
 
-func TestTheAdapterOfARefusedRequestIsLoadedMeanwhile(t *testing.T) {
-	b := newBench(t)
-	b.run()
-	for b.ask("b@1", "counter").GetGrant() == nil { // until the endpoint is owned
+func TestAdapterOfRefusedRequestIsLoaded(t *testing.T) {
+	f := newFixture(t)
+	f.run()
+	for f.acquire("b@1", "counter").GetGrant() == nil { // until the endpoint is owned
 	}
 	q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "a@1", Class: "urgent"}
-	a, err := b.scheduler.Acquire(context.Background(), q)
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
+	a, err := f.scheduler.Acquire(context.Background(), q)
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NO_WAIT)
 	time.Sleep(time.Duration(a.GetRefusal().GetRetryMicros()) * time.Microsecond)
-	a, err = b.scheduler.Acquire(context.Background(), q)
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(a.GetGrant(), quicktest.IsNotNil)
+	a, err = f.scheduler.Acquire(context.Background(), q)
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(a.GetGrant(), quicktest.IsNotNil)
 }
 
-func TestWantedLoadsAreCountedAndForgotten(t *testing.T) {
-	b := newBench(t)
-	b.scheduler.StoreLimits.Rate = 1 // at 1000 a second the emptied budget allows a load again after 1 ms
-	b.own()
+func TestPendingLoadsAreCountedAndReset(t *testing.T) {
+	f := newFixture(t)
+	f.scheduler.StoreLimits.Rate = 1 // at 1000 a second the emptied budget allows a load again after 1 ms
+	f.own()
 	q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "b@1", Class: "urgent"}
-	for b.scheduler.storeBudget.take(time.Now()) { // empty the budget, so that no load begins
+	for f.scheduler.storeBudget.take(time.Now()) { // empty the budget, so that no load begins
 	}
-	_, err := b.scheduler.Acquire(context.Background(), q)
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0)) // a refused request does not count as a pending load
+	_, err := f.scheduler.Acquire(context.Background(), q)
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(f.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0)) // a refused request does not count as a pending load
 	waiting := make(chan *wire.AcquireReply, 1)
-	go func() { waiting <- b.ask("b@1", "counter") }()
-	for b.scheduler.pendingLoads.Load() == 0 {
+	go func() { waiting <- f.acquire("b@1", "counter") }()
+	for f.scheduler.pendingLoads.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b.scheduler.Leave()
+	f.scheduler.Leave()
 	<-waiting
-	b.Assert(b.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0))
+	f.Assert(f.scheduler.pendingLoads.Load(), quicktest.Equals, int64(0))
 }
 
-func TestAnEndpointWithoutFencesIsClaimedAnewAfterASilence(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.catalog = b.configure("serving", false)
-	e := b.own()
-	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
-	b.scheduler.probe(context.Background(), e)
-	b.Assert(e.ownership, quicktest.Equals, owned)
-	e.verifiedAt = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
-	b.Assert(b.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
-	b.Assert(e.ownership, quicktest.Equals, claiming)
+func TestEndpointWithoutFencesIsReclaimedAfterExpiry(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.catalog = f.buildCatalog("serving", false)
+	e := f.own()
+	e.claimingSince = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	f.scheduler.probe(context.Background(), e)
+	f.Assert(e.ownership, quicktest.Equals, owned)
+	e.verifiedAt = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	f.Assert(f.scheduler.verify(context.Background(), e, e.fence, time.Now()), quicktest.IsNil)
+	f.Assert(e.ownership, quicktest.Equals, claiming)
 }
 
-func TestANewOwnerOfAnEndpointWithoutFencesWaitsOutTheTrustOfTheOneBefore(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.catalog = b.configure("serving", false)
-	e := b.own()
-	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_READY)
-	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
-	b.scheduler.probe(context.Background(), e)
-	b.Assert(b.ask("a@1", "urgent").GetGrant(), quicktest.IsNotNil)
+func TestNewOwnerOfEndpointWithoutFencesWaitsForPreviousOwnershipTTL(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.catalog = f.buildCatalog("serving", false)
+	e := f.own()
+	f.Assert(f.acquire("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_NOT_READY)
+	e.claimingSince = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	f.scheduler.probe(context.Background(), e)
+	f.Assert(f.acquire("a@1", "urgent").GetGrant(), quicktest.IsNotNil)
 }
 
-func TestAnOwnerThatReadsAnEndpointWithoutFencesAnewDoesNotWait(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.catalog = b.configure("serving", false)
-	e := b.own()
-	e.claimingSince = time.Now().Add(-b.scheduler.Timing.OwnershipTTL - time.Millisecond)
-	b.scheduler.probe(context.Background(), e)
+func TestResyncOfEndpointWithoutFencesDoesNotWait(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.catalog = f.buildCatalog("serving", false)
+	e := f.own()
+	e.claimingSince = time.Now().Add(-f.scheduler.Timing.OwnershipTTL - time.Millisecond)
+	f.scheduler.probe(context.Background(), e)
 	e.mu.Lock()
-	b.scheduler.resyncLocked(e, time.Now())
+	f.scheduler.resyncLocked(e, time.Now())
 	e.mu.Unlock()
-	b.scheduler.probe(context.Background(), e)
-	b.Assert(e.ownership, quicktest.Equals, owned)
+	f.scheduler.probe(context.Background(), e)
+	f.Assert(e.ownership, quicktest.Equals, owned)
 }
 
-func TestAHeldRequestKeepsNobodyElseWaiting(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	b.scheduler.Weights = policy.Weights{Batch: 1}
+func TestDeferredRequestDoesNotDelayOthers(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	f.scheduler.Weights = policy.Weights{Batch: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	held := make(chan error, 1)
 	go func() {
 		q := &wire.AcquireRequest{Endpoint: "e1", Adapter: "a@1", Class: "night", WaitMicros: time.Hour.Microseconds()}
-		_, err := b.scheduler.Acquire(ctx, q)
+		_, err := f.scheduler.Acquire(ctx, q)
 		held <- err
 	}()
-	for n := 0; n == 0; _, n = b.scheduler.Outstanding() {
+	for n := 0; n == 0; _, n = f.scheduler.Outstanding() {
 		time.Sleep(time.Millisecond)
 	}
-	a, err := b.scheduler.Acquire(context.Background(), &wire.AcquireRequest{Endpoint: "e1", Adapter: "a@1", Class: "urgent"})
-	b.Assert(err, quicktest.IsNil)
-	b.Assert(a.GetGrant(), quicktest.IsNotNil)
+	a, err := f.scheduler.Acquire(context.Background(), &wire.AcquireRequest{Endpoint: "e1", Adapter: "a@1", Class: "urgent"})
+	f.Assert(err, quicktest.IsNil)
+	f.Assert(a.GetGrant(), quicktest.IsNotNil)
 	cancel()
-	b.Assert(<-held, quicktest.IsNil)
+	f.Assert(<-held, quicktest.IsNil)
 }
--- a/scheduler/suspend_test.go
+++ b/scheduler/suspend_test.go
@@ -14,11 +14,11 @@
 // Guards against grants from a scheduler whose machine was suspended for longer than its ownership TTL. The
 // monotonic clock does not advance during suspension, so the last probe still seemed recent, while another
 // scheduler owned the endpoint.
-func TestAnOwnerThatWasSuspendedGivesNoGrant(t *testing.T) {
-	b := newBench(t, "a@1")
-	b.own()
-	pass := b.scheduler.Timing.OwnershipTTL + time.Millisecond
+func TestNoGrantAfterSuspension(t *testing.T) {
+	f := newFixture(t, "a@1")
+	f.own()
+	pass := f.scheduler.Timing.OwnershipTTL + time.Millisecond
 	clock.Suspend(pass)
-	b.Cleanup(func() { clock.Suspend(-pass) })
-	b.Assert(b.ask("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
+	f.Cleanup(func() { clock.Suspend(-pass) })
+	f.Assert(f.acquire("a@1", "urgent").GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_ENDPOINT_DOWN)
 }
