--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -94,13 +94,13 @@
 }
 
 const (
-	initialServiceTime = time.Second // assumed time of a request until one is measured
-	initialLoadTime    = time.Second // assumed time of a load until one is measured
-	sampleWeight       = 0.1         // weight of a new sample in a moving average
-	maxPopularity      = 4096        // adapters whose popularity is tracked
-	maxLoadsInFlight   = 2           // per endpoint
-	maxUnmetDemands    = 256         // adapters of refused requests that are tracked
-	unmetDemandTTL     = 10 * time.Second
+	initialServiceTime   = time.Second // assumed time of a request until one is measured
+	initialLoadTime      = time.Second // assumed time of a load until one is measured
+	sampleWeight         = 0.1         // weight of a new sample in a moving average
+	maxPopularityEntries = 4096        // adapters whose popularity is tracked
+	maxLoadsInFlight     = 2           // per endpoint
+	maxUnmetDemands      = 256         // adapters of refused requests that are tracked
+	unmetDemandTTL       = 10 * time.Second
 )
 
 func newEndpoint(spec catalog.Endpoint, client engine.Endpoint) *endpoint {
@@ -182,13 +182,13 @@
 	return min(int(math.Ceil(e.rateLimit.Rate()*e.serviceTime.Seconds())), e.spec.Running())
 }
 
-// popularityLocked returns the popularity of an adapter. When too many are tracked, it evicts the
-// least popular first.
+// popularityLocked returns the popularity of an adapter. When too many are tracked, it first evicts
+// those that were hardly requested.
 func (e *endpoint) popularityLocked(adapter string, now time.Time, halfLife time.Duration) *policy.Popularity {
 	if p := e.popularity[adapter]; p != nil {
 		return p
 	}
-	if len(e.popularity) >= maxPopularity {
+	if len(e.popularity) >= maxPopularityEntries {
 		e.evictPopularityLocked(now, halfLife)
 	}
 	p := new(policy.Popularity)
@@ -206,7 +206,7 @@
 		}
 	}
 	for n := range e.popularity {
-		if len(e.popularity) < maxPopularity {
+		if len(e.popularity) < maxPopularityEntries {
 			return
 		}
 		if e.slots[n] == nil {
