--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -187,7 +187,7 @@
 
 // shouldDeferLocked reports whether a request is deferred to fill a batch.
 func (s *Scheduler) shouldDeferLocked(e *endpoint, w *waiter, deferrable int, now time.Time) bool {
-	return s.Weights.Hold(policy.HoldFacts{
+	return s.BatchPolicy.Hold(policy.HoldFacts{
 		MayWait: w.class.MayWait(),
 		Waited:  now.Sub(w.arrived),
 		Running: e.running(),
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -85,10 +85,10 @@
 	var candidates []policy.LoadFacts
 	for n, d := range e.unmetDemands {
 		if e.loadableLocked(n, now) {
-			f := s.loadCandidateLocked(e, n, now)
-			f.Waiting = d.count
+			candidate := s.loadCandidateLocked(e, n, now)
+			candidate.Waiting = d.count
 			names = append(names, n)
-			candidates = append(candidates, f)
+			candidates = append(candidates, candidate)
 		}
 	}
 	return names, candidates
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -67,7 +67,7 @@
 	Ready            func() bool     // whether the daemon has joined its data centre
 	Dial             func(address string) engine.Endpoint
 	Eviction         policy.Eviction
-	Weights          policy.Weights
+	BatchPolicy      policy.Weights
 	Timing           Timing
 	StoreLimits      StoreLimits
 	MaxQueue         int     // queued requests per endpoint
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -302,7 +302,7 @@
 func TestDeferredRequestDoesNotDelayOthers(t *testing.T) {
 	f := newFixture(t, "a@1")
 	f.own()
-	f.scheduler.Weights = policy.Weights{Batch: 1}
+	f.scheduler.BatchPolicy = policy.Weights{Batch: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	held := make(chan error, 1)
 	go func() {
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -82,7 +82,7 @@
 		Ready:            n.Ready,
 		Dial:             func(address string) engine.Endpoint { return &engine.Client{Address: address, HTTP: client} },
 		Eviction:         eviction,
-		Weights:          policy.Weights{Batch: v.Number(optWeightBatch)},
+		BatchPolicy:      policy.Weights{Batch: v.Number(optWeightBatch)},
 		Timing: Timing{
 			SendWindow:         v.Duration(optSendWindow),
 			VerifyInterval:     v.Duration(optVerifyInterval),
