--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -13,15 +13,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// acquire asks the endpoint's owner for a grant, and looks for the owner while
-// it changes.
+// acquire requests a grant from the endpoint's owner. While ownership changes, it retries until
+// the failover timeout.
 func (g *Gateway) acquire(ctx context.Context, q *request, endpoint, centre string) (heldGrant, *Failure) {
 	limit := g.Spans.Failover
 	if centre != g.Centre {
-		limit = farFailover // an endpoint of the own data centre is the next to try
+		limit = farFailover // rather try the next endpoint than search long in another data centre
 	}
 	until := clock.Now().Add(min(limit, q.left()))
-	hint := "" // who owns the endpoint, by the word of a scheduler that does not
+	hint := "" // the owner, as named by a scheduler that is not
 	for {
 		if owner, ok := g.ownerOf(endpoint, centre, hint); ok {
 			h, refusal := g.askFor(ctx, q, owner, endpoint)
@@ -34,14 +34,14 @@
 			hint = refusal.GetOwner()
 		}
 		if ctx.Err() != nil || clock.Now().After(until) {
-			return heldGrant{}, &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no scheduler answers for " + endpoint, Retry: g.Spans.Retry}
+			return heldGrant{}, &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no scheduler that owns " + endpoint + " responded", Retry: g.Spans.Retry}
 		}
 		pause(ctx, failoverPause)
 	}
 }
 
-// askFor makes one call for a grant and remembers what the answer tells of the
-// endpoint. Without an answer it returns neither a grant nor a refusal.
+// askFor requests a grant once and caches the endpoint's state from the reply. If the call fails,
+// it returns neither a grant nor a refusal.
 func (g *Gateway) askFor(ctx context.Context, q *request, owner member.Member, endpoint string) (heldGrant, *wire.Refusal) {
 	asked := clock.Now()
 	a, err := g.ask(ctx, q, owner, endpoint)
@@ -58,8 +58,8 @@
 	return heldGrant{owner: owner, grant: grant, endpoint: endpoint, sendBy: sendBy}, nil
 }
 
-// ask makes one call for a grant. When it fails the owner is probed, so that
-// the view follows soon.
+// ask calls Acquire at the owner. If the call fails the owner is probed, so that a dead one is
+// detected sooner.
 func (g *Gateway) ask(ctx context.Context, q *request, owner member.Member, endpoint string) (*wire.AcquireReply, error) {
 	target := owner.Name()
 	if owner.DataCentre() != g.Centre {
@@ -88,46 +88,46 @@
 	return a, err
 }
 
-// ownerUnsettled tells whether a refusal says that the owner is about to change or
-// has only just changed, so that asking again soon may do.
+// ownerUnsettled reports whether a refusal means that the owner is about to change or has just
+// changed, so that a retry shortly after may succeed.
 func ownerUnsettled(r wire.Reason) bool {
 	return r == wire.Reason_REASON_NOT_OWNER || r == wire.Reason_REASON_NOT_READY
 }
 
-// refusal turns a scheduler's refusal into the caller's answer.
+// refusal converts a scheduler's refusal to a failure for the caller.
 func (g *Gateway) refusal(q *request, endpoint string, r *wire.Refusal) *Failure {
 	retry := time.Duration(r.GetRetryMicros()) * time.Microsecond
 	f := &Failure{Ran: NotRun, Retry: max(retry, time.Millisecond)}
 	switch r.GetReason() {
 	case wire.Reason_REASON_DEADLINE:
-		f.Code, f.Message = CodeDeadline, "the wait would pass what the class or the deadline allows"
+		f.Code, f.Message = CodeDeadline, "the expected wait exceeds the limit of the class or the deadline"
 	case wire.Reason_REASON_NO_WAIT:
-		f.Code, f.Message = CodeNoWait, "class "+q.class.Name()+" may not wait, and no place is free"
+		f.Code, f.Message = CodeNoWait, "no free capacity, and class "+q.class.Name()+" does not queue"
 	case wire.Reason_REASON_QUEUE_FULL:
-		f.Code, f.Message = CodeQueueFull, "too many requests wait"
+		f.Code, f.Message = CodeQueueFull, "the queue is full"
 	case wire.Reason_REASON_LOAD_FAILED:
 		f.Code, f.Message = CodeLoadFailed, q.model.String()+" could not be loaded"
 	case wire.Reason_REASON_LEAVING:
-		f.Code, f.Message = CodeLeaving, endpoint+" is leaving"
+		f.Code, f.Message = CodeLeaving, endpoint+" or its scheduler is shutting down"
 	case wire.Reason_REASON_ENDPOINT_DOWN:
-		f.Code, f.Message = CodeNoEndpoint, endpoint+" does not answer"
+		f.Code, f.Message = CodeNoEndpoint, endpoint+" is down"
 	case wire.Reason_REASON_UNKNOWN_ADAPTER:
-		f.Code, f.Message = CodeNotReady, "the scheduler's configuration does not name "+q.model.String()+" yet"
+		f.Code, f.Message = CodeNotReady, "the scheduler's configuration has no "+q.model.String()+" yet"
 	default:
-		f.Code, f.Message = CodeNotReady, "refused as "+r.GetReason().String()
+		f.Code, f.Message = CodeNotReady, "scheduler refused the request: "+r.GetReason().String()
 	}
 	return f
 }
 
-// heldGrant is a grant under which one attempt runs.
+// heldGrant is a grant for one attempt.
 type heldGrant struct {
 	owner    member.Member
 	grant    *wire.Grant
 	endpoint string
-	sendBy   time.Time
+	sendBy   time.Time // the request must be sent before
 }
 
-// pause waits for d, or until ctx ends.
+// pause sleeps for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -19,12 +19,11 @@
 
 const (
 	cancelTimeout = 2 * time.Second
-	maxWhole      = 16 << 20 // bytes of an answer that is not streamed
-	maxRefusal    = 64 << 10 // bytes read of an endpoint's refusal
+	maxWhole      = 16 << 20 // bytes of a response that is not streamed
+	maxRefusal    = 64 << 10 // bytes read of an endpoint's error response
 )
 
-// attempt runs the request once at the endpoint of a grant, and gives the grant
-// back.
+// attempt sends the request once to the endpoint of a grant, and releases the grant.
 func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, h heldGrant) *Failure {
 	q.attempts++
 	begun := clock.Now()
@@ -44,7 +43,8 @@
 	return f
 }
 
-// watchAttempt has the endpoint looked at that broke off an answer, and notes which requests one answered.
+// watchAttempt reports the outcome to the termination detector: a response that broke off has it check the
+// endpoint, and a request that was answered is not suspected.
 func (g *Gateway) watchAttempt(ctx context.Context, q *request, h heldGrant, f *Failure) {
 	switch {
 	case f == nil:
@@ -54,8 +54,8 @@
 	}
 }
 
-// send writes the request, and passes the answer on. It notes in r what the
-// scheduler must know.
+// send sends the request and relays the response. It sets in r what the scheduler needs to know
+// about the outcome.
 func (g *Gateway) send(ctx context.Context, q *request, out *answer, h heldGrant, r *wire.ReleaseRequest) *Failure {
 	run := fmt.Sprintf("%s.%d", q.id, q.attempts)
 	live, stop, beat := g.watchdog(ctx, q)
@@ -87,9 +87,8 @@
 	return g.passWhole(live, out, h, run, a, r)
 }
 
-// watchdog returns the context of an attempt. That of a stream ends when the
-// endpoint is silent for too long; beat says that it is not. That of a whole
-// answer ends at the request's deadline.
+// watchdog returns the context of an attempt. For a stream it ends after an idle timeout, which
+// beat restarts. For any other response it ends at the request's deadline.
 func (g *Gateway) watchdog(ctx context.Context, q *request) (live context.Context, stop func(), beat func()) {
 	if !q.stream {
 		live, cancel := context.WithDeadline(ctx, clock.Timer(q.deadline))
@@ -121,42 +120,42 @@
 	return e, nil
 }
 
-// lost answers for an attempt that got no answer.
+// lost returns the failure of an attempt that got no response.
 func (g *Gateway) lost(ctx context.Context, h heldGrant, run string, r *wire.ReleaseRequest, err error) *Failure {
 	var l *engine.LostError
 	if errors.As(err, &l) && !l.Sent {
 		r.Outcome = wire.Outcome_OUTCOME_NOT_SENT
 		code := CodeLost
 		if errors.Is(err, engine.ErrExpired) {
-			code = CodeRefused // the next grant may be in time
+			code = CodeRefused // may be retried here: the next grant may still be valid when the request is sent
 		}
-		return &Failure{Code: code, Ran: NotRun, Message: h.endpoint + " was not reached", Retry: g.Spans.Retry}
+		return &Failure{Code: code, Ran: NotRun, Message: "request was not sent to " + h.endpoint, Retry: g.Spans.Retry}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
 	if ctx.Err() != nil {
 		g.cancel(h, run, r)
 	}
-	return &Failure{Code: CodeLost, Ran: Unknown, Message: h.endpoint + " gave no answer", Retry: g.Spans.Retry}
+	return &Failure{Code: CodeLost, Ran: Unknown, Message: h.endpoint + " sent no response", Retry: g.Spans.Retry}
 }
 
-// cancel ends a run that nobody waits for.
+// cancel cancels an execution at the endpoint after its caller has left or its time is over.
 func (g *Gateway) cancel(h heldGrant, run string, r *wire.ReleaseRequest) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 	c := &engine.Client{Address: h.grant.GetAddress(), HTTP: g.Engines}
 	if err := c.Cancel(ctx, run); err != nil {
-		g.Log.V(1).Info("Run was not cancelled", "request", run, "endpoint", h.endpoint, "err", err.Error())
+		g.Log.V(1).Info("Execution could not be cancelled", "request", run, "endpoint", h.endpoint, "err", err.Error())
 		return
 	}
-	r.Outcome = wire.Outcome_OUTCOME_REFUSED // it is over, and its time says nothing
+	r.Outcome = wire.Outcome_OUTCOME_REFUSED // it has ended, and its duration must not count as a service time
 }
 
-// refusedByEndpoint reads the endpoint's own refusal.
+// refusedByEndpoint reads an error response of the endpoint.
 func (g *Gateway) refusedByEndpoint(h heldGrant, a *http.Response, r *wire.ReleaseRequest) *Failure {
 	text, err := io.ReadAll(io.LimitReader(a.Body, maxRefusal))
 	if err != nil {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the endpoint's refusal broke off"}
+		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the error response of " + h.endpoint + " was truncated"}
 	}
 	e := engine.Refusal(a, text)
 	if !e.NotRun() {
@@ -179,7 +178,7 @@
 	return &Failure{Code: CodeRefused, Ran: NotRun, Message: e.Message, Retry: max(e.Retry, time.Second)}
 }
 
-// recordAttempt keeps how an attempt went.
+// recordAttempt records the outcome of an attempt as a decision.
 func (g *Gateway) recordAttempt(q *request, h heldGrant, f *Failure) {
 	d := g.decision(q, "run", time.Now())
 	d.Endpoint = h.endpoint
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Code names why a request got no answer of its own; docs/ERRORS.md says what a
-// caller may do on each.
+// Code is the reason why a request failed. docs/ERRORS.md describes for each how callers should
+// react.
 type Code string
 
 // The codes.
@@ -45,32 +45,32 @@
 	CodeQuarantined    Code = "quarantined"
 )
 
-// Ran says whether the request ran.
+// Ran says whether the request was executed.
 type Ran string
 
-// What may be said of a request.
+// The values of Ran.
 const (
 	NotRun  Ran = "not_run"
 	Unknown Ran = "unknown"
 	DidRun  Ran = "ran"
 )
 
-// Failure is the final answer to a request that got none of its own.
+// Failure is the final response to a request that got none from an endpoint.
 type Failure struct {
 	Code    Code
 	Ran     Ran
 	Message string
-	Retry   time.Duration // when to come back; zero: coming back does not help
+	Retry   time.Duration // Retry-After for the caller; zero: a retry does not help
 }
 
 func (f *Failure) Error() string {
 	return fmt.Sprintf("gateway: %s (%s): %s", f.Code, f.Ran, f.Message)
 }
 
-// detail is what decisions say of the failure.
+// detail returns the failure in the form that decisions record.
 func (f *Failure) detail() string { return string(f.Code) + " (" + string(f.Ran) + "): " + f.Message }
 
-// status is the HTTP status of a code.
+// status returns the HTTP status of a code.
 func (c Code) status() int {
 	switch c {
 	case CodeBadRequest, CodeUnknownClass, CodeDeadlinePast, CodeKeyMissing, CodeKeyInvalid:
@@ -89,8 +89,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// failureBody is the JSON form, in the style of today's engines with what this
-// layer adds.
+// failureBody is the JSON error format that engines use, with the gateway's fields added.
 type failureBody struct {
 	Error failureFields `json:"error"`
 }
@@ -119,7 +118,7 @@
 	return raw
 }
 
-// write sends the failure as the whole answer.
+// write sends the failure as a complete response.
 func (f *Failure) write(w http.ResponseWriter, request string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -127,16 +126,16 @@
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.Retry.Seconds()))))
 	}
 	w.WriteHeader(f.Code.status())
-	_, _ = w.Write(f.body(request)) // the caller may be gone
+	_, _ = w.Write(f.body(request)) // fails only if the caller has disconnected
 }
 
-// writeEvent sends the failure inside a stream that has begun.
+// writeEvent sends the failure as an event of a stream that has started.
 func (f *Failure) writeEvent(w http.ResponseWriter, request string) {
 	_, _ = fmt.Fprintf(w, "event: error\ndata: %s\n\n", f.body(request))
 }
 
 func noConfiguration() *Failure {
-	return &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no configuration yet", Retry: time.Second}
+	return &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no configuration received yet", Retry: time.Second}
 }
 
 func badRequest(format string, values ...any) *Failure {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -156,7 +156,7 @@
 	c := quicktest.New(t)
 	for body, message := range map[string]string{
 		`[]`:                                     "body: not a JSON object.*",
-		`{"model": "a", "stream": 3}`:            "stream: write true or false",
+		`{"model": "a", "stream": 3}`:            "stream: must be true or false",
 		`{"model": 3}`:                           "model: write adapter.*",
 		string(bytes.Repeat([]byte(" "), 2<<10)): "body: larger than 1024 bytes",
 	} {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,17 +12,17 @@
 	"cairnwick.example/wire"
 )
 
-// limits is what endpoints said to this gateway of how many requests they take from all gateways together.
-// Each call for a grant tells it to the endpoint's owner, who counts. It is safe for concurrent use; the
-// zero value knows nothing.
+// limits holds the rate limits that endpoints announced in responses to this gateway. A limit applies to
+// all gateways together, so the endpoint's owner enforces it: each Acquire call passes it on. It is safe for
+// concurrent use; the zero value is empty.
 type limits struct {
 	mu    sync.Mutex
-	words map[string]ratelimit.Word // by endpoint; of those that named a limit once, or that are limited
+	words map[string]ratelimit.Word // by endpoint, of those that announced a limit or whose owner enforces one
 }
 
-// hear takes in what an answer says of a limit, whose request was sent at sent. It tells whether the limit
-// is another one than before. Of an endpoint that names none and never did nothing is kept, unless its
-// owner limits it, by the word of another gateway.
+// hear records the limit that a response announced, or that it announced none; sent is when its request was
+// sent. It reports whether the limit changed. An endpoint that announces no limit gets an entry only if its
+// owner enforces one: another gateway received that, and the owner has to be told that it is over.
 func (l *limits) hear(endpoint string, said ratelimit.Limit, limited bool, sent, now time.Time) bool {
 	w := ratelimit.NewWord(said, sent, now)
 	l.mu.Lock()
@@ -38,7 +38,7 @@
 	return before.Limit != said
 }
 
-// of returns what is known of an endpoint's limit, for its owner; nil: it never named one.
+// of returns the last known limit of an endpoint, for its owner; nil: it has no entry.
 func (l *limits) of(endpoint string, now time.Time) *wire.LimitWord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	return wire.NewLimitWord(endpoint, w, now)
 }
 
-// hearLimit takes in what the head of an answer says, which a grant brought.
+// hearLimit records the rate limit in the headers of a response to a request sent under a grant.
 func (g *Gateway) hearLimit(held heldGrant, h http.Header, sent, now time.Time) {
 	l, err := ratelimit.Parse(h.Values(engine.LimitHeader))
 	if err != nil {
-		g.Log.V(1).Info("Endpoint's limit can't be read; what was known before stays", "endpoint", held.endpoint, "err", err.Error())
+		g.Log.V(1).Info("Endpoint's rate limit can't be parsed; keeping the last one", "endpoint", held.endpoint, "err", err.Error())
 		return
 	}
 	if g.limits.hear(held.endpoint, l, held.grant.GetLimited(), sent, now) {
-		g.Log.V(1).Info("Endpoint names another limit than before", "endpoint", held.endpoint, "named", l.Named(), "a_second", l.Rate())
+		g.Log.V(1).Info("Endpoint's rate limit changed", "endpoint", held.endpoint, "named", l.Named(), "a_second", l.Rate())
 	}
 }
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -12,7 +12,7 @@
 	"cairnwick.example/wire"
 )
 
-// serveModel answers a completion.
+// serveModel serves a completion request.
 func (g *Gateway) serveModel(w http.ResponseWriter, r *http.Request) {
 	id := newRequestID()
 	w.Header().Set(RequestHeader, id)
@@ -39,11 +39,11 @@
 	g.stats.Codes.Observe("ok", clock.Since(begun))
 }
 
-// finish gives a request its final answer when it has none of its own. The writer is
-// an *answer when one may have begun.
+// finish logs, records and sends the failure of a request. w is an *answer if a response may have
+// started.
 func (g *Gateway) finish(w http.ResponseWriter, q *request, id string, begun time.Time, f *Failure) {
 	g.stats.Codes.Observe(string(f.Code), clock.Since(begun))
-	g.Log.V(1).Info("Request was refused", "request", id, "revision", q.revision(), "code", f.Code, "ran", f.Ran, "message", f.Message)
+	g.Log.V(1).Info("Request was not served", "request", id, "revision", q.revision(), "code", f.Code, "ran", f.Ran, "message", f.Message)
 	g.record(q, id, f)
 	if a, ok := w.(*answer); ok {
 		a.fail(f)
@@ -52,7 +52,7 @@
 	f.write(w, id)
 }
 
-// record keeps why a request got no answer.
+// record records a failure as a decision; q is nil if the request could not be parsed.
 func (g *Gateway) record(q *request, id string, f *Failure) {
 	d := &wire.Decision{Request: id, UnixMicros: time.Now().UnixMicro(), Box: g.Name, Step: "answer"}
 	if q != nil {
@@ -63,7 +63,7 @@
 	g.Record.Add(d)
 }
 
-// decision returns what every decision about a request for a model says.
+// decision returns a decision with the fields that all those about a request for a model have in common.
 func (g *Gateway) decision(q *request, step string, now time.Time) *wire.Decision {
 	return &wire.Decision{
 		Request:    q.id,
@@ -77,7 +77,7 @@
 	}
 }
 
-// modelEntry is one line of the list of models.
+// modelEntry is one model in the response to GET /v1/models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -90,7 +90,7 @@
 	Data   []modelEntry `json:"data"`
 }
 
-// serveModels lists every adapter at every version.
+// serveModels lists all versions of all adapters.
 func (g *Gateway) serveModels(w http.ResponseWriter, _ *http.Request) {
 	c := g.Catalog()
 	if c == nil {
@@ -105,5 +105,5 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(list) // fails only if the caller has disconnected
 }
--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -7,8 +7,8 @@
 	"cairnwick.example/policy"
 )
 
-// ownerOf returns the scheduler that should own an endpoint: the one that a hint
-// names, when it serves, else the first in rendezvous order.
+// ownerOf returns the scheduler that is expected to own an endpoint: the one that hint names, if it
+// is serving, else the first by rendezvous hashing.
 func (g *Gateway) ownerOf(endpoint, centre, hint string) (member.Member, bool) {
 	list := g.schedulersOf(centre)
 	for _, m := range list {
@@ -19,8 +19,8 @@
 	return pick(endpoint, list)
 }
 
-// schedulersOf returns the serving schedulers of a data centre: by heartbeats
-// in the own one, by the platform's list elsewhere.
+// schedulersOf returns the schedulers that serve in a data centre: from heartbeats for this gateway's
+// own, from the platform's list for others.
 func (g *Gateway) schedulersOf(centre string) []member.Member {
 	if centre == g.Centre {
 		return g.Members.Serving(member.Scheduler)
@@ -28,6 +28,7 @@
 	return g.Remote.Schedulers(centre)
 }
 
+// pick selects the member for a key by rendezvous hashing; false if the list is empty.
 func pick(key string, list []member.Member) (member.Member, bool) {
 	names := make([]string, len(list))
 	for i, m := range list {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -13,7 +13,7 @@
 	"cairnwick.example/wire"
 )
 
-// place orders the endpoints and records why.
+// place sorts the endpoints by the placement policy, best first, and records the decision.
 func (g *Gateway) place(q *request, names []string) []string {
 	now := clock.Now()
 	facts, width := g.beliefs.of(q.model.String(), names, now)
@@ -46,19 +46,19 @@
 	c := &wire.Candidate{Endpoint: name, Score: score, AgeMicros: f.Age.Microseconds()}
 	switch {
 	case f.Warm:
-		c.Note = "prefix believed warm"
+		c.Note = "prefix probably cached"
 	case f.Loaded:
-		c.Note = "believed loaded"
+		c.Note = "adapter probably loaded"
 	case !f.Known:
-		c.Note = "nothing heard lately"
+		c.Note = "no recent state"
 	}
 	return c
 }
 
-// stages returns the endpoints to try but for those that asked for a back-off, a group after another: where the scope is
-// the region, those of all its data centres that can be reached; then those of
-// the own data centre; then those of the others, in an order that spreads the
-// overflow of many keys.
+// stages returns groups of endpoints in the order to try them, without those in a back-off: with
+// ScopeRegion, those of all reachable data centres of the region; then those of this gateway's data
+// centre; then those of each other reachable data centre. The order of the latter depends on the
+// adapter, so that the overflow of many adapters spreads over all of them.
 func (g *Gateway) stages(q *request) [][]string {
 	base := q.model.Adapter().Base()
 	now := clock.Now()
@@ -81,7 +81,7 @@
 	return stages
 }
 
-// near returns the data centres of the own region that can be reached.
+// near returns the reachable data centres of this gateway's region, its own included.
 func (g *Gateway) near(c *catalog.Catalog) map[string]bool {
 	near := map[string]bool{g.Centre: true}
 	for _, n := range c.DataCentres() {
@@ -92,7 +92,7 @@
 	return near
 }
 
-// servingIn returns the endpoints of a base that serve in the data centres.
+// servingIn returns the serving endpoints of a base model in the given data centres.
 func servingIn(c *catalog.Catalog, base string, centres map[string]bool) []string {
 	var names []string
 	for _, n := range c.EndpointsOf(base) {
--- a/gateway/prefixes.go
+++ b/gateway/prefixes.go
@@ -9,36 +9,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixes remembers where prompts with the same beginning ran last: there the
-// engine's prefix cache may be warm. It is a hint and nothing more. The table is
-// bounded. It is safe for concurrent use.
+// prefixes maps the start of a prompt to the endpoint that last served one: its engine may still have
+// the prefix in its cache. This is only a hint for placement. The table is bounded. It is safe for
+// concurrent use.
 type prefixes struct {
 	mu    sync.Mutex
-	seen  map[uint64]ran // by adapter and beginning of the prompt
-	limit int            // zero: nothing is remembered
+	seen  map[uint64]ran // by prefixOf
+	limit int            // entries; zero disables the table
 }
 
-// ran is where and when a prompt ran.
+// ran is where and when a prompt was last served.
 type ran struct {
 	endpoint string
 	at       time.Time
 }
 
 const (
-	prefixLength = 64              // bytes of a prompt that count
-	prefixLife   = 2 * time.Minute // after it a cache is not believed warm
+	prefixLength = 64              // bytes of a prompt that are hashed
+	prefixLife   = 2 * time.Minute // an engine is assumed to have evicted the prefix after that
 )
 
 func newPrefixes(limit int) *prefixes {
 	return &prefixes{seen: make(map[uint64]ran), limit: limit}
 }
 
-// prefixOf returns the hash of an adapter and the beginning of a prompt.
+// prefixOf hashes an adapter and the start of a prompt.
 func prefixOf(adapter, prompt string) uint64 {
 	return xxhash.Sum64String(adapter + "\x00" + prompt[:min(len(prompt), prefixLength)])
 }
 
-// warm returns the endpoint that ran a prompt with this prefix lately, or "".
+// warm returns the endpoint that last served a prompt with this prefix; "" if there is none or its entry has
+// expired.
 func (p *prefixes) warm(prefix uint64, now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,7 +50,7 @@
 	return r.endpoint
 }
 
-// note remembers where a prompt ran.
+// note records the endpoint that served a prompt.
 func (p *prefixes) note(prefix uint64, endpoint string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,7 +58,7 @@
 		if len(p.seen) < p.limit {
 			break
 		}
-		delete(p.seen, n) // an arbitrary one
+		delete(p.seen, n) // evicts an arbitrary entry
 	}
 	if p.limit > 0 {
 		p.seen[prefix] = ran{endpoint: endpoint, at: now}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -16,19 +16,19 @@
 	"github.com/pkg/errors"
 )
 
-// The headers of callers.
+// The headers of callers' requests and of the responses.
 const (
 	ClassHeader      = "Cairn-Class"
 	CallerHeader     = "Cairn-Caller"
 	DeadlineHeader   = "Cairn-Deadline"   // a duration from now, such as 2.5s
-	RepeatableHeader = "Cairn-Repeatable" // "no": runs at most once
+	RepeatableHeader = "Cairn-Repeatable" // "no": executed at most once
 	KeyHeader        = "Idempotency-Key"  // a UUID of version 7
-	RequestHeader    = "X-Request-Id"     // on answers
-	ModelHeader      = "Cairn-Model"      // on answers: adapter@version
-	RevisionHeader   = "Cairn-Revision"   // on answers: of the configuration
-	EndpointHeader   = "Cairn-Endpoint"   // on answers
-	WaitedHeader     = "Cairn-Waited"     // on answers: milliseconds until the grant
-	StallHeader      = "Cairn-Load-Stall" // on answers: the part of it spent on a load
+	RequestHeader    = "X-Request-Id"     // on responses
+	ModelHeader      = "Cairn-Model"      // on responses: adapter@version
+	RevisionHeader   = "Cairn-Revision"   // on responses: of the configuration
+	EndpointHeader   = "Cairn-Endpoint"   // on responses
+	WaitedHeader     = "Cairn-Waited"     // on responses: milliseconds until the grant
+	StallHeader      = "Cairn-Load-Stall" // on responses: the part of Cairn-Waited spent on a load
 )
 
 const (
@@ -36,12 +36,11 @@
 	maxCallerName = 64
 )
 
-// request is one caller's request, held by this gateway until its final
-// answer.
+// request is a caller's request for a model.
 type request struct {
 	id         string
 	key        string // "" when the request is repeatable
-	path       string // at the engine
+	path       string // of the engine's API
 	class      catalog.Class
 	caller     string
 	arrived    time.Time
@@ -50,12 +49,12 @@
 	catalog    *catalog.Catalog // the revision that resolved the model
 	stream     bool
 	body       map[string]json.RawMessage
-	attempts   int // runs begun at endpoints
-	candidates int // endpoints asked
+	attempts   int // executions started at endpoints
+	candidates int // endpoints tried
 	content    quarantine.Content
-	prefix     uint64 // hash of the adapter and the prompt's beginning
-	width      int    // how many homes the adapter is believed to have
-	unsure     bool   // an attempt may have run and gave no answer
+	prefix     uint64 // hash of the adapter and the start of the prompt
+	width      int    // number of endpoints over which the adapter spreads, as last known
+	unsure     bool   // an attempt without a complete response may have been executed
 }
 
 func newRequestID() string {
@@ -66,7 +65,7 @@
 	return u.String()
 }
 
-// read turns an HTTP request for a model into a request.
+// read parses an HTTP request for a model.
 func (g *Gateway) read(w http.ResponseWriter, r *http.Request, id string) (*request, *Failure) {
 	c := g.Catalog()
 	if c == nil {
@@ -84,7 +83,7 @@
 	return q, q.resolve()
 }
 
-// readClass reads class, caller and deadline.
+// readClass parses the class, the caller and the deadline.
 func (q *request) readClass(r *http.Request) *Failure {
 	name := r.Header.Get(ClassHeader)
 	class, ok := q.catalog.Class(name)
@@ -110,18 +109,18 @@
 	if text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil {
-			return badRequest("%s: %q: write a duration, such as 2.5s", DeadlineHeader, text)
+			return badRequest("%s: invalid duration %q; example: 2.5s", DeadlineHeader, text)
 		}
 		left = d
 	}
 	if left <= 0 {
-		return &Failure{Code: CodeDeadlinePast, Ran: NotRun, Message: DeadlineHeader + ": the deadline is past"}
+		return &Failure{Code: CodeDeadlinePast, Ran: NotRun, Message: DeadlineHeader + ": the deadline has already passed"}
 	}
 	q.deadline = q.arrived.Add(left)
 	return nil
 }
 
-// readKey reads the mark and the key of a request that is not repeatable.
+// readKey parses whether the request is repeatable, and its idempotency key if it is not.
 func (q *request) readKey(r *http.Request) *Failure {
 	mark := r.Header.Get(RepeatableHeader)
 	switch mark {
@@ -129,27 +128,27 @@
 		return nil
 	case "no":
 	default:
-		return badRequest("%s: %q: write yes or no", RepeatableHeader, mark)
+		return badRequest("%s: invalid value %q; use yes or no", RepeatableHeader, mark)
 	}
 	key, f := keyOf(r)
 	q.key = key
 	return f
 }
 
-// keyOf returns the key that a request must carry.
+// keyOf returns the idempotency key of a request that requires one.
 func keyOf(r *http.Request) (string, *Failure) {
 	key := r.Header.Get(KeyHeader)
 	if key == "" {
-		return "", &Failure{Code: CodeKeyMissing, Ran: NotRun, Message: KeyHeader + ": a request that is not repeatable needs a key"}
+		return "", &Failure{Code: CodeKeyMissing, Ran: NotRun, Message: KeyHeader + ": required for a request that is not repeatable"}
 	}
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
-		return "", &Failure{Code: CodeKeyInvalid, Ran: NotRun, Message: fmt.Sprintf("%s: %q: write a UUID of version 7", KeyHeader, key)}
+		return "", &Failure{Code: CodeKeyInvalid, Ran: NotRun, Message: fmt.Sprintf("%s: invalid value %q; use a version 7 UUID", KeyHeader, key)}
 	}
 	return u.String(), nil
 }
 
-// readBounded reads a caller's body, of at most so many bytes.
+// readBounded reads a caller's body and refuses one of more than most bytes.
 func readBounded(w http.ResponseWriter, r *http.Request, most int64) ([]byte, *Failure) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	var large *http.MaxBytesError
@@ -157,7 +156,7 @@
 		return nil, &Failure{Code: CodeBodyTooLarge, Ran: NotRun, Message: fmt.Sprintf("body: larger than %d bytes", most)}
 	}
 	if err != nil {
-		return nil, badRequest("body: broken off: %v", err)
+		return nil, badRequest("body: not received completely: %v", err)
 	}
 	return raw, nil
 }
@@ -173,13 +172,13 @@
 	}
 	if s, ok := q.body["stream"]; ok {
 		if err := json.Unmarshal(s, &q.stream); err != nil {
-			return badRequest("stream: write true or false")
+			return badRequest("stream: must be true or false")
 		}
 	}
 	return nil
 }
 
-// resolve turns the model's name into an adapter at one version, once.
+// resolve resolves the model name to an adapter version, which all attempts use.
 func (q *request) resolve() *Failure {
 	var name string
 	if err := json.Unmarshal(q.body["model"], &name); err != nil || name == "" {
@@ -199,8 +198,8 @@
 	return nil
 }
 
-// engineBody is what the endpoint gets: the caller's body with the resolved
-// model and the priority.
+// engineBody returns the body for the endpoint: the caller's, with the resolved model and the
+// priority.
 func (q *request) engineBody(priority int32) ([]byte, error) {
 	body := make(map[string]json.RawMessage, len(q.body)+1)
 	for k, v := range q.body {
@@ -215,8 +214,8 @@
 	return json.Marshal(body)
 }
 
-// revision is that of the configuration that resolved the model, or zero when the
-// request was not read so far.
+// revision returns the configuration revision that resolved the model; zero for nil, a request that could
+// not be parsed.
 func (q *request) revision() int64 {
 	if q == nil {
 		return 0
@@ -224,10 +223,10 @@
 	return q.catalog.Revision()
 }
 
-// left is the time until the deadline.
+// left returns the time until the deadline.
 func (q *request) left() time.Duration { return clock.Until(q.deadline) }
 
-// mayWait is how long the request may still wait for its turn.
+// mayWait returns how long the request may still wait for a grant.
 func (q *request) mayWait() time.Duration {
 	return min(q.class.MayWait()-clock.Since(q.arrived), q.left())
 }
--- a/gateway/route.go
+++ b/gateway/route.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	stageCandidates = 4                      // endpoints asked in one stage
-	maxCandidates   = 8                      // endpoints asked for one request
-	maxAttempts     = 3                      // runs begun for one request
-	failoverPause   = 25 * time.Millisecond  // between tries to find an owner that answers
-	farFailover     = 500 * time.Millisecond // longest search for an owner in another data centre
+	stageCandidates = 4                      // endpoints tried in one stage
+	maxCandidates   = 8                      // endpoints tried for one request
+	maxAttempts     = 3                      // executions started for one request
+	failoverPause   = 25 * time.Millisecond  // between attempts to reach an owner or a key's home
+	farFailover     = 500 * time.Millisecond // search for an owner in another data centre
 )
 
-// route brings a request to an endpoint and its answer to the caller. It
-// returns nil when the answer was given whole.
+// route sends a request to an endpoint and relays the response to the caller. It
+// returns nil if the response was relayed completely.
 func (g *Gateway) route(ctx context.Context, q *request, out *answer) *Failure {
 	f := g.routeAnywhere(ctx, q, out)
 	if f != nil && f.Ran == NotRun && q.unsure {
-		return &Failure{Code: f.Code, Ran: Unknown, Message: "an earlier attempt may have run; the last one: " + f.Message, Retry: f.Retry}
+		return &Failure{Code: f.Code, Ran: Unknown, Message: "an earlier attempt may have been executed; last attempt: " + f.Message, Retry: f.Retry}
 	}
 	return f
 }
 
-// routeAnywhere tries one stage of endpoints after another. What it returns
-// speaks of the last attempts alone.
+// routeAnywhere tries the stages of endpoints in order. The failure it returns covers
+// only the last attempts: an earlier one may have been executed.
 func (g *Gateway) routeAnywhere(ctx context.Context, q *request, out *answer) *Failure {
 	if f := g.quarantined(q.content); f != nil {
 		return f
 	}
 	if q.left() <= 0 {
-		return &Failure{Code: CodeDeadlinePast, Ran: NotRun, Message: "the deadline passed before the request was routed"}
+		return &Failure{Code: CodeDeadlinePast, Ran: NotRun, Message: "deadline exceeded before the request was routed"}
 	}
 	var last *Failure
 	for _, names := range g.stages(q) {
@@ -52,15 +52,16 @@
 	return last
 }
 
-// noneOpen refuses a request for which no endpoint may be asked.
+// noneOpen returns the failure of a request that has no endpoint to try.
 func (g *Gateway) noneOpen(q *request) *Failure {
 	if left := g.backoffLeast(q); left > 0 {
-		return &Failure{Code: CodeRefused, Ran: NotRun, Message: "the endpoints that could serve it want nothing for a while", Retry: backoff.ComeBack(left)}
+		return &Failure{Code: CodeRefused, Ran: NotRun, Message: "all endpoints that serve " + q.model.Adapter().Base() + " are in a back-off", Retry: backoff.ComeBack(left)}
 	}
 	return &Failure{Code: CodeNoEndpoint, Ran: NotRun, Message: "no endpoint serves " + q.model.Adapter().Base(), Retry: g.Spans.Retry}
 }
 
-// otherCentreMayServe tells whether another data centre may do better.
+// otherCentreMayServe reports whether a request that failed with this code may succeed in another data
+// centre.
 func otherCentreMayServe(c Code) bool {
 	switch c {
 	case CodeNoEndpoint, CodeNoWait, CodeQueueFull, CodeDeadline, CodeLeaving, CodeNotReady:
@@ -69,7 +70,7 @@
 	return false
 }
 
-// sooner keeps the failure that asks the caller back first.
+// sooner returns the failure with the shorter retry interval; a may be nil.
 func sooner(a, b *Failure) *Failure {
 	if a == nil || (b.Retry > 0 && b.Retry < a.Retry) {
 		return b
@@ -77,7 +78,7 @@
 	return a
 }
 
-// routeIn tries the endpoints of one stage.
+// routeIn tries the endpoints of one stage, best first.
 func (g *Gateway) routeIn(ctx context.Context, q *request, out *answer, names []string) *Failure {
 	order := g.place(q, names)
 	var last *Failure
@@ -96,24 +97,25 @@
 		last = sooner(last, f)
 	}
 	if last == nil {
-		return &Failure{Code: CodeNoEndpoint, Ran: NotRun, Message: "no endpoint took the request", Retry: g.Spans.Retry}
+		return &Failure{Code: CodeNoEndpoint, Ran: NotRun, Message: "the request has reached its limit of endpoints to try", Retry: g.Spans.Retry}
 	}
 	return last
 }
 
-// otherEndpointMayServe tells whether another endpoint of the data centre may do better.
+// otherEndpointMayServe reports whether a request that failed with this code may succeed at another endpoint
+// of the same stage.
 func otherEndpointMayServe(c Code) bool {
 	return otherCentreMayServe(c) || c == CodeLoadFailed || c == CodeRefused || c == CodeLost
 }
 
-// mayRepeat tells whether a request that may have run may run again: it is
-// repeatable, the caller has seen nothing of it, and the budget allows it.
+// mayRepeat reports whether a request that may have been executed can be executed again: it is
+// repeatable, the caller has received no part of a response, and the retry budget allows it.
 func (g *Gateway) mayRepeat(q *request, out *answer) bool {
 	return q.key == "" && out.untouched() && q.attempts < maxAttempts && g.Retries.Take()
 }
 
-// tryEndpoint runs the request at one endpoint, as often as its refusals prove
-// that it did not run and the budget allows.
+// tryEndpoint runs the request at one endpoint. It retries there while the endpoint's refusals
+// prove that the request was not executed and the retry budget allows it.
 func (g *Gateway) tryEndpoint(ctx context.Context, q *request, out *answer, endpoint, centre string) *Failure {
 	q.candidates++
 	for {
@@ -121,7 +123,7 @@
 		if f != nil {
 			return f
 		}
-		if f = g.mayRun(q, endpoint); f != nil { // it came so far while the request waited
+		if f = g.mayRun(q, endpoint); f != nil { // quarantined or in a back-off since the request began to wait
 			g.release(h.owner, &wire.ReleaseRequest{Endpoint: h.endpoint, Id: h.grant.GetId(), Outcome: wire.Outcome_OUTCOME_NOT_SENT})
 			return f
 		}
@@ -135,7 +137,7 @@
 	}
 }
 
-// mayRun tells why a request must not be given to an endpoint for which it has a grant; nil: it may.
+// mayRun returns why a request must not be sent to an endpoint although it has a grant; nil: it may be sent.
 func (g *Gateway) mayRun(q *request, endpoint string) *Failure {
 	if f := g.quarantined(q.content); f != nil {
 		return f
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -18,12 +18,12 @@
 	"cairnwick.example/wire"
 )
 
-// answer is what a caller has got so far.
+// answer is the response to a caller, and its state.
 type answer struct {
 	writer http.ResponseWriter
 	id     string
-	first  time.Time // of the first byte; zero: nothing was written
-	gone   bool      // a write failed: the caller is gone
+	first  time.Time // when the first byte was written; zero: none yet
+	gone   bool      // a write failed
 }
 
 // Header implements http.ResponseWriter.
@@ -45,7 +45,7 @@
 	return n, err
 }
 
-// untouched tells whether the caller has got nothing of the answer.
+// untouched reports whether nothing of the response has been written.
 func (a *answer) untouched() bool { return a.first.IsZero() }
 
 func (a *answer) flush() {
@@ -54,15 +54,15 @@
 	}
 }
 
-// give writes a whole answer.
+// give writes a complete response.
 func (a *answer) give(status int, body []byte) {
 	a.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	a.WriteHeader(status)
-	_, _ = a.Write(body) // it ran; a caller that is gone has lost its answer
+	_, _ = a.Write(body) // too late to retry: the request was executed
 }
 
-// fail ends the answer with a failure: as a whole answer, or, when a stream has
-// begun, as an error event and a connection that does not end cleanly.
+// fail writes a failure: as a complete response, or, if a stream has started, as an error event. It
+// then aborts the connection, so that the caller cannot take the stream for complete.
 func (a *answer) fail(f *Failure) {
 	if a.untouched() {
 		f.write(a, a.id)
@@ -73,14 +73,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-// readWhole reads an endpoint's answer; false when it broke off or is too long.
+// readWhole reads an endpoint's response; false if it is truncated or too large.
 func readWhole(a *http.Response) ([]byte, bool) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxWhole+1))
 	return body, err == nil && len(body) <= maxWhole
 }
 
-// passWhole reads the whole answer, then gives it to the caller: what broke off
-// is never passed on.
+// passWhole reads the complete response before it writes any of it, so that the caller never gets
+// a truncated one.
 func (g *Gateway) passWhole(ctx context.Context, out *answer, h heldGrant, run string, a *http.Response, r *wire.ReleaseRequest) *Failure {
 	body, whole := readWhole(a)
 	if !whole {
@@ -88,7 +88,7 @@
 		if ctx.Err() != nil {
 			g.cancel(h, run, r)
 		}
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the answer of " + h.endpoint + " broke off", Retry: g.Spans.Retry}
+		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the response of " + h.endpoint + " was truncated or too large", Retry: g.Spans.Retry}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_COMPLETED
 	out.Header().Set("Content-Type", a.Header.Get("Content-Type"))
@@ -106,16 +106,15 @@
 	doneMark = []byte("data: [DONE]")
 )
 
-// stream is one run whose events are passed on.
+// stream is an execution whose events are relayed.
 type stream struct {
 	held heldGrant
-	run  string // its name at the engine
-	beat func() // says that the endpoint is not silent
+	run  string // the engine's ID of the execution
+	beat func() // restarts the idle timeout
 }
 
-// passStream hands the events on as they come. A stream that is cut goes on by
-// the engine's own resume at the same run, from the event after the last one
-// that was passed on.
+// passStream relays events as they arrive. A stream that breaks off is resumed through the engine's
+// resume API: the same execution, from the event after the last one relayed.
 func (g *Gateway) passStream(ctx context.Context, out *answer, s stream, a *http.Response, r *wire.ReleaseRequest) *Failure {
 	out.Header().Set("Content-Type", "text/event-stream")
 	h, run := s.held, s.run
@@ -124,7 +123,7 @@
 		if done || out.gone || ctx.Err() != nil {
 			break
 		}
-		g.Log.Info("Stream was cut and is resumed", "request", run, "endpoint", h.endpoint, "events", events)
+		g.Log.Info("Stream broke off; resuming", "request", run, "endpoint", h.endpoint, "events", events)
 		events, done = g.resume(ctx, out, s, events)
 	}
 	if done {
@@ -135,10 +134,11 @@
 	if out.gone || ctx.Err() != nil {
 		g.cancel(h, run, r)
 	}
-	return &Failure{Code: CodeCut, Ran: Unknown, Message: "the stream of " + h.endpoint + " was cut", Retry: g.Spans.Retry}
+	return &Failure{Code: CodeCut, Ran: Unknown, Message: "the stream of " + h.endpoint + " broke off", Retry: g.Spans.Retry}
 }
 
-// resume opens the run's stream again and passes on what was not passed yet.
+// resume reopens the stream of an execution and relays the remaining events; events is the number
+// relayed so far. It returns the same as copyEvents.
 func (g *Gateway) resume(ctx context.Context, out *answer, s stream, events int) (int, bool) {
 	pause(ctx, resumePause)
 	live, cancel := context.WithCancel(ctx)
@@ -162,9 +162,9 @@
 	return copyEvents(out, a.Body, events, func() { timer.Reset(g.Spans.Idle) })
 }
 
-// copyEvents passes whole events on until the closing one. It returns how many
-// events were passed on in all, and whether the closing one came. An event that
-// is cut inside is not passed on. It calls beat for each line.
+// copyEvents relays complete events up to the closing one; one that breaks off in the middle is
+// dropped. It calls beat for each line. It returns events plus the number relayed, and whether the
+// closing event was relayed.
 func copyEvents(out *answer, body io.Reader, events int, beat func()) (int, bool) {
 	in := bufio.NewReader(body)
 	var event []byte
