--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -10,25 +10,25 @@
 	"cairnwick.example/clock"
 )
 
-// hearBackoff takes in for how long an endpoint that turned a request away wants nothing more from this
-// gateway; zero: it does not say. Its owner goes on giving grants there to others.
+// hearBackoff starts the back-off that an endpoint set for this gateway when it rejected a request; zero: none.
+// The endpoint's owner continues to issue grants for it to other gateways.
 func (g *Gateway) hearBackoff(endpoint string, d time.Duration) {
 	if d > 0 && g.backoffs.Ask(endpoint, d, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", d.Milliseconds())
 	}
 }
 
-// backingOff refuses a request for an endpoint that wants nothing from this gateway; nil: it may be sent.
+// backingOff returns the failure of a request to an endpoint that is in a back-off; nil: it may be sent.
 func (g *Gateway) backingOff(endpoint string) *Failure {
 	left := g.backoffs.Left(endpoint, clock.Now())
 	if left == 0 {
 		return nil
 	}
-	return &Failure{Code: CodeRefused, Ran: NotRun, Message: endpoint + " wants nothing for a while", Retry: backoff.ComeBack(left)}
+	return &Failure{Code: CodeRefused, Ran: NotRun, Message: endpoint + " is in a back-off", Retry: backoff.ComeBack(left)}
 }
 
-// backoffLeast returns when the first of the endpoints that could serve a request wants work of this gateway
-// again; zero where none asked for a back-off.
+// backoffLeast returns the shortest remaining back-off of the endpoints that could serve a request; zero if
+// none is in a back-off.
 func (g *Gateway) backoffLeast(q *request) time.Duration {
 	now := clock.Now()
 	var least time.Duration
--- a/gateway/beliefs.go
+++ b/gateway/beliefs.go
@@ -10,8 +10,8 @@
 	"cairnwick.example/wire"
 )
 
-// beliefs is what the replies of schedulers told lately of endpoints and
-// adapters. Both tables are bounded. It is safe for concurrent use.
+// beliefs caches the state of endpoints and adapters from recent replies of schedulers. Both tables
+// are bounded. It is safe for concurrent use.
 type beliefs struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpointBelief
@@ -21,26 +21,26 @@
 type endpointBelief struct {
 	facts   policy.Facts
 	heard   time.Time
-	granted int // own grants not given back
+	granted int // grants of this gateway that are not released
 }
 
 type adapterBelief struct {
 	width  int
-	loaded map[string]time.Time // by endpoint: when it was heard ready there
+	loaded map[string]time.Time // by endpoint: when it was last reported loaded there
 	heard  time.Time
 }
 
 const (
 	adaptersKept = 8192
-	beliefLife   = 30 * time.Second // older beliefs count as nothing
+	beliefLife   = 30 * time.Second // older state is not used
 )
 
 func newBeliefs() *beliefs {
 	return &beliefs{endpoints: make(map[string]*endpointBelief), adapters: make(map[string]*adapterBelief)}
 }
 
-// of returns the facts of an adapter's candidates and how many homes it should
-// have.
+// of returns the state of an adapter's candidate endpoints, and over how many of them the adapter
+// spreads; 1 if that is unknown.
 func (b *beliefs) of(adapter string, names []string, now time.Time) ([]policy.Facts, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,7 +56,8 @@
 	return facts, a.width
 }
 
-// factsLocked corrects what was heard by the own grants given since.
+// factsLocked returns the state of an endpoint. Running is at least the number of this gateway's grants,
+// which the last report may not yet include.
 func (b *beliefs) factsLocked(name string, now time.Time) policy.Facts {
 	e := b.endpoints[name]
 	if e == nil {
@@ -72,7 +73,7 @@
 	return f
 }
 
-// hear takes in what a scheduler told.
+// hear records the state in a scheduler's reply.
 func (b *beliefs) hear(endpoint, adapter string, w *wire.EndpointFacts, now time.Time) {
 	if w == nil {
 		return
@@ -109,14 +110,14 @@
 		if len(b.adapters) < adaptersKept {
 			break
 		}
-		delete(b.adapters, n) // an arbitrary one; it is heard of again when asked for
+		delete(b.adapters, n) // evicts an arbitrary entry; the next reply restores it
 	}
 	a := &adapterBelief{width: 1, loaded: make(map[string]time.Time)}
 	b.adapters[name] = a
 	return a
 }
 
-// count changes the own grants at an endpoint.
+// count adds to the number of this gateway's grants at an endpoint.
 func (b *beliefs) count(endpoint string, by int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/gateway/calls.go
+++ b/gateway/calls.go
@@ -10,8 +10,8 @@
 	"cairnwick.example/member"
 )
 
-// schedulerCalls ends calls to schedulers that stop serving, so that no request waits
-// for one that is gone. It is safe for concurrent use.
+// schedulerCalls cancels calls to schedulers that stop serving, so that no request waits for a
+// dead one. It is safe for concurrent use.
 type schedulerCalls struct {
 	mu      sync.Mutex
 	targets map[string]*callTarget // by scheduler in the own data centre, by centreKey elsewhere
@@ -27,7 +27,8 @@
 	return &schedulerCalls{targets: make(map[string]*callTarget)}
 }
 
-// with returns a context that ends with ctx or when the target stops serving.
+// with returns a context that ends with ctx or when the target stops serving. The returned function
+// releases it.
 func (s *schedulerCalls) with(ctx context.Context, target string) (context.Context, context.CancelFunc) {
 	s.mu.Lock()
 	t := s.targets[target]
@@ -45,7 +46,7 @@
 	}
 }
 
-// keep ends the calls to all targets that are not among the serving.
+// keep cancels the calls to all targets that are not in serving.
 func (s *schedulerCalls) keep(serving map[string]bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// followMembers ends calls to schedulers as the view changes.
+// followMembers cancels calls to schedulers that stop serving, until ctx ends.
 func (g *Gateway) followMembers(ctx context.Context) error {
 	for {
 		changed := g.Members.Changed()
@@ -71,8 +72,7 @@
 	}
 }
 
-// endStaleCalls ends calls to schedulers that do not serve any more and to data
-// centres that can't be reached.
+// endStaleCalls cancels calls to schedulers that no longer serve and to unreachable data centres.
 func (g *Gateway) endStaleCalls() {
 	serving := make(map[string]bool)
 	for _, m := range g.Members.Serving(member.Scheduler) {
@@ -84,6 +84,6 @@
 	g.calls.keep(serving)
 }
 
-// centreKey names another data centre as the target of calls, since the heartbeats here
-// tell nothing of a single scheduler there.
+// centreKey returns the target of calls to another data centre. The whole data centre is one target, since
+// heartbeats do not cover its individual schedulers.
 func centreKey(centre string) string { return "data centre " + centre }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package gateway faces the callers: it holds each request until its final
-// answer, asks a scheduler for a grant, streams straight from the endpoint, and
-// tries again only what provably did not run.
+// Package gateway is the proxy for callers. For each request it obtains a grant from the scheduler that
+// owns an endpoint, sends the request to that endpoint and relays the response. It retries a request that
+// may have been executed only if the request is repeatable.
 //
-// A request for a model goes through read, runKeyed, route, acquire and attempt; a call
-// of a plain service through readCall, runKeyed and callService. What the gateway
-// knows of endpoints are hints (beliefs, prefixes, reach), which replies and pings
-// refresh; the scheduler that owns an endpoint decides.
+// A request for a model passes through read, runKeyed, route, acquire and attempt; a call to a plain service
+// through readCall, runKeyed and callService. The gateway's own state about endpoints (beliefs, prefixes,
+// reach) is only a hint, refreshed by replies and pings; the scheduler that owns an endpoint decides.
 //
-// Lock order: each table has a lock of its own, taken alone.
+// Lock order: no two locks of this package are held together.
 package gateway
 
 import (
@@ -31,22 +30,21 @@
 	"github.com/go-logr/logr"
 )
 
-// Spans are the time spans of a gateway.
+// Spans are the timeouts of a gateway.
 type Spans struct {
-	Failover time.Duration // how long a request looks for an owner that answers
-	Key      time.Duration // longest wait for the home of a key
-	Retry    time.Duration // said to callers when nothing better is known
-	Resume   time.Duration // longest wait for a cut stream to go on
-	Idle     time.Duration // a stream that is silent so long is taken for cut
+	Failover time.Duration // to find an owner that responds
+	Key      time.Duration // to claim a key at its home
+	Retry    time.Duration // default Retry-After
+	Resume   time.Duration // to reopen a stream that broke off
+	Idle     time.Duration // between two lines of a stream
 }
 
-// Schedulers reaches the schedulers by address.
+// Schedulers returns clients for schedulers by address.
 type Schedulers interface {
 	Scheduler(address string) wire.SchedulerClient
 }
 
-// Remote tells of the schedulers of other data centres, as the platform lists
-// them.
+// Remote lists the schedulers of other data centres, as registered on the platform.
 type Remote interface {
 	Schedulers(dataCentre string) []member.Member
 }
@@ -57,19 +55,19 @@
 	Centre      string // its data centre
 	Catalog     func() *catalog.Catalog
 	Members     *member.Table
-	Probe       func(member string) // asks for a heartbeat now
+	Probe       func(member string) // requests a heartbeat immediately
 	Schedulers  Schedulers
 	Peers       Peers
 	Remote      Remote
-	Engines     *http.Client    // guarded connections to endpoints
+	Engines     *http.Client    // for requests to endpoints
 	Dial        engine.DialFunc // opens a connection to an endpoint
 	Placement   policy.Placement
-	Scope       string // ScopeCentre or ScopeRegion: how far an adapter's homes spread
+	Scope       string // ScopeCentre or ScopeRegion: where the endpoints of an adapter may be
 	Retries     *policy.RetryBudget
 	Spans       Spans
 	MaxBody     int64 // bytes of a caller's body
-	MaxInFlight int   // requests held at a time
-	MaxPrefixes int   // prompts' beginnings whose endpoint is remembered; zero: none
+	MaxInFlight int   // requests; more are refused
+	MaxPrefixes int   // prompt prefixes whose last endpoint is remembered; zero: none
 	Record      *decision.Record
 	Log         logr.Logger
 
@@ -82,34 +80,34 @@
 	releases chan release
 	watch    *quarantine.Watch
 	tracker  quarantine.Tracker
-	ends     chan *wire.EndpointEnd // that the other gateways have not been told
+	ends     chan *wire.EndpointEnd // not yet reported to the other gateways
 	inFlight atomic.Int64
 	leaving  atomic.Bool
 	stats    stats
 }
 
-// stats are the gateway's figures for /debug/vars.
+// stats are the gateway's metrics for /debug/vars.
 type stats struct {
-	Total      *metrics.Family // time to the final answer, by class
-	Callers    *metrics.Family // time to the final answer, by caller
-	FirstToken *metrics.Family // time to the first byte of the answer, by class
-	Stall      *metrics.Family // part of it spent on loads, by class
-	Codes      *metrics.Family // time to the final answer, by code
+	Total      *metrics.Family // time to the end of the response, by class
+	Callers    *metrics.Family // time to the end of the response, by caller
+	FirstToken *metrics.Family // time to the first byte of the response, by class
+	Stall      *metrics.Family // time that attempts waited for loads, by class
+	Codes      *metrics.Family // time to the end of the response, by code
 }
 
-// The scopes of an adapter's homes.
+// The scopes of placement.
 const (
 	ScopeCentre = "data_centre"
 	ScopeRegion = "region"
 )
 
 const (
-	familyLimit    = 64   // callers, classes or codes counted apart
-	releaseBuffer  = 1024 // grants that wait for a worker; above it a request gives its own back
-	releaseWorkers = 8    // grants given back at a time
+	familyLimit    = 64   // callers, classes or codes with metrics of their own
+	releaseBuffer  = 1024 // grants that wait for a worker; when full, requests release their own
+	releaseWorkers = 8    // concurrent release calls
 )
 
-// Init prepares the tables; call it before the handler serves.
+// Init initialises internal state. Call it before Handler and Run.
 func (g *Gateway) Init() {
 	g.beliefs = newBeliefs()
 	g.calls = newSchedulerCalls()
@@ -127,15 +125,15 @@
 	}
 }
 
-// InFlight returns how many requests are held now.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// Leave makes readiness false and keep-alive connections end; requests that are
-// held go on.
+// Leave begins to drain: responses close their keep-alive connections. Requests in flight continue.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// Run gives grants back, follows members and reach, and watches for endpoints that end under
-// requests, until ctx ends. It returns when what was to give back is given.
+// Run runs the background tasks until ctx ends: it releases grants, follows changes of members and of
+// reachability, and detects endpoints that end under requests. It returns once all pending grants are
+// released.
 func (g *Gateway) Run(ctx context.Context) error {
 	tasks := []daemon.Task{g.followMembers, g.followReach, g.watch.Run, g.tellEnds}
 	for range releaseWorkers {
@@ -144,7 +142,7 @@
 	return daemon.RunAll(ctx, tasks...)
 }
 
-// Handler serves the callers' protocol.
+// Handler returns the HTTP handler for callers.
 func (g *Gateway) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("POST /v1/completions", g.serveModel)
@@ -154,12 +152,12 @@
 	return g.bound(m)
 }
 
-// bound refuses what would be too much to hold.
+// bound refuses requests above MaxInFlight.
 func (g *Gateway) bound(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer g.inFlight.Add(-1)
 		if g.inFlight.Add(1) > int64(g.MaxInFlight) {
-			f := &Failure{Code: CodeOverloaded, Ran: NotRun, Message: "too many requests are held", Retry: g.Spans.Retry}
+			f := &Failure{Code: CodeOverloaded, Ran: NotRun, Message: "too many requests in flight", Retry: g.Spans.Retry}
 			f.write(w, newRequestID())
 			return
 		}
--- a/gateway/keys.go
+++ b/gateway/keys.go
@@ -12,8 +12,9 @@
 	"cairnwick.example/wire"
 )
 
-// runKeyed runs a request. One that is not repeatable, which a key says, runs only
-// when the home of the key lets this attempt run it, and the home is told how it ended.
+// runKeyed runs a request. One with an idempotency key is not repeatable: it runs only after it has
+// claimed the key at the key's home, the scheduler that stores its state, and then reports the
+// outcome there.
 func (g *Gateway) runKeyed(ctx context.Context, key, id string, run func() *Failure) *Failure {
 	if key == "" {
 		return run()
@@ -27,7 +28,7 @@
 	return f
 }
 
-// beginKey claims the key at its home.
+// beginKey claims a key at its home. It retries while the home changes or does not respond.
 func (g *Gateway) beginKey(ctx context.Context, key, id string) (member.Member, *Failure) {
 	asked := clock.Now()
 	until := asked.Add(g.Spans.Key)
@@ -42,14 +43,14 @@
 			return home, keyFailure(state, late, g.Spans.Retry)
 		}
 		if late || ctx.Err() != nil {
-			return home, &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the home of the key does not answer", Retry: g.Spans.Retry}
+			return home, &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the scheduler that stores the key's state does not respond", Retry: g.Spans.Retry}
 		}
 		pause(ctx, failoverPause)
 	}
 }
 
-// keyHome returns the scheduler that keeps a key: one data centre by the key
-// and the configuration, and one scheduler in it.
+// keyHome returns the home of a key: rendezvous hashing selects a data centre of the configuration,
+// and then a scheduler in it.
 func (g *Gateway) keyHome(key string) (member.Member, bool) {
 	centre := policy.First(key, g.Catalog().DataCentres())
 	return pick(key, g.schedulersOf(centre))
@@ -66,28 +67,27 @@
 	return a.GetState()
 }
 
-// keyFailure turns the home's word into the caller's answer; nil lets the
-// request run. A claim that came late is not used, since the home may have
-// changed since it was given.
+// keyFailure converts the home's reply to a failure for the caller; nil: the request may run. A claim
+// that arrives late is not used, since the home may have changed in the meantime.
 func keyFailure(state wire.KeyState, late bool, retry time.Duration) *Failure {
 	switch state {
 	case wire.KeyState_KEY_STATE_CLAIMED:
 		if late {
-			return &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the home of the key answered late", Retry: retry}
+			return &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the scheduler that stores the key's state responded too late", Retry: retry}
 		}
 		return nil
 	case wire.KeyState_KEY_STATE_IN_PROGRESS:
-		return &Failure{Code: CodeKeyInProgress, Ran: Unknown, Message: "another attempt with this key is under way", Retry: retry}
+		return &Failure{Code: CodeKeyInProgress, Ran: Unknown, Message: "another attempt with this key is in progress", Retry: retry}
 	case wire.KeyState_KEY_STATE_RAN:
-		return &Failure{Code: CodeKeyRan, Ran: DidRun, Message: "a request with this key ran"}
+		return &Failure{Code: CodeKeyRan, Ran: DidRun, Message: "a request with this key has been executed"}
 	case wire.KeyState_KEY_STATE_TOO_OLD:
-		return &Failure{Code: CodeKeyTooOld, Ran: Unknown, Message: "this attempt did not run; whether an earlier one with this key did is not known here", Retry: retry}
+		return &Failure{Code: CodeKeyTooOld, Ran: Unknown, Message: "this attempt was not executed; the state of the key is no longer known, so an earlier attempt may have been executed", Retry: retry}
 	}
-	return &Failure{Code: CodeKeyUnknown, Ran: Unknown, Message: "an earlier attempt with this key may have run"}
+	return &Failure{Code: CodeKeyUnknown, Ran: Unknown, Message: "an earlier attempt with this key may have been executed"}
 }
 
-// endKey tells the home how the attempt ended. When the home is not reached the
-// key stays in progress there, which is safe.
+// endKey reports the outcome of an attempt to the key's home. If the call fails, the key stays in
+// progress there, so that no other attempt runs.
 func (g *Gateway) endKey(home member.Member, key, id string, f *Failure) {
 	state := wire.KeyState_KEY_STATE_RAN
 	if f != nil {
@@ -100,6 +100,6 @@
 	defer cancel()
 	_, err := g.Schedulers.Scheduler(home.Address()).EndKey(ctx, &wire.EndKeyRequest{Key: key, Request: id, State: state})
 	if err != nil {
-		g.Log.Info("Home of a key was not told", "key", key, "home", home.Name(), "err", err.Error())
+		g.Log.Info("Outcome of a key could not be reported to its home", "key", key, "home", home.Name(), "err", err.Error())
 	}
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -10,19 +10,17 @@
 	"github.com/frankban/quicktest"
 )
 
-// An engine's owner kept to a limit for good that the engine named no more.
+// An endpoint's owner must not enforce a rate limit forever that the endpoint no longer announces.
 //
-// The order of events: one gateway hears the limit and tells the owner; it ends. The others get their
-// grants at that rate and answers without a limit, but have never heard of one, so that none of them
-// tells the owner that it is over.
-//
-// The cause: a gateway passed over what an answer does not name, unless it had heard a limit itself.
+// One gateway receives the limit, reports it to the owner and ends. The other gateways get grants at that rate
+// and responses without a limit. If a gateway ignored responses without a limit unless it had received one
+// itself, none would tell the owner that the limit is over.
 func TestAGatewayTellsThatALimitIsOverWhichAnotherOneHeard(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Now()
 	var l limits
 	c.Check(l.hear("e1", ratelimit.Limit{}, false, now, now), quicktest.IsFalse)
-	c.Check(l.of("e1", now), quicktest.IsNil) // nobody limits it
+	c.Check(l.of("e1", now), quicktest.IsNil) // the owner enforces no limit either
 	l.hear("e1", ratelimit.Limit{}, true, now.Add(-time.Second), now)
 	w := l.of("e1", now).Word(now)
 	c.Check(w.Limit.Named(), quicktest.IsFalse)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	endedTimeout = time.Second     // for another gateway's answer, which takes a millisecond
-	lookTimeout  = 3 * time.Second // for a look whether an engine ended: some connections, each watched for a part of a second
-	endsBuffer   = 256             // ends that wait to be told; more are counted here alone
+	endedTimeout = time.Second     // for a report to another gateway, which normally takes a millisecond
+	lookTimeout  = 3 * time.Second // for the check whether an engine ended: a few connections, each observed for a fraction of a second
+	endsBuffer   = 256             // reports pending; more are not sent, and count only at this gateway
 )
 
-// Peers tells other daemons.
+// Peers calls other daemons.
 type Peers interface {
-	// TellEnded tells the daemon at an address under which requests endpoints ended.
+	// TellEnded reports endpoints that ended, and the requests that they ran then, to the daemon at an address.
 	TellEnded(ctx context.Context, address string, q *wire.EndedRequest) error
 }
 
-// newWatch returns what finds out which endpoints ended under requests of this gateway.
+// newWatch returns the detector of endpoints that end under requests of this gateway.
 func (g *Gateway) newWatch() *quarantine.Watch {
 	return &quarantine.Watch{
 		HasEnded: func(ctx context.Context, address string) bool {
@@ -37,7 +37,8 @@
 	}
 }
 
-// endpointEnded takes in what this gateway saw, and has the other gateways told.
+// endpointEnded records the end of an endpoint and queues a report to the other gateways; suspects are the
+// requests that may have caused it.
 func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
 	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
 	if len(suspects) == 0 {
@@ -47,18 +48,20 @@
 	select {
 	case g.ends <- &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(suspects)}:
 	default:
-		g.Log.Info("End of an endpoint is not told to others: too many wait", "endpoint", endpoint)
+		g.Log.Info("Report of an endpoint's end dropped: too many reports pending", "endpoint", endpoint)
 	}
 }
 
-// Ended takes in what another gateway of the data centre saw. Each counts by itself, so the first
-// three endpoints of a data centre are what a request can end there.
+// Ended records the reports of another gateway of the data centre. Each data centre counts for itself, so a
+// request can end three endpoints in each before it is quarantined there.
 func (g *Gateway) Ended(q *wire.EndedRequest) {
 	for _, e := range q.GetEnds() {
 		g.count(e.GetEndpoint(), quarantine.Decode(e.GetContents()), time.Now())
 	}
 }
 
+// count counts the end of an endpoint against the requests that it ran, and quarantines those that have
+// reached the limit.
 func (g *Gateway) count(endpoint string, contents []quarantine.Content, now time.Time) {
 	for _, c := range g.tracker.Note(endpoint, contents, now) {
 		until := now.Add(quarantine.KeptFor)
@@ -67,20 +70,20 @@
 	}
 }
 
-// quarantined refuses a request under which endpoints ended; nil: it may run.
+// quarantined returns the failure of a quarantined request; nil: it may be sent.
 func (g *Gateway) quarantined(c quarantine.Content) *Failure {
 	left, kept := g.tracker.Kept().Left(c, time.Now())
 	if !kept {
 		return nil
 	}
-	return &Failure{Code: CodeQuarantined, Ran: NotRun, Message: "endpoints ended while they ran such a request", Retry: left}
+	return &Failure{Code: CodeQuarantined, Ran: NotRun, Message: "endpoints ended while they ran requests with this content", Retry: left}
 }
 
-// expirePause is between two looks for requests that need not be kept away any more.
+// expirePause is the time between two checks for quarantines that have ended.
 const expirePause = 10 * time.Second
 
-// tellEnds tells the other gateways which endpoints ended, and forgets requests whose time is over,
-// until ctx ends.
+// tellEnds sends pending reports to the other gateways and removes quarantines that have ended, until ctx
+// ends.
 func (g *Gateway) tellEnds(ctx context.Context) error {
 	expire := time.NewTicker(expirePause)
 	defer expire.Stop()
@@ -98,7 +101,8 @@
 	}
 }
 
-// tellEnd tells each other gateway once. One that is not reached counts what it sees itself.
+// tellEnd sends a report to all other gateways, without retries: one that it does not reach still counts the
+// ends that it detects itself.
 func (g *Gateway) tellEnd(ctx context.Context, q *wire.EndedRequest) {
 	told := make(chan struct{})
 	calls := 0
@@ -121,10 +125,10 @@
 	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
 	defer cancel()
 	if err := g.Peers.TellEnded(ctx, m.Address(), q); err != nil {
-		g.Log.Info("Gateway was not told under which requests endpoints ended", "member", m.Name(), "err", err.Error())
+		g.Log.Info("Report of an endpoint's end could not be sent", "member", m.Name(), "err", err.Error())
 	}
 }
 
-// lifeOf names the life of an endpoint that a grant is for: who owns it raises the fence each time
-// that it has started again.
+// lifeOf identifies the incarnation of an endpoint that a grant is for: the owner increments the fencing
+// token when the endpoint has restarted.
 func lifeOf(h heldGrant) string { return fmt.Sprintf("%s under %s", h.endpoint, h.grant.GetFence()) }
--- a/gateway/reach.go
+++ b/gateway/reach.go
@@ -12,17 +12,17 @@
 	"cairnwick.example/wire"
 )
 
-// reach knows which other data centres answer. It is safe for concurrent use.
+// reach tracks which other data centres are reachable. It is safe for concurrent use.
 type reach struct {
 	mu    sync.Mutex
-	until map[string]time.Time // by data centre: how long the last answered ping vouches for it
+	until map[string]time.Time // by data centre: when the last reply from it expires
 }
 
 const (
 	pingInterval = time.Second
 	pingTimeout  = 700 * time.Millisecond
-	reachFor     = 3 * time.Second // a data centre that is silent so long can't be reached
-	farBeats     = 5               // pings to the own region for each one to another region
+	reachFor     = 3 * time.Second // how long a reply shows that a data centre is reachable
+	farBeats     = 5               // only one ping round in so many includes other regions
 	farReachFor  = (farBeats + 2) * pingInterval
 )
 
@@ -34,7 +34,7 @@
 	return now.Before(r.until[centre])
 }
 
-// note remembers that an answer of the data centre vouches for it until then.
+// note records that a data centre replied and counts as reachable until then.
 func (r *reach) note(centre string, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// all returns the data centres that can be reached.
+// all returns the reachable data centres.
 func (r *reach) all(now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,8 +56,8 @@
 	return list
 }
 
-// followReach pings one scheduler of each other data centre, and ends calls to
-// those that can't be reached.
+// followReach pings one scheduler of each other data centre at intervals, and cancels calls to
+// those that are unreachable.
 func (g *Gateway) followReach(ctx context.Context) error {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -72,8 +72,7 @@
 	}
 }
 
-// pingAll pings the data centres of the own region, and with far those of the
-// others.
+// pingAll pings the data centres of this gateway's region, and with far also those of other regions.
 func (g *Gateway) pingAll(ctx context.Context, far bool) {
 	c := g.Catalog()
 	if c == nil {
@@ -84,7 +83,7 @@
 		near := c.Region(n) == c.Region(g.Centre)
 		switch {
 		case n == g.Centre || g.reach.reached(n, clock.Now().Add(reachFor-pingInterval)):
-			// the own one, or one that answered a request just now
+			// this gateway's own, or one that replied to a call within the last interval
 		case near:
 			all.Go(func() { g.ping(ctx, n, reachFor) })
 		case far:
--- a/gateway/release.go
+++ b/gateway/release.go
@@ -10,16 +10,16 @@
 	"cairnwick.example/wire"
 )
 
-// release is a grant to give back.
+// release is a grant to release.
 type release struct {
 	owner   member.Member
 	request *wire.ReleaseRequest
 }
 
-// releaseTimeout bounds one try to tell a scheduler how a grant or a key ended.
+// releaseTimeout limits one Release or EndKey call.
 const releaseTimeout = 2 * time.Second
 
-// releaseWorker gives grants back one after another until ctx ends and none is left.
+// releaseWorker releases grants until ctx ends and none is pending.
 func (g *Gateway) releaseWorker(ctx context.Context) error {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// drainReleases gives back what is left when the gateway ends.
+// drainReleases releases the grants that are pending at shutdown.
 func (g *Gateway) drainReleases() error {
 	for {
 		select {
@@ -43,18 +43,18 @@
 	}
 }
 
-// giveBack tells the scheduler once. When that fails the scheduler finds out by
-// the endpoint's report that the grant is over.
+// giveBack releases a grant, without retries: if the call fails, the scheduler learns from the
+// endpoint's report that the request has ended.
 func (g *Gateway) giveBack(r release) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	_, err := g.Schedulers.Scheduler(r.owner.Address()).Release(ctx, r.request)
 	if err != nil {
-		g.Log.V(1).Info("Grant was not given back", "scheduler", r.owner.Name(), "err", err.Error())
+		g.Log.V(1).Info("Grant could not be released", "scheduler", r.owner.Name(), "err", err.Error())
 	}
 }
 
-// release hands a grant to a worker, or gives it back itself when all are busy.
+// release queues a grant for the workers, or releases it itself if the queue is full.
 func (g *Gateway) release(owner member.Member, q *wire.ReleaseRequest) {
 	g.beliefs.count(q.GetEndpoint(), -1)
 	r := release{owner: owner, request: q}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -16,21 +16,21 @@
 	"github.com/pkg/errors"
 )
 
-// call is one caller's call of a plain service, with its body in memory so
-// that it can be sent again where that is allowed.
+// call is a caller's call to a plain service. Its body is in memory, so that it can be retried
+// if that is allowed.
 type call struct {
 	id         string
 	key        string
 	service    catalog.Service
 	method     string
-	path       string // with its query
+	path       string // including the query
 	header     http.Header
 	body       []byte
 	content    quarantine.Content
 	repeatable bool
 }
 
-// serveService routes a call to a plain service.
+// serveService serves a call to a plain service.
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
 	id := newRequestID()
 	w.Header().Set(RequestHeader, id)
@@ -47,6 +47,7 @@
 	g.stats.Codes.Observe("ok", clock.Since(begun))
 }
 
+// readCall parses a call to a plain service.
 func (g *Gateway) readCall(w http.ResponseWriter, r *http.Request, id string) (*call, *Failure) {
 	k := g.Catalog()
 	if k == nil {
@@ -77,12 +78,12 @@
 	return c, nil
 }
 
-// callService sends a call to one address after another, as long as it provably
-// did not run or may run again.
+// callService tries the addresses of a service in random order, as long as the call has provably not
+// been executed or is repeatable, and the retry budget allows it.
 func (g *Gateway) callService(ctx context.Context, c *call, out *answer) *Failure {
 	addresses := c.service.Addresses()
 	var last *Failure
-	unsure := false // an earlier attempt may have run
+	unsure := false // an earlier attempt may have been executed
 	for n, i := range rand.Perm(len(addresses)) {
 		if n > 0 && !g.Retries.Take() {
 			return last
@@ -123,7 +124,7 @@
 	body, whole := readWhole(a)
 	if !whole {
 		g.watchCall(ctx, c, address)
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the answer of " + c.service.Name() + " broke off", Retry: g.Spans.Retry}
+		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the response of " + c.service.Name() + " was truncated or too large", Retry: g.Spans.Retry}
 	}
 	g.Retries.Success()
 	g.watch.Answered(c.content, clock.Now())
@@ -132,8 +133,8 @@
 	return nil
 }
 
-// watchCall has the address looked at that broke off an answer. Nothing tells the lives of a service
-// apart that start at one address, so each call that is cut off stands for one.
+// watchCall has the termination detector check an address that broke off a response. Incarnations of a
+// service at one address cannot be told apart, so each call that breaks off counts as one of its own.
 func (g *Gateway) watchCall(ctx context.Context, c *call, address string) {
 	if ctx.Err() == nil {
 		g.watch.Cut(address+" under "+c.id, address, c.content)
@@ -148,14 +149,14 @@
 	} else {
 		g.watchCall(ctx, c, address)
 	}
-	return &Failure{Code: CodeLost, Ran: ran, Message: c.service.Name() + " gave no answer", Retry: g.Spans.Retry}
+	return &Failure{Code: CodeLost, Ran: ran, Message: c.service.Name() + " sent no response", Retry: g.Spans.Retry}
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders apply to a single connection and are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
-	KeyHeader: true, // would let an HTTP client on the way send again by itself
+	KeyHeader: true, // with it, net/http and other clients retry a request by themselves
 }
 
 func copyHeader(to, from http.Header) {
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// The options of a gateway.
+// The names of a gateway's settings.
 const (
 	optListen    = "callers_listen"
 	optPlacement = "placement"
@@ -32,7 +32,7 @@
 	optBurst     = "retry_burst"
 )
 
-// Options is the table of a gateway's settings.
+// Options describes the settings of a gateway.
 var Options = daemon.Options(settings.Table{
 	{Name: optListen, Kind: settings.Address, Required: true, Help: "address for callers"},
 	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "homes, hash, least_loaded or random"},
@@ -49,10 +49,11 @@
 	{Name: optBurst, Kind: settings.Number, Default: 10.0, Help: "retries allowed at once"},
 })
 
-// idlePerEndpoint spares so many requests that come at once the opening of a connection.
+// idlePerEndpoint is the number of idle connections kept per endpoint, so that bursts up to that size need
+// no new connections.
 const idlePerEndpoint = 64
 
-// Serve runs a gateway with checked settings until ctx ends.
+// Serve runs a gateway until ctx ends. The settings have been validated against Options.
 func Serve(ctx context.Context, v settings.Values) error {
 	place, err := policy.NewPlacement(v.Text(optPlacement))
 	if err != nil {
@@ -96,7 +97,7 @@
 	g.publish()
 	l, err := net.Listen("tcp", v.Text(optListen))
 	if err != nil {
-		return errors.Wrap(err, "gateway: callers' port")
+		return errors.Wrap(err, "gateway: listen for callers")
 	}
 	n.Leave = g.Leave
 	n.OnEnded = g.Ended
@@ -106,7 +107,7 @@
 	return n.Run(ctx)
 }
 
-// publish exports the gateway's figures.
+// publish exports the gateway's metrics.
 func (g *Gateway) publish() {
 	expvar.Publish("gateway_total", g.stats.Total)
 	expvar.Publish("gateway_callers", g.stats.Callers)
