--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -35,17 +35,17 @@
 // Options describes the settings of a gateway.
 var Options = daemon.Options(settings.Table{
 	{Name: optListen, Kind: settings.Address, Required: true, Help: "address for callers"},
-	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "homes, hash, least_loaded or random"},
-	{Name: optScope, Kind: settings.Text, Default: ScopeRegion, Help: "how far an adapter's homes spread: data_centre or region"},
-	{Name: optFailover, Kind: settings.Duration, Default: 4 * time.Second, Help: "how long a request looks for a scheduler that answers"},
-	{Name: optKeyWait, Kind: settings.Duration, Default: time.Second, Help: "longest wait for the home of a key"},
-	{Name: optRetry, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "when refused callers should come back, where nothing better is known"},
-	{Name: optResume, Kind: settings.Duration, Default: time.Second, Help: "longest wait before a cut stream goes on"},
-	{Name: optIdle, Kind: settings.Duration, Default: 30 * time.Second, Least: 10 * time.Millisecond, Help: "a stream that is silent so long is taken for cut"},
-	{Name: optMaxBody, Kind: settings.Count, Default: 1 << 20, Least: 1, Help: "largest body of a caller, in bytes"},
-	{Name: optInFlight, Kind: settings.Count, Default: 4096, Least: 1, Help: "requests held at a time"},
-	{Name: optPrefixes, Kind: settings.Count, Default: 8192, Help: "prompts' beginnings whose endpoint is remembered, since its cache may be warm; 0: none"},
-	{Name: optShare, Kind: settings.Number, Default: 0.1, Help: "retries allowed for each success"},
+	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "placement policy: homes, hash, least_loaded or random"},
+	{Name: optScope, Kind: settings.Text, Default: ScopeRegion, Help: "where the endpoints of an adapter are preferred: data_centre or region"},
+	{Name: optFailover, Kind: settings.Duration, Default: 4 * time.Second, Help: "timeout for finding a scheduler that responds"},
+	{Name: optKeyWait, Kind: settings.Duration, Default: time.Second, Help: "timeout for claiming an idempotency key at the scheduler that stores its state"},
+	{Name: optRetry, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "default Retry-After for refused requests"},
+	{Name: optResume, Kind: settings.Duration, Default: time.Second, Help: "timeout for resuming a stream that broke off"},
+	{Name: optIdle, Kind: settings.Duration, Default: 30 * time.Second, Least: 10 * time.Millisecond, Help: "idle timeout of a stream"},
+	{Name: optMaxBody, Kind: settings.Count, Default: 1 << 20, Least: 1, Help: "largest request body, in bytes"},
+	{Name: optInFlight, Kind: settings.Count, Default: 4096, Least: 1, Help: "requests in flight; more are refused"},
+	{Name: optPrefixes, Kind: settings.Count, Default: 8192, Help: "prompt prefixes whose last endpoint is remembered, since its cache may still hold them; 0: none"},
+	{Name: optShare, Kind: settings.Number, Default: 0.1, Help: "retries allowed per successful request"},
 	{Name: optBurst, Kind: settings.Number, Default: 10.0, Help: "retries allowed at once"},
 })
 
