--- a/daemon/boxes.go
+++ b/daemon/boxes.go
@@ -65,7 +65,7 @@
 	return b.list
 }
 
-// Schedulers implements gateway.Remote.
+// Schedulers implements gateway.Directory.
 func (b *Boxes) Schedulers(dataCentre string) []member.Member {
 	var list []member.Member
 	for _, x := range b.List() {
--- a/daemon/dialer.go
+++ b/daemon/dialer.go
@@ -91,7 +91,7 @@
 // Close closes every connection.
 func (d *Dialer) Close() { d.Keep(nil) }
 
-// Scheduler implements gateway.Schedulers.
+// Scheduler implements gateway.SchedulerClients.
 func (d *Dialer) Scheduler(address string) wire.SchedulerClient {
 	return wire.NewSchedulerClient(d.Conn(address))
 }
@@ -101,8 +101,8 @@
 	return peer{client: wire.NewPeerClient(d.Conn(address))}
 }
 
-// TellEnded implements gateway.Peers.
-func (d *Dialer) TellEnded(ctx context.Context, address string, q *wire.EndedRequest) error {
+// ReportEnded implements gateway.Peers.
+func (d *Dialer) ReportEnded(ctx context.Context, address string, q *wire.EndedRequest) error {
 	_, err := wire.NewPeerClient(d.Conn(address)).Ended(ctx, q)
 	return errors.Wrap(err, "daemon: tell of ended endpoints")
 }
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -15,94 +15,94 @@
 
 // acquire requests a grant from the endpoint's owner. While ownership changes, it retries until
 // the failover timeout.
-func (g *Gateway) acquire(ctx context.Context, q *request, endpoint, centre string) (heldGrant, *Failure) {
-	limit := g.Spans.Failover
-	if centre != g.Centre {
-		limit = farFailover // rather try the next endpoint than search long in another data centre
+func (g *Gateway) acquire(ctx context.Context, q *request, endpoint, dataCentre string) (heldGrant, *Failure) {
+	timeout := g.Timeouts.Failover
+	if dataCentre != g.DataCentre {
+		timeout = remoteFailover // rather try the next endpoint than search long in another data centre
 	}
-	until := clock.Now().Add(min(limit, q.left()))
+	deadline := clock.Now().Add(min(timeout, q.remaining()))
 	hint := "" // the owner, as named by a scheduler that is not
 	for {
-		if owner, ok := g.ownerOf(endpoint, centre, hint); ok {
-			h, refusal := g.askFor(ctx, q, owner, endpoint)
+		if owner, ok := g.ownerOf(endpoint, dataCentre, hint); ok {
+			h, refusal := g.requestGrant(ctx, q, owner, endpoint)
 			if h.grant != nil {
 				return h, nil
 			}
-			if refusal != nil && !ownerUnsettled(refusal.GetReason()) {
-				return heldGrant{}, g.refusal(q, endpoint, refusal)
+			if refusal != nil && !isOwnershipChanging(refusal.GetReason()) {
+				return heldGrant{}, g.refusalFailure(q, endpoint, refusal)
 			}
 			hint = refusal.GetOwner()
 		}
-		if ctx.Err() != nil || clock.Now().After(until) {
-			return heldGrant{}, &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no scheduler that owns " + endpoint + " responded", Retry: g.Spans.Retry}
+		if ctx.Err() != nil || clock.Now().After(deadline) {
+			return heldGrant{}, &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no scheduler that owns " + endpoint + " responded", RetryAfter: g.RetryAfter}
 		}
-		pause(ctx, failoverPause)
+		sleep(ctx, failoverInterval)
 	}
 }
 
-// askFor requests a grant once and caches the endpoint's state from the reply. If the call fails,
+// requestGrant requests a grant once and caches the endpoint's state from the reply. If the call fails,
 // it returns neither a grant nor a refusal.
-func (g *Gateway) askFor(ctx context.Context, q *request, owner member.Member, endpoint string) (heldGrant, *wire.Refusal) {
-	asked := clock.Now()
-	a, err := g.ask(ctx, q, owner, endpoint)
+func (g *Gateway) requestGrant(ctx context.Context, q *request, owner member.Member, endpoint string) (heldGrant, *wire.Refusal) {
+	sentAt := clock.Now()
+	reply, err := g.callAcquire(ctx, q, owner, endpoint)
 	if err != nil {
 		return heldGrant{}, nil
 	}
-	g.beliefs.hear(endpoint, q.model.String(), a.GetFacts(), clock.Now())
-	grant := a.GetGrant()
+	g.states.update(endpoint, q.model.String(), reply.GetFacts(), clock.Now())
+	grant := reply.GetGrant()
 	if grant == nil {
-		return heldGrant{}, a.GetRefusal()
+		return heldGrant{}, reply.GetRefusal()
 	}
-	g.beliefs.count(endpoint, 1)
-	sendBy := asked.Add(time.Duration(grant.GetSendMicros()) * time.Microsecond)
+	g.states.addGrants(endpoint, 1)
+	sendBy := sentAt.Add(time.Duration(grant.GetSendMicros()) * time.Microsecond)
 	return heldGrant{owner: owner, grant: grant, endpoint: endpoint, sendBy: sendBy}, nil
 }
 
-// ask calls Acquire at the owner. If the call fails the owner is probed, so that a dead one is
+// callAcquire calls Acquire at the owner. If the call fails the owner is probed, so that a dead one is
 // detected sooner.
-func (g *Gateway) ask(ctx context.Context, q *request, owner member.Member, endpoint string) (*wire.AcquireReply, error) {
+func (g *Gateway) callAcquire(ctx context.Context, q *request, owner member.Member, endpoint string) (*wire.AcquireReply, error) {
 	target := owner.Name()
-	if owner.DataCentre() != g.Centre {
-		target = centreKey(owner.DataCentre())
+	if owner.DataCentre() != g.DataCentre {
+		target = dataCentreTarget(owner.DataCentre())
 	}
-	call, cancel := g.calls.with(ctx, target)
+	call, cancel := g.calls.withTarget(ctx, target)
 	defer cancel()
-	a, err := g.Schedulers.Scheduler(owner.Address()).Acquire(call, &wire.AcquireRequest{
+	reply, err := g.Schedulers.Scheduler(owner.Address()).Acquire(call, &wire.AcquireRequest{
 		Request:    q.id,
 		Endpoint:   endpoint,
 		Adapter:    q.model.String(),
 		Class:      q.class.Name(),
 		Caller:     q.caller,
-		WaitMicros: q.mayWait().Microseconds(),
+		WaitMicros: q.maxWait().Microseconds(),
 		Revision:   q.catalog.Revision(),
 		Box:        g.Name,
 		Width:      int32(q.width),
-		Limit:      g.limits.of(endpoint, clock.Now()),
+		Limit:      g.limits.get(endpoint, clock.Now()),
 	})
-	if err == nil && owner.DataCentre() != g.Centre {
-		g.reach.note(owner.DataCentre(), clock.Now().Add(reachFor))
+	if err == nil && owner.DataCentre() != g.DataCentre {
+		g.reachability.extend(owner.DataCentre(), clock.Now().Add(reachableTTL))
 	}
 	if err != nil && ctx.Err() == nil && status.Code(err) != codes.Canceled {
 		g.Probe(owner.Name())
 	}
-	return a, err
+	return reply, err
 }
 
-// ownerUnsettled reports whether a refusal means that the owner is about to change or has just
+// isOwnershipChanging reports whether a refusal means that the owner is about to change or has just
 // changed, so that a retry shortly after may succeed.
-func ownerUnsettled(r wire.Reason) bool {
+func isOwnershipChanging(r wire.Reason) bool {
 	return r == wire.Reason_REASON_NOT_OWNER || r == wire.Reason_REASON_NOT_READY
 }
 
-// refusal converts a scheduler's refusal to a failure for the caller.
-func (g *Gateway) refusal(q *request, endpoint string, r *wire.Refusal) *Failure {
-	retry := time.Duration(r.GetRetryMicros()) * time.Microsecond
-	f := &Failure{Ran: NotRun, Retry: max(retry, time.Millisecond)}
+// refusalFailure converts a scheduler's refusal to a failure for the caller.
+func (g *Gateway) refusalFailure(q *request, endpoint string, r *wire.Refusal) *Failure {
+	retryAfter := time.Duration(r.GetRetryMicros()) * time.Microsecond
+	f := &Failure{Ran: NotRun, RetryAfter: max(retryAfter, time.Millisecond)}
 	switch r.GetReason() {
 	case wire.Reason_REASON_DEADLINE:
-		f.Code, f.Message = CodeDeadline, "the expected wait exceeds the limit of the class or the deadline"
+		f.Code, f.Message = CodeDeadlineUnreachable, "the expected wait exceeds the limit of the class or the deadline"
 	case wire.Reason_REASON_NO_WAIT:
-		f.Code, f.Message = CodeNoWait, "no free capacity, and class "+q.class.Name()+" does not queue"
+		f.Code, f.Message = CodeNoCapacity, "no free capacity, and class "+q.class.Name()+" does not queue"
 	case wire.Reason_REASON_QUEUE_FULL:
 		f.Code, f.Message = CodeQueueFull, "the queue is full"
 	case wire.Reason_REASON_LOAD_FAILED:
@@ -124,11 +124,11 @@
 	owner    member.Member
 	grant    *wire.Grant
 	endpoint string
-	sendBy   time.Time // the request must be sent before
+	sendBy   time.Time // when the grant expires if the request has not been sent
 }
 
-// pause sleeps for d, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep returns after d, or when ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -18,169 +18,170 @@
 )
 
 const (
-	cancelTimeout = 2 * time.Second
-	maxWhole      = 16 << 20 // bytes of a response that is not streamed
-	maxRefusal    = 64 << 10 // bytes read of an endpoint's error response
+	cancelTimeout   = 2 * time.Second
+	maxBufferedBody = 16 << 20 // bytes of a response that is not streamed
+	maxErrorBody    = 64 << 10 // bytes read of an endpoint's error response
 )
 
 // attempt sends the request once to the endpoint of a grant, and releases the grant.
-func (g *Gateway) attempt(ctx context.Context, q *request, out *answer, h heldGrant) *Failure {
+func (g *Gateway) attempt(ctx context.Context, q *request, out *callerResponse, h heldGrant) *Failure {
 	q.attempts++
-	begun := clock.Now()
-	g.stats.Stall.Observe(q.class.Name(), time.Duration(h.grant.GetLoadMicros())*time.Microsecond)
+	startedAt := clock.Now()
+	g.stats.LoadStall.Observe(q.class.Name(), time.Duration(h.grant.GetLoadMicros())*time.Microsecond)
 	r := &wire.ReleaseRequest{Endpoint: h.endpoint, Id: h.grant.GetId()}
 	f := g.send(ctx, q, out, h, r)
-	g.watchAttempt(ctx, q, h, f)
+	g.reportAttempt(ctx, q, h, f)
 	if f == nil {
-		g.Retries.Success()
-		g.prefixes.note(q.prefix, h.endpoint, clock.Now())
+		g.RetryBudget.Success()
+		g.prefixes.record(q.prefix, h.endpoint, clock.Now())
 	} else if f.Ran != NotRun {
-		q.unsure = true
+		q.mayHaveRun = true
 	}
-	r.ServiceMicros = clock.Since(begun).Microseconds()
+	r.ServiceMicros = clock.Since(startedAt).Microseconds()
 	g.release(h.owner, r)
 	g.recordAttempt(q, h, f)
 	return f
 }
 
-// watchAttempt reports the outcome to the termination detector: a response that broke off has it check the
+// reportAttempt reports the outcome to the termination detector: a response that broke off has it check the
 // endpoint, and a request that was answered is not suspected.
-func (g *Gateway) watchAttempt(ctx context.Context, q *request, h heldGrant, f *Failure) {
+func (g *Gateway) reportAttempt(ctx context.Context, q *request, h heldGrant, f *Failure) {
 	switch {
 	case f == nil:
-		g.watch.Answered(q.content, clock.Now())
-	case ctx.Err() == nil && f.Ran == Unknown && (f.Code == CodeLost || f.Code == CodeCut):
-		g.watch.Cut(lifeOf(h), h.grant.GetAddress(), q.content)
+		g.watcher.Answered(q.content, clock.Now())
+	case ctx.Err() == nil && f.Ran == Unknown && (f.Code == CodeNoResponse || f.Code == CodeTruncated):
+		g.watcher.Cut(incarnationOf(h), h.grant.GetAddress(), q.content)
 	}
 }
 
 // send sends the request and relays the response. It sets in r what the scheduler needs to know
 // about the outcome.
-func (g *Gateway) send(ctx context.Context, q *request, out *answer, h heldGrant, r *wire.ReleaseRequest) *Failure {
-	run := fmt.Sprintf("%s.%d", q.id, q.attempts)
-	live, stop, beat := g.watchdog(ctx, q)
+func (g *Gateway) send(ctx context.Context, q *request, out *callerResponse, h heldGrant, r *wire.ReleaseRequest) *Failure {
+	runID := fmt.Sprintf("%s.%d", q.id, q.attempts)
+	attemptCtx, stop, resetIdle := g.attemptContext(ctx, q)
 	defer stop()
-	e, err := g.engineRequest(live, q, h, run)
+	req, err := g.engineRequest(attemptCtx, q, h, runID)
 	if err != nil {
 		r.Outcome = wire.Outcome_OUTCOME_NOT_SENT
 		return badRequest("body: %v", err)
 	}
-	sent := clock.Now()
-	a, err := engine.Send(g.Engines, e, h.sendBy)
+	sentAt := clock.Now()
+	resp, err := engine.Send(g.EngineClient, req, h.sendBy)
 	if err != nil {
-		return g.lost(live, h, run, r, err)
+		return g.sendFailure(attemptCtx, h, runID, r, err)
 	}
-	defer a.Body.Close()
-	g.hearLimit(h, a.Header, sent, clock.Now())
-	r.Leaving = a.Header.Get(engine.LeavingHeader) == "1"
-	r.Fence = a.Header.Get(engine.FenceHeader)
-	r.Boot = a.Header.Get(engine.BootHeader)
-	if a.StatusCode >= http.StatusBadRequest {
-		return g.refusedByEndpoint(h, a, r)
+	defer resp.Body.Close()
+	g.observeLimit(h, resp.Header, sentAt, clock.Now())
+	r.Leaving = resp.Header.Get(engine.LeavingHeader) == "1"
+	r.Fence = resp.Header.Get(engine.FenceHeader)
+	r.Boot = resp.Header.Get(engine.BootHeader)
+	if resp.StatusCode >= http.StatusBadRequest {
+		return g.endpointFailure(h, resp, r)
 	}
 	out.Header().Set(EndpointHeader, h.endpoint)
 	out.Header().Set(WaitedHeader, strconv.FormatInt(h.grant.GetWaitedMicros()/1000, 10))
 	out.Header().Set(StallHeader, strconv.FormatInt(h.grant.GetLoadMicros()/1000, 10))
 	if q.stream {
-		return g.passStream(ctx, out, stream{held: h, run: run, beat: beat}, a, r)
+		return g.relayStream(ctx, out, streamRun{held: h, runID: runID, resetIdle: resetIdle}, resp, r)
 	}
-	return g.passWhole(live, out, h, run, a, r)
+	return g.relayComplete(attemptCtx, out, h, runID, resp, r)
 }
 
-// watchdog returns the context of an attempt. For a stream it ends after an idle timeout, which
-// beat restarts. For any other response it ends at the request's deadline.
-func (g *Gateway) watchdog(ctx context.Context, q *request) (live context.Context, stop func(), beat func()) {
+// attemptContext returns the context of an attempt. For a stream it ends after an idle timeout, which
+// resetIdle restarts. For any other response it ends at the request's deadline.
+func (g *Gateway) attemptContext(ctx context.Context, q *request) (attemptCtx context.Context, stop func(), resetIdle func()) {
 	if !q.stream {
-		live, cancel := context.WithDeadline(ctx, clock.Timer(q.deadline))
-		return live, cancel, func() {}
+		attemptCtx, cancel := context.WithDeadline(ctx, clock.Timer(q.deadline))
+		return attemptCtx, cancel, func() {}
 	}
-	live, cancel := context.WithCancel(ctx)
-	timer := time.AfterFunc(g.Spans.Idle, cancel)
+	attemptCtx, cancel := context.WithCancel(ctx)
+	timer := time.AfterFunc(g.Timeouts.Idle, cancel)
 	stop = func() {
 		timer.Stop()
 		cancel()
 	}
-	return live, stop, func() { timer.Reset(g.Spans.Idle) }
+	return attemptCtx, stop, func() { timer.Reset(g.Timeouts.Idle) }
 }
 
-func (g *Gateway) engineRequest(ctx context.Context, q *request, h heldGrant, run string) (*http.Request, error) {
+// engineRequest returns the request to the endpoint; runID identifies the execution there.
+func (g *Gateway) engineRequest(ctx context.Context, q *request, h heldGrant, runID string) (*http.Request, error) {
 	body, err := q.engineBody(h.grant.GetPriority())
 	if err != nil {
 		return nil, err
 	}
-	e, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.grant.GetAddress()+q.path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+h.grant.GetAddress()+q.path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	e.Header.Set("Content-Type", "application/json")
-	e.Header.Set(engine.RequestHeader, run)
+	req.Header.Set("Content-Type", "application/json")
+	req.Header.Set(engine.RequestHeader, runID)
 	if q.key != "" {
-		e.Header.Set(engine.KeyHeader, q.key)
+		req.Header.Set(engine.KeyHeader, q.key)
 	}
-	return e, nil
+	return req, nil
 }
 
-// lost returns the failure of an attempt that got no response.
-func (g *Gateway) lost(ctx context.Context, h heldGrant, run string, r *wire.ReleaseRequest, err error) *Failure {
-	var l *engine.LostError
-	if errors.As(err, &l) && !l.Sent {
+// sendFailure returns the failure of an attempt that got no response.
+func (g *Gateway) sendFailure(ctx context.Context, h heldGrant, runID string, r *wire.ReleaseRequest, err error) *Failure {
+	var lost *engine.LostError
+	if errors.As(err, &lost) && !lost.Sent {
 		r.Outcome = wire.Outcome_OUTCOME_NOT_SENT
-		code := CodeLost
+		code := CodeNoResponse
 		if errors.Is(err, engine.ErrExpired) {
-			code = CodeRefused // may be retried here: the next grant may still be valid when the request is sent
+			code = CodeRefusedByEndpoint // may be retried here: the next grant may still be valid when the request is sent
 		}
-		return &Failure{Code: code, Ran: NotRun, Message: "request was not sent to " + h.endpoint, Retry: g.Spans.Retry}
+		return &Failure{Code: code, Ran: NotRun, Message: "request was not sent to " + h.endpoint, RetryAfter: g.RetryAfter}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
 	if ctx.Err() != nil {
-		g.cancel(h, run, r)
+		g.cancelExecution(h, runID, r)
 	}
-	return &Failure{Code: CodeLost, Ran: Unknown, Message: h.endpoint + " sent no response", Retry: g.Spans.Retry}
+	return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: h.endpoint + " sent no response", RetryAfter: g.RetryAfter}
 }
 
-// cancel cancels an execution at the endpoint after its caller has left or its time is over.
-func (g *Gateway) cancel(h heldGrant, run string, r *wire.ReleaseRequest) {
+// cancelExecution cancels an execution at the endpoint after its caller has left or its time is over.
+func (g *Gateway) cancelExecution(h heldGrant, runID string, r *wire.ReleaseRequest) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
-	c := &engine.Client{Address: h.grant.GetAddress(), HTTP: g.Engines}
-	if err := c.Cancel(ctx, run); err != nil {
-		g.Log.V(1).Info("Execution could not be cancelled", "request", run, "endpoint", h.endpoint, "err", err.Error())
+	c := &engine.Client{Address: h.grant.GetAddress(), HTTP: g.EngineClient}
+	if err := c.Cancel(ctx, runID); err != nil {
+		g.Log.V(1).Info("Execution could not be cancelled", "request", runID, "endpoint", h.endpoint, "err", err.Error())
 		return
 	}
 	r.Outcome = wire.Outcome_OUTCOME_REFUSED // it has ended, and its duration must not count as a service time
 }
 
-// refusedByEndpoint reads an error response of the endpoint.
-func (g *Gateway) refusedByEndpoint(h heldGrant, a *http.Response, r *wire.ReleaseRequest) *Failure {
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxRefusal))
+// endpointFailure reads an error response of the endpoint.
+func (g *Gateway) endpointFailure(h heldGrant, resp *http.Response, r *wire.ReleaseRequest) *Failure {
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the error response of " + h.endpoint + " was truncated"}
+		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: "the error response of " + h.endpoint + " was truncated"}
 	}
-	e := engine.Refusal(a, text)
-	if !e.NotRun() {
+	refused := engine.Refusal(resp, text)
+	if !refused.NotRun() {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: e.Message, Retry: e.Retry}
+		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: refused.Message, RetryAfter: refused.Retry}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_REFUSED
-	r.NotLoaded = e.Code == engine.CodeNotLoaded
-	r.Busy = e.Code == engine.CodeBusy
-	r.Leaving = r.Leaving || e.Code == engine.CodeLeaving
-	if e.Code == engine.CodeBusy {
-		g.hearBackoff(h.endpoint, e.Retry)
+	r.NotLoaded = refused.Code == engine.CodeNotLoaded
+	r.Busy = refused.Code == engine.CodeBusy
+	r.Leaving = r.Leaving || refused.Code == engine.CodeLeaving
+	if refused.Code == engine.CodeBusy {
+		g.observeBackoff(h.endpoint, refused.Retry)
 	}
-	switch e.Code {
+	switch refused.Code {
 	case engine.CodeBadRequest:
-		return badRequest("%s", e.Message)
+		return badRequest("%s", refused.Message)
 	case engine.CodeLeaving:
-		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: e.Message, Retry: max(e.Retry, time.Second)}
+		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.Retry, time.Second)}
 	}
-	return &Failure{Code: CodeRefused, Ran: NotRun, Message: e.Message, Retry: max(e.Retry, time.Second)}
+	return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.Retry, time.Second)}
 }
 
 // recordAttempt records the outcome of an attempt as a decision.
 func (g *Gateway) recordAttempt(q *request, h heldGrant, f *Failure) {
-	d := g.decision(q, "run", time.Now())
+	d := g.newDecision(q, "run", time.Now())
 	d.Endpoint = h.endpoint
 	d.Reason = h.grant.GetReason()
 	d.WaitedMicros = h.grant.GetWaitedMicros()
@@ -188,5 +189,5 @@
 	if f != nil {
 		d.Detail = f.detail()
 	}
-	g.Record.Add(d)
+	g.Decisions.Add(d)
 }
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -10,34 +10,34 @@
 	"cairnwick.example/clock"
 )
 
-// hearBackoff starts the back-off that an endpoint set for this gateway when it rejected a request; zero: none.
+// observeBackoff starts the back-off that an endpoint set for this gateway when it rejected a request; zero: none.
 // The endpoint's owner continues to issue grants for it to other gateways.
-func (g *Gateway) hearBackoff(endpoint string, d time.Duration) {
+func (g *Gateway) observeBackoff(endpoint string, d time.Duration) {
 	if d > 0 && g.backoffs.Ask(endpoint, d, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", d.Milliseconds())
 	}
 }
 
-// backingOff returns the failure of a request to an endpoint that is in a back-off; nil: it may be sent.
-func (g *Gateway) backingOff(endpoint string) *Failure {
-	left := g.backoffs.Left(endpoint, clock.Now())
-	if left == 0 {
+// checkBackoff returns the failure of a request to an endpoint that is in a back-off; nil: it may be sent.
+func (g *Gateway) checkBackoff(endpoint string) *Failure {
+	remaining := g.backoffs.Left(endpoint, clock.Now())
+	if remaining == 0 {
 		return nil
 	}
-	return &Failure{Code: CodeRefused, Ran: NotRun, Message: endpoint + " is in a back-off", Retry: backoff.ComeBack(left)}
+	return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: endpoint + " is in a back-off", RetryAfter: backoff.ComeBack(remaining)}
 }
 
-// backoffLeast returns the shortest remaining back-off of the endpoints that could serve a request; zero if
+// shortestBackoff returns the shortest remaining back-off of the endpoints that could serve a request; zero if
 // none is in a back-off.
-func (g *Gateway) backoffLeast(q *request) time.Duration {
+func (g *Gateway) shortestBackoff(q *request) time.Duration {
 	now := clock.Now()
-	var least time.Duration
+	var shortest time.Duration
 	for _, n := range q.catalog.EndpointsOf(q.model.Adapter().Base()) {
 		e, _ := q.catalog.Endpoint(n)
-		left := g.backoffs.Left(n, now)
-		if left > 0 && e.State() == catalog.Serving && (least == 0 || left < least) {
-			least = left
+		remaining := g.backoffs.Left(n, now)
+		if remaining > 0 && e.State() == catalog.Serving && (shortest == 0 || remaining < shortest) {
+			shortest = remaining
 		}
 	}
-	return least
+	return shortest
 }
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -17,32 +17,32 @@
 
 // The codes.
 const (
-	CodeBadRequest     Code = "bad_request"
-	CodeBodyTooLarge   Code = "body_too_large"
-	CodeUnknownAdapter Code = "unknown_adapter"
-	CodeUnknownVersion Code = "unknown_version"
-	CodeUnknownClass   Code = "unknown_class"
-	CodeUnknownService Code = "unknown_service"
-	CodeDeadlinePast   Code = "deadline_past"
-	CodeKeyMissing     Code = "key_missing"
-	CodeKeyInvalid     Code = "key_invalid"
-	CodeKeyInProgress  Code = "key_in_progress"
-	CodeKeyRan         Code = "key_ran"
-	CodeKeyUnknown     Code = "key_unknown"
-	CodeKeyTooOld      Code = "key_too_old"
-	CodeKeyHome        Code = "key_home_unreachable"
-	CodeNoEndpoint     Code = "no_endpoint"
-	CodeNoWait         Code = "no_place"
-	CodeQueueFull      Code = "queue_full"
-	CodeDeadline       Code = "deadline_unreachable"
-	CodeLoadFailed     Code = "load_failed"
-	CodeLeaving        Code = "leaving"
-	CodeNotReady       Code = "not_ready"
-	CodeOverloaded     Code = "overloaded"
-	CodeRefused        Code = "refused_by_endpoint"
-	CodeLost           Code = "answer_lost"
-	CodeCut            Code = "answer_cut"
-	CodeQuarantined    Code = "quarantined"
+	CodeBadRequest          Code = "bad_request"
+	CodeBodyTooLarge        Code = "body_too_large"
+	CodeUnknownAdapter      Code = "unknown_adapter"
+	CodeUnknownVersion      Code = "unknown_version"
+	CodeUnknownClass        Code = "unknown_class"
+	CodeUnknownService      Code = "unknown_service"
+	CodeDeadlinePast        Code = "deadline_past"
+	CodeKeyMissing          Code = "key_missing"
+	CodeKeyInvalid          Code = "key_invalid"
+	CodeKeyInProgress       Code = "key_in_progress"
+	CodeKeyRan              Code = "key_ran"
+	CodeKeyUnknown          Code = "key_unknown"
+	CodeKeyTooOld           Code = "key_too_old"
+	CodeKeyHomeUnreachable  Code = "key_home_unreachable"
+	CodeNoEndpoint          Code = "no_endpoint"
+	CodeNoCapacity          Code = "no_place"
+	CodeQueueFull           Code = "queue_full"
+	CodeDeadlineUnreachable Code = "deadline_unreachable"
+	CodeLoadFailed          Code = "load_failed"
+	CodeLeaving             Code = "leaving"
+	CodeNotReady            Code = "not_ready"
+	CodeOverloaded          Code = "overloaded"
+	CodeRefusedByEndpoint   Code = "refused_by_endpoint"
+	CodeNoResponse          Code = "answer_lost"
+	CodeTruncated           Code = "answer_cut"
+	CodeQuarantined         Code = "quarantined"
 )
 
 // Ran says whether the request was executed.
@@ -57,10 +57,10 @@
 
 // Failure is the final response to a request that got none from an endpoint.
 type Failure struct {
-	Code    Code
-	Ran     Ran
-	Message string
-	Retry   time.Duration // Retry-After for the caller; zero: a retry does not help
+	Code       Code
+	Ran        Ran
+	Message    string
+	RetryAfter time.Duration // Retry-After for the caller; zero: a retry does not help
 }
 
 func (f *Failure) Error() string {
@@ -83,7 +83,7 @@
 		return http.StatusConflict
 	case CodeQueueFull, CodeOverloaded:
 		return http.StatusTooManyRequests
-	case CodeLost, CodeCut, CodeRefused:
+	case CodeNoResponse, CodeTruncated, CodeRefusedByEndpoint:
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
@@ -95,22 +95,22 @@
 }
 
 type failureFields struct {
-	Message string `json:"message"`
-	Type    string `json:"type"`
-	Code    Code   `json:"code"`
-	Ran     Ran    `json:"ran"`
-	Retry   int64  `json:"retry_after_ms,omitempty"`
-	Request string `json:"request_id"`
+	Message    string `json:"message"`
+	Type       string `json:"type"`
+	Code       Code   `json:"code"`
+	Ran        Ran    `json:"ran"`
+	RetryAfter int64  `json:"retry_after_ms,omitempty"`
+	Request    string `json:"request_id"`
 }
 
 func (f *Failure) body(request string) []byte {
 	raw, err := json.Marshal(failureBody{Error: failureFields{
-		Message: f.Message,
-		Type:    "cairnwick_error",
-		Code:    f.Code,
-		Ran:     f.Ran,
-		Retry:   f.Retry.Milliseconds(),
-		Request: request,
+		Message:    f.Message,
+		Type:       "cairnwick_error",
+		Code:       f.Code,
+		Ran:        f.Ran,
+		RetryAfter: f.RetryAfter.Milliseconds(),
+		Request:    request,
 	}})
 	if err != nil {
 		return []byte(`{"error":{}}`) // strings and numbers always marshal
@@ -122,8 +122,8 @@
 func (f *Failure) write(w http.ResponseWriter, request string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	if f.Retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.Retry.Seconds()))))
+	if f.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
 	w.WriteHeader(f.Code.status())
 	_, _ = w.Write(f.body(request)) // fails only if the caller has disconnected
@@ -135,7 +135,7 @@
 }
 
 func noConfiguration() *Failure {
-	return &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no configuration received yet", Retry: time.Second}
+	return &Failure{Code: CodeNotReady, Ran: NotRun, Message: "no configuration received yet", RetryAfter: time.Second}
 }
 
 func badRequest(format string, values ...any) *Failure {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"github.com/frankban/quicktest"
 )
 
-const shard = `{
+const testConfig = `{
 	"bases": [{"name": "b"}],
 	"classes": [{"name": "counter", "may_wait": "2s", "deadline": "5s", "default": true}],
 	"data_centres": [{"name": "far", "region": "south"}],
@@ -27,8 +27,8 @@
 		{"name": "e4", "data_centre": "here", "base": "b", "address": "127.0.0.1:4", "slots": 2, "running": 2, "state": "draining"}],
 	"adapters": [{"name": "a", "base": "b", "versions": {"1": "p"}, "aliases": {"live": "1"}}]}`
 
-func configuration(c *quicktest.C) *catalog.Catalog {
-	shards := map[string][]byte{"all": []byte(shard)}
+func newCatalog(c *quicktest.C) *catalog.Catalog {
+	shards := map[string][]byte{"all": []byte(testConfig)}
 	h, err := catalog.NewHead(catalog.Head{}, shards)
 	c.Assert(err, quicktest.IsNil)
 	k, err := catalog.Build(h, shards, nil)
@@ -37,53 +37,53 @@
 }
 
 func newGateway(c *quicktest.C, scope string) *Gateway {
-	k := configuration(c)
-	g := &Gateway{Centre: "here", Scope: scope, Catalog: func() *catalog.Catalog { return k }, MaxBody: 1 << 10}
+	k := newCatalog(c)
+	g := &Gateway{DataCentre: "here", Scope: scope, Catalog: func() *catalog.Catalog { return k }, MaxBody: 1 << 10}
 	g.Init()
 	return g
 }
 
-func read(g *Gateway, body string) (*request, *Failure) {
+func parseTestRequest(g *Gateway, body string) (*request, *Failure) {
 	r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
-	return g.read(httptest.NewRecorder(), r, "id")
+	return g.parseRequest(httptest.NewRecorder(), r, "id")
 }
 
-func TestTheBodyNamesTheResolvedVersion(t *testing.T) {
+func TestEngineBodyContainsResolvedModel(t *testing.T) {
 	c := quicktest.New(t)
-	q, f := read(newGateway(c, ScopeCentre), `{"model": "a", "prompt": "x", "temperature": 0.5}`)
+	q, f := parseTestRequest(newGateway(c, ScopeDataCentre), `{"model": "a", "prompt": "x", "temperature": 0.5}`)
 	c.Assert(f == nil, quicktest.IsTrue)
 	raw, err := q.engineBody(7)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(string(raw), quicktest.Equals, `{"model":"a@1","priority":7,"prompt":"x","temperature":0.5}`)
 }
 
-func TestStagesGoFromNearToFar(t *testing.T) {
+func TestStageOrder(t *testing.T) {
 	c := quicktest.New(t)
 	for scope, want := range map[string][][]string{
-		ScopeCentre: {{"e1"}, {"e2"}},
-		ScopeRegion: {{"e1", "e2"}, {"e1"}, {"e2"}},
+		ScopeDataCentre: {{"e1"}, {"e2"}},
+		ScopeRegion:     {{"e1", "e2"}, {"e1"}, {"e2"}},
 	} {
 		g := newGateway(c, scope)
-		g.reach.note("near", time.Now().Add(time.Minute))
-		q, f := read(g, `{"model": "a"}`)
+		g.reachability.extend("near", time.Now().Add(time.Minute))
+		q, f := parseTestRequest(g, `{"model": "a"}`)
 		c.Assert(f == nil, quicktest.IsTrue)
 		c.Assert(g.stages(q), quicktest.DeepEquals, want)
 	}
 }
 
-func TestADataCentreThatDoesNotAnswerIsNotAsked(t *testing.T) {
+func TestStagesOmitUnreachableDataCentres(t *testing.T) {
 	c := quicktest.New(t)
 	g := newGateway(c, ScopeRegion)
-	g.reach.note("near", time.Now().Add(-time.Millisecond))
-	q, f := read(g, `{"model": "a"}`)
+	g.reachability.extend("near", time.Now().Add(-time.Millisecond))
+	q, f := parseTestRequest(g, `{"model": "a"}`)
 	c.Assert(f == nil, quicktest.IsTrue)
 	c.Assert(g.stages(q), quicktest.DeepEquals, [][]string{{"e1"}, {"e1"}})
 }
 
-func TestEventsCutInsideAreNotPassedOn(t *testing.T) {
+func TestCopyEventsDropsTruncatedEvent(t *testing.T) {
 	c := quicktest.New(t)
 	w := httptest.NewRecorder()
-	out := &answer{writer: w}
+	out := &callerResponse{writer: w}
 	events, done := copyEvents(out, strings.NewReader("data: one\n\ndata: two\n\ndata: thr"), 0, func() {})
 	c.Assert(events, quicktest.Equals, 2)
 	c.Assert(done, quicktest.IsFalse)
@@ -93,66 +93,66 @@
 	c.Assert(w.Body.String(), quicktest.Equals, "data: one\n\ndata: two\n\ndata: three\n\ndata: [DONE]\n\n")
 }
 
-func TestAFailureInsideAStreamDoesNotEndItCleanly(t *testing.T) {
+func TestStreamFailureAbortsConnection(t *testing.T) {
 	c := quicktest.New(t)
 	w := httptest.NewRecorder()
-	out := &answer{writer: w, id: "id", first: time.Now()}
-	c.Assert(func() { out.fail(&Failure{Code: CodeCut, Ran: Unknown}) }, quicktest.PanicMatches, "net/http: abort Handler")
+	out := &callerResponse{writer: w, id: "id", firstByteAt: time.Now()}
+	c.Assert(func() { out.writeFailure(&Failure{Code: CodeTruncated, Ran: Unknown}) }, quicktest.PanicMatches, "net/http: abort Handler")
 	c.Assert(w.Body.String(), quicktest.Matches, `(?s)event: error\ndata: .*"ran":"unknown".*`)
 }
 
-func TestAFailureSaysWhenToComeBack(t *testing.T) {
+func TestFailureSetsRetryAfter(t *testing.T) {
 	c := quicktest.New(t)
 	w := httptest.NewRecorder()
-	(&Failure{Code: CodeQueueFull, Ran: NotRun, Retry: 1200 * time.Millisecond}).write(w, "id")
+	(&Failure{Code: CodeQueueFull, Ran: NotRun, RetryAfter: 1200 * time.Millisecond}).write(w, "id")
 	c.Assert(w.Code, quicktest.Equals, http.StatusTooManyRequests)
 	c.Assert(w.Header().Get("Retry-After"), quicktest.Equals, "2")
 	c.Assert(w.Body.String(), quicktest.Contains, `"retry_after_ms":1200`)
 }
 
-func TestBeliefsAreBoundedAndFade(t *testing.T) {
+func TestStateCacheIsBoundedAndExpires(t *testing.T) {
 	c := quicktest.New(t)
-	b, now := newBeliefs(), time.Now()
-	for i := range adaptersKept + 100 {
-		b.hear("e1", fmt.Sprint(i), &wire.EndpointFacts{Running: 3, Limit: 8, Width: 2, Loaded: true}, now)
+	cache, now := newStateCache(), time.Now()
+	for i := range maxAdapterStates + 100 {
+		cache.update("e1", fmt.Sprint(i), &wire.EndpointFacts{Running: 3, Limit: 8, Width: 2, Loaded: true}, now)
 	}
-	c.Assert(b.adapters, quicktest.HasLen, adaptersKept)
-	last := fmt.Sprint(adaptersKept + 99)
-	facts, width := b.of(last, []string{"e1"}, now)
+	c.Assert(cache.adapters, quicktest.HasLen, maxAdapterStates)
+	last := fmt.Sprint(maxAdapterStates + 99)
+	facts, width := cache.get(last, []string{"e1"}, now)
 	c.Assert(facts[0].Loaded, quicktest.IsTrue)
 	c.Assert(width, quicktest.Equals, 2)
-	facts, width = b.of(last, []string{"e1"}, now.Add(beliefLife+time.Second))
+	facts, width = cache.get(last, []string{"e1"}, now.Add(stateTTL+time.Second))
 	c.Assert(facts[0].Loaded, quicktest.IsFalse)
 	c.Assert(width, quicktest.Equals, 1)
 }
 
-func TestOwnGrantsCorrectOldFacts(t *testing.T) {
+func TestOwnGrantsRaiseReportedRunning(t *testing.T) {
 	c := quicktest.New(t)
-	b, now := newBeliefs(), time.Now()
-	b.hear("e1", "a@1", &wire.EndpointFacts{Running: 1, Limit: 8}, now)
+	cache, now := newStateCache(), time.Now()
+	cache.update("e1", "a@1", &wire.EndpointFacts{Running: 1, Limit: 8}, now)
 	for range 5 {
-		b.count("e1", 1)
+		cache.addGrants("e1", 1)
 	}
-	facts, _ := b.of("a@1", []string{"e1"}, now)
+	facts, _ := cache.get("a@1", []string{"e1"}, now)
 	c.Assert(facts[0].Running, quicktest.Equals, 5)
 }
 
-func TestALateClaimOfAKeyIsNotUsed(t *testing.T) {
+func TestLateKeyClaimIsNotUsed(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(keyFailure(wire.KeyState_KEY_STATE_CLAIMED, false, time.Second) == nil, quicktest.IsTrue)
 	f := keyFailure(wire.KeyState_KEY_STATE_CLAIMED, true, time.Second)
-	c.Assert(f.Code, quicktest.Equals, CodeKeyHome)
+	c.Assert(f.Code, quicktest.Equals, CodeKeyHomeUnreachable)
 	c.Assert(f.Ran, quicktest.Equals, NotRun)
 }
 
-func TestTheKeyIsNotPassedOnAsAHeaderThatLetsClientsRepeat(t *testing.T) {
+func TestIdempotencyKeyIsNotForwarded(t *testing.T) {
 	c := quicktest.New(t)
 	to := make(http.Header)
-	copyHeader(to, http.Header{KeyHeader: {"k"}, "Accept": {"x"}, "Connection": {"close"}})
+	copyEndToEndHeaders(to, http.Header{KeyHeader: {"k"}, "Accept": {"x"}, "Connection": {"close"}})
 	c.Assert(to, quicktest.DeepEquals, http.Header{"Accept": {"x"}})
 }
 
-func TestABrokenBodyIsNamed(t *testing.T) {
+func TestInvalidBodyMessages(t *testing.T) {
 	c := quicktest.New(t)
 	for body, message := range map[string]string{
 		`[]`:                                     "body: not a JSON object.*",
@@ -160,20 +160,20 @@
 		`{"model": 3}`:                           "model: write adapter.*",
 		string(bytes.Repeat([]byte(" "), 2<<10)): "body: larger than 1024 bytes",
 	} {
-		_, f := read(newGateway(c, ScopeCentre), body)
+		_, f := parseTestRequest(newGateway(c, ScopeDataCentre), body)
 		c.Assert(f.Message, quicktest.Matches, message)
 		c.Assert(f.Ran, quicktest.Equals, NotRun)
 	}
 }
 
-func TestPrefixesAreBoundedAndFade(t *testing.T) {
+func TestPrefixTableIsBoundedAndExpires(t *testing.T) {
 	c := quicktest.New(t)
-	p, now := newPrefixes(4), time.Now()
+	p, now := newPrefixTable(4), time.Now()
 	for i := range 10 {
-		p.note(uint64(i), "e1", now)
+		p.record(uint64(i), "e1", now)
 	}
-	c.Assert(p.seen, quicktest.HasLen, 4)
-	c.Assert(p.warm(9, now), quicktest.Equals, "e1")
-	c.Assert(p.warm(9, now.Add(prefixLife+time.Second)), quicktest.Equals, "")
-	c.Assert(prefixOf("a@1", "x") == prefixOf("a@2", "x"), quicktest.IsFalse)
+	c.Assert(p.entries, quicktest.HasLen, 4)
+	c.Assert(p.lastEndpoint(9, now), quicktest.Equals, "e1")
+	c.Assert(p.lastEndpoint(9, now.Add(prefixTTL+time.Second)), quicktest.Equals, "")
+	c.Assert(hashPrefix("a@1", "x") == hashPrefix("a@2", "x"), quicktest.IsFalse)
 }
--- a/gateway/keys.go
+++ b/gateway/keys.go
@@ -12,10 +12,10 @@
 	"cairnwick.example/wire"
 )
 
-// runKeyed runs a request. One with an idempotency key is not repeatable: it runs only after it has
+// runWithKey runs a request. One with an idempotency key is not repeatable: it runs only after it has
 // claimed the key at the key's home, the scheduler that stores its state, and then reports the
 // outcome there.
-func (g *Gateway) runKeyed(ctx context.Context, key, id string, run func() *Failure) *Failure {
+func (g *Gateway) runWithKey(ctx context.Context, key, id string, run func() *Failure) *Failure {
 	if key == "" {
 		return run()
 	}
@@ -30,58 +30,60 @@
 
 // beginKey claims a key at its home. It retries while the home changes or does not respond.
 func (g *Gateway) beginKey(ctx context.Context, key, id string) (member.Member, *Failure) {
-	asked := clock.Now()
-	until := asked.Add(g.Spans.Key)
+	startedAt := clock.Now()
+	deadline := startedAt.Add(g.Timeouts.KeyClaim)
 	for {
 		home, ok := g.keyHome(key)
 		state := wire.KeyState_KEY_STATE_NOT_HOME
 		if ok {
-			state = g.askHome(ctx, home, key, id, until)
+			state = g.callBeginKey(ctx, home, key, id, deadline)
 		}
-		late := clock.Now().After(until)
+		late := clock.Now().After(deadline)
 		if state != wire.KeyState_KEY_STATE_NOT_HOME {
-			return home, keyFailure(state, late, g.Spans.Retry)
+			return home, keyFailure(state, late, g.RetryAfter)
 		}
 		if late || ctx.Err() != nil {
-			return home, &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the scheduler that stores the key's state does not respond", Retry: g.Spans.Retry}
+			return home, &Failure{Code: CodeKeyHomeUnreachable, Ran: NotRun, Message: "the scheduler that stores the key's state does not respond", RetryAfter: g.RetryAfter}
 		}
-		pause(ctx, failoverPause)
+		sleep(ctx, failoverInterval)
 	}
 }
 
 // keyHome returns the home of a key: rendezvous hashing selects a data centre of the configuration,
 // and then a scheduler in it.
 func (g *Gateway) keyHome(key string) (member.Member, bool) {
-	centre := policy.First(key, g.Catalog().DataCentres())
-	return pick(key, g.schedulersOf(centre))
+	dataCentre := policy.First(key, g.Catalog().DataCentres())
+	return pick(key, g.schedulersOf(dataCentre))
 }
 
-func (g *Gateway) askHome(ctx context.Context, home member.Member, key, id string, until time.Time) wire.KeyState {
-	call, cancel := context.WithDeadline(ctx, clock.Timer(until))
+// callBeginKey calls BeginKey at the home. If the call fails, the home is probed, and its state is treated like
+// that of a scheduler that is no longer the home.
+func (g *Gateway) callBeginKey(ctx context.Context, home member.Member, key, id string, deadline time.Time) wire.KeyState {
+	call, cancel := context.WithDeadline(ctx, clock.Timer(deadline))
 	defer cancel()
-	a, err := g.Schedulers.Scheduler(home.Address()).BeginKey(call, &wire.BeginKeyRequest{Key: key, Request: id})
+	reply, err := g.Schedulers.Scheduler(home.Address()).BeginKey(call, &wire.BeginKeyRequest{Key: key, Request: id})
 	if err != nil {
 		g.Probe(home.Name())
 		return wire.KeyState_KEY_STATE_NOT_HOME
 	}
-	return a.GetState()
+	return reply.GetState()
 }
 
 // keyFailure converts the home's reply to a failure for the caller; nil: the request may run. A claim
 // that arrives late is not used, since the home may have changed in the meantime.
-func keyFailure(state wire.KeyState, late bool, retry time.Duration) *Failure {
+func keyFailure(state wire.KeyState, late bool, retryAfter time.Duration) *Failure {
 	switch state {
 	case wire.KeyState_KEY_STATE_CLAIMED:
 		if late {
-			return &Failure{Code: CodeKeyHome, Ran: NotRun, Message: "the scheduler that stores the key's state responded too late", Retry: retry}
+			return &Failure{Code: CodeKeyHomeUnreachable, Ran: NotRun, Message: "the scheduler that stores the key's state responded too late", RetryAfter: retryAfter}
 		}
 		return nil
 	case wire.KeyState_KEY_STATE_IN_PROGRESS:
-		return &Failure{Code: CodeKeyInProgress, Ran: Unknown, Message: "another attempt with this key is in progress", Retry: retry}
+		return &Failure{Code: CodeKeyInProgress, Ran: Unknown, Message: "another attempt with this key is in progress", RetryAfter: retryAfter}
 	case wire.KeyState_KEY_STATE_RAN:
 		return &Failure{Code: CodeKeyRan, Ran: DidRun, Message: "a request with this key has been executed"}
 	case wire.KeyState_KEY_STATE_TOO_OLD:
-		return &Failure{Code: CodeKeyTooOld, Ran: Unknown, Message: "this attempt was not executed; the state of the key is no longer known, so an earlier attempt may have been executed", Retry: retry}
+		return &Failure{Code: CodeKeyTooOld, Ran: Unknown, Message: "this attempt was not executed; the state of the key is no longer known, so an earlier attempt may have been executed", RetryAfter: retryAfter}
 	}
 	return &Failure{Code: CodeKeyUnknown, Ran: Unknown, Message: "an earlier attempt with this key may have been executed"}
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,51 +12,51 @@
 	"cairnwick.example/wire"
 )
 
-// limits holds the rate limits that endpoints announced in responses to this gateway. A limit applies to
+// limitTable holds the rate limits that endpoints announced in responses to this gateway. A limit applies to
 // all gateways together, so the endpoint's owner enforces it: each Acquire call passes it on. It is safe for
 // concurrent use; the zero value is empty.
-type limits struct {
-	mu    sync.Mutex
-	words map[string]ratelimit.Word // by endpoint, of those that announced a limit or whose owner enforces one
+type limitTable struct {
+	mu       sync.Mutex
+	observed map[string]ratelimit.Word // by endpoint, of those that announced a limit or whose owner enforces one
 }
 
-// hear records the limit that a response announced, or that it announced none; sent is when its request was
-// sent. It reports whether the limit changed. An endpoint that announces no limit gets an entry only if its
-// owner enforces one: another gateway received that, and the owner has to be told that it is over.
-func (l *limits) hear(endpoint string, said ratelimit.Limit, limited bool, sent, now time.Time) bool {
-	w := ratelimit.NewWord(said, sent, now)
+// observe records the limit that a response announced, or that it announced none; sentAt is when its request was
+// sent, and enforced whether the endpoint's owner enforces a limit. It reports whether the limit changed. An endpoint that announces no limit gets an entry only if its
+// owner enforces one, which it learnt from another gateway: the owner has to be told that it is over.
+func (l *limitTable) observe(endpoint string, limit ratelimit.Limit, enforced bool, sentAt, now time.Time) bool {
+	observed := ratelimit.NewWord(limit, sentAt, now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before, known := l.words[endpoint]
-	if (!known && !limited && !said.Named()) || !w.At.After(before.At) {
+	before, known := l.observed[endpoint]
+	if (!known && !enforced && !limit.Named()) || !observed.At.After(before.At) {
 		return false
 	}
-	if l.words == nil {
-		l.words = make(map[string]ratelimit.Word)
+	if l.observed == nil {
+		l.observed = make(map[string]ratelimit.Word)
 	}
-	l.words[endpoint] = w
-	return before.Limit != said
+	l.observed[endpoint] = observed
+	return before.Limit != limit
 }
 
-// of returns the last known limit of an endpoint, for its owner; nil: it has no entry.
-func (l *limits) of(endpoint string, now time.Time) *wire.LimitWord {
+// get returns the last known limit of an endpoint, for its owner; nil: it has no entry.
+func (l *limitTable) get(endpoint string, now time.Time) *wire.LimitWord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w, known := l.words[endpoint]
+	observed, known := l.observed[endpoint]
 	if !known {
 		return nil
 	}
-	return wire.NewLimitWord(endpoint, w, now)
+	return wire.NewLimitWord(endpoint, observed, now)
 }
 
-// hearLimit records the rate limit in the headers of a response to a request sent under a grant.
-func (g *Gateway) hearLimit(held heldGrant, h http.Header, sent, now time.Time) {
-	l, err := ratelimit.Parse(h.Values(engine.LimitHeader))
+// observeLimit records the rate limit in the headers of a response to a request sent under a grant.
+func (g *Gateway) observeLimit(held heldGrant, h http.Header, sentAt, now time.Time) {
+	limit, err := ratelimit.Parse(h.Values(engine.LimitHeader))
 	if err != nil {
 		g.Log.V(1).Info("Endpoint's rate limit can't be parsed; keeping the last one", "endpoint", held.endpoint, "err", err.Error())
 		return
 	}
-	if g.limits.hear(held.endpoint, l, held.grant.GetLimited(), sent, now) {
-		g.Log.V(1).Info("Endpoint's rate limit changed", "endpoint", held.endpoint, "named", l.Named(), "a_second", l.Rate())
+	if g.limits.observe(held.endpoint, limit, held.grant.GetLimited(), sentAt, now) {
+		g.Log.V(1).Info("Endpoint's rate limit changed", "endpoint", held.endpoint, "named", limit.Named(), "a_second", limit.Rate())
 	}
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -15,24 +15,24 @@
 // One gateway receives the limit, reports it to the owner and ends. The other gateways get grants at that rate
 // and responses without a limit. If a gateway ignored responses without a limit unless it had received one
 // itself, none would tell the owner that the limit is over.
-func TestAGatewayTellsThatALimitIsOverWhichAnotherOneHeard(t *testing.T) {
+func TestReportsEndOfLimitAnnouncedToAnotherGateway(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Now()
-	var l limits
-	c.Check(l.hear("e1", ratelimit.Limit{}, false, now, now), quicktest.IsFalse)
-	c.Check(l.of("e1", now), quicktest.IsNil) // the owner enforces no limit either
-	l.hear("e1", ratelimit.Limit{}, true, now.Add(-time.Second), now)
-	w := l.of("e1", now).Word(now)
+	var l limitTable
+	c.Check(l.observe("e1", ratelimit.Limit{}, false, now, now), quicktest.IsFalse)
+	c.Check(l.get("e1", now), quicktest.IsNil) // the owner enforces no limit either
+	l.observe("e1", ratelimit.Limit{}, true, now.Add(-time.Second), now)
+	w := l.get("e1", now).Word(now)
 	c.Check(w.Limit.Named(), quicktest.IsFalse)
 	c.Check(w.At.Equal(now.Add(-time.Second)), quicktest.IsTrue)
 }
 
-func TestAnAnswerThatWasOvertakenEndsNoLimit(t *testing.T) {
+func TestOlderResponseDoesNotEndLimit(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Now()
-	var l limits
-	c.Check(l.hear("e1", ratelimit.Of(3), false, now, now.Add(time.Second)), quicktest.IsTrue)
-	c.Check(l.hear("e1", ratelimit.Limit{}, true, now, now.Add(2*time.Second)), quicktest.IsFalse)
-	c.Check(l.of("e1", now).Word(now).Limit.Rate(), quicktest.Equals, 3.0)
-	c.Check(l.hear("e1", ratelimit.Limit{}, true, now.Add(2*time.Second), now.Add(3*time.Second)), quicktest.IsTrue)
+	var l limitTable
+	c.Check(l.observe("e1", ratelimit.Of(3), false, now, now.Add(time.Second)), quicktest.IsTrue)
+	c.Check(l.observe("e1", ratelimit.Limit{}, true, now, now.Add(2*time.Second)), quicktest.IsFalse)
+	c.Check(l.get("e1", now).Word(now).Limit.Rate(), quicktest.Equals, 3.0)
+	c.Check(l.observe("e1", ratelimit.Limit{}, true, now.Add(2*time.Second), now.Add(3*time.Second)), quicktest.IsTrue)
 }
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -16,55 +16,55 @@
 func (g *Gateway) serveModel(w http.ResponseWriter, r *http.Request) {
 	id := newRequestID()
 	w.Header().Set(RequestHeader, id)
-	begun := clock.Now()
-	q, f := g.read(w, r, id)
+	startedAt := clock.Now()
+	q, f := g.parseRequest(w, r, id)
 	if f != nil {
-		g.finish(w, nil, id, begun, f)
+		g.finishWithFailure(w, nil, id, startedAt, f)
 		return
 	}
 	h := w.Header()
 	h.Set(ModelHeader, q.model.String())
 	h.Set(RevisionHeader, strconv.FormatInt(q.catalog.Revision(), 10))
-	out := &answer{writer: w, id: id}
-	f = g.runKeyed(r.Context(), q.key, id, func() *Failure { return g.route(r.Context(), q, out) })
-	g.stats.Total.Observe(q.class.Name(), clock.Since(begun))
-	g.stats.Callers.Observe(q.caller, clock.Since(begun))
-	if !out.untouched() {
-		g.stats.FirstToken.Observe(q.class.Name(), out.first.Sub(begun))
+	out := &callerResponse{writer: w, id: id}
+	f = g.runWithKey(r.Context(), q.key, id, func() *Failure { return g.route(r.Context(), q, out) })
+	g.stats.Duration.Observe(q.class.Name(), clock.Since(startedAt))
+	g.stats.CallerDuration.Observe(q.caller, clock.Since(startedAt))
+	if out.started() {
+		g.stats.FirstByte.Observe(q.class.Name(), out.firstByteAt.Sub(startedAt))
 	}
 	if f != nil {
-		g.finish(out, q, id, begun, f)
+		g.finishWithFailure(out, q, id, startedAt, f)
 		return
 	}
-	g.stats.Codes.Observe("ok", clock.Since(begun))
+	g.stats.CodeDuration.Observe("ok", clock.Since(startedAt))
 }
 
-// finish logs, records and sends the failure of a request. w is an *answer if a response may have
-// started.
-func (g *Gateway) finish(w http.ResponseWriter, q *request, id string, begun time.Time, f *Failure) {
-	g.stats.Codes.Observe(string(f.Code), clock.Since(begun))
+// finishWithFailure logs, records and sends the failure of a request. w is a *callerResponse if a response may
+// have started.
+func (g *Gateway) finishWithFailure(w http.ResponseWriter, q *request, id string, startedAt time.Time, f *Failure) {
+	g.stats.CodeDuration.Observe(string(f.Code), clock.Since(startedAt))
 	g.Log.V(1).Info("Request was not served", "request", id, "revision", q.revision(), "code", f.Code, "ran", f.Ran, "message", f.Message)
-	g.record(q, id, f)
-	if a, ok := w.(*answer); ok {
-		a.fail(f)
+	g.recordFailure(q, id, f)
+	if out, ok := w.(*callerResponse); ok {
+		out.writeFailure(f)
 		return
 	}
 	f.write(w, id)
 }
 
-// record records a failure as a decision; q is nil if the request could not be parsed.
-func (g *Gateway) record(q *request, id string, f *Failure) {
+// recordFailure records a failure as a decision; q is nil if the request could not be parsed.
+func (g *Gateway) recordFailure(q *request, id string, f *Failure) {
 	d := &wire.Decision{Request: id, UnixMicros: time.Now().UnixMicro(), Box: g.Name, Step: "answer"}
 	if q != nil {
-		d = g.decision(q, "answer", time.Now())
-		d.WaitedMicros = clock.Since(q.arrived).Microseconds()
+		d = g.newDecision(q, "answer", time.Now())
+		d.WaitedMicros = clock.Since(q.receivedAt).Microseconds()
 	}
 	d.Detail = f.detail()
-	g.Record.Add(d)
+	g.Decisions.Add(d)
 }
 
-// decision returns a decision with the fields that all those about a request for a model have in common.
-func (g *Gateway) decision(q *request, step string, now time.Time) *wire.Decision {
+// newDecision returns a decision with the fields that all those about a request for a model have in common.
+func (g *Gateway) newDecision(q *request, step string, now time.Time) *wire.Decision {
 	return &wire.Decision{
 		Request:    q.id,
 		UnixMicros: now.UnixMicro(),
--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -9,8 +9,8 @@
 
 // ownerOf returns the scheduler that is expected to own an endpoint: the one that hint names, if it
 // is serving, else the first by rendezvous hashing.
-func (g *Gateway) ownerOf(endpoint, centre, hint string) (member.Member, bool) {
-	list := g.schedulersOf(centre)
+func (g *Gateway) ownerOf(endpoint, dataCentre, hint string) (member.Member, bool) {
+	list := g.schedulersOf(dataCentre)
 	for _, m := range list {
 		if m.Name() == hint {
 			return m, true
@@ -21,11 +21,11 @@
 
 // schedulersOf returns the schedulers that serve in a data centre: from heartbeats for this gateway's
 // own, from the platform's list for others.
-func (g *Gateway) schedulersOf(centre string) []member.Member {
-	if centre == g.Centre {
+func (g *Gateway) schedulersOf(dataCentre string) []member.Member {
+	if dataCentre == g.DataCentre {
 		return g.Members.Serving(member.Scheduler)
 	}
-	return g.Remote.Schedulers(centre)
+	return g.Directory.Schedulers(dataCentre)
 }
 
 // pick selects the member for a key by rendezvous hashing; false if the list is empty.
--- a/gateway/place.go
+++ b/gateway/placement.go
@@ -13,12 +13,12 @@
 	"cairnwick.example/wire"
 )
 
-// place sorts the endpoints by the placement policy, best first, and records the decision.
-func (g *Gateway) place(q *request, names []string) []string {
+// rankEndpoints sorts the endpoints by the placement policy, best first, and records the decision.
+func (g *Gateway) rankEndpoints(q *request, names []string) []string {
 	now := clock.Now()
-	facts, width := g.beliefs.of(q.model.String(), names, now)
+	facts, width := g.states.get(q.model.String(), names, now)
 	q.width = width
-	warm := g.prefixes.warm(q.prefix, now)
+	warm := g.prefixes.lastEndpoint(q.prefix, now)
 	for i, n := range names {
 		facts[i].Warm = n == warm
 	}
@@ -29,20 +29,20 @@
 		Width: width,
 		Rand:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
-	d := g.decision(q, "place", time.Now())
+	d := g.newDecision(q, "place", time.Now())
 	ranked := make([]string, len(order))
-	for place, i := range order {
-		ranked[place] = names[i]
-		if place < stageCandidates {
-			d.Candidates = append(d.Candidates, candidate(names[i], scores[i], facts[i]))
+	for rank, i := range order {
+		ranked[rank] = names[i]
+		if rank < stageCandidates {
+			d.Candidates = append(d.Candidates, newCandidate(names[i], scores[i], facts[i]))
 		}
 	}
 	d.Endpoint = ranked[0]
-	g.Record.Add(d)
+	g.Decisions.Add(d)
 	return ranked
 }
 
-func candidate(name string, score float64, f policy.Facts) *wire.Candidate {
+func newCandidate(name string, score float64, f policy.Facts) *wire.Candidate {
 	c := &wire.Candidate{Endpoint: name, Score: score, AgeMicros: f.Age.Microseconds()}
 	switch {
 	case f.Warm:
@@ -70,34 +70,34 @@
 		}
 	}
 	if g.Scope == ScopeRegion {
-		add(servingIn(q.catalog, base, g.near(q.catalog)))
+		add(servingEndpoints(q.catalog, base, g.reachableInRegion(q.catalog)))
 	}
-	add(servingIn(q.catalog, base, map[string]bool{g.Centre: true}))
+	add(servingEndpoints(q.catalog, base, map[string]bool{g.DataCentre: true}))
 	for _, c := range policy.Rank(q.model.String(), q.catalog.DataCentres()) {
-		if c != g.Centre && g.reach.reached(c, now) {
-			add(servingIn(q.catalog, base, map[string]bool{c: true}))
+		if c != g.DataCentre && g.reachability.isReachable(c, now) {
+			add(servingEndpoints(q.catalog, base, map[string]bool{c: true}))
 		}
 	}
 	return stages
 }
 
-// near returns the reachable data centres of this gateway's region, its own included.
-func (g *Gateway) near(c *catalog.Catalog) map[string]bool {
-	near := map[string]bool{g.Centre: true}
+// reachableInRegion returns the reachable data centres of this gateway's region, its own included.
+func (g *Gateway) reachableInRegion(c *catalog.Catalog) map[string]bool {
+	reachable := map[string]bool{g.DataCentre: true}
 	for _, n := range c.DataCentres() {
-		if c.Region(n) == c.Region(g.Centre) && g.reach.reached(n, clock.Now()) {
-			near[n] = true
+		if c.Region(n) == c.Region(g.DataCentre) && g.reachability.isReachable(n, clock.Now()) {
+			reachable[n] = true
 		}
 	}
-	return near
+	return reachable
 }
 
-// servingIn returns the serving endpoints of a base model in the given data centres.
-func servingIn(c *catalog.Catalog, base string, centres map[string]bool) []string {
+// servingEndpoints returns the serving endpoints of a base model in the given data centres.
+func servingEndpoints(c *catalog.Catalog, base string, dataCentres map[string]bool) []string {
 	var names []string
 	for _, n := range c.EndpointsOf(base) {
 		e, _ := c.Endpoint(n)
-		if centres[e.DataCentre()] && e.State() == catalog.Serving {
+		if dataCentres[e.DataCentre()] && e.State() == catalog.Serving {
 			names = append(names, n)
 		}
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	endedTimeout = time.Second     // for a report to another gateway, which normally takes a millisecond
-	lookTimeout  = 3 * time.Second // for the check whether an engine ended: a few connections, each observed for a fraction of a second
-	endsBuffer   = 256             // reports pending; more are not sent, and count only at this gateway
+	reportTimeout           = time.Second     // for a report to another gateway, which normally takes a millisecond
+	terminationCheckTimeout = 3 * time.Second // for the check whether an engine ended: a few connections, each observed for a fraction of a second
+	maxPendingEnds          = 256             // reports pending; more are not sent, and count only at this gateway
 )
 
 // Peers calls other daemons.
 type Peers interface {
-	// TellEnded reports endpoints that ended, and the requests that they ran then, to the daemon at an address.
-	TellEnded(ctx context.Context, address string, q *wire.EndedRequest) error
+	// ReportEnded reports endpoints that ended, and the requests that they ran then, to the daemon at an address.
+	ReportEnded(ctx context.Context, address string, q *wire.EndedRequest) error
 }
 
-// newWatch returns the detector of endpoints that end under requests of this gateway.
-func (g *Gateway) newWatch() *quarantine.Watch {
+// newWatcher returns the detector of endpoints that end under requests of this gateway.
+func (g *Gateway) newWatcher() *quarantine.Watch {
 	return &quarantine.Watch{
 		HasEnded: func(ctx context.Context, address string) bool {
-			ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+			ctx, cancel := context.WithTimeout(ctx, terminationCheckTimeout)
 			defer cancel()
-			return engine.HasEnded(ctx, g.Dial, address)
+			return engine.HasEnded(ctx, g.DialEngine, address)
 		},
 		Ended: g.endpointEnded,
 	}
@@ -44,25 +44,25 @@
 	if len(suspects) == 0 {
 		return
 	}
-	g.count(endpoint, suspects, time.Now())
+	g.recordEnd(endpoint, suspects, time.Now())
 	select {
-	case g.ends <- &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(suspects)}:
+	case g.pendingEnds <- &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(suspects)}:
 	default:
 		g.Log.Info("Report of an endpoint's end dropped: too many reports pending", "endpoint", endpoint)
 	}
 }
 
-// Ended records the reports of another gateway of the data centre. Each data centre counts for itself, so a
-// request can end three endpoints in each before it is quarantined there.
-func (g *Gateway) Ended(q *wire.EndedRequest) {
+// ReceiveEnded records the reports of another gateway of the data centre. Each data centre counts for itself, so
+// a request can end three endpoints in each before it is quarantined there.
+func (g *Gateway) ReceiveEnded(q *wire.EndedRequest) {
 	for _, e := range q.GetEnds() {
-		g.count(e.GetEndpoint(), quarantine.Decode(e.GetContents()), time.Now())
+		g.recordEnd(e.GetEndpoint(), quarantine.Decode(e.GetContents()), time.Now())
 	}
 }
 
-// count counts the end of an endpoint against the requests that it ran, and quarantines those that have
+// recordEnd counts the end of an endpoint against the requests that it ran, and quarantines those that have
 // reached the limit.
-func (g *Gateway) count(endpoint string, contents []quarantine.Content, now time.Time) {
+func (g *Gateway) recordEnd(endpoint string, contents []quarantine.Content, now time.Time) {
 	for _, c := range g.tracker.Note(endpoint, contents, now) {
 		until := now.Add(quarantine.KeptFor)
 		g.tracker.Kept().Add(c, until)
@@ -70,22 +70,22 @@
 	}
 }
 
-// quarantined returns the failure of a quarantined request; nil: it may be sent.
-func (g *Gateway) quarantined(c quarantine.Content) *Failure {
-	left, kept := g.tracker.Kept().Left(c, time.Now())
+// checkQuarantine returns the failure of a quarantined request; nil: it may be sent.
+func (g *Gateway) checkQuarantine(c quarantine.Content) *Failure {
+	remaining, kept := g.tracker.Kept().Left(c, time.Now())
 	if !kept {
 		return nil
 	}
-	return &Failure{Code: CodeQuarantined, Ran: NotRun, Message: "endpoints ended while they ran requests with this content", Retry: left}
+	return &Failure{Code: CodeQuarantined, Ran: NotRun, Message: "endpoints ended while they ran requests with this content", RetryAfter: remaining}
 }
 
-// expirePause is the time between two checks for quarantines that have ended.
-const expirePause = 10 * time.Second
+// expireInterval is the time between two checks for quarantines that have ended.
+const expireInterval = 10 * time.Second
 
-// tellEnds sends pending reports to the other gateways and removes quarantines that have ended, until ctx
+// runQuarantine sends pending reports to the other gateways and removes quarantines that have ended, until ctx
 // ends.
-func (g *Gateway) tellEnds(ctx context.Context) error {
-	expire := time.NewTicker(expirePause)
+func (g *Gateway) runQuarantine(ctx context.Context) error {
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
@@ -95,40 +95,42 @@
 			for _, c := range g.tracker.Kept().Expire(time.Now()) {
 				g.Log.Info("Request may reach endpoints again", "content", c.String())
 			}
-		case e := <-g.ends:
-			g.tellEnd(ctx, &wire.EndedRequest{Box: g.Name, Ends: []*wire.EndpointEnd{e}})
+		case e := <-g.pendingEnds:
+			g.reportToPeers(ctx, &wire.EndedRequest{Box: g.Name, Ends: []*wire.EndpointEnd{e}})
 		}
 	}
 }
 
-// tellEnd sends a report to all other gateways, without retries: one that it does not reach still counts the
-// ends that it detects itself.
-func (g *Gateway) tellEnd(ctx context.Context, q *wire.EndedRequest) {
-	told := make(chan struct{})
-	calls := 0
+// reportToPeers sends a report to all other gateways of the data centre, without retries: one that it does not
+// reach still counts the ends that it detects itself.
+func (g *Gateway) reportToPeers(ctx context.Context, q *wire.EndedRequest) {
+	finished := make(chan struct{})
+	pending := 0
 	for _, m := range g.Members.All() {
 		if m.Role() != member.Gateway || m.Name() == g.Name || !m.Serving() {
 			continue
 		}
-		calls++
+		pending++
 		go func() {
-			g.tellOne(ctx, m, q)
-			told <- struct{}{}
+			g.reportToPeer(ctx, m, q)
+			finished <- struct{}{}
 		}()
 	}
-	for range calls {
-		<-told
+	for range pending {
+		<-finished
 	}
 }
 
-func (g *Gateway) tellOne(ctx context.Context, m member.Member, q *wire.EndedRequest) {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+func (g *Gateway) reportToPeer(ctx context.Context, m member.Member, q *wire.EndedRequest) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	if err := g.Peers.TellEnded(ctx, m.Address(), q); err != nil {
+	if err := g.Peers.ReportEnded(ctx, m.Address(), q); err != nil {
 		g.Log.Info("Report of an endpoint's end could not be sent", "member", m.Name(), "err", err.Error())
 	}
 }
 
-// lifeOf identifies the incarnation of an endpoint that a grant is for: the owner increments the fencing
-// token when the endpoint has restarted.
-func lifeOf(h heldGrant) string { return fmt.Sprintf("%s under %s", h.endpoint, h.grant.GetFence()) }
+// incarnationOf identifies the incarnation of an endpoint that a grant is for: the owner increments the
+// fencing token when the endpoint has restarted.
+func incarnationOf(h heldGrant) string {
+	return fmt.Sprintf("%s under %s", h.endpoint, h.grant.GetFence())
+}
--- a/gateway/release.go
+++ b/gateway/release.go
@@ -10,8 +10,8 @@
 	"cairnwick.example/wire"
 )
 
-// release is a grant to release.
-type release struct {
+// pendingRelease is a grant to release.
+type pendingRelease struct {
 	owner   member.Member
 	request *wire.ReleaseRequest
 }
@@ -24,28 +24,28 @@
 	for {
 		select {
 		case r := <-g.releases:
-			g.giveBack(r)
+			g.sendRelease(r)
 		case <-ctx.Done():
-			return g.drainReleases()
+			return g.flushReleases()
 		}
 	}
 }
 
-// drainReleases releases the grants that are pending at shutdown.
-func (g *Gateway) drainReleases() error {
+// flushReleases releases the grants that are pending at shutdown.
+func (g *Gateway) flushReleases() error {
 	for {
 		select {
 		case r := <-g.releases:
-			g.giveBack(r)
+			g.sendRelease(r)
 		default:
 			return nil
 		}
 	}
 }
 
-// giveBack releases a grant, without retries: if the call fails, the scheduler learns from the
+// sendRelease releases a grant, without retries: if the call fails, the scheduler learns from the
 // endpoint's report that the request has ended.
-func (g *Gateway) giveBack(r release) {
+func (g *Gateway) sendRelease(r pendingRelease) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	_, err := g.Schedulers.Scheduler(r.owner.Address()).Release(ctx, r.request)
@@ -56,11 +56,11 @@
 
 // release queues a grant for the workers, or releases it itself if the queue is full.
 func (g *Gateway) release(owner member.Member, q *wire.ReleaseRequest) {
-	g.beliefs.count(q.GetEndpoint(), -1)
-	r := release{owner: owner, request: q}
+	g.states.addGrants(q.GetEndpoint(), -1)
+	r := pendingRelease{owner: owner, request: q}
 	select {
 	case g.releases <- r:
 	default:
-		g.giveBack(r)
+		g.sendRelease(r)
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -43,7 +43,7 @@
 	path       string // of the engine's API
 	class      catalog.Class
 	caller     string
-	arrived    time.Time
+	receivedAt time.Time
 	deadline   time.Time
 	model      catalog.Model
 	catalog    *catalog.Catalog // the revision that resolved the model
@@ -54,7 +54,7 @@
 	content    quarantine.Content
 	prefix     uint64 // hash of the adapter and the start of the prompt
 	width      int    // number of endpoints over which the adapter spreads, as last known
-	unsure     bool   // an attempt without a complete response may have been executed
+	mayHaveRun bool   // an attempt without a complete response may have been executed
 }
 
 func newRequestID() string {
@@ -65,26 +65,26 @@
 	return u.String()
 }
 
-// read parses an HTTP request for a model.
-func (g *Gateway) read(w http.ResponseWriter, r *http.Request, id string) (*request, *Failure) {
+// parseRequest parses an HTTP request for a model.
+func (g *Gateway) parseRequest(w http.ResponseWriter, r *http.Request, id string) (*request, *Failure) {
 	c := g.Catalog()
 	if c == nil {
 		return nil, noConfiguration()
 	}
-	q := &request{id: id, path: r.URL.Path, arrived: clock.Now(), catalog: c}
-	for _, step := range []func(*http.Request) *Failure{q.readClass, q.readKey} {
+	q := &request{id: id, path: r.URL.Path, receivedAt: clock.Now(), catalog: c}
+	for _, step := range []func(*http.Request) *Failure{q.parseClass, q.parseRepeatable} {
 		if f := step(r); f != nil {
 			return nil, f
 		}
 	}
-	if f := q.readBody(w, r, g.MaxBody); f != nil {
+	if f := q.parseBody(w, r, g.MaxBody); f != nil {
 		return nil, f
 	}
-	return q, q.resolve()
+	return q, q.resolveModel()
 }
 
-// readClass parses the class, the caller and the deadline.
-func (q *request) readClass(r *http.Request) *Failure {
+// parseClass parses the class, the caller and the deadline.
+func (q *request) parseClass(r *http.Request) *Failure {
 	name := r.Header.Get(ClassHeader)
 	class, ok := q.catalog.Class(name)
 	if name == "" {
@@ -101,42 +101,42 @@
 	if len(q.caller) > maxCallerName {
 		return badRequest("%s: longer than %d bytes", CallerHeader, maxCallerName)
 	}
-	return q.readDeadline(r.Header.Get(DeadlineHeader))
+	return q.parseDeadline(r.Header.Get(DeadlineHeader))
 }
 
-func (q *request) readDeadline(text string) *Failure {
-	left := q.class.Deadline()
+func (q *request) parseDeadline(text string) *Failure {
+	timeout := q.class.Deadline()
 	if text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil {
 			return badRequest("%s: invalid duration %q; example: 2.5s", DeadlineHeader, text)
 		}
-		left = d
+		timeout = d
 	}
-	if left <= 0 {
+	if timeout <= 0 {
 		return &Failure{Code: CodeDeadlinePast, Ran: NotRun, Message: DeadlineHeader + ": the deadline has already passed"}
 	}
-	q.deadline = q.arrived.Add(left)
+	q.deadline = q.receivedAt.Add(timeout)
 	return nil
 }
 
-// readKey parses whether the request is repeatable, and its idempotency key if it is not.
-func (q *request) readKey(r *http.Request) *Failure {
-	mark := r.Header.Get(RepeatableHeader)
-	switch mark {
+// parseRepeatable parses whether the request is repeatable, and its idempotency key if it is not.
+func (q *request) parseRepeatable(r *http.Request) *Failure {
+	value := r.Header.Get(RepeatableHeader)
+	switch value {
 	case "", "yes":
 		return nil
 	case "no":
 	default:
-		return badRequest("%s: invalid value %q; use yes or no", RepeatableHeader, mark)
+		return badRequest("%s: invalid value %q; use yes or no", RepeatableHeader, value)
 	}
-	key, f := keyOf(r)
+	key, f := idempotencyKey(r)
 	q.key = key
 	return f
 }
 
-// keyOf returns the idempotency key of a request that requires one.
-func keyOf(r *http.Request) (string, *Failure) {
+// idempotencyKey returns the idempotency key of a request that requires one.
+func idempotencyKey(r *http.Request) (string, *Failure) {
 	key := r.Header.Get(KeyHeader)
 	if key == "" {
 		return "", &Failure{Code: CodeKeyMissing, Ran: NotRun, Message: KeyHeader + ": required for a request that is not repeatable"}
@@ -148,12 +148,12 @@
 	return u.String(), nil
 }
 
-// readBounded reads a caller's body and refuses one of more than most bytes.
-func readBounded(w http.ResponseWriter, r *http.Request, most int64) ([]byte, *Failure) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+// readLimited reads a caller's body and refuses one of more than maxBytes.
+func readLimited(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, *Failure) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, &Failure{Code: CodeBodyTooLarge, Ran: NotRun, Message: fmt.Sprintf("body: larger than %d bytes", most)}
+		return nil, &Failure{Code: CodeBodyTooLarge, Ran: NotRun, Message: fmt.Sprintf("body: larger than %d bytes", maxBytes)}
 	}
 	if err != nil {
 		return nil, badRequest("body: not received completely: %v", err)
@@ -161,8 +161,8 @@
 	return raw, nil
 }
 
-func (q *request) readBody(w http.ResponseWriter, r *http.Request, most int64) *Failure {
-	raw, f := readBounded(w, r, most)
+func (q *request) parseBody(w http.ResponseWriter, r *http.Request, maxBytes int64) *Failure {
+	raw, f := readLimited(w, r, maxBytes)
 	if f != nil {
 		return f
 	}
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// resolve resolves the model name to an adapter version, which all attempts use.
-func (q *request) resolve() *Failure {
+// resolveModel resolves the model name to an adapter version, which all attempts use.
+func (q *request) resolveModel() *Failure {
 	var name string
 	if err := json.Unmarshal(q.body["model"], &name); err != nil || name == "" {
 		return badRequest("model: write adapter, adapter@version or adapter@alias")
@@ -194,7 +194,7 @@
 		return &Failure{Code: code, Ran: NotRun, Message: fmt.Sprintf("model: no %s %q", unknown.Kind, unknown.Name)}
 	}
 	q.model = m
-	q.prefix = prefixOf(m.String(), string(q.body["prompt"])+string(q.body["messages"]))
+	q.prefix = hashPrefix(m.String(), string(q.body["prompt"])+string(q.body["messages"]))
 	return nil
 }
 
@@ -223,10 +223,10 @@
 	return q.catalog.Revision()
 }
 
-// left returns the time until the deadline.
-func (q *request) left() time.Duration { return clock.Until(q.deadline) }
+// remaining returns the time until the deadline.
+func (q *request) remaining() time.Duration { return clock.Until(q.deadline) }
 
-// mayWait returns how long the request may still wait for a grant.
-func (q *request) mayWait() time.Duration {
-	return min(q.class.MayWait()-clock.Since(q.arrived), q.left())
+// maxWait returns how long the request may still wait for a grant.
+func (q *request) maxWait() time.Duration {
+	return min(q.class.MayWait()-clock.Since(q.receivedAt), q.remaining())
 }
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -16,15 +16,15 @@
 	"github.com/pkg/errors"
 )
 
-// call is a caller's call to a plain service. Its body is in memory, so that it can be retried
+// serviceCall is a caller's call to a plain service. Its body is in memory, so that it can be retried
 // if that is allowed.
-type call struct {
+type serviceCall struct {
 	id         string
 	key        string
 	service    catalog.Service
 	method     string
 	path       string // including the query
-	header     http.Header
+	headers    http.Header
 	body       []byte
 	content    quarantine.Content
 	repeatable bool
@@ -34,43 +34,43 @@
 func (g *Gateway) serveService(w http.ResponseWriter, r *http.Request) {
 	id := newRequestID()
 	w.Header().Set(RequestHeader, id)
-	begun := clock.Now()
-	c, f := g.readCall(w, r, id)
-	out := &answer{writer: w, id: id}
+	startedAt := clock.Now()
+	c, f := g.parseServiceCall(w, r, id)
+	out := &callerResponse{writer: w, id: id}
 	if f == nil {
-		f = g.runKeyed(r.Context(), c.key, id, func() *Failure { return g.callService(r.Context(), c, out) })
+		f = g.runWithKey(r.Context(), c.key, id, func() *Failure { return g.callService(r.Context(), c, out) })
 	}
 	if f != nil {
-		g.finish(out, nil, id, begun, f)
+		g.finishWithFailure(out, nil, id, startedAt, f)
 		return
 	}
-	g.stats.Codes.Observe("ok", clock.Since(begun))
+	g.stats.CodeDuration.Observe("ok", clock.Since(startedAt))
 }
 
-// readCall parses a call to a plain service.
-func (g *Gateway) readCall(w http.ResponseWriter, r *http.Request, id string) (*call, *Failure) {
-	k := g.Catalog()
-	if k == nil {
+// parseServiceCall parses a call to a plain service.
+func (g *Gateway) parseServiceCall(w http.ResponseWriter, r *http.Request, id string) (*serviceCall, *Failure) {
+	config := g.Catalog()
+	if config == nil {
 		return nil, noConfiguration()
 	}
-	s, ok := k.Service(r.PathValue("service"))
+	s, ok := config.Service(r.PathValue("service"))
 	if !ok {
 		return nil, &Failure{Code: CodeUnknownService, Ran: NotRun, Message: "no service " + strconv.Quote(r.PathValue("service"))}
 	}
-	c := &call{id: id, service: s, method: r.Method, path: "/" + r.PathValue("path"), header: r.Header}
+	c := &serviceCall{id: id, service: s, method: r.Method, path: "/" + r.PathValue("path"), headers: r.Header}
 	c.repeatable = !s.NotRepeatable(r.Method, c.path) && r.Header.Get(RepeatableHeader) != "no"
 	if r.URL.RawQuery != "" {
 		c.path += "?" + r.URL.RawQuery
 	}
 	if !c.repeatable {
-		key, f := keyOf(r)
+		key, f := idempotencyKey(r)
 		if f != nil {
 			return nil, f
 		}
 		c.key = key
 	}
 	var f *Failure
-	c.body, f = readBounded(w, r, g.MaxBody)
+	c.body, f = readLimited(w, r, g.MaxBody)
 	if f != nil {
 		return nil, f
 	}
@@ -80,88 +80,90 @@
 
 // callService tries the addresses of a service in random order, as long as the call has provably not
 // been executed or is repeatable, and the retry budget allows it.
-func (g *Gateway) callService(ctx context.Context, c *call, out *answer) *Failure {
+func (g *Gateway) callService(ctx context.Context, c *serviceCall, out *callerResponse) *Failure {
 	addresses := c.service.Addresses()
 	var last *Failure
-	unsure := false // an earlier attempt may have been executed
+	mayHaveRun := false // an earlier attempt may have been executed
 	for n, i := range rand.Perm(len(addresses)) {
-		if n > 0 && !g.Retries.Take() {
+		if n > 0 && !g.RetryBudget.Take() {
 			return last
 		}
-		last = g.quarantined(c.content)
+		last = g.checkQuarantine(c.content)
 		if last == nil {
-			last = g.callAt(ctx, c, out, addresses[i])
+			last = g.sendServiceCall(ctx, c, out, addresses[i])
 		}
-		if last != nil && unsure {
+		if last != nil && mayHaveRun {
 			last.Ran = Unknown
 		}
-		if last == nil || last.Code == CodeQuarantined || ctx.Err() != nil || !out.untouched() {
+		if last == nil || last.Code == CodeQuarantined || ctx.Err() != nil || out.started() {
 			return last
 		}
 		if last.Ran != NotRun && !c.repeatable {
 			return last
 		}
-		unsure = last.Ran != NotRun
+		mayHaveRun = last.Ran != NotRun
 	}
 	return last
 }
 
-func (g *Gateway) callAt(ctx context.Context, c *call, out *answer, address string) *Failure {
-	e, err := http.NewRequestWithContext(ctx, c.method, "http://"+address+c.path, bytes.NewReader(c.body))
+// sendServiceCall sends a call to one address and relays the response.
+func (g *Gateway) sendServiceCall(ctx context.Context, c *serviceCall, out *callerResponse, address string) *Failure {
+	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+address+c.path, bytes.NewReader(c.body))
 	if err != nil {
 		return badRequest("call: %v", err)
 	}
-	copyHeader(e.Header, c.header)
-	e.Header.Set(engine.RequestHeader, c.id)
+	copyEndToEndHeaders(req.Header, c.headers)
+	req.Header.Set(engine.RequestHeader, c.id)
 	if c.key != "" {
-		e.Header.Set(engine.KeyHeader, c.key)
+		req.Header.Set(engine.KeyHeader, c.key)
 	}
-	a, err := engine.Send(g.Engines, e, clock.Now().Add(g.Spans.Key))
+	resp, err := engine.Send(g.EngineClient, req, clock.Now().Add(g.Timeouts.KeyClaim))
 	if err != nil {
-		return g.lostCall(ctx, c, address, err)
+		return g.serviceCallFailure(ctx, c, address, err)
 	}
-	defer a.Body.Close()
-	body, whole := readWhole(a)
-	if !whole {
-		g.watchCall(ctx, c, address)
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the response of " + c.service.Name() + " was truncated or too large", Retry: g.Spans.Retry}
+	defer resp.Body.Close()
+	body, complete := readComplete(resp)
+	if !complete {
+		g.reportBrokenCall(ctx, c, address)
+		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: "the response of " + c.service.Name() + " was truncated or too large", RetryAfter: g.RetryAfter}
 	}
-	g.Retries.Success()
-	g.watch.Answered(c.content, clock.Now())
-	copyHeader(out.Header(), a.Header)
-	out.give(a.StatusCode, body)
+	g.RetryBudget.Success()
+	g.watcher.Answered(c.content, clock.Now())
+	copyEndToEndHeaders(out.Header(), resp.Header)
+	out.writeComplete(resp.StatusCode, body)
 	return nil
 }
 
-// watchCall has the termination detector check an address that broke off a response. Incarnations of a
+// reportBrokenCall has the termination detector check an address that broke off a response. Incarnations of a
 // service at one address cannot be told apart, so each call that breaks off counts as one of its own.
-func (g *Gateway) watchCall(ctx context.Context, c *call, address string) {
+func (g *Gateway) reportBrokenCall(ctx context.Context, c *serviceCall, address string) {
 	if ctx.Err() == nil {
-		g.watch.Cut(address+" under "+c.id, address, c.content)
+		g.watcher.Cut(address+" under "+c.id, address, c.content)
 	}
 }
 
-func (g *Gateway) lostCall(ctx context.Context, c *call, address string, err error) *Failure {
+// serviceCallFailure returns the failure of a call that got no response.
+func (g *Gateway) serviceCallFailure(ctx context.Context, c *serviceCall, address string, err error) *Failure {
 	ran := Unknown
-	var l *engine.LostError
-	if errors.As(err, &l) && !l.Sent {
+	var lost *engine.LostError
+	if errors.As(err, &lost) && !lost.Sent {
 		ran = NotRun
 	} else {
-		g.watchCall(ctx, c, address)
+		g.reportBrokenCall(ctx, c, address)
 	}
-	return &Failure{Code: CodeLost, Ran: ran, Message: c.service.Name() + " sent no response", Retry: g.Spans.Retry}
+	return &Failure{Code: CodeNoResponse, Ran: ran, Message: c.service.Name() + " sent no response", RetryAfter: g.RetryAfter}
 }
 
-// hopHeaders apply to a single connection and are not forwarded.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders apply to a single connection and are not forwarded.
+var hopByHopHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	KeyHeader: true, // with it, net/http and other clients retry a request by themselves
 }
 
-func copyHeader(to, from http.Header) {
+func copyEndToEndHeaders(to, from http.Header) {
 	for n, v := range from {
-		if !hopHeaders[n] {
+		if !hopByHopHeaders[n] {
 			to[n] = v
 		}
 	}
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -17,104 +17,104 @@
 
 // The names of a gateway's settings.
 const (
-	optListen    = "callers_listen"
-	optPlacement = "placement"
-	optScope     = "placement_scope"
-	optFailover  = "failover"
-	optKeyWait   = "key_wait"
-	optRetry     = "retry_after"
-	optResume    = "resume_wait"
-	optIdle      = "stream_idle"
-	optMaxBody   = "max_body"
-	optInFlight  = "max_in_flight"
-	optPrefixes  = "warm_prefixes"
-	optShare     = "retry_share"
-	optBurst     = "retry_burst"
+	optListen         = "callers_listen"
+	optPlacement      = "placement"
+	optPlacementScope = "placement_scope"
+	optFailover       = "failover"
+	optKeyWait        = "key_wait"
+	optRetryAfter     = "retry_after"
+	optResumeWait     = "resume_wait"
+	optStreamIdle     = "stream_idle"
+	optMaxBody        = "max_body"
+	optMaxInFlight    = "max_in_flight"
+	optWarmPrefixes   = "warm_prefixes"
+	optRetryShare     = "retry_share"
+	optRetryBurst     = "retry_burst"
 )
 
 // Options describes the settings of a gateway.
 var Options = daemon.Options(settings.Table{
 	{Name: optListen, Kind: settings.Address, Required: true, Help: "address for callers"},
 	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "placement policy: homes, hash, least_loaded or random"},
-	{Name: optScope, Kind: settings.Text, Default: ScopeRegion, Help: "where the endpoints of an adapter are preferred: data_centre or region"},
+	{Name: optPlacementScope, Kind: settings.Text, Default: ScopeRegion, Help: "where endpoints are tried first: data_centre or region"},
 	{Name: optFailover, Kind: settings.Duration, Default: 4 * time.Second, Help: "timeout for finding a scheduler that responds"},
 	{Name: optKeyWait, Kind: settings.Duration, Default: time.Second, Help: "timeout for claiming an idempotency key at the scheduler that stores its state"},
-	{Name: optRetry, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "default Retry-After for refused requests"},
-	{Name: optResume, Kind: settings.Duration, Default: time.Second, Help: "timeout for resuming a stream that broke off"},
-	{Name: optIdle, Kind: settings.Duration, Default: 30 * time.Second, Least: 10 * time.Millisecond, Help: "idle timeout of a stream"},
+	{Name: optRetryAfter, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "default Retry-After for refused requests"},
+	{Name: optResumeWait, Kind: settings.Duration, Default: time.Second, Help: "timeout for resuming a stream that broke off"},
+	{Name: optStreamIdle, Kind: settings.Duration, Default: 30 * time.Second, Least: 10 * time.Millisecond, Help: "idle timeout of a stream"},
 	{Name: optMaxBody, Kind: settings.Count, Default: 1 << 20, Least: 1, Help: "largest request body, in bytes"},
-	{Name: optInFlight, Kind: settings.Count, Default: 4096, Least: 1, Help: "requests in flight; more are refused"},
-	{Name: optPrefixes, Kind: settings.Count, Default: 8192, Help: "prompt prefixes whose last endpoint is remembered, since its cache may still hold them; 0: none"},
-	{Name: optShare, Kind: settings.Number, Default: 0.1, Help: "retries allowed per successful request"},
-	{Name: optBurst, Kind: settings.Number, Default: 10.0, Help: "retries allowed at once"},
+	{Name: optMaxInFlight, Kind: settings.Count, Default: 4096, Least: 1, Help: "requests in flight; more are refused"},
+	{Name: optWarmPrefixes, Kind: settings.Count, Default: 8192, Help: "prompt prefixes whose last endpoint is remembered, since its cache may still hold them; 0: none"},
+	{Name: optRetryShare, Kind: settings.Number, Default: 0.1, Help: "retries allowed per successful request"},
+	{Name: optRetryBurst, Kind: settings.Number, Default: 10.0, Help: "retries allowed at once"},
 })
 
-// idlePerEndpoint is the number of idle connections kept per endpoint, so that bursts up to that size need
+// maxIdlePerEndpoint is the number of idle connections kept per endpoint, so that bursts up to that size need
 // no new connections.
-const idlePerEndpoint = 64
+const maxIdlePerEndpoint = 64
 
 // Serve runs a gateway until ctx ends. The settings have been validated against Options.
 func Serve(ctx context.Context, v settings.Values) error {
-	place, err := policy.NewPlacement(v.Text(optPlacement))
+	placement, err := policy.NewPlacement(v.Text(optPlacement))
 	if err != nil {
 		return err
 	}
-	if scope := v.Text(optScope); scope != ScopeCentre && scope != ScopeRegion {
-		return errors.Errorf("gateway: %s %q: use %s or %s", optScope, scope, ScopeCentre, ScopeRegion)
+	if scope := v.Text(optPlacementScope); scope != ScopeDataCentre && scope != ScopeRegion {
+		return errors.Errorf("gateway: %s %q: use %s or %s", optPlacementScope, scope, ScopeDataCentre, ScopeRegion)
 	}
 	n, err := daemon.New(member.Gateway, v)
 	if err != nil {
 		return err
 	}
 	g := &Gateway{
-		Name:       n.Name(),
-		Centre:     n.Centre(),
-		Catalog:    n.Keeper.Catalog,
-		Members:    n.Table,
-		Probe:      n.Probe,
-		Schedulers: n.Dialer,
-		Peers:      n.Dialer,
-		Remote:     n.Boxes,
-		Engines:    n.EndpointClient(idlePerEndpoint),
-		Dial:       n.EndpointDial(),
-		Placement:  place,
-		Scope:      v.Text(optScope),
-		Retries:    policy.NewRetryBudget(v.Number(optShare), v.Number(optBurst)),
-		Spans: Spans{
+		Name:         n.Name(),
+		DataCentre:   n.Centre(),
+		Catalog:      n.Keeper.Catalog,
+		Members:      n.Table,
+		Probe:        n.Probe,
+		Schedulers:   n.Dialer,
+		Peers:        n.Dialer,
+		Directory:    n.Boxes,
+		EngineClient: n.EndpointClient(maxIdlePerEndpoint),
+		DialEngine:   n.EndpointDial(),
+		Placement:    placement,
+		Scope:        v.Text(optPlacementScope),
+		RetryBudget:  policy.NewRetryBudget(v.Number(optRetryShare), v.Number(optRetryBurst)),
+		Timeouts: Timeouts{
 			Failover: v.Duration(optFailover),
-			Key:      v.Duration(optKeyWait),
-			Retry:    v.Duration(optRetry),
-			Resume:   v.Duration(optResume),
-			Idle:     v.Duration(optIdle),
+			KeyClaim: v.Duration(optKeyWait),
+			Resume:   v.Duration(optResumeWait),
+			Idle:     v.Duration(optStreamIdle),
 		},
+		RetryAfter:  v.Duration(optRetryAfter),
 		MaxBody:     int64(v.Count(optMaxBody)),
-		MaxInFlight: v.Count(optInFlight),
-		MaxPrefixes: v.Count(optPrefixes),
-		Record:      n.Record,
+		MaxInFlight: v.Count(optMaxInFlight),
+		MaxPrefixes: v.Count(optWarmPrefixes),
+		Decisions:   n.Record,
 		Log:         n.Log,
 	}
 	g.Init()
-	g.publish()
+	g.publishMetrics()
 	l, err := net.Listen("tcp", v.Text(optListen))
 	if err != nil {
 		return errors.Wrap(err, "gateway: listen for callers")
 	}
-	n.Leave = g.Leave
-	n.OnEnded = g.Ended
+	n.Leave = g.Drain
+	n.OnEnded = g.ReceiveEnded
 	n.Idle = func() bool { return g.InFlight() == 0 }
 	n.Add(g.Run)
 	n.Add(func(ctx context.Context) error { return daemon.ServeHTTP(ctx, l, g.Handler()) })
 	return n.Run(ctx)
 }
 
-// publish exports the gateway's metrics.
-func (g *Gateway) publish() {
-	expvar.Publish("gateway_total", g.stats.Total)
-	expvar.Publish("gateway_callers", g.stats.Callers)
-	expvar.Publish("gateway_first_token", g.stats.FirstToken)
-	expvar.Publish("gateway_load_stall", g.stats.Stall)
-	expvar.Publish("gateway_codes", g.stats.Codes)
-	expvar.Publish("gateway_endpoint_ends", expvar.Func(func() any { return g.watch.Counts() }))
+// publishMetrics exports the gateway's metrics.
+func (g *Gateway) publishMetrics() {
+	expvar.Publish("gateway_total", g.stats.Duration)
+	expvar.Publish("gateway_callers", g.stats.CallerDuration)
+	expvar.Publish("gateway_first_token", g.stats.FirstByte)
+	expvar.Publish("gateway_load_stall", g.stats.LoadStall)
+	expvar.Publish("gateway_codes", g.stats.CodeDuration)
+	expvar.Publish("gateway_endpoint_ends", expvar.Func(func() any { return g.watcher.Counts() }))
 	expvar.Publish("gateway_quarantined", expvar.Func(func() any { return g.tracker.Kept().Len() }))
 	expvar.Publish("gateway_in_flight", expvar.Func(func() any { return g.InFlight() }))
 }
