--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,6 +31,7 @@
 	"github.com/go-logr/logr"
 )
 
+// Timeouts limit how long a gateway waits for other parts of the system.
 type Timeouts struct {
 	Failover time.Duration // to find an owner that responds
 	KeyClaim time.Duration // to claim a key at its home, and to send a call to a plain service
