--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -97,7 +97,7 @@
 	g.publishMetrics()
 	l, err := net.Listen("tcp", v.Text(optListen))
 	if err != nil {
-		return errors.Wrap(err, "gateway: listen for callers")
+		return errors.Wrap(err, "gateway: callers' port")
 	}
 	n.Leave = g.Drain
 	n.OnEnded = g.ReceiveEnded
