--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -49,7 +49,7 @@
 	switch {
 	case f == nil:
 		g.watcher.Answered(q.content, clock.Now())
-	case ctx.Err() == nil && f.Ran == Unknown && (f.Code == CodeNoResponse || f.Code == CodeTruncated):
+	case ctx.Err() == nil && f.Ran == MayHaveRun && (f.Code == CodeNoResponse || f.Code == CodeTruncated):
 		g.watcher.Cut(incarnationOf(h), h.grant.GetAddress(), q.content)
 	}
 }
@@ -136,7 +136,7 @@
 	if ctx.Err() != nil {
 		g.cancelExecution(h, runID, r)
 	}
-	return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: h.endpoint + " sent no response", RetryAfter: g.RetryAfter}
+	return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: h.endpoint + " sent no response", RetryAfter: g.RetryAfter}
 }
 
 // cancelExecution cancels an execution at the endpoint after its caller has left or its time is over.
@@ -156,12 +156,12 @@
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if err != nil {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: "the error response of " + h.endpoint + " was truncated"}
+		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: "the error response of " + h.endpoint + " was truncated"}
 	}
 	refused := engine.Refusal(resp, text)
 	if !refused.NotRun() {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: refused.Message, RetryAfter: refused.Retry}
+		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: refused.Message, RetryAfter: refused.Retry}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_REFUSED
 	r.NotLoaded = refused.Code == engine.CodeNotLoaded
--- a/gateway/failure.go
+++ b/gateway/failure.go
@@ -50,9 +50,9 @@
 
 // The values of Ran.
 const (
-	NotRun  Ran = "not_run"
-	Unknown Ran = "unknown"
-	DidRun  Ran = "ran"
+	NotRun     Ran = "not_run"
+	MayHaveRun Ran = "unknown"
+	HasRun     Ran = "ran"
 )
 
 // Failure is the final response to a request that got none from an endpoint.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -97,7 +97,7 @@
 	c := quicktest.New(t)
 	w := httptest.NewRecorder()
 	out := &callerResponse{writer: w, id: "id", firstByteAt: time.Now()}
-	c.Assert(func() { out.writeFailure(&Failure{Code: CodeTruncated, Ran: Unknown}) }, quicktest.PanicMatches, "net/http: abort Handler")
+	c.Assert(func() { out.writeFailure(&Failure{Code: CodeTruncated, Ran: MayHaveRun}) }, quicktest.PanicMatches, "net/http: abort Handler")
 	c.Assert(w.Body.String(), quicktest.Matches, `(?s)event: error\ndata: .*"ran":"unknown".*`)
 }
 
--- a/gateway/keys.go
+++ b/gateway/keys.go
@@ -53,7 +53,7 @@
 // and then a scheduler in it.
 func (g *Gateway) keyHome(key string) (member.Member, bool) {
 	dataCentre := policy.First(key, g.Catalog().DataCentres())
-	return pick(key, g.schedulersOf(dataCentre))
+	return selectMember(key, g.schedulersOf(dataCentre))
 }
 
 // callBeginKey calls BeginKey at the home. If the call fails, the home is probed, and its state is treated like
@@ -79,13 +79,13 @@
 		}
 		return nil
 	case wire.KeyState_KEY_STATE_IN_PROGRESS:
-		return &Failure{Code: CodeKeyInProgress, Ran: Unknown, Message: "another attempt with this key is in progress", RetryAfter: retryAfter}
+		return &Failure{Code: CodeKeyInProgress, Ran: MayHaveRun, Message: "another attempt with this key is in progress", RetryAfter: retryAfter}
 	case wire.KeyState_KEY_STATE_RAN:
-		return &Failure{Code: CodeKeyRan, Ran: DidRun, Message: "a request with this key has been executed"}
+		return &Failure{Code: CodeKeyRan, Ran: HasRun, Message: "a request with this key has been executed"}
 	case wire.KeyState_KEY_STATE_TOO_OLD:
-		return &Failure{Code: CodeKeyTooOld, Ran: Unknown, Message: "this attempt was not executed; the state of the key is no longer known, so an earlier attempt may have been executed", RetryAfter: retryAfter}
+		return &Failure{Code: CodeKeyTooOld, Ran: MayHaveRun, Message: "this attempt was not executed; the state of the key is no longer known, so an earlier attempt may have been executed", RetryAfter: retryAfter}
 	}
-	return &Failure{Code: CodeKeyUnknown, Ran: Unknown, Message: "an earlier attempt with this key may have been executed"}
+	return &Failure{Code: CodeKeyUnknown, Ran: MayHaveRun, Message: "an earlier attempt with this key may have been executed"}
 }
 
 // endKey reports the outcome of an attempt to the key's home. If the call fails, the key stays in
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -20,9 +20,11 @@
 	observed map[string]ratelimit.Word // by endpoint, of those that announced a limit or whose owner enforces one
 }
 
-// observe records the limit that a response announced, or that it announced none; sentAt is when its request was
-// sent, and enforced whether the endpoint's owner enforces a limit. It reports whether the limit changed. An endpoint that announces no limit gets an entry only if its
-// owner enforces one, which it learnt from another gateway: the owner has to be told that it is over.
+// observe records the limit that a response announced, or that it announced none. sentAt is when its request was
+// sent; enforced says whether the endpoint's owner enforces a limit. It reports whether the limit changed.
+//
+// An endpoint that announces no limit gets an entry only if its owner enforces one, which the owner learnt from
+// another gateway: the owner has to be told that it is over.
 func (l *limitTable) observe(endpoint string, limit ratelimit.Limit, enforced bool, sentAt, now time.Time) bool {
 	observed := ratelimit.NewWord(limit, sentAt, now)
 	l.mu.Lock()
--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -16,7 +16,7 @@
 			return m, true
 		}
 	}
-	return pick(endpoint, list)
+	return selectMember(endpoint, list)
 }
 
 // schedulersOf returns the schedulers that serve in a data centre: from heartbeats for this gateway's
@@ -28,8 +28,8 @@
 	return g.Directory.Schedulers(dataCentre)
 }
 
-// pick selects the member for a key by rendezvous hashing; false if the list is empty.
-func pick(key string, list []member.Member) (member.Member, bool) {
+// selectMember selects the member for a key by rendezvous hashing; false if the list is empty.
+func selectMember(key string, list []member.Member) (member.Member, bool) {
 	names := make([]string, len(list))
 	for i, m := range list {
 		names[i] = m.Name()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,9 +14,12 @@
 )
 
 const (
-	reportTimeout           = time.Second     // for a report to another gateway, which normally takes a millisecond
-	terminationCheckTimeout = 3 * time.Second // for the check whether an engine ended: a few connections, each observed for a fraction of a second
-	maxPendingEnds          = 256             // reports pending; more are not sent, and count only at this gateway
+	reportTimeout  = time.Second // for a report to another gateway, which normally takes a millisecond
+	maxPendingEnds = 256         // reports pending; more are not sent, and count only at this gateway
+
+	// terminationCheckTimeout limits the check whether an engine ended, which opens a few connections and
+	// observes each for a fraction of a second.
+	terminationCheckTimeout = 3 * time.Second
 )
 
 // Peers calls other daemons.
--- a/gateway/route.go
+++ b/gateway/route.go
@@ -24,7 +24,7 @@
 func (g *Gateway) route(ctx context.Context, q *request, out *callerResponse) *Failure {
 	f := g.routeStages(ctx, q, out)
 	if f != nil && f.Ran == NotRun && q.mayHaveRun {
-		return &Failure{Code: f.Code, Ran: Unknown, Message: "an earlier attempt may have been executed; last attempt: " + f.Message, RetryAfter: f.RetryAfter}
+		return &Failure{Code: f.Code, Ran: MayHaveRun, Message: "an earlier attempt may have been executed; last attempt: " + f.Message, RetryAfter: f.RetryAfter}
 	}
 	return f
 }
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -93,7 +93,7 @@
 			last = g.sendServiceCall(ctx, c, out, addresses[i])
 		}
 		if last != nil && mayHaveRun {
-			last.Ran = Unknown
+			last.Ran = MayHaveRun
 		}
 		if last == nil || last.Code == CodeQuarantined || ctx.Err() != nil || out.started() {
 			return last
@@ -125,7 +125,7 @@
 	body, complete := readComplete(resp)
 	if !complete {
 		g.reportBrokenCall(ctx, c, address)
-		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: "the response of " + c.service.Name() + " was truncated or too large", RetryAfter: g.RetryAfter}
+		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: "the response of " + c.service.Name() + " was truncated or too large", RetryAfter: g.RetryAfter}
 	}
 	g.RetryBudget.Success()
 	g.watcher.Answered(c.content, clock.Now())
@@ -144,7 +144,7 @@
 
 // serviceCallFailure returns the failure of a call that got no response.
 func (g *Gateway) serviceCallFailure(ctx context.Context, c *serviceCall, address string, err error) *Failure {
-	ran := Unknown
+	ran := MayHaveRun
 	var lost *engine.LostError
 	if errors.As(err, &lost) && !lost.Sent {
 		ran = NotRun
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -88,7 +88,7 @@
 		if ctx.Err() != nil {
 			g.cancelExecution(h, runID, r)
 		}
-		return &Failure{Code: CodeNoResponse, Ran: Unknown, Message: "the response of " + h.endpoint + " was truncated or too large", RetryAfter: g.RetryAfter}
+		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: "the response of " + h.endpoint + " was truncated or too large", RetryAfter: g.RetryAfter}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_COMPLETED
 	out.Header().Set("Content-Type", resp.Header.Get("Content-Type"))
@@ -134,7 +134,7 @@
 	if out.callerGone || ctx.Err() != nil {
 		g.cancelExecution(h, runID, r)
 	}
-	return &Failure{Code: CodeTruncated, Ran: Unknown, Message: "the stream of " + h.endpoint + " broke off", RetryAfter: g.RetryAfter}
+	return &Failure{Code: CodeTruncated, Ran: MayHaveRun, Message: "the stream of " + h.endpoint + " broke off", RetryAfter: g.RetryAfter}
 }
 
 // resume reopens the stream of an execution and relays the remaining events; events is the number
