--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -48,8 +48,8 @@
 	sampleCount atomic.Uint64
 
 	mu         sync.Mutex
-	budgets    map[string]*RetryBudget // by service; mu is taken before a RetryBudget's
-	firstToken policy.FirstToken       // of all endpoints that run models
+	budgets    map[string]*RetryBudget    // by service; mu is taken before a RetryBudget's
+	firstToken policy.FirstTokenEstimator // of all endpoints that run models
 }
 
 // Run drops state of removed endpoints and detects endpoints that ended, until ctx ends.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -33,7 +33,7 @@
 	f := g.send(ctx, q, out, h, r)
 	g.watchAttempt(ctx, q, h, f)
 	if f == nil {
-		g.Retries.Success()
+		g.Retries.RecordSuccess()
 		g.prefixes.note(q.prefix, h.endpoint, clock.Now())
 	} else if f.Ran != NotRun {
 		q.unsure = true
--- a/gateway/beliefs.go
+++ b/gateway/beliefs.go
@@ -19,7 +19,7 @@
 }
 
 type endpointBelief struct {
-	facts   policy.Facts
+	facts   policy.EndpointState
 	heard   time.Time
 	granted int // own grants not given back
 }
@@ -41,11 +41,11 @@
 
 // of returns the facts of an adapter's candidates and how many homes it should
 // have.
-func (b *beliefs) of(adapter string, names []string, now time.Time) ([]policy.Facts, int) {
+func (b *beliefs) of(adapter string, names []string, now time.Time) ([]policy.EndpointState, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.adapters[adapter]
-	facts := make([]policy.Facts, len(names))
+	facts := make([]policy.EndpointState, len(names))
 	for i, n := range names {
 		facts[i] = b.factsLocked(n, now)
 		facts[i].Loaded = a != nil && now.Sub(a.loaded[n]) < beliefLife
@@ -57,13 +57,13 @@
 }
 
 // factsLocked corrects what was heard by the own grants given since.
-func (b *beliefs) factsLocked(name string, now time.Time) policy.Facts {
+func (b *beliefs) factsLocked(name string, now time.Time) policy.EndpointState {
 	e := b.endpoints[name]
 	if e == nil {
-		return policy.Facts{}
+		return policy.EndpointState{}
 	}
 	if now.Sub(e.heard) > beliefLife {
-		return policy.Facts{Running: e.granted}
+		return policy.EndpointState{Running: e.granted}
 	}
 	f := e.facts
 	f.Running = max(f.Running, e.granted)
@@ -80,7 +80,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.endpointLocked(endpoint)
-	e.facts = policy.Facts{Running: int(w.GetRunning()), Limit: int(w.GetLimit()), Waiting: int(w.GetWaiting())}
+	e.facts = policy.EndpointState{Running: int(w.GetRunning()), Limit: int(w.GetLimit()), Waiting: int(w.GetWaiting())}
 	e.heard = now
 	a := b.adapterLocked(adapter)
 	a.heard = now
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -22,12 +22,12 @@
 	for i, n := range names {
 		facts[i].Warm = n == warm
 	}
-	order, scores := g.Placement.Order(policy.PlaceRequest{
-		Key:   q.model.String(),
-		Names: names,
-		Facts: facts,
-		Width: width,
-		Rand:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	order, scores := g.Placement.Order(policy.PlacementRequest{
+		Key:       q.model.String(),
+		Names:     names,
+		States:    facts,
+		HomeCount: width,
+		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d := g.decision(q, "place", time.Now())
 	ranked := make([]string, len(order))
@@ -42,7 +42,7 @@
 	return ranked
 }
 
-func candidate(name string, score float64, f policy.Facts) *wire.Candidate {
+func candidate(name string, score float64, f policy.EndpointState) *wire.Candidate {
 	c := &wire.Candidate{Endpoint: name, Score: score, AgeMicros: f.Age.Microseconds()}
 	switch {
 	case f.Warm:
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -125,7 +125,7 @@
 		g.watchCall(ctx, c, address)
 		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the answer of " + c.service.Name() + " broke off", Retry: g.Spans.Retry}
 	}
-	g.Retries.Success()
+	g.Retries.RecordSuccess()
 	g.watch.Answered(c.content, clock.Now())
 	copyHeader(out.Header(), a.Header)
 	out.give(a.StatusCode, body)
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -35,7 +35,7 @@
 // Options is the table of a gateway's settings.
 var Options = daemon.Options(settings.Table{
 	{Name: optListen, Kind: settings.Address, Required: true, Help: "address for callers"},
-	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "homes, hash, least_loaded or random"},
+	{Name: optPlacement, Kind: settings.Text, Default: policy.PlacementHomes, Help: "homes, hash, least_loaded or random"},
 	{Name: optScope, Kind: settings.Text, Default: ScopeRegion, Help: "how far an adapter's homes spread: data_centre or region"},
 	{Name: optFailover, Kind: settings.Duration, Default: 4 * time.Second, Help: "how long a request looks for a scheduler that answers"},
 	{Name: optKeyWait, Kind: settings.Duration, Default: time.Second, Help: "longest wait for the home of a key"},
--- a/measure/scarce.go
+++ b/measure/scarce.go
@@ -177,15 +177,15 @@
 	return best
 }
 
-func (s *simulation) facts(e *simEndpoint, adapter int, usual bool) policy.SiteFacts {
-	f := policy.SiteFacts{
-		Load:    simWarm * time.Millisecond,
-		Read:    time.Duration((e.unread()+e.wanted)/simReads) * time.Millisecond,
-		Fetched: !e.remembers(adapter),
-		Usual:   usual,
+func (s *simulation) facts(e *simEndpoint, adapter int, usual bool) policy.LoadTarget {
+	f := policy.LoadTarget{
+		LoadTime:    simWarm * time.Millisecond,
+		PrefillTime: time.Duration((e.unread()+e.wanted)/simReads) * time.Millisecond,
+		FromStore:   !e.remembers(adapter),
+		Preferred:   usual,
 	}
-	if f.Fetched {
-		f.Load = simStore * time.Millisecond
+	if f.FromStore {
+		f.LoadTime = simStore * time.Millisecond
 	}
 	taken := 0
 	for _, t := range e.slots {
@@ -193,9 +193,9 @@
 			taken++
 		}
 	}
-	f.Taken = float64(taken) / simSlots
+	f.SlotUtilisation = float64(taken) / simSlots
 	if taken >= simSlots {
-		f.Empty = time.Second // a run's time, shared by those that wait
+		f.SlotWait = time.Second // a run's time, shared by those that wait
 	}
 	return f
 }
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -50,16 +50,16 @@
 	mu                 sync.Mutex
 	owned              map[string]*ownedEndpoint // by endpoint
 	pendingLoads       map[placementKey]*pendingLoad
-	requestRates       map[topology.Adapter]*policy.Popularity
-	modelLoadBucket    tokenBucket       // limits loads of base models
-	loadLimiter        loadLimiter       // limits loads of adapters
-	inFlight           inFlightTable     // requests in progress, as reported by the boxes
-	idleTransitions    policy.Popularity // adapters that became idle
-	meanWorth          map[int]float64   // by priority, smoothed over recent requests
-	coldLoadTime       time.Duration     // smoothed time of a load from the store
-	warmLoadTime       time.Duration     // smoothed time of a load from an endpoint's host memory
-	cacheSize          int               // estimated number of adapters that an endpoint's host memory caches
-	minLoadCost        time.Duration     // cost of a load at the cheapest endpoint, as of minLoadCostAt
+	requestRates       map[topology.Adapter]*policy.DecayingCounter
+	modelLoadBucket    tokenBucket            // limits loads of base models
+	loadLimiter        loadLimiter            // limits loads of adapters
+	inFlight           inFlightTable          // requests in progress, as reported by the boxes
+	idleTransitions    policy.DecayingCounter // adapters that became idle
+	meanWorth          map[int]float64        // by priority, smoothed over recent requests
+	coldLoadTime       time.Duration          // smoothed time of a load from the store
+	warmLoadTime       time.Duration          // smoothed time of a load from an endpoint's host memory
+	cacheSize          int                    // estimated number of adapters that an endpoint's host memory caches
+	minLoadCost        time.Duration          // cost of a load at the cheapest endpoint, as of minLoadCostAt
 	minLoadCostKnown   bool
 	minLoadCostAt      time.Time
 	ownershipCheckedAt time.Time
@@ -76,7 +76,7 @@
 	l.initOnce.Do(func() {
 		l.owned = make(map[string]*ownedEndpoint)
 		l.pendingLoads = make(map[placementKey]*pendingLoad)
-		l.requestRates = make(map[topology.Adapter]*policy.Popularity)
+		l.requestRates = make(map[topology.Adapter]*policy.DecayingCounter)
 		l.modelLoadBucket = tokenBucket{limits: l.Limits()}
 		l.coldLoadTime, l.warmLoadTime = initialColdLoadTime, initialWarmLoadTime
 		l.cacheSize = initialCacheSize
@@ -220,7 +220,7 @@
 func (l *Loader) countRequestsLocked(a topology.Adapter, n float64, now time.Time) {
 	r := l.requestRates[a]
 	if r == nil {
-		r = &policy.Popularity{}
+		r = &policy.DecayingCounter{}
 		l.requestRates[a] = r
 	}
 	r.Add(n, now, requestRateHalfLife)
--- a/placement/ownership.go
+++ b/placement/ownership.go
@@ -30,19 +30,19 @@
 	refusals        int       // consecutive refused fences
 	publications    uint64    // count of publications
 	slots           map[topology.Adapter]*slot
-	loadsInFlight   int               // loads in progress
-	announcedTokens policy.Popularity // prompt tokens that boxes were told to send here and have not reported yet
-	waitingTokens   int               // prompt tokens of requests that wait for loads here
-	queuedLoads     int               // loads that wait for a slot here, as of the last ranking
-	needsReclaim    bool              // a new claim is needed to learn what it holds
-	models          map[string]bool   // base models that it holds
-	loadingModel    bool              // a base model is being loaded
-	claims          int               // completed claims; tasks of earlier ones stop
-	handedOver      bool              // the last claim used a handover from the previous owner, without a report
-	ordersInFlight  int               // orders without a response yet
-	ordersDone      chan struct{}     // closed when ordersInFlight reaches zero; nil: nobody waits
-	endedUntil      time.Time         // a box observed that the endpoint ended; it is not used until then, when its entry has expired
-	stateUncertain  bool              // since the last claim an order got no response or another owner was noticed
+	loadsInFlight   int                    // loads in progress
+	announcedTokens policy.DecayingCounter // prompt tokens that boxes were told to send here and have not reported yet
+	waitingTokens   int                    // prompt tokens of requests that wait for loads here
+	queuedLoads     int                    // loads that wait for a slot here, as of the last ranking
+	needsReclaim    bool                   // a new claim is needed to learn what it holds
+	models          map[string]bool        // base models that it holds
+	loadingModel    bool                   // a base model is being loaded
+	claims          int                    // completed claims; tasks of earlier ones stop
+	handedOver      bool                   // the last claim used a handover from the previous owner, without a report
+	ordersInFlight  int                    // orders without a response yet
+	ordersDone      chan struct{}          // closed when ordersInFlight reaches zero; nil: nobody waits
+	endedUntil      time.Time              // a box observed that the endpoint ended; it is not used until then, when its entry has expired
+	stateUncertain  bool                   // since the last claim an order got no response or another owner was noticed
 }
 
 // slot is an adapter that occupies a slot of an endpoint.
--- a/placement/pending.go
+++ b/placement/pending.go
@@ -24,16 +24,16 @@
 // Loader.mu.
 type pendingLoad struct {
 	version          int64
-	demand           policy.Popularity // requests that were not served, decaying; a retry counts less
-	remoteRequests   float64           // requests served by another data centre: a local copy would save that traffic
-	lastRequested    time.Time         // time of the last request for it
-	deadline         time.Time         // when loaded by then, at least one waiting request is answered in time
-	queuedAhead      int               // loads queued ahead of it for a slot of the endpoint, as of the last ranking
-	waiting          int               // requests that wait for it
-	unservedRequests int               // requests that asked for it and were not served
-	copiesRequested  int               // additional copies requested because of them
-	isCopy           bool              // it is an additional copy, for this endpoint only
-	done             chan struct{}     // closed when the load has begun or is cancelled
+	demand           policy.DecayingCounter // requests that were not served, decaying; a retry counts less
+	remoteRequests   float64                // requests served by another data centre: a local copy would save that traffic
+	lastRequested    time.Time              // time of the last request for it
+	deadline         time.Time              // when loaded by then, at least one waiting request is answered in time
+	queuedAhead      int                    // loads queued ahead of it for a slot of the endpoint, as of the last ranking
+	waiting          int                    // requests that wait for it
+	unservedRequests int                    // requests that asked for it and were not served
+	copiesRequested  int                    // additional copies requested because of them
+	isCopy           bool                   // it is an additional copy, for this endpoint only
+	done             chan struct{}          // closed when the load has begun or is cancelled
 	ended            bool
 }
 
--- a/placement/site.go
+++ b/placement/site.go
@@ -68,20 +68,20 @@
 }
 
 // siteFactsLocked returns the inputs to the cost of loading an adapter on an endpoint.
-func (l *Loader) siteFactsLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) policy.SiteFacts {
-	f := policy.SiteFacts{
-		Empty:   l.freeSlotDelayLocked(o, o.queuedLoads, now),
-		Load:    l.warmLoadTime,
-		Read:    l.prefillDelayLocked(o, now),
-		Taken:   l.slotUtilisationLocked(o, now),
-		Fetched: !l.isWarmLocked(o, a),
-		Usual:   usual,
+func (l *Loader) siteFactsLocked(o *ownedEndpoint, a topology.Adapter, usual bool, now time.Time) policy.LoadTarget {
+	f := policy.LoadTarget{
+		SlotWait:        l.freeSlotDelayLocked(o, o.queuedLoads, now),
+		LoadTime:        l.warmLoadTime,
+		PrefillTime:     l.prefillDelayLocked(o, now),
+		SlotUtilisation: l.slotUtilisationLocked(o, now),
+		FromStore:       !l.isWarmLocked(o, a),
+		Preferred:       usual,
 	}
-	if f.Fetched {
-		f.Load = l.coldLoadTime
+	if f.FromStore {
+		f.LoadTime = l.coldLoadTime
 	}
 	if o.loadsInFlight >= maxConcurrentLoads {
-		f.Load += l.coldLoadTime / maxConcurrentLoads
+		f.LoadTime += l.coldLoadTime / maxConcurrentLoads
 	}
 	return f
 }
--- a/policy/evict.go
+++ b/policy/evict.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// SlotFacts is what is known of one adapter in a slot.
-type SlotFacts struct {
+// SlotState is what is known of one adapter in a slot.
+type SlotState struct {
 	Busy     bool      // in use, or not known to be unused: never a victim
 	LastUsed time.Time // when a request last ran on it
 	Rate     float64   // requests a second lately
@@ -17,37 +17,37 @@
 	LoadCost time.Duration
 }
 
-// Eviction chooses what leaves when a slot is needed.
-type Eviction interface {
+// EvictionPolicy chooses what leaves when a slot is needed.
+type EvictionPolicy interface {
 	// Victim returns which slot to empty for an adapter with the wanted facts,
 	// or -1 when none should go.
-	Victim(slots []SlotFacts, wanted WantedFacts) int
+	Victim(slots []SlotState, wanted PendingAdapter) int
 }
 
-// WantedFacts is what is known of the adapter that needs a slot.
-type WantedFacts struct {
-	Rate     float64       // requests a second lately
-	Priority int           // as published
-	Waited   time.Duration // how long its first request has waited
-	Waiting  int           // how many requests wait for it
-	Patience time.Duration // how long a one-off request may be held back
+// PendingAdapter is what is known of the adapter that needs a slot.
+type PendingAdapter struct {
+	Rate        float64       // requests a second lately
+	Priority    int           // as published
+	OldestWait  time.Duration // how long its first request has waited
+	Requests    int           // how many requests wait for it
+	MaxDeferral time.Duration // how long a one-off request may be held back
 }
 
 // The names of the evictions, as settings choose them.
 const (
-	EvictReturn = "expected_return"
-	EvictOldest = "least_recently_used"
+	EvictExpectedReturn    = "expected_return"
+	EvictLeastRecentlyUsed = "least_recently_used"
 )
 
-// NewEviction returns the eviction called name.
-func NewEviction(name string) (Eviction, error) {
+// NewEvictionPolicy returns the eviction called name.
+func NewEvictionPolicy(name string) (EvictionPolicy, error) {
 	switch name {
-	case EvictReturn:
+	case EvictExpectedReturn:
 		return expectedReturn{}, nil
-	case EvictOldest:
+	case EvictLeastRecentlyUsed:
 		return leastRecentlyUsed{}, nil
 	}
-	return nil, errors.Errorf("policy: eviction %q: use %s or %s", name, EvictReturn, EvictOldest)
+	return nil, errors.Errorf("policy: eviction %q: use %s or %s", name, EvictExpectedReturn, EvictLeastRecentlyUsed)
 }
 
 // expectedReturn empties the slot whose adapter saves the least waiting: its
@@ -55,37 +55,37 @@
 // change of owner, the one unused for the longest time goes.
 type expectedReturn struct{}
 
-// resistance is how many times as valuable as the wanted adapter a resident
+// deferralThreshold is how many times as valuable as the wanted adapter a resident
 // may be before it is spared for the wanted one's patience.
-const resistance = 4.0
+const deferralThreshold = 4.0
 
-func (expectedReturn) Victim(slots []SlotFacts, w WantedFacts) int {
+func (expectedReturn) Victim(slots []SlotState, w PendingAdapter) int {
 	best, least := -1, 0.0
 	for i, s := range slots {
 		if s.Busy {
 			continue
 		}
-		v := s.value()
+		v := s.reloadCost()
 		if best < 0 || v < least || (v == least && s.LastUsed.Before(slots[best].LastUsed)) {
 			best, least = i, v
 		}
 	}
-	if best < 0 || w.Waited >= w.Patience {
+	if best < 0 || w.OldestWait >= w.MaxDeferral {
 		return best
 	}
-	if least > resistance*w.value(slots[best].LoadCost) {
+	if least > deferralThreshold*w.value(slots[best].LoadCost) {
 		return -1
 	}
 	return best
 }
 
-func (s SlotFacts) value() float64 {
+func (s SlotState) reloadCost() float64 {
 	return s.Rate * s.LoadCost.Seconds() * priorityWeight(s.Priority)
 }
 
 // value of what waits: the waiting requests count as one second's arrivals.
-func (w WantedFacts) value(loadCost time.Duration) float64 {
-	return (w.Rate + float64(w.Waiting)) * loadCost.Seconds() * priorityWeight(w.Priority)
+func (w PendingAdapter) value(loadCost time.Duration) float64 {
+	return (w.Rate + float64(w.Requests)) * loadCost.Seconds() * priorityWeight(w.Priority)
 }
 
 func priorityWeight(p int) float64 { return 1 + float64(max(p, 0)) }
@@ -93,7 +93,7 @@
 // leastRecentlyUsed empties the slot that was unused for the longest time.
 type leastRecentlyUsed struct{}
 
-func (leastRecentlyUsed) Victim(slots []SlotFacts, _ WantedFacts) int {
+func (leastRecentlyUsed) Victim(slots []SlotState, _ PendingAdapter) int {
 	best := -1
 	for i, s := range slots {
 		if s.Busy {
--- a/policy/firsttoken_test.go
+++ b/policy/firsttoken_test.go
@@ -11,7 +11,7 @@
 
 func TestTheTimeToTheFirstTokenIsLearnt(t *testing.T) {
 	c := quicktest.New(t)
-	var f FirstToken
+	var f FirstTokenEstimator
 	guess := f.Predict(10_000)
 	c.Assert(guess > f.Predict(0), quicktest.IsTrue)
 	for i := range 300 { // 40 ms, and 20 ms for each thousand tokens
@@ -26,7 +26,7 @@
 
 func TestPromptsOfOneLengthStillGiveALine(t *testing.T) {
 	c := quicktest.New(t)
-	var f FirstToken
+	var f FirstTokenEstimator
 	for range 100 {
 		f.Observe(9000, 100*time.Millisecond)
 	}
--- a/policy/order.go
+++ b/policy/order.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// indexOf returns where each of the ranked names stands in names.
-func indexOf(names, ranked []string) []int {
+// indexesOf returns where each of the ranked names stands in names.
+func indexesOf(names, ranked []string) []int {
 	at := make(map[string]int, len(names))
 	for i, n := range names {
 		at[n] = i
@@ -20,8 +20,8 @@
 	return list
 }
 
-// sortedBy returns the list by falling score; equal scores keep their order.
-func sortedBy(list []int, scores []float64) []int {
+// sortByScore returns the list by falling score; equal scores keep their order.
+func sortByScore(list []int, scores []float64) []int {
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(a, b int) int { return cmp.Compare(scores[b], scores[a]) })
 	return list
--- a/policy/place.go
+++ b/policy/place.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// Facts is what is believed of one endpoint.
-type Facts struct {
+// EndpointState is what is believed of one endpoint.
+type EndpointState struct {
 	Running int           // requests in its batch or granted
 	Limit   int           // requests that it can batch
 	Waiting int           // requests that its owner holds back
@@ -21,8 +21,8 @@
 	Age     time.Duration // of what was heard
 }
 
-// load is how full the endpoint is: 1 when the batch is full and none waits.
-func (f Facts) load() float64 {
+// utilisation is how full the endpoint is: 1 when the batch is full and none waits.
+func (f EndpointState) utilisation() float64 {
 	if f.Limit == 0 {
 		return 0
 	}
@@ -32,39 +32,39 @@
 // Placement orders the endpoints of a request's base model, the best first.
 // The scores go along with the order, larger is better.
 type Placement interface {
-	Order(r PlaceRequest) (order []int, scores []float64)
+	Order(r PlacementRequest) (order []int, scores []float64)
 }
 
-// PlaceRequest is one request to place. Names and Facts run in parallel.
-type PlaceRequest struct {
-	Key   string // the adapter at its version
-	Names []string
-	Facts []Facts
-	Width int        // how many homes the adapter should have; at least 1
-	Rand  *rand.Rand // for the choices that are random
+// PlacementRequest is one request to place. Names and Facts run in parallel.
+type PlacementRequest struct {
+	Key       string // the adapter at its version
+	Names     []string
+	States    []EndpointState
+	HomeCount int        // how many homes the adapter should have; at least 1
+	Rand      *rand.Rand // for the choices that are random
 }
 
 // The names of the placements, as settings choose them.
 const (
-	PlaceHomes  = "homes"
-	PlaceHash   = "hash"
-	PlaceLeast  = "least_loaded"
-	PlaceRandom = "random"
+	PlacementHomes       = "homes"
+	PlacementHash        = "hash"
+	PlacementLeastLoaded = "least_loaded"
+	PlacementRandom      = "random"
 )
 
 // NewPlacement returns the placement called name.
 func NewPlacement(name string) (Placement, error) {
 	switch name {
-	case PlaceHomes:
+	case PlacementHomes:
 		return homes{}, nil
-	case PlaceHash:
+	case PlacementHash:
 		return hashOnly{}, nil
-	case PlaceLeast:
+	case PlacementLeastLoaded:
 		return leastLoaded{}, nil
-	case PlaceRandom:
+	case PlacementRandom:
 		return random{}, nil
 	}
-	return nil, errors.Errorf("policy: placement %q: use %s, %s, %s or %s", name, PlaceHomes, PlaceHash, PlaceLeast, PlaceRandom)
+	return nil, errors.Errorf("policy: placement %q: use %s, %s, %s or %s", name, PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom)
 }
 
 // homes sends an adapter to its first Width endpoints of the rendezvous order,
@@ -72,50 +72,50 @@
 type homes struct{}
 
 const (
-	stickiness = 1.0  // how much fuller a home that has the adapter may be than one that would have to load it
-	warmth     = 0.25 // the same for one that has the prefix: a tie-break, since it is a hint
+	loadedBonus = 1.0  // how much fuller a home that has the adapter may be than one that would have to load it
+	warmBonus   = 0.25 // the same for one that has the prefix: a tie-break, since it is a hint
 )
 
-func (homes) Order(r PlaceRequest) ([]int, []float64) {
-	ranked := indexOf(r.Names, Rank(r.Key, r.Names))
-	width := min(max(r.Width, 1), len(ranked))
+func (homes) Order(r PlacementRequest) ([]int, []float64) {
+	ranked := indexesOf(r.Names, Rank(r.Key, r.Names))
+	homeCount := min(max(r.HomeCount, 1), len(ranked))
 	scores := make([]float64, len(r.Names))
 	for place, i := range ranked {
-		scores[i] = -r.Facts[i].load() - float64(max(0, place-width+1))
-		if r.Facts[i].Loaded {
-			scores[i] += stickiness
+		scores[i] = -r.States[i].utilisation() - float64(max(0, place-homeCount+1))
+		if r.States[i].Loaded {
+			scores[i] += loadedBonus
 		}
-		if r.Facts[i].Warm {
-			scores[i] += warmth
+		if r.States[i].Warm {
+			scores[i] += warmBonus
 		}
 	}
-	head := ranked[:width]
-	first := twoChoices(head, scores, r.Rand)
-	if warm := warmest(head, r.Facts, scores); warm >= 0 && scores[warm] >= scores[first] {
+	homeEndpoints := ranked[:homeCount]
+	first := betterOfTwo(homeEndpoints, scores, r.Rand)
+	if warm := bestWarm(homeEndpoints, r.States, scores); warm >= 0 && scores[warm] >= scores[first] {
 		first = warm
 	}
 	order := []int{first}
-	for _, i := range sortedBy(head, scores) {
+	for _, i := range sortByScore(homeEndpoints, scores) {
 		if i != first {
 			order = append(order, i)
 		}
 	}
-	return append(order, ranked[width:]...), scores
+	return append(order, ranked[homeCount:]...), scores
 }
 
-// warmest returns the best member whose prefix is warm, or -1.
-func warmest(list []int, facts []Facts, scores []float64) int {
+// bestWarm returns the best member whose prefix is warm, or -1.
+func bestWarm(list []int, states []EndpointState, scores []float64) int {
 	best := -1
 	for _, i := range list {
-		if facts[i].Warm && (best < 0 || scores[i] > scores[best]) {
+		if states[i].Warm && (best < 0 || scores[i] > scores[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// twoChoices takes the better of two random members.
-func twoChoices(list []int, scores []float64, r *rand.Rand) int {
+// betterOfTwo takes the better of two random members.
+func betterOfTwo(list []int, scores []float64, r *rand.Rand) int {
 	if len(list) == 1 {
 		return list[0]
 	}
@@ -133,8 +133,8 @@
 // hashOnly uses the rendezvous order alone.
 type hashOnly struct{}
 
-func (hashOnly) Order(r PlaceRequest) ([]int, []float64) {
-	ranked := indexOf(r.Names, Rank(r.Key, r.Names))
+func (hashOnly) Order(r PlacementRequest) ([]int, []float64) {
+	ranked := indexesOf(r.Names, Rank(r.Key, r.Names))
 	scores := make([]float64, len(r.Names))
 	for place, i := range ranked {
 		scores[i] = -float64(place)
@@ -145,28 +145,28 @@
 // leastLoaded uses the load alone.
 type leastLoaded struct{}
 
-func (leastLoaded) Order(r PlaceRequest) ([]int, []float64) {
+func (leastLoaded) Order(r PlacementRequest) ([]int, []float64) {
 	scores := make([]float64, len(r.Names))
-	for i, f := range r.Facts {
-		scores[i] = -f.load()
+	for i, f := range r.States {
+		scores[i] = -f.utilisation()
 	}
-	return sortedBy(r.Rand.Perm(len(r.Names)), scores), scores
+	return sortByScore(r.Rand.Perm(len(r.Names)), scores), scores
 }
 
 // random uses nothing.
 type random struct{}
 
-func (random) Order(r PlaceRequest) ([]int, []float64) {
+func (random) Order(r PlacementRequest) ([]int, []float64) {
 	return r.Rand.Perm(len(r.Names)), make([]float64, len(r.Names))
 }
 
-// Width returns how many homes an adapter should have: enough that its own
+// HomeCount returns how many homes an adapter should have: enough that its own
 // load, in requests running at a time, fills no home by more than share of its
 // limit.
-func Width(rate float64, service time.Duration, limit int, share float64) int {
-	if limit <= 0 || share <= 0 {
+func HomeCount(rate float64, service time.Duration, limit int, maxUtilisation float64) int {
+	if limit <= 0 || maxUtilisation <= 0 {
 		return 1
 	}
-	homes := rate * service.Seconds() / (float64(limit) * share)
+	homes := rate * service.Seconds() / (float64(limit) * maxUtilisation)
 	return max(1, int(math.Ceil(homes)))
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -45,42 +45,42 @@
 	}
 }
 
-func order(p Placement, width int, facts []Facts) []int {
-	o, _ := p.Order(PlaceRequest{Key: "roses@1", Names: names(len(facts)), Facts: facts, Width: width, Rand: rand.New(rand.NewPCG(1, 2))})
+func order(p Placement, width int, facts []EndpointState) []int {
+	o, _ := p.Order(PlacementRequest{Key: "roses@1", Names: names(len(facts)), States: facts, HomeCount: width, Rand: rand.New(rand.NewPCG(1, 2))})
 	return o
 }
 
 func TestHomesStayWithTheFirstWhileWidthIsOne(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]Facts, 4)
+	facts := make([]EndpointState, 4)
 	first := order(hashOnly{}, 1, facts)[0]
-	facts[first] = Facts{Running: 8, Limit: 8}
+	facts[first] = EndpointState{Running: 8, Limit: 8}
 	c.Assert(order(homes{}, 1, facts)[0], quicktest.Equals, first)
 }
 
 func TestHomesTakeTheLessLoadedOfTwo(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]Facts, 4)
+	facts := make([]EndpointState, 4)
 	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[0]] = Facts{Running: 8, Limit: 8}
+	facts[ranked[0]] = EndpointState{Running: 8, Limit: 8}
 	c.Assert(order(homes{}, 2, facts)[0], quicktest.Equals, ranked[1])
 }
 
 func TestHomesPreferWhereTheAdapterIsLoaded(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]Facts, 4)
+	facts := make([]EndpointState, 4)
 	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[1]] = Facts{Running: 4, Limit: 8, Loaded: true}
+	facts[ranked[1]] = EndpointState{Running: 4, Limit: 8, Loaded: true}
 	c.Assert(order(homes{}, 2, facts)[0], quicktest.Equals, ranked[1])
 }
 
 func TestEveryPlacementOrdersAllEndpoints(t *testing.T) {
 	c := quicktest.New(t)
-	for _, n := range []string{PlaceHomes, PlaceHash, PlaceLeast, PlaceRandom} {
+	for _, n := range []string{PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom} {
 		p, err := NewPlacement(n)
 		c.Assert(err, quicktest.IsNil)
 		seen := make(map[int]bool)
-		for _, i := range order(p, 2, make([]Facts, 5)) {
+		for _, i := range order(p, 2, make([]EndpointState, 5)) {
 			seen[i] = true
 		}
 		c.Assert(seen, quicktest.HasLen, 5, quicktest.Commentf(n))
@@ -89,7 +89,7 @@
 
 func TestPopularityFades(t *testing.T) {
 	c := quicktest.New(t)
-	var p Popularity
+	var p DecayingCounter
 	p.Add(100, start, time.Minute)
 	now, later := p.Rate(start, time.Minute), p.Rate(start.Add(time.Minute), time.Minute)
 	c.Assert(now > 1.99*later && now < 2.01*later, quicktest.IsTrue)
@@ -97,33 +97,33 @@
 
 func TestWidthGrowsWithLoad(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(Width(0.1, time.Second, 8, 0.5), quicktest.Equals, 1)
-	c.Assert(Width(10, time.Second, 8, 0.5), quicktest.Equals, 3)
+	c.Assert(HomeCount(0.1, time.Second, 8, 0.5), quicktest.Equals, 1)
+	c.Assert(HomeCount(10, time.Second, 8, 0.5), quicktest.Equals, 3)
 }
 
 func TestEvictionSparesBusySlots(t *testing.T) {
 	c := quicktest.New(t)
-	slots := []SlotFacts{{Busy: true}, {Rate: 5, LastUsed: start, LoadCost: time.Second}}
-	for _, n := range []string{EvictReturn, EvictOldest} {
-		e, err := NewEviction(n)
+	slots := []SlotState{{Busy: true}, {Rate: 5, LastUsed: start, LoadCost: time.Second}}
+	for _, n := range []string{EvictExpectedReturn, EvictLeastRecentlyUsed} {
+		e, err := NewEvictionPolicy(n)
 		c.Assert(err, quicktest.IsNil)
-		c.Assert(e.Victim(slots, WantedFacts{Waiting: 9}), quicktest.Equals, 1)
-		c.Assert(e.Victim(slots[:1], WantedFacts{Waiting: 9}), quicktest.Equals, -1)
+		c.Assert(e.Victim(slots, PendingAdapter{Requests: 9}), quicktest.Equals, 1)
+		c.Assert(e.Victim(slots[:1], PendingAdapter{Requests: 9}), quicktest.Equals, -1)
 	}
 }
 
 func TestAOneOffRequestIsHeldBackThenServed(t *testing.T) {
 	c := quicktest.New(t)
-	slots := []SlotFacts{{Rate: 50, LoadCost: time.Second}, {Rate: 40, LoadCost: time.Second}}
-	one := WantedFacts{Waiting: 1, Patience: time.Second}
+	slots := []SlotState{{Rate: 50, LoadCost: time.Second}, {Rate: 40, LoadCost: time.Second}}
+	one := PendingAdapter{Requests: 1, MaxDeferral: time.Second}
 	c.Assert(expectedReturn{}.Victim(slots, one), quicktest.Equals, -1)
-	one.Waited = time.Second
+	one.OldestWait = time.Second
 	c.Assert(expectedReturn{}.Victim(slots, one), quicktest.Equals, 1)
 }
 
 func TestNextLoadSavesTheMostWaiting(t *testing.T) {
 	c := quicktest.New(t)
-	list := []LoadFacts{{Waiting: 1}, {Waiting: 5}, {Waiting: 1, Waited: time.Minute}}
+	list := []LoadCandidate{{Requests: 1}, {Requests: 5}, {Requests: 1, OldestWait: time.Minute}}
 	c.Assert(NextLoad(list[:2], time.Second), quicktest.Equals, 1)
 	c.Assert(NextLoad(list, time.Second), quicktest.Equals, 2)
 	c.Assert(NextLoad(nil, time.Second), quicktest.Equals, -1)
@@ -131,8 +131,8 @@
 
 func TestBudgetFindsUnusedRateAndFallsBack(t *testing.T) {
 	c := quicktest.New(t)
-	var b Budget
-	b.SetShare(1, 10)
+	var b LoadBudget
+	b.SetRates(1, 10)
 	now := start
 	for range 2 {
 		c.Assert(b.Take(now), quicktest.IsTrue)
@@ -140,39 +140,39 @@
 	c.Assert(b.Take(now), quicktest.IsFalse)
 	c.Assert(b.Wait(1, now), quicktest.Equals, time.Second)
 	for range 9 {
-		b.Loaded()
+		b.RecordLoad()
 	}
 	c.Assert(b.Wait(1, now), quicktest.Equals, 100*time.Millisecond)
-	b.Refused()
+	b.RecordRefusal()
 	c.Assert(b.Wait(1, now), quicktest.Equals, time.Second)
 }
 
 func TestNextWaiterAgesSoThatNoneStarves(t *testing.T) {
 	c := quicktest.New(t)
-	list := []WaitFacts{{Priority: 1, Ready: true}, {Priority: 9, Ready: true, Waited: time.Second}, {Priority: 0}}
-	c.Assert(NextWaiter(list), quicktest.Equals, 0)
+	list := []QueuedRequest{{Priority: 1, Ready: true}, {Priority: 9, Ready: true, Waited: time.Second}, {Priority: 0}}
+	c.Assert(NextQueued(list), quicktest.Equals, 0)
 	list[1].Waited = time.Minute
-	c.Assert(NextWaiter(list), quicktest.Equals, 1)
+	c.Assert(NextQueued(list), quicktest.Equals, 1)
 }
 
 func TestNextWaiterIsFairBetweenCallers(t *testing.T) {
-	list := []WaitFacts{{Ready: true, CallerRuns: 6, Waited: time.Second}, {Ready: true, CallerRuns: 1}}
-	quicktest.Assert(t, NextWaiter(list), quicktest.Equals, 1)
+	list := []QueuedRequest{{Ready: true, CallerRunning: 6, Waited: time.Second}, {Ready: true, CallerRunning: 1}}
+	quicktest.Assert(t, NextQueued(list), quicktest.Equals, 1)
 }
 
 func TestAdmitRefusesAtOnceWhatCannotBeInTime(t *testing.T) {
 	c := quicktest.New(t)
-	a := Admission{MayWait: time.Second, Estimate: 3 * time.Second, QueueMost: 4, CallerMax: 2}
+	a := Admission{MaxWait: time.Second, EstimatedWait: 3 * time.Second, MaxQueued: 4, MaxCallerQueued: 2}
 	v, retry := Admit(a)
 	c.Assert(v, quicktest.Equals, RefuseDeadline)
 	c.Assert(retry, quicktest.Equals, 2*time.Second)
-	a.Estimate = 0
+	a.EstimatedWait = 0
 	v, _ = Admit(a)
-	c.Assert(v, quicktest.Equals, Wait)
-	a.Caller = 2
+	c.Assert(v, quicktest.Equals, Enqueue)
+	a.CallerQueued = 2
 	v, _ = Admit(a)
-	c.Assert(v, quicktest.Equals, RefuseQueue)
-	a.MayWait = 0
+	c.Assert(v, quicktest.Equals, RefuseQueueFull)
+	a.MaxWait = 0
 	v, _ = Admit(a)
 	c.Assert(v, quicktest.Equals, RefuseNoWait)
 }
@@ -182,39 +182,39 @@
 	b := NewRetryBudget(0.5, 1)
 	c.Assert(b.Take(), quicktest.IsTrue)
 	c.Assert(b.Take(), quicktest.IsFalse)
-	b.Success()
-	b.Success()
+	b.RecordSuccess()
+	b.RecordSuccess()
 	c.Assert(b.Take(), quicktest.IsTrue)
 }
 
 func TestPatientRequestsWaitForAFullerBatch(t *testing.T) {
 	c := quicktest.New(t)
-	w := Weights{Batch: 0.5}
-	f := HoldFacts{MayWait: time.Hour, Running: 1, Limit: 8, Patient: 1}
-	c.Assert(w.Hold(f), quicktest.IsTrue)
-	f.Patient = 3
-	c.Assert(w.Hold(f), quicktest.IsFalse)
-	f.Patient, f.Waited = 1, 20*time.Second
-	c.Assert(w.Hold(f), quicktest.IsFalse)
+	w := BatchPolicy{Fullness: 0.5}
+	f := DeferralState{MaxWait: time.Hour, Running: 1, Limit: 8, Deferrable: 1}
+	c.Assert(w.ShouldDefer(f), quicktest.IsTrue)
+	f.Deferrable = 3
+	c.Assert(w.ShouldDefer(f), quicktest.IsFalse)
+	f.Deferrable, f.Waited = 1, 20*time.Second
+	c.Assert(w.ShouldDefer(f), quicktest.IsFalse)
 }
 
 func TestNoRequestIsHeldThatMayNotWaitLong(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(Weights{Batch: 1}.Hold(HoldFacts{MayWait: time.Second, Limit: 8}), quicktest.IsFalse)
-	c.Assert(Weights{}.Hold(HoldFacts{MayWait: time.Hour, Limit: 8}), quicktest.IsFalse)
+	c.Assert(BatchPolicy{Fullness: 1}.ShouldDefer(DeferralState{MaxWait: time.Second, Limit: 8}), quicktest.IsFalse)
+	c.Assert(BatchPolicy{}.ShouldDefer(DeferralState{MaxWait: time.Hour, Limit: 8}), quicktest.IsFalse)
 }
 
 func TestAWarmPrefixBreaksATie(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]Facts, 4)
+	facts := make([]EndpointState, 4)
 	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[2]] = Facts{Limit: 8, Running: 1, Warm: true}
+	facts[ranked[2]] = EndpointState{Limit: 8, Running: 1, Warm: true}
 	c.Assert(order(homes{}, 3, facts)[0], quicktest.Equals, ranked[2])
 	facts[ranked[2]].Running = 8
 	c.Assert(order(homes{}, 3, facts)[0] == ranked[2], quicktest.IsFalse)
 }
 
 func TestOfEqualReturnsTheLeastRecentlyUsedGoes(t *testing.T) {
-	slots := []SlotFacts{{LastUsed: start.Add(time.Second)}, {LastUsed: start}, {LastUsed: start.Add(time.Minute)}}
-	quicktest.Assert(t, expectedReturn{}.Victim(slots, WantedFacts{Waiting: 1}), quicktest.Equals, 1)
+	slots := []SlotState{{LastUsed: start.Add(time.Second)}, {LastUsed: start}, {LastUsed: start.Add(time.Minute)}}
+	quicktest.Assert(t, expectedReturn{}.Victim(slots, PendingAdapter{Requests: 1}), quicktest.Equals, 1)
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -4,29 +4,29 @@
 
 import "time"
 
-// Weights says what the users weigh, on one scale: Batch is 0 where load stalls
+// BatchPolicy says what the users weigh, on one scale: Batch is 0 where load stalls
 // come first and nobody is held back, and 1 where batches had better be full.
-type Weights struct {
-	Batch float64
+type BatchPolicy struct {
+	Fullness float64
 }
 
-// WaitFacts is one waiting request.
-type WaitFacts struct {
-	Priority   int           // of its class; smaller runs earlier
-	Waited     time.Duration // so far
-	Left       time.Duration // until its deadline
-	CallerRuns int           // requests of its caller that run now
-	Ready      bool          // its adapter is in a slot
+// QueuedRequest is one waiting request.
+type QueuedRequest struct {
+	Priority      int           // of its class; smaller runs earlier
+	Waited        time.Duration // so far
+	Remaining     time.Duration // until its deadline
+	CallerRunning int           // requests of its caller that run now
+	Ready         bool          // its adapter is in a slot
 }
 
-// aging is how long a request waits to gain one step of priority, so that no
+// agingInterval is how long a request waits to gain one step of priority, so that no
 // class starves.
-const aging = 2 * time.Second
+const agingInterval = 2 * time.Second
 
-// NextWaiter returns which waiting request runs next: by priority with age,
+// NextQueued returns which waiting request runs next: by priority with age,
 // then by the caller that runs the least, then the oldest; -1 when none is
 // ready.
-func NextWaiter(list []WaitFacts) int {
+func NextQueued(list []QueuedRequest) int {
 	best := -1
 	for i, w := range list {
 		if !w.Ready {
@@ -39,28 +39,28 @@
 	return best
 }
 
-func (w WaitFacts) before(o WaitFacts) bool {
+func (w QueuedRequest) before(o QueuedRequest) bool {
 	a, b := w.rank(), o.rank()
 	if a != b {
 		return a < b
 	}
-	if w.CallerRuns != o.CallerRuns {
-		return w.CallerRuns < o.CallerRuns
+	if w.CallerRunning != o.CallerRunning {
+		return w.CallerRunning < o.CallerRunning
 	}
 	return w.Waited > o.Waited
 }
 
-func (w WaitFacts) rank() int { return w.Priority - int(w.Waited/aging) }
+func (w QueuedRequest) rank() int { return w.Priority - int(w.Waited/agingInterval) }
 
 // Admission is what a scheduler knows when a request arrives that cannot run
 // at once.
 type Admission struct {
-	MayWait   time.Duration // the longest wait that is useful
-	Estimate  time.Duration // until it could run
-	Queue     int           // requests waiting at the endpoint
-	QueueMost int
-	Caller    int // requests of the same caller waiting here
-	CallerMax int
+	MaxWait         time.Duration // the longest wait that is useful
+	EstimatedWait   time.Duration // until it could run
+	Queued          int           // requests waiting at the endpoint
+	MaxQueued       int
+	CallerQueued    int // requests of the same caller waiting here
+	MaxCallerQueued int
 }
 
 // AdmissionVerdict says whether a request may wait.
@@ -68,35 +68,35 @@
 
 // The verdicts.
 const (
-	Wait AdmissionVerdict = iota + 1
+	Enqueue AdmissionVerdict = iota + 1
 	RefuseDeadline
 	RefuseNoWait
-	RefuseQueue
+	RefuseQueueFull
 )
 
 // Admit decides whether a request may wait, and when a refused one should come
 // back.
 func Admit(a Admission) (AdmissionVerdict, time.Duration) {
 	switch {
-	case a.MayWait <= 0:
-		return RefuseNoWait, a.Estimate
-	case a.Queue >= a.QueueMost || a.Caller >= a.CallerMax:
-		return RefuseQueue, a.Estimate
-	case a.Estimate > a.MayWait:
-		return RefuseDeadline, a.Estimate - a.MayWait
+	case a.MaxWait <= 0:
+		return RefuseNoWait, a.EstimatedWait
+	case a.Queued >= a.MaxQueued || a.CallerQueued >= a.MaxCallerQueued:
+		return RefuseQueueFull, a.EstimatedWait
+	case a.EstimatedWait > a.MaxWait:
+		return RefuseDeadline, a.EstimatedWait - a.MaxWait
 	}
-	return Wait, 0
+	return Enqueue, 0
 }
 
-// WaitForPlace estimates how long until a place in the batch is free for a
+// EstimateBatchWait estimates how long until a place in the batch is free for a
 // request with ahead requests before it.
-func WaitForPlace(running, limit, ahead int, service time.Duration) time.Duration {
+func EstimateBatchWait(running, limit, ahead int, service time.Duration) time.Duration {
 	if limit <= 0 {
 		return service
 	}
-	over := running + ahead + 1 - limit
-	if over <= 0 {
+	excess := running + ahead + 1 - limit
+	if excess <= 0 {
 		return 0
 	}
-	return service * time.Duration(over) / time.Duration(limit)
+	return service * time.Duration(excess) / time.Duration(limit)
 }
--- a/policy/rank.go
+++ b/policy/rank.go
@@ -51,11 +51,11 @@
 	_, _ = h.WriteString(name)
 	_, _ = h.WriteString("\x00")
 	_, _ = h.WriteString(key)
-	return mix(h.Sum64())
+	return mixBits(h.Sum64())
 }
 
-// mix spreads the bits of similar names (the finaliser of SplitMix64).
-func mix(x uint64) uint64 {
+// mixBits spreads the bits of similar names (the finaliser of SplitMix64).
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -7,22 +7,22 @@
 // RetryBudget allows retries in proportion to successes, so that a fleet that
 // fails is not hit harder. It is safe for concurrent use.
 type RetryBudget struct {
-	mu     sync.Mutex
-	tokens float64 // from 0 to most
-	most   float64
-	share  float64
+	mu       sync.Mutex
+	tokens   float64 // from 0 to most
+	capacity float64
+	ratio    float64
 }
 
 // NewRetryBudget allows share retries for each success, and most at once.
-func NewRetryBudget(share, most float64) *RetryBudget {
-	return &RetryBudget{tokens: most, most: most, share: share}
+func NewRetryBudget(ratio, capacity float64) *RetryBudget {
+	return &RetryBudget{tokens: capacity, capacity: capacity, ratio: ratio}
 }
 
-// Success earns a share of a retry.
-func (b *RetryBudget) Success() {
+// RecordSuccess earns a share of a retry.
+func (b *RetryBudget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.most, b.tokens+b.share)
+	b.tokens = min(b.capacity, b.tokens+b.ratio)
 }
 
 // Take tells whether one more retry is allowed, and counts it.
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -57,17 +57,17 @@
 		return refusal(wire.Reason_REASON_LOAD_FAILED, f.until.Sub(now), "")
 	}
 	verdict, retry := policy.Admit(policy.Admission{
-		MayWait:   w.deadline.Sub(now),
-		Estimate:  s.estimateLocked(e, w, now),
-		Queue:     len(e.waiters),
-		QueueMost: s.QueueMost,
-		Caller:    waitingOf(e.waiters, w.request.GetCaller()),
-		CallerMax: s.callerMost(w.request.GetCaller()),
+		MaxWait:         w.deadline.Sub(now),
+		EstimatedWait:   s.estimateLocked(e, w, now),
+		Queued:          len(e.waiters),
+		MaxQueued:       s.QueueMost,
+		CallerQueued:    waitingOf(e.waiters, w.request.GetCaller()),
+		MaxCallerQueued: s.callerMost(w.request.GetCaller()),
 	})
-	if room := s.waitForRoom(e, s.aheadLocked(e, w), now); verdict == policy.Wait && room > e.loadTime {
+	if room := s.waitForRoom(e, s.aheadLocked(e, w), now); verdict == policy.Enqueue && room > e.loadTime {
 		verdict, retry = policy.RefuseDeadline, room // another endpoint can have loaded the adapter by then
 	}
-	if verdict != policy.Wait && !s.readyLocked(e, adapter) {
+	if verdict != policy.Enqueue && !s.readyLocked(e, adapter) {
 		e.demandLocked(adapter, now)
 		s.planLocked(e, now)
 		retry = s.comeBackLocked(e, retry, now)
@@ -75,7 +75,7 @@
 	switch verdict {
 	case policy.RefuseNoWait:
 		return refusal(wire.Reason_REASON_NO_WAIT, retry, "")
-	case policy.RefuseQueue:
+	case policy.RefuseQueueFull:
 		return refusal(wire.Reason_REASON_QUEUE_FULL, retry, "")
 	case policy.RefuseDeadline:
 		return refusal(wire.Reason_REASON_DEADLINE, retry, "")
@@ -107,7 +107,7 @@
 // its adapter's load behind the loads before it.
 func (s *Scheduler) estimateLocked(e *endpoint, w *waiter, now time.Time) time.Duration {
 	ahead := s.aheadLocked(e, w)
-	place := max(policy.WaitForPlace(e.running(), e.limitLocked(), ahead, e.service), s.waitForRoom(e, ahead, now))
+	place := max(policy.EstimateBatchWait(e.running(), e.limitLocked(), ahead, e.service), s.waitForRoom(e, ahead, now))
 	sl := e.slots[w.request.GetAdapter()]
 	if sl != nil && sl.state == ready {
 		return place
@@ -156,5 +156,5 @@
 		return 1
 	}
 	whole := p.Rate(now, s.Spans.HalfLife) * float64(max(1, q.GetWidth()))
-	return policy.Width(whole, e.service, max(e.mostLocked(), 1), s.HomeShare)
+	return policy.HomeCount(whole, e.service, max(e.mostLocked(), 1), s.HomeShare)
 }
--- a/scheduler/budget.go
+++ b/scheduler/budget.go
@@ -12,7 +12,7 @@
 // storeBudget is the policy.Budget behind a lock of its own.
 type storeBudget struct {
 	mu     sync.Mutex
-	budget policy.Budget
+	budget policy.LoadBudget
 }
 
 // share sets the fair share by owned endpoints.
@@ -20,7 +20,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if total > 0 {
-		b.budget.SetShare(rate*float64(mine)/float64(total), rate)
+		b.budget.SetRates(rate*float64(mine)/float64(total), rate)
 	}
 }
 
@@ -39,11 +39,11 @@
 func (b *storeBudget) refused() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Refused()
+	b.budget.RecordRefusal()
 }
 
 func (b *storeBudget) loaded() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Loaded()
+	b.budget.RecordLoad()
 }
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -48,7 +48,7 @@
 	grants       map[uint64]*grant // not given back; through claims of the same owner
 	inUse        map[string]int    // how many of them, by adapter@version; never zero
 	waiters      []*waiter         // in order of arrival
-	rates        map[string]*policy.Popularity
+	rates        map[string]*policy.DecayingCounter
 	limit        float64         // of requests running; adapts below spec.Running()
 	takes        ratelimit.Limit // that it names, by the latest word
 	service      time.Duration   // moving mean of a request's time at the engine
@@ -111,7 +111,7 @@
 		slots:    make(map[string]*slot),
 		grants:   make(map[uint64]*grant),
 		inUse:    make(map[string]int),
-		rates:    make(map[string]*policy.Popularity),
+		rates:    make(map[string]*policy.DecayingCounter),
 		limit:    float64(spec.Running()),
 		service:  firstService,
 		loadTime: firstLoad,
@@ -183,14 +183,14 @@
 
 // rateLocked returns the popularity of an adapter, forgetting the faintest when
 // there are too many.
-func (e *endpoint) rateLocked(name string, now time.Time, halfLife time.Duration) *policy.Popularity {
+func (e *endpoint) rateLocked(name string, now time.Time, halfLife time.Duration) *policy.DecayingCounter {
 	if p := e.rates[name]; p != nil {
 		return p
 	}
 	if len(e.rates) >= ratesKept {
 		e.forgetRatesLocked(now, halfLife)
 	}
-	p := new(policy.Popularity)
+	p := new(policy.DecayingCounter)
 	e.rates[name] = p
 	return p
 }
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -117,7 +117,7 @@
 		Listed:    func() []string { return []string{"box/scheduler"} },
 		Ready:     func() bool { return true },
 		Dial:      func(string) engine.Endpoint { return b.engine },
-		Eviction:  must(policy.NewEviction(policy.EvictOldest)),
+		Eviction:  must(policy.NewEvictionPolicy(policy.EvictLeastRecentlyUsed)),
 		Spans:     Spans{SendWindow: 20 * time.Millisecond, Verify: 10 * time.Millisecond, Trust: 200 * time.Millisecond, Backoff: 20 * time.Millisecond, HalfLife: time.Minute, OrderLimit: time.Second},
 		Store:     Store{Rate: 1000, AtOnce: 8},
 		QueueMost: 4,
@@ -131,7 +131,7 @@
 	return b
 }
 
-func must(e policy.Eviction, err error) policy.Eviction {
+func must(e policy.EvictionPolicy, err error) policy.EvictionPolicy {
 	if err != nil {
 		panic(err)
 	}
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -136,7 +136,7 @@
 		return
 	}
 	for e.running() < e.limitLocked() {
-		i := policy.NextWaiter(s.waitFactsLocked(e, now))
+		i := policy.NextQueued(s.waitFactsLocked(e, now))
 		if i < 0 || !s.takeRoomLocked(e, now) {
 			break
 		}
@@ -154,20 +154,20 @@
 	return wire.Reason_REASON_AFTER_LOAD
 }
 
-func (s *Scheduler) waitFactsLocked(e *endpoint, now time.Time) []policy.WaitFacts {
+func (s *Scheduler) waitFactsLocked(e *endpoint, now time.Time) []policy.QueuedRequest {
 	running := make(map[string]int) // by caller
 	for _, g := range e.grants {
 		running[g.caller]++
 	}
-	list := make([]policy.WaitFacts, len(e.waiters))
+	list := make([]policy.QueuedRequest, len(e.waiters))
 	patient := s.patientLocked(e)
 	for i, w := range e.waiters {
-		list[i] = policy.WaitFacts{
-			Priority:   w.class.Priority(),
-			Waited:     now.Sub(w.arrived),
-			Left:       w.deadline.Sub(now),
-			CallerRuns: running[w.request.GetCaller()],
-			Ready:      s.readyLocked(e, w.request.GetAdapter()) && !s.heldBackLocked(e, w, patient, now),
+		list[i] = policy.QueuedRequest{
+			Priority:      w.class.Priority(),
+			Waited:        now.Sub(w.arrived),
+			Remaining:     w.deadline.Sub(now),
+			CallerRunning: running[w.request.GetCaller()],
+			Ready:         s.readyLocked(e, w.request.GetAdapter()) && !s.heldBackLocked(e, w, patient, now),
 		}
 	}
 	return list
@@ -177,7 +177,7 @@
 func (s *Scheduler) patientLocked(e *endpoint) int {
 	n := 0
 	for _, w := range e.waiters {
-		if policy.Patient(w.class.MayWait()) && s.readyLocked(e, w.request.GetAdapter()) {
+		if policy.IsDeferrable(w.class.MayWait()) && s.readyLocked(e, w.request.GetAdapter()) {
 			n++
 		}
 	}
@@ -186,12 +186,12 @@
 
 // heldBackLocked tells whether a request is held back to fill a batch.
 func (s *Scheduler) heldBackLocked(e *endpoint, w *waiter, patient int, now time.Time) bool {
-	return s.Weights.Hold(policy.HoldFacts{
-		MayWait: w.class.MayWait(),
-		Waited:  now.Sub(w.arrived),
-		Running: e.running(),
-		Limit:   e.limitLocked(),
-		Patient: patient,
+	return s.Weights.ShouldDefer(policy.DeferralState{
+		MaxWait:    w.class.MayWait(),
+		Waited:     now.Sub(w.arrived),
+		Running:    e.running(),
+		Limit:      e.limitLocked(),
+		Deferrable: patient,
 	})
 }
 
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -52,9 +52,9 @@
 
 // wantedLocked lists the adapters that requests wait for and that are in no slot,
 // and may be tried now.
-func (s *Scheduler) wantedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+func (s *Scheduler) wantedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadCandidate) {
 	var names []string
-	var facts []policy.LoadFacts
+	var facts []policy.LoadCandidate
 	at := make(map[string]int)
 	for _, w := range e.waiters {
 		n := w.request.GetAdapter()
@@ -68,8 +68,8 @@
 			names = append(names, n)
 			facts = append(facts, s.loadFactsLocked(e, n, now))
 		}
-		facts[i].Waiting++
-		facts[i].Waited = max(facts[i].Waited, now.Sub(w.arrived))
+		facts[i].Requests++
+		facts[i].OldestWait = max(facts[i].OldestWait, now.Sub(w.arrived))
 		facts[i].Urgent = facts[i].Urgent || w.deadline.Sub(now) < 2*e.loadTime
 	}
 	return names, facts
@@ -77,16 +77,16 @@
 
 // demandedLocked lists the adapters that requests were refused for. They are
 // loaded only while nobody anywhere waits for a load, and press for no slot.
-func (s *Scheduler) demandedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+func (s *Scheduler) demandedLocked(e *endpoint, now time.Time) ([]string, []policy.LoadCandidate) {
 	if s.loadsWanted.Load() > 0 {
 		return nil, nil
 	}
 	var names []string
-	var facts []policy.LoadFacts
+	var facts []policy.LoadCandidate
 	for n, d := range e.demands {
 		if e.loadableLocked(n, now) {
 			f := s.loadFactsLocked(e, n, now)
-			f.Waiting = d.count
+			f.Requests = d.count
 			names = append(names, n)
 			facts = append(facts, f)
 		}
@@ -99,8 +99,8 @@
 	return e.slots[name] == nil && !now.Before(e.failed[name].until)
 }
 
-func (s *Scheduler) loadFactsLocked(e *endpoint, name string, now time.Time) policy.LoadFacts {
-	return policy.LoadFacts{
+func (s *Scheduler) loadFactsLocked(e *endpoint, name string, now time.Time) policy.LoadCandidate {
+	return policy.LoadCandidate{
 		Rate:     e.rateLocked(name, now, s.Spans.HalfLife).Rate(now, s.Spans.HalfLife),
 		Priority: s.priorityOf(name),
 	}
@@ -116,7 +116,7 @@
 }
 
 // orderLocked makes the order for one load, if a slot and the budget allow it.
-func (s *Scheduler) orderLocked(e *endpoint, name string, f policy.LoadFacts, now time.Time) (order, bool) {
+func (s *Scheduler) orderLocked(e *endpoint, name string, f policy.LoadCandidate, now time.Time) (order, bool) {
 	m, err := s.Catalog().Resolve(name)
 	if err != nil {
 		return order{}, false // retired while it waited; the wait ends at its deadline
@@ -135,19 +135,19 @@
 
 // victimLocked chooses the adapter to unload for another one. When none can go
 // it asks for a report, which may show that an unsure slot is unused.
-func (s *Scheduler) victimLocked(e *endpoint, f policy.LoadFacts, now time.Time) (string, bool) {
+func (s *Scheduler) victimLocked(e *endpoint, f policy.LoadCandidate, now time.Time) (string, bool) {
 	names := make([]string, 0, len(e.slots))
-	slots := make([]policy.SlotFacts, 0, len(e.slots))
+	slots := make([]policy.SlotState, 0, len(e.slots))
 	for n, sl := range e.slots {
 		names = append(names, n)
 		slots = append(slots, s.slotFactsLocked(e, n, sl, now))
 	}
-	i := s.Eviction.Victim(slots, policy.WantedFacts{
-		Rate:     f.Rate,
-		Priority: f.Priority,
-		Waited:   f.Waited,
-		Waiting:  f.Waiting,
-		Patience: s.Spans.Patience,
+	i := s.Eviction.Victim(slots, policy.PendingAdapter{
+		Rate:        f.Rate,
+		Priority:    f.Priority,
+		OldestWait:  f.OldestWait,
+		Requests:    f.Requests,
+		MaxDeferral: s.Spans.Patience,
 	})
 	if i < 0 {
 		s.wantReportLocked(e, now)
@@ -156,8 +156,8 @@
 	return names[i], true
 }
 
-func (s *Scheduler) slotFactsLocked(e *endpoint, name string, sl *slot, now time.Time) policy.SlotFacts {
-	return policy.SlotFacts{
+func (s *Scheduler) slotFactsLocked(e *endpoint, name string, sl *slot, now time.Time) policy.SlotState {
+	return policy.SlotState{
 		Busy:     sl.state != ready || e.inUse[name] > 0 || !sl.unsure.IsZero() || e.wantsLocked(name),
 		LastUsed: sl.used,
 		LoadCost: e.loadTime,
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -66,8 +66,8 @@
 	Listed    func() []string // schedulers of the data centre, as the platform lists them
 	Ready     func() bool     // whether the daemon has joined its data centre
 	Dial      func(address string) engine.Endpoint
-	Eviction  policy.Eviction
-	Weights   policy.Weights
+	Eviction  policy.EvictionPolicy
+	Weights   policy.BatchPolicy
 	Spans     Spans
 	Store     Store
 	QueueMost int     // requests waiting at one endpoint
--- a/scheduler/scheduler_test.go
+++ b/scheduler/scheduler_test.go
@@ -302,7 +302,7 @@
 func TestAHeldRequestKeepsNobodyElseWaiting(t *testing.T) {
 	b := newBench(t, "a@1")
 	b.own()
-	b.scheduler.Weights = policy.Weights{Batch: 1}
+	b.scheduler.Weights = policy.BatchPolicy{Fullness: 1}
 	ctx, cancel := context.WithCancel(context.Background())
 	held := make(chan error, 1)
 	go func() {
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -38,7 +38,7 @@
 
 // Options is the table of a scheduler's settings.
 var Options = daemon.Options(settings.Table{
-	{Name: optEviction, Kind: settings.Text, Default: policy.EvictReturn, Help: "expected_return or least_recently_used"},
+	{Name: optEviction, Kind: settings.Text, Default: policy.EvictExpectedReturn, Help: "expected_return or least_recently_used"},
 	{Name: optBatch, Kind: settings.Number, Default: 0.0, Help: "what is weighed: 0 load stalls first, 1 batch fullness first; above 0 requests that may wait long are held for fuller batches"},
 	{Name: optSendWindow, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "a grant must be used within it"},
 	{Name: optVerify, Kind: settings.Duration, Default: 2 * time.Second, Least: time.Millisecond, Help: "time between looks at an endpoint's fence"},
@@ -62,7 +62,7 @@
 
 // Serve runs a scheduler with checked settings until ctx ends.
 func Serve(ctx context.Context, v settings.Values) error {
-	evict, err := policy.NewEviction(v.Text(optEviction))
+	evict, err := policy.NewEvictionPolicy(v.Text(optEviction))
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		Ready:    n.Ready,
 		Dial:     func(address string) engine.Endpoint { return &engine.Client{Address: address, HTTP: client} },
 		Eviction: evict,
-		Weights:  policy.Weights{Batch: v.Number(optBatch)},
+		Weights:  policy.BatchPolicy{Fullness: v.Number(optBatch)},
 		Spans: Spans{
 			SendWindow: v.Duration(optSendWindow),
 			Verify:     v.Duration(optVerify),
