--- a/policy/decay.go
+++ b/policy/decay.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// DecayingCounter is a rate of requests that fades with a half-life.
+// DecayingCounter counts events, whose weight decays with a half-life.
 type DecayingCounter struct {
-	count     float64 // faded count of requests
+	count     float64 // as of updatedAt
 	updatedAt time.Time
 }
 
-// Add counts n requests at now.
+// Add counts n events at now.
 func (p *DecayingCounter) Add(n float64, now time.Time, halfLife time.Duration) {
 	p.count = p.decayed(now, halfLife) + n
 	p.updatedAt = now
 }
 
-// Rate returns requests a second at now.
+// Rate returns the events per second at now.
 func (p *DecayingCounter) Rate(now time.Time, halfLife time.Duration) float64 {
 	return p.decayed(now, halfLife) * math.Ln2 / halfLife.Seconds()
 }
 
-// Count returns how many requests there were, those of long ago counting less.
+// Count returns the decayed number of events at now.
 func (p *DecayingCounter) Count(now time.Time, halfLife time.Duration) float64 {
 	return p.decayed(now, halfLife)
 }
--- a/policy/defer.go
+++ b/policy/defer.go
@@ -4,28 +4,26 @@
 
 import "time"
 
-// DeferralState is what is known of a request whose adapter is ready.
+// DeferralState describes a queued request whose adapter is ready, and the batch of its endpoint.
 type DeferralState struct {
 	MaxWait    time.Duration // of its class
 	Waited     time.Duration // so far
 	Running    int           // requests in the batch
-	Limit      int           // requests that the batch can take
-	Deferrable int           // patient requests that wait at the endpoint and are ready, this one too
+	Limit      int           // capacity of the batch
+	Deferrable int           // deferrable requests that are queued and ready at the endpoint, including this one
 }
 
 const (
-	minDeferrableWait = time.Minute      // a class that may wait so long is patient
-	deferralDivisor   = 20               // of a class's longest wait, a request is held one part
-	maxDeferral       = 30 * time.Second // and never longer
+	minDeferrableWait = time.Minute      // requests of classes with at least this maximum wait are deferrable
+	deferralDivisor   = 20               // a request is deferred by at most this fraction of its maximum wait
+	maxDeferral       = 30 * time.Second // upper bound of the deferral
 )
 
-// IsDeferrable tells whether requests that may wait so long can be held back to fill
-// batches.
+// IsDeferrable reports whether requests with a maximum wait can be deferred to fill batches.
 func IsDeferrable(maxWait time.Duration) bool { return maxWait >= minDeferrableWait }
 
-// ShouldDefer tells whether a patient request had better wait until it can run in a
-// fuller batch: with those that run and those that wait like it, it would fill
-// less than the weight of batch fullness asks.
+// ShouldDefer reports whether a deferrable request should wait for a fuller batch: the running
+// requests and the deferrable ones together would fill less of the batch than Fullness requires.
 func (w BatchPolicy) ShouldDefer(f DeferralState) bool {
 	if w.Fullness <= 0 || !IsDeferrable(f.MaxWait) {
 		return false
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package policy holds the decisions: where a request goes, what is loaded and
-// thrown out, who runs next, who is refused, and how fast to retry.
+// Package policy implements scheduling decisions: request placement, adapter
+// loading and eviction, queue order, admission, and retry budgets.
 //
-// Everything here is a function or a small table over typed facts, with the
-// clock passed in; nothing does input or output.
+// Everything here is a function or a small state machine over typed inputs. The
+// current time is passed in, and nothing does I/O.
 package policy
--- a/policy/evict.go
+++ b/policy/evict.go
@@ -8,38 +8,38 @@
 	"github.com/pkg/errors"
 )
 
-// SlotState is what is known of one adapter in a slot.
+// SlotState describes a slot and the adapter that is loaded in it.
 type SlotState struct {
-	Busy     bool      // in use, or not known to be unused: never a victim
-	LastUsed time.Time // when a request last ran on it
-	Rate     float64   // requests a second lately
-	Priority int       // as published; larger is kept rather
+	Busy     bool      // in use, or not known to be idle: never evicted
+	LastUsed time.Time // when the adapter last ran a request
+	Rate     float64   // recent requests per second
+	Priority int       // as published; adapters with a higher one are evicted later
 	LoadCost time.Duration
 }
 
-// EvictionPolicy chooses what leaves when a slot is needed.
+// EvictionPolicy chooses the adapter to unload when a slot is needed.
 type EvictionPolicy interface {
-	// Victim returns which slot to empty for an adapter with the wanted facts,
-	// or -1 when none should go.
+	// Victim returns the index of the slot to evict for a pending adapter, or -1
+	// if none should be evicted.
 	Victim(slots []SlotState, wanted PendingAdapter) int
 }
 
-// PendingAdapter is what is known of the adapter that needs a slot.
+// PendingAdapter describes an adapter that needs a slot.
 type PendingAdapter struct {
-	Rate        float64       // requests a second lately
+	Rate        float64       // recent requests per second
 	Priority    int           // as published
-	OldestWait  time.Duration // how long its first request has waited
-	Requests    int           // how many requests wait for it
-	MaxDeferral time.Duration // how long a one-off request may be held back
+	OldestWait  time.Duration // how long its oldest request has waited
+	Requests    int           // number of requests waiting for it
+	MaxDeferral time.Duration // how long a request for a rarely used adapter may be deferred
 }
 
-// The names of the evictions, as settings choose them.
+// Names of the eviction policies in the settings.
 const (
 	EvictExpectedReturn    = "expected_return"
 	EvictLeastRecentlyUsed = "least_recently_used"
 )
 
-// NewEvictionPolicy returns the eviction called name.
+// NewEvictionPolicy returns the eviction policy with a name.
 func NewEvictionPolicy(name string) (EvictionPolicy, error) {
 	switch name {
 	case EvictExpectedReturn:
@@ -47,16 +47,16 @@
 	case EvictLeastRecentlyUsed:
 		return leastRecentlyUsed{}, nil
 	}
-	return nil, errors.Errorf("policy: eviction %q: use %s or %s", name, EvictExpectedReturn, EvictLeastRecentlyUsed)
+	return nil, errors.Errorf("policy: unknown eviction %q: use %s or %s", name, EvictExpectedReturn, EvictLeastRecentlyUsed)
 }
 
-// expectedReturn empties the slot whose adapter saves the least waiting: its
-// rate of requests times what loading it again costs. Of equals, as all are after a
-// change of owner, the one unused for the longest time goes.
+// expectedReturn evicts the adapter with the lowest expected reload cost: its request
+// rate times the cost of loading it again. Ties are broken by least recent use; after a
+// change of owner all adapters tie.
 type expectedReturn struct{}
 
-// deferralThreshold is how many times as valuable as the wanted adapter a resident
-// may be before it is spared for the wanted one's patience.
+// deferralThreshold is the ratio of the victim's expected reload cost to that of the pending
+// adapter above which the eviction is deferred, for up to MaxDeferral.
 const deferralThreshold = 4.0
 
 func (expectedReturn) Victim(slots []SlotState, w PendingAdapter) int {
@@ -83,14 +83,15 @@
 	return s.Rate * s.LoadCost.Seconds() * priorityWeight(s.Priority)
 }
 
-// value of what waits: the waiting requests count as one second's arrivals.
+// value is the expected reload cost of the pending adapter. Its waiting requests count as
+// arrivals within one second.
 func (w PendingAdapter) value(loadCost time.Duration) float64 {
 	return (w.Rate + float64(w.Requests)) * loadCost.Seconds() * priorityWeight(w.Priority)
 }
 
 func priorityWeight(p int) float64 { return 1 + float64(max(p, 0)) }
 
-// leastRecentlyUsed empties the slot that was unused for the longest time.
+// leastRecentlyUsed evicts the adapter that has been idle for the longest time.
 type leastRecentlyUsed struct{}
 
 func (leastRecentlyUsed) Victim(slots []SlotState, _ PendingAdapter) int {
--- a/policy/firsttoken.go
+++ b/policy/firsttoken.go
@@ -4,23 +4,24 @@
 
 import "time"
 
-// FirstTokenEstimator learns how long endpoints take from a request's arrival to its first token:
-// a time of their own, and one for each token of prompts that they read until then, the
-// request's own and those that came before it. It is the line through what was seen, the
-// latest counting most. The zero value knows only the first guess.
+// FirstTokenEstimator predicts the time to first token by a linear regression with exponentially
+// decaying weights: a constant time, plus a time per prompt token that the endpoint processes
+// until then, both of the request and of those queued before it. The zero value predicts from
+// the prior alone.
 type FirstTokenEstimator struct {
-	count, sumX, sumY, sumXX, sumXY float64 // faded sums; tokens in thousands, times in seconds
+	count, sumX, sumY, sumXX, sumXY float64 // decaying sums; X: thousands of tokens, Y: seconds
 }
 
 const (
-	decayObservations = 64.0  // observations after which one counts a third: some seconds of one box's traffic
-	priorBase         = 0.05  // seconds for a prompt of no length, until more is known
-	priorPerKiloToken = 0.026 // seconds for a thousand tokens, until more is known: 38 tokens a millisecond
-	priorWeight       = 4.0   // observations that the guess counts as, half of them without a prompt
-	priorKiloTokens   = 4.0   // thousands of tokens of the other half
+	decayObservations = 64.0  // observations after which the weight of one falls to 1/e: a few seconds of one box's traffic
+	priorBase         = 0.05  // prior: seconds for an empty prompt
+	priorPerKiloToken = 0.026 // prior: seconds per thousand tokens, which is 38 tokens per millisecond
+	priorWeight       = 4.0   // observations that the prior counts as, half of them with an empty prompt
+	priorKiloTokens   = 4.0   // prompt length of the other half, in thousands of tokens
 )
 
-// Observe takes in a request before whose first token so many tokens of prompts were read.
+// Observe records the time to first token of a request, and the number of prompt tokens that
+// the endpoint processed until then.
 func (f *FirstTokenEstimator) Observe(tokens int, took time.Duration) {
 	x, y := float64(tokens)/1000, took.Seconds()
 	const decay = 1 - 1/decayObservations
@@ -31,7 +32,8 @@
 	f.sumXY = f.sumXY*decay + x*y
 }
 
-// Predict returns the time to the first token when so many tokens are read until then.
+// Predict returns the expected time to first token if that many prompt tokens are processed
+// until then.
 func (f *FirstTokenEstimator) Predict(tokens int) time.Duration {
 	const half = priorWeight / 2
 	priorTime := priorBase + priorPerKiloToken*priorKiloTokens
@@ -40,7 +42,7 @@
 	y := f.sumY + half*(priorBase+priorTime)
 	xx := f.sumXX + half*priorKiloTokens*priorKiloTokens
 	xy := f.sumXY + half*priorKiloTokens*priorTime
-	slope := max((n*xy-x*y)/(n*xx-x*x), 0) // the guess's two points keep the divisor above zero
+	slope := max((n*xy-x*y)/(n*xx-x*x), 0) // the two points of the prior keep the divisor above zero
 	base := max((y-slope*x)/n, 0)
 	return time.Duration((base + slope*float64(tokens)/1000) * float64(time.Second))
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -7,19 +7,18 @@
 	"time"
 )
 
-// LoadCandidate is one adapter that requests wait for.
+// LoadCandidate is an adapter that could be loaded.
 type LoadCandidate struct {
 	Requests   int           // requests waiting for it
-	OldestWait time.Duration // of the first of them
-	Rate       float64       // requests a second lately
+	OldestWait time.Duration // of the oldest of them
+	Rate       float64       // recent requests per second
 	Priority   int           // as published
-	Urgent     bool          // one of them may not wait long
+	Urgent     bool          // the deadline of one of them is near
 }
 
-// NextLoad returns which adapter to load first: the one that saves the most
-// waiting time for the cost of one load, so requests waiting now, those
-// expected during the load, and some weight for age so that none starves. It
-// returns -1 for no candidates.
+// NextLoad returns the index of the adapter to load first, or -1 if there is none: the
+// one whose load saves the most waiting time. It counts the waiting requests and those
+// expected during the load, weighted by age to prevent starvation.
 func NextLoad(list []LoadCandidate, loadTime time.Duration) int {
 	best, most := -1, 0.0
 	for i, l := range list {
@@ -42,29 +41,29 @@
 	return requests * age * priorityWeight(l.Priority)
 }
 
-// LoadBudget is one scheduler's share of the store's rate, without a coordinator:
-// it may always load at its fair share, finds unused rate by asking for more,
-// and falls back to the fair share when the store refuses.
+// LoadBudget limits the rate at which one scheduler loads adapters from the store, without
+// a coordinator. The scheduler may always use its fair share, probes for unused rate by
+// additive increase, and falls back to the fair share when the store refuses a load.
 type LoadBudget struct {
-	fairRate   float64 // loads a second that are this scheduler's by right
-	storeRate  float64 // the store's rate
-	rate       float64 // loads a second that are tried now
-	tokens     float64 // loads that may begin now
+	fairRate   float64 // loads per second that this scheduler may always use
+	storeRate  float64 // loads per second that the store serves in total
+	rate       float64 // current loads per second
+	tokens     float64 // loads that may start now
 	refilledAt time.Time
 }
 
 const (
-	budgetBurst  = 2.0 // loads that may begin at once after a quiet time
-	budgetGrowth = 0.1 // share of the store's rate tried more, per load that went well
+	budgetBurst  = 2.0 // loads that may start at once after an idle period
+	budgetGrowth = 0.1 // increase of the rate per successful load, as a fraction of the store's rate
 )
 
-// SetRates tells the store's rate, in loads a second, and the fair share of it.
+// SetRates sets the scheduler's fair share and the store's rate, in loads per second.
 func (b *LoadBudget) SetRates(fairRate, storeRate float64) {
 	b.fairRate, b.storeRate = fairRate, storeRate
 	b.rate = min(max(b.rate, fairRate), storeRate)
 }
 
-// Take tells whether a load may begin at now, and takes its token.
+// Take consumes a token for a load that starts now; it reports false if there is none.
 func (b *LoadBudget) Take(now time.Time) bool {
 	b.refill(now)
 	if b.tokens < 1 {
@@ -74,7 +73,7 @@
 	return true
 }
 
-// Wait returns how long after now so many loads can have begun.
+// Wait returns the time from now until that many loads can have started.
 func (b *LoadBudget) Wait(loads int, now time.Time) time.Duration {
 	b.refill(now)
 	missing := float64(loads) - b.tokens
@@ -87,10 +86,10 @@
 	return time.Duration(missing / b.rate * float64(time.Second))
 }
 
-// RecordRefusal notes that the store refused a load for its rate.
+// RecordRefusal records that the store refused a load because of its rate limit.
 func (b *LoadBudget) RecordRefusal() { b.rate = b.fairRate }
 
-// RecordLoad notes that the store served a load.
+// RecordLoad records that the store served a load.
 func (b *LoadBudget) RecordLoad() { b.rate = min(b.rate+budgetGrowth*b.storeRate, b.storeRate) }
 
 func (b *LoadBudget) refill(now time.Time) {
--- a/policy/order.go
+++ b/policy/order.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// indexesOf returns where each of the ranked names stands in names.
+// indexesOf returns the index in names of each ranked name.
 func indexesOf(names, ranked []string) []int {
 	at := make(map[string]int, len(names))
 	for i, n := range names {
@@ -20,7 +20,7 @@
 	return list
 }
 
-// sortByScore returns the list by falling score; equal scores keep their order.
+// sortByScore returns the list in descending order of scores; the sort is stable.
 func sortByScore(list []int, scores []float64) []int {
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(a, b int) int { return cmp.Compare(scores[b], scores[a]) })
--- a/policy/place.go
+++ b/policy/place.go
@@ -10,18 +10,18 @@
 	"github.com/pkg/errors"
 )
 
-// EndpointState is what is believed of one endpoint.
+// EndpointState is the last known state of an endpoint. It may be outdated.
 type EndpointState struct {
-	Running int           // requests in its batch or granted
-	Limit   int           // requests that it can batch
-	Waiting int           // requests that its owner holds back
-	Loaded  bool          // the adapter is believed ready there
-	Warm    bool          // the request's prefix is believed cached there
-	Known   bool          // anything was ever heard of it
-	Age     time.Duration // of what was heard
+	Running int           // requests running in its batch or granted
+	Limit   int           // capacity of its batch
+	Waiting int           // requests queued at its owner
+	Loaded  bool          // the adapter is probably loaded
+	Warm    bool          // the prompt prefix is probably cached
+	Known   bool          // a state has been received
+	Age     time.Duration // since the state was received
 }
 
-// utilisation is how full the endpoint is: 1 when the batch is full and none waits.
+// utilisation is 1 for a full batch with an empty queue, and 0 if the capacity is not known.
 func (f EndpointState) utilisation() float64 {
 	if f.Limit == 0 {
 		return 0
@@ -29,22 +29,22 @@
 	return float64(f.Running+f.Waiting) / float64(f.Limit)
 }
 
-// Placement orders the endpoints of a request's base model, the best first.
-// The scores go along with the order, larger is better.
+// Placement orders the endpoints of a request's base model, best first. Scores are by index of
+// the endpoint; higher is better.
 type Placement interface {
 	Order(r PlacementRequest) (order []int, scores []float64)
 }
 
-// PlacementRequest is one request to place. Names and Facts run in parallel.
+// PlacementRequest is a request to place. Names and States have the same indexes.
 type PlacementRequest struct {
-	Key       string // the adapter at its version
+	Key       string // the adapter with its version
 	Names     []string
 	States    []EndpointState
-	HomeCount int        // how many homes the adapter should have; at least 1
-	Rand      *rand.Rand // for the choices that are random
+	HomeCount int        // number of home endpoints of the adapter; at least 1
+	Rand      *rand.Rand // for random choices
 }
 
-// The names of the placements, as settings choose them.
+// Names of the placements in the settings.
 const (
 	PlacementHomes       = "homes"
 	PlacementHash        = "hash"
@@ -52,7 +52,7 @@
 	PlacementRandom      = "random"
 )
 
-// NewPlacement returns the placement called name.
+// NewPlacement returns the placement with a name.
 func NewPlacement(name string) (Placement, error) {
 	switch name {
 	case PlacementHomes:
@@ -64,16 +64,16 @@
 	case PlacementRandom:
 		return random{}, nil
 	}
-	return nil, errors.Errorf("policy: placement %q: use %s, %s, %s or %s", name, PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom)
+	return nil, errors.Errorf("policy: unknown placement %q: use %s, %s, %s or %s", name, PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom)
 }
 
-// homes sends an adapter to its first Width endpoints of the rendezvous order,
-// of two of them to the better one; the rest follow in order, as a last resort.
+// homes prefers the home endpoints of an adapter, the first HomeCount in rendezvous order, and picks
+// the better of two random ones. The other endpoints follow in rendezvous order as a last resort.
 type homes struct{}
 
 const (
-	loadedBonus = 1.0  // how much fuller a home that has the adapter may be than one that would have to load it
-	warmBonus   = 0.25 // the same for one that has the prefix: a tie-break, since it is a hint
+	loadedBonus = 1.0  // utilisation by which a home with the adapter loaded may exceed one without
+	warmBonus   = 0.25 // the same for a cached prefix, which is only a hint and serves as a tie-break
 )
 
 func (homes) Order(r PlacementRequest) ([]int, []float64) {
@@ -103,7 +103,7 @@
 	return append(order, ranked[homeCount:]...), scores
 }
 
-// bestWarm returns the best member whose prefix is warm, or -1.
+// bestWarm returns the endpoint with the highest score among those with a cached prefix, or -1.
 func bestWarm(list []int, states []EndpointState, scores []float64) int {
 	best := -1
 	for _, i := range list {
@@ -114,7 +114,7 @@
 	return best
 }
 
-// betterOfTwo takes the better of two random members.
+// betterOfTwo returns the better of two random endpoints.
 func betterOfTwo(list []int, scores []float64, r *rand.Rand) int {
 	if len(list) == 1 {
 		return list[0]
@@ -130,7 +130,7 @@
 	return list[a]
 }
 
-// hashOnly uses the rendezvous order alone.
+// hashOnly uses only the rendezvous order.
 type hashOnly struct{}
 
 func (hashOnly) Order(r PlacementRequest) ([]int, []float64) {
@@ -142,7 +142,7 @@
 	return ranked, scores
 }
 
-// leastLoaded uses the load alone.
+// leastLoaded uses only the utilisation; ties are ordered at random.
 type leastLoaded struct{}
 
 func (leastLoaded) Order(r PlacementRequest) ([]int, []float64) {
@@ -153,16 +153,15 @@
 	return sortByScore(r.Rand.Perm(len(r.Names)), scores), scores
 }
 
-// random uses nothing.
+// random ignores the state of the endpoints.
 type random struct{}
 
 func (random) Order(r PlacementRequest) ([]int, []float64) {
 	return r.Rand.Perm(len(r.Names)), make([]float64, len(r.Names))
 }
 
-// HomeCount returns how many homes an adapter should have: enough that its own
-// load, in requests running at a time, fills no home by more than share of its
-// limit.
+// HomeCount returns the number of home endpoints that an adapter needs so that its own running
+// requests fill at most maxUtilisation of each one's limit.
 func HomeCount(rate float64, service time.Duration, limit int, maxUtilisation float64) int {
 	if limit <= 0 || maxUtilisation <= 0 {
 		return 1
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -4,28 +4,27 @@
 
 import "time"
 
-// BatchPolicy says what the users weigh, on one scale: Batch is 0 where load stalls
-// come first and nobody is held back, and 1 where batches had better be full.
+// BatchPolicy is the trade-off between latency and throughput. Fullness is 0 to defer no requests,
+// up to 1 to defer them until batches are full.
 type BatchPolicy struct {
 	Fullness float64
 }
 
-// QueuedRequest is one waiting request.
+// QueuedRequest describes a request in the queue of an endpoint.
 type QueuedRequest struct {
-	Priority      int           // of its class; smaller runs earlier
+	Priority      int           // of its class; lower runs first
 	Waited        time.Duration // so far
 	Remaining     time.Duration // until its deadline
-	CallerRunning int           // requests of its caller that run now
-	Ready         bool          // its adapter is in a slot
+	CallerRunning int           // running requests of the same caller
+	Ready         bool          // its adapter is loaded and the request is not deferred
 }
 
-// agingInterval is how long a request waits to gain one step of priority, so that no
-// class starves.
+// agingInterval is the wait that raises a request's priority by one, to prevent starvation of low
+// priorities.
 const agingInterval = 2 * time.Second
 
-// NextQueued returns which waiting request runs next: by priority with age,
-// then by the caller that runs the least, then the oldest; -1 when none is
-// ready.
+// NextQueued returns the index of the request to run next, or -1 if none is ready. The order is by
+// aged priority, then by fewest running requests of the caller, then by longest wait.
 func NextQueued(list []QueuedRequest) int {
 	best := -1
 	for i, w := range list {
@@ -52,21 +51,20 @@
 
 func (w QueuedRequest) rank() int { return w.Priority - int(w.Waited/agingInterval) }
 
-// Admission is what a scheduler knows when a request arrives that cannot run
-// at once.
+// Admission is the input to Admit for a request that cannot run at once.
 type Admission struct {
-	MaxWait         time.Duration // the longest wait that is useful
-	EstimatedWait   time.Duration // until it could run
-	Queued          int           // requests waiting at the endpoint
+	MaxWait         time.Duration // remaining time until the deadline
+	EstimatedWait   time.Duration // until it can run
+	Queued          int           // requests queued at the endpoint
 	MaxQueued       int
-	CallerQueued    int // requests of the same caller waiting here
+	CallerQueued    int // requests of the same caller queued at the endpoint
 	MaxCallerQueued int
 }
 
-// AdmissionVerdict says whether a request may wait.
+// AdmissionVerdict is the result of admission control.
 type AdmissionVerdict int
 
-// The verdicts.
+// Admission verdicts.
 const (
 	Enqueue AdmissionVerdict = iota + 1
 	RefuseDeadline
@@ -74,8 +72,8 @@
 	RefuseQueueFull
 )
 
-// Admit decides whether a request may wait, and when a refused one should come
-// back.
+// Admit decides whether a request is queued or refused, and after which time a refused one should
+// be retried.
 func Admit(a Admission) (AdmissionVerdict, time.Duration) {
 	switch {
 	case a.MaxWait <= 0:
@@ -88,8 +86,8 @@
 	return Enqueue, 0
 }
 
-// EstimateBatchWait estimates how long until a place in the batch is free for a
-// request with ahead requests before it.
+// EstimateBatchWait estimates the time until the batch has capacity for a request with ahead
+// requests before it in the queue.
 func EstimateBatchWait(running, limit, ahead int, service time.Duration) time.Duration {
 	if limit <= 0 {
 		return service
--- a/policy/rank.go
+++ b/policy/rank.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders names for a key by rendezvous hashing: every daemon finds the
-// same order, and when a name goes only the keys that had it first move.
+// Rank orders names for a key by rendezvous hashing: all daemons compute the same
+// order, and removing a name moves only the keys that ranked it first.
 func Rank(key string, names []string) []string {
 	type scored struct {
 		name  string
@@ -33,7 +33,7 @@
 	return ranked
 }
 
-// First returns the first of Rank's order without sorting, or "" for no names.
+// First returns the name that Rank puts first, without sorting; "" if there are no names.
 func First(key string, names []string) string {
 	best, bestScore := "", uint64(0)
 	for _, n := range names {
@@ -54,7 +54,7 @@
 	return mixBits(h.Sum64())
 }
 
-// mixBits spreads the bits of similar names (the finaliser of SplitMix64).
+// mixBits is the finaliser of SplitMix64. It decorrelates the hashes of similar names.
 func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -4,28 +4,28 @@
 
 import "sync"
 
-// RetryBudget allows retries in proportion to successes, so that a fleet that
-// fails is not hit harder. It is safe for concurrent use.
+// RetryBudget limits retries to a ratio of successful requests, so that retries do not
+// amplify an outage. It is safe for concurrent use.
 type RetryBudget struct {
 	mu       sync.Mutex
-	tokens   float64 // from 0 to most
+	tokens   float64 // from 0 to capacity
 	capacity float64
 	ratio    float64
 }
 
-// NewRetryBudget allows share retries for each success, and most at once.
+// NewRetryBudget returns a full budget that gains ratio retries per success, up to capacity.
 func NewRetryBudget(ratio, capacity float64) *RetryBudget {
 	return &RetryBudget{tokens: capacity, capacity: capacity, ratio: ratio}
 }
 
-// RecordSuccess earns a share of a retry.
+// RecordSuccess adds ratio retries to the budget.
 func (b *RetryBudget) RecordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.capacity, b.tokens+b.ratio)
 }
 
-// Take tells whether one more retry is allowed, and counts it.
+// Take consumes one retry; it reports false if none is left.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
