--- a/policy/firsttoken_test.go
+++ b/policy/firsttoken_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestTheTimeToTheFirstTokenIsLearnt(t *testing.T) {
+func TestFirstTokenEstimatorConverges(t *testing.T) {
 	c := quicktest.New(t)
 	var f FirstTokenEstimator
 	guess := f.Predict(10_000)
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestPromptsOfOneLengthStillGiveALine(t *testing.T) {
+func TestFirstTokenEstimatorWithEqualPromptLengths(t *testing.T) {
 	c := quicktest.New(t)
 	var f FirstTokenEstimator
 	for range 100 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-func TestRankMovesOnlyTheKeysOfTheLostName(t *testing.T) {
+func TestRankMovesOnlyKeysOfTheRemovedName(t *testing.T) {
 	c := quicktest.New(t)
 	all := names(6)
 	for i := range 200 {
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRankSpreadsKeysEvenly(t *testing.T) {
+func TestRankDistributesKeysEvenly(t *testing.T) {
 	c := quicktest.New(t)
 	count := make(map[string]int)
 	for i := range 6000 {
@@ -45,36 +45,36 @@
 	}
 }
 
-func order(p Placement, width int, facts []EndpointState) []int {
-	o, _ := p.Order(PlacementRequest{Key: "roses@1", Names: names(len(facts)), States: facts, HomeCount: width, Rand: rand.New(rand.NewPCG(1, 2))})
+func order(p Placement, homeCount int, states []EndpointState) []int {
+	o, _ := p.Order(PlacementRequest{Key: "roses@1", Names: names(len(states)), States: states, HomeCount: homeCount, Rand: rand.New(rand.NewPCG(1, 2))})
 	return o
 }
 
-func TestHomesStayWithTheFirstWhileWidthIsOne(t *testing.T) {
+func TestHomesUsesTheFirstEndpointForOneHome(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]EndpointState, 4)
-	first := order(hashOnly{}, 1, facts)[0]
-	facts[first] = EndpointState{Running: 8, Limit: 8}
-	c.Assert(order(homes{}, 1, facts)[0], quicktest.Equals, first)
+	states := make([]EndpointState, 4)
+	first := order(hashOnly{}, 1, states)[0]
+	states[first] = EndpointState{Running: 8, Limit: 8}
+	c.Assert(order(homes{}, 1, states)[0], quicktest.Equals, first)
 }
 
-func TestHomesTakeTheLessLoadedOfTwo(t *testing.T) {
+func TestHomesPrefersTheLessLoadedOfTwo(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]EndpointState, 4)
-	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[0]] = EndpointState{Running: 8, Limit: 8}
-	c.Assert(order(homes{}, 2, facts)[0], quicktest.Equals, ranked[1])
+	states := make([]EndpointState, 4)
+	ranked := order(hashOnly{}, 1, states)
+	states[ranked[0]] = EndpointState{Running: 8, Limit: 8}
+	c.Assert(order(homes{}, 2, states)[0], quicktest.Equals, ranked[1])
 }
 
-func TestHomesPreferWhereTheAdapterIsLoaded(t *testing.T) {
+func TestHomesPrefersEndpointsWithTheAdapterLoaded(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]EndpointState, 4)
-	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[1]] = EndpointState{Running: 4, Limit: 8, Loaded: true}
-	c.Assert(order(homes{}, 2, facts)[0], quicktest.Equals, ranked[1])
+	states := make([]EndpointState, 4)
+	ranked := order(hashOnly{}, 1, states)
+	states[ranked[1]] = EndpointState{Running: 4, Limit: 8, Loaded: true}
+	c.Assert(order(homes{}, 2, states)[0], quicktest.Equals, ranked[1])
 }
 
-func TestEveryPlacementOrdersAllEndpoints(t *testing.T) {
+func TestPlacementsOrderAllEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	for _, n := range []string{PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom} {
 		p, err := NewPlacement(n)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestPopularityFades(t *testing.T) {
+func TestDecayingCounterHalfLife(t *testing.T) {
 	c := quicktest.New(t)
 	var p DecayingCounter
 	p.Add(100, start, time.Minute)
@@ -95,13 +95,13 @@
 	c.Assert(now > 1.99*later && now < 2.01*later, quicktest.IsTrue)
 }
 
-func TestWidthGrowsWithLoad(t *testing.T) {
+func TestHomeCountGrowsWithLoad(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(HomeCount(0.1, time.Second, 8, 0.5), quicktest.Equals, 1)
 	c.Assert(HomeCount(10, time.Second, 8, 0.5), quicktest.Equals, 3)
 }
 
-func TestEvictionSparesBusySlots(t *testing.T) {
+func TestBusySlotsAreNotEvicted(t *testing.T) {
 	c := quicktest.New(t)
 	slots := []SlotState{{Busy: true}, {Rate: 5, LastUsed: start, LoadCost: time.Second}}
 	for _, n := range []string{EvictExpectedReturn, EvictLeastRecentlyUsed} {
@@ -112,13 +112,13 @@
 	}
 }
 
-func TestAOneOffRequestIsHeldBackThenServed(t *testing.T) {
+func TestEvictionForOneRequestIsDeferred(t *testing.T) {
 	c := quicktest.New(t)
 	slots := []SlotState{{Rate: 50, LoadCost: time.Second}, {Rate: 40, LoadCost: time.Second}}
-	one := PendingAdapter{Requests: 1, MaxDeferral: time.Second}
-	c.Assert(expectedReturn{}.Victim(slots, one), quicktest.Equals, -1)
-	one.OldestWait = time.Second
-	c.Assert(expectedReturn{}.Victim(slots, one), quicktest.Equals, 1)
+	pending := PendingAdapter{Requests: 1, MaxDeferral: time.Second}
+	c.Assert(expectedReturn{}.Victim(slots, pending), quicktest.Equals, -1)
+	pending.OldestWait = time.Second
+	c.Assert(expectedReturn{}.Victim(slots, pending), quicktest.Equals, 1)
 }
 
 func TestNextLoadSavesTheMostWaiting(t *testing.T) {
@@ -129,7 +129,7 @@
 	c.Assert(NextLoad(nil, time.Second), quicktest.Equals, -1)
 }
 
-func TestBudgetFindsUnusedRateAndFallsBack(t *testing.T) {
+func TestLoadBudgetProbesAndFallsBack(t *testing.T) {
 	c := quicktest.New(t)
 	var b LoadBudget
 	b.SetRates(1, 10)
@@ -147,7 +147,7 @@
 	c.Assert(b.Wait(1, now), quicktest.Equals, time.Second)
 }
 
-func TestNextWaiterAgesSoThatNoneStarves(t *testing.T) {
+func TestNextQueuedPreventsStarvation(t *testing.T) {
 	c := quicktest.New(t)
 	list := []QueuedRequest{{Priority: 1, Ready: true}, {Priority: 9, Ready: true, Waited: time.Second}, {Priority: 0}}
 	c.Assert(NextQueued(list), quicktest.Equals, 0)
@@ -155,12 +155,12 @@
 	c.Assert(NextQueued(list), quicktest.Equals, 1)
 }
 
-func TestNextWaiterIsFairBetweenCallers(t *testing.T) {
+func TestNextQueuedIsFairBetweenCallers(t *testing.T) {
 	list := []QueuedRequest{{Ready: true, CallerRunning: 6, Waited: time.Second}, {Ready: true, CallerRunning: 1}}
 	quicktest.Assert(t, NextQueued(list), quicktest.Equals, 1)
 }
 
-func TestAdmitRefusesAtOnceWhatCannotBeInTime(t *testing.T) {
+func TestAdmitRefusesRequestsThatWouldMissTheDeadline(t *testing.T) {
 	c := quicktest.New(t)
 	a := Admission{MaxWait: time.Second, EstimatedWait: 3 * time.Second, MaxQueued: 4, MaxCallerQueued: 2}
 	v, retry := Admit(a)
@@ -177,7 +177,7 @@
 	c.Assert(v, quicktest.Equals, RefuseNoWait)
 }
 
-func TestRetriesAreTiedToSuccesses(t *testing.T) {
+func TestRetryBudgetDependsOnSuccesses(t *testing.T) {
 	c := quicktest.New(t)
 	b := NewRetryBudget(0.5, 1)
 	c.Assert(b.Take(), quicktest.IsTrue)
@@ -187,7 +187,7 @@
 	c.Assert(b.Take(), quicktest.IsTrue)
 }
 
-func TestPatientRequestsWaitForAFullerBatch(t *testing.T) {
+func TestDeferrableRequestsWaitForAFullerBatch(t *testing.T) {
 	c := quicktest.New(t)
 	w := BatchPolicy{Fullness: 0.5}
 	f := DeferralState{MaxWait: time.Hour, Running: 1, Limit: 8, Deferrable: 1}
@@ -198,23 +198,23 @@
 	c.Assert(w.ShouldDefer(f), quicktest.IsFalse)
 }
 
-func TestNoRequestIsHeldThatMayNotWaitLong(t *testing.T) {
+func TestRequestsWithAShortMaximumWaitAreNotDeferred(t *testing.T) {
 	c := quicktest.New(t)
 	c.Assert(BatchPolicy{Fullness: 1}.ShouldDefer(DeferralState{MaxWait: time.Second, Limit: 8}), quicktest.IsFalse)
 	c.Assert(BatchPolicy{}.ShouldDefer(DeferralState{MaxWait: time.Hour, Limit: 8}), quicktest.IsFalse)
 }
 
-func TestAWarmPrefixBreaksATie(t *testing.T) {
+func TestCachedPrefixBreaksATie(t *testing.T) {
 	c := quicktest.New(t)
-	facts := make([]EndpointState, 4)
-	ranked := order(hashOnly{}, 1, facts)
-	facts[ranked[2]] = EndpointState{Limit: 8, Running: 1, Warm: true}
-	c.Assert(order(homes{}, 3, facts)[0], quicktest.Equals, ranked[2])
-	facts[ranked[2]].Running = 8
-	c.Assert(order(homes{}, 3, facts)[0] == ranked[2], quicktest.IsFalse)
+	states := make([]EndpointState, 4)
+	ranked := order(hashOnly{}, 1, states)
+	states[ranked[2]] = EndpointState{Limit: 8, Running: 1, Warm: true}
+	c.Assert(order(homes{}, 3, states)[0], quicktest.Equals, ranked[2])
+	states[ranked[2]].Running = 8
+	c.Assert(order(homes{}, 3, states)[0] == ranked[2], quicktest.IsFalse)
 }
 
-func TestOfEqualReturnsTheLeastRecentlyUsedGoes(t *testing.T) {
+func TestExpectedReturnTiesGoToTheLeastRecentlyUsed(t *testing.T) {
 	slots := []SlotState{{LastUsed: start.Add(time.Second)}, {LastUsed: start}, {LastUsed: start.Add(time.Minute)}}
 	quicktest.Assert(t, expectedReturn{}.Victim(slots, PendingAdapter{Requests: 1}), quicktest.Equals, 1)
 }
