--- a/access/access.go
+++ b/access/access.go
@@ -29,17 +29,17 @@
 	digest Digest
 }
 
-// Show returns the credential of a caller that shows these keys. One that shows several has shown
+// NewCredential returns the credential of a caller that shows these keys. One that shows several has shown
 // none: a box that chose one of them would decide who pays.
-func Show(keys []string) Credential {
+func NewCredential(keys []string) Credential {
 	if len(keys) != 1 || keys[0] == "" {
 		return Credential{}
 	}
 	return Credential{given: true, digest: KeyDigest(keys[0])}
 }
 
-// Given tells whether the caller shows one key.
-func (c Credential) Given() bool { return c.given }
+// IsSet tells whether the caller shows one key.
+func (c Credential) IsSet() bool { return c.given }
 
 // Spec is an organisation as its source describes it.
 type Spec struct {
@@ -117,8 +117,8 @@
 	return d.byKey[c.digest]
 }
 
-// Named returns the organisation with a name; nil where there is none.
-func (d *Directory) Named(name string) *Organisation {
+// ByName returns the organisation with a name; nil where there is none.
+func (d *Directory) ByName(name string) *Organisation {
 	if d == nil {
 		return nil
 	}
@@ -133,8 +133,8 @@
 	return d.list
 }
 
-// Holder returns the name of the organisation that a key stands for; empty for none.
-func (d *Directory) Holder(k Digest) string {
+// OwnerName returns the name of the organisation that a key stands for; empty for none.
+func (d *Directory) OwnerName(k Digest) string {
 	if d == nil || d.byKey[k] == nil {
 		return ""
 	}
@@ -144,26 +144,26 @@
 // Short returns the first bytes of a digest, for people.
 func (k Digest) Short(n int) string { return hex.EncodeToString(k[:n]) }
 
-// Change is a key that stands for another organisation than before; an empty name: for none.
-type Change struct {
-	Key         Digest
-	Before, Now string
+// KeyChange is a key that stands for another organisation than before; an empty name: for none.
+type KeyChange struct {
+	Key           Digest
+	Before, After string
 }
 
-// Changes returns the keys that changed between two directories, those that went first.
-func Changes(before, after *Directory) []Change {
-	var list []Change
+// KeyChanges returns the keys that changed between two directories, those that went first.
+func KeyChanges(before, after *Directory) []KeyChange {
+	var list []KeyChange
 	for _, o := range before.All() {
 		for _, k := range o.Keys() {
-			if was, is := before.Holder(k), after.Holder(k); was != is && was == o.Name() {
-				list = append(list, Change{Key: k, Before: was, Now: is})
+			if was, is := before.OwnerName(k), after.OwnerName(k); was != is && was == o.Name() {
+				list = append(list, KeyChange{Key: k, Before: was, After: is})
 			}
 		}
 	}
 	for _, o := range after.All() {
 		for _, k := range o.Keys() {
-			if before.Holder(k) == "" && after.Holder(k) == o.Name() {
-				list = append(list, Change{Key: k, Now: o.Name()})
+			if before.OwnerName(k) == "" && after.OwnerName(k) == o.Name() {
+				list = append(list, KeyChange{Key: k, After: o.Name()})
 			}
 		}
 	}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -15,11 +15,11 @@
 	k, l := KeyDigest("k"), KeyDigest("l")
 	d, err := NewDirectory([]Spec{{Name: "b", Keys: []Digest{k}}, {Name: "a", Keys: []Digest{k, l}}})
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(d.Find(Show([]string{"k"})).Name(), quicktest.Equals, "b")
-	c.Assert(d.Find(Show([]string{"l"})).Name(), quicktest.Equals, "a")
-	c.Assert(d.Find(Show([]string{"other"})), quicktest.IsNil)
+	c.Assert(d.Find(NewCredential([]string{"k"})).Name(), quicktest.Equals, "b")
+	c.Assert(d.Find(NewCredential([]string{"l"})).Name(), quicktest.Equals, "a")
+	c.Assert(d.Find(NewCredential([]string{"other"})), quicktest.IsNil)
 	c.Assert(d.Find(Credential{}), quicktest.IsNil)
-	c.Assert(d.Named("a").Keys(), quicktest.HasLen, 2)
+	c.Assert(d.ByName("a").Keys(), quicktest.HasLen, 2)
 }
 
 func TestWithoutOrganisationsNobodyIsFound(t *testing.T) {
@@ -27,8 +27,8 @@
 	d, err := NewDirectory(nil)
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(d, quicktest.IsNil)
-	c.Assert(d.Find(Show([]string{"k"})), quicktest.IsNil)
-	c.Assert(d.Named("a"), quicktest.IsNil)
+	c.Assert(d.Find(NewCredential([]string{"k"})), quicktest.IsNil)
+	c.Assert(d.ByName("a"), quicktest.IsNil)
 	c.Assert(d.All(), quicktest.HasLen, 0)
 }
 
@@ -42,15 +42,15 @@
 	came, went, moved, stays := KeyDigest("came"), KeyDigest("went"), KeyDigest("moved"), KeyDigest("stays")
 	before := directory(Spec{Name: "a", Keys: []Digest{went, moved, stays}}, Spec{Name: "b"})
 	after := directory(Spec{Name: "a", Keys: []Digest{stays, came}}, Spec{Name: "b", Keys: []Digest{moved}})
-	c.Assert(Changes(before, after), quicktest.DeepEquals, []Change{
-		{Key: went, Before: "a"}, {Key: moved, Before: "a", Now: "b"}, {Key: came, Now: "a"},
+	c.Assert(KeyChanges(before, after), quicktest.DeepEquals, []KeyChange{
+		{Key: went, Before: "a"}, {Key: moved, Before: "a", After: "b"}, {Key: came, After: "a"},
 	})
-	c.Assert(Changes(after, after), quicktest.HasLen, 0)
+	c.Assert(KeyChanges(after, after), quicktest.HasLen, 0)
 }
 
 func TestNoRequestIsFree(t *testing.T) {
 	c := quicktest.New(t)
-	tokens := Quota{Unit: Tokens, Unspecified: 200}
+	tokens := Quota{Unit: Tokens, DefaultCost: 200}
 	c.Assert(tokens.Cost(1540, true), quicktest.Equals, 1540.0)
 	c.Assert(tokens.Cost(0, true), quicktest.Equals, 1.0)
 	c.Assert(tokens.Cost(7, false), quicktest.Equals, 200.0)
@@ -61,11 +61,11 @@
 
 func TestAPoolHandsOutItsShareAndSaysWhenMoreComes(t *testing.T) {
 	c := quicktest.New(t)
-	l := Limit{Rate: 500, Most: 500}
+	l := Limit{Rate: 500, Capacity: 500}
 	var p Pool
 	now := time.Now()
 	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 10}, l, now).Paid, quicktest.Equals, 0.0) // it begins empty
-	p.Borrowed("o", 0, now, time.Hour)                                                        // nor do others have any
+	p.AddBorrowed("o", 0, now, time.Hour)                                                     // nor do others have any
 	now = now.Add(time.Minute)
 	a := p.Draw(Demand{Organisation: "o", Owed: 100, Wanted: []float64{200, 200, 200}}, l, now)
 	c.Assert(a.Paid, quicktest.Equals, 100.0)
@@ -80,7 +80,7 @@
 
 func TestARequestLargerThanTheBucketIsGranted(t *testing.T) {
 	c := quicktest.New(t)
-	l := Limit{Rate: 100, Most: 100}
+	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
 	now := time.Now()
 	p.Draw(Demand{Organisation: "o"}, l, now)
@@ -92,13 +92,13 @@
 
 func TestWhatAPoolLendsItHasNoMore(t *testing.T) {
 	c := quicktest.New(t)
-	l := Limit{Rate: 500, Most: 500}
+	l := Limit{Rate: 500, Capacity: 500}
 	var from, to Pool
 	now := time.Now()
 	from.Draw(Demand{Organisation: "o"}, l, now)
 	to.Draw(Demand{Organisation: "o", Owed: 400}, l, now)
-	c.Assert(to.Short(), quicktest.DeepEquals, map[string]float64{"o": 400})
-	c.Assert(to.Short(), quicktest.HasLen, 0)
+	c.Assert(to.TakeShortfalls(), quicktest.DeepEquals, map[string]float64{"o": 400})
+	c.Assert(to.TakeShortfalls(), quicktest.HasLen, 0)
 	now = now.Add(time.Minute)
 	lent := from.Lend("o", 400, l, now)
 	c.Assert(lent, quicktest.Equals, 250.0) // half of its 500 stays
@@ -110,55 +110,55 @@
 // part takes to refill went away.
 func TestWhileOthersMayLendAWaitIsShort(t *testing.T) {
 	c := quicktest.New(t)
-	l := Limit{Rate: 100, Most: 100}
+	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
 	now := time.Now()
 	d := Demand{Organisation: "o", Wanted: []float64{50}}
 	c.Assert(p.Draw(d, l, now).Wait, quicktest.Equals, borrowTime)
-	p.Borrowed("o", 0, now, time.Second)
+	p.AddBorrowed("o", 0, now, time.Second)
 	c.Assert(p.Draw(d, l, now).Wait > 400*time.Millisecond, quicktest.IsTrue)
-	p.Borrowed("o", 60, now, time.Second)
+	p.AddBorrowed("o", 60, now, time.Second)
 	c.Assert(p.Draw(d, l, now).Granted, quicktest.Equals, 1)
 }
 
 func TestAPoolThatIsOpenedFillsBeforeItsFirstDraw(t *testing.T) {
 	c := quicktest.New(t)
-	l := Limit{Rate: 100, Most: 100}
+	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
 	now := time.Now()
-	p.Open("o", l, now)
-	p.Open("o", l, now.Add(time.Second)) // changes nothing
+	p.StartFilling("o", l, now)
+	p.StartFilling("o", l, now.Add(time.Second)) // changes nothing
 	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 100}, l, now.Add(time.Second)).Paid, quicktest.Equals, 100.0)
-	p.Clear()
+	p.Reset()
 	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 100}, l, now.Add(time.Hour)).Paid, quicktest.Equals, 0.0)
 }
 
 func TestChanceDecidesOnceOnTheRestOfAFloat(t *testing.T) {
 	c := quicktest.New(t)
 	var a Account
-	c.Assert(a.Admit(200, 100, 0.6), quicktest.IsFalse)
-	c.Assert(a.Admit(200, 100, 0.1), quicktest.IsFalse) // not again
-	c.Assert(a.Admit(40, 100, 0.9), quicktest.IsTrue)
-	a.Demand()
-	a.Settle(40)
-	c.Assert(a.Admit(200, 100, 0.4), quicktest.IsTrue)
+	c.Assert(a.TrySpend(200, 100, 0.6), quicktest.IsFalse)
+	c.Assert(a.TrySpend(200, 100, 0.1), quicktest.IsFalse) // not again
+	c.Assert(a.TrySpend(40, 100, 0.9), quicktest.IsTrue)
+	a.StartSettlement()
+	a.FinishSettlement(40)
+	c.Assert(a.TrySpend(200, 100, 0.4), quicktest.IsTrue)
 	c.Assert(a.Owed(), quicktest.Equals, 200.0)
-	c.Assert(a.Admit(1, 100, 0), quicktest.IsFalse)
+	c.Assert(a.TrySpend(1, 100, 0), quicktest.IsFalse)
 }
 
 func TestAnAccountGivesBackWhatItDrewForNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var a Account
-	c.Assert(a.Admit(60, 100, 0.9), quicktest.IsTrue)
-	c.Assert(a.Admit(60, 100, 0.9), quicktest.IsFalse)
-	owed, returned := a.Demand()
+	c.Assert(a.TrySpend(60, 100, 0.9), quicktest.IsTrue)
+	c.Assert(a.TrySpend(60, 100, 0.9), quicktest.IsFalse)
+	owed, returned := a.StartSettlement()
 	c.Assert(owed, quicktest.Equals, 60.0)
 	c.Assert(returned, quicktest.Equals, 0.0)
-	a.Settle(60)
-	a.Return(60)
-	owed, returned = a.Demand()
+	a.FinishSettlement(60)
+	a.Refund(60)
+	owed, returned = a.StartSettlement()
 	c.Assert(owed, quicktest.Equals, 0.0)
 	c.Assert(returned, quicktest.Equals, 60.0)
-	a.Settle(0)
+	a.FinishSettlement(0)
 	c.Assert(a.Owed(), quicktest.Equals, 0.0)
 }
--- a/access/account.go
+++ b/access/account.go
@@ -13,12 +13,12 @@
 	tried bool      // chance decided on what is left of the float
 }
 
-// Admit spends a request's units at once, where so little is owed that the float allows it. Where a
+// TrySpend spends a request's units at once, where so little is owed that the float allows it. Where a
 // part of the float is left that is smaller than the request, chance, a number in [0, 1), decides
 // once: over all boxes the floats are used then as if requests could be divided. A float is some
 // hundred units where a request counts 700, so that without it a fleet that has just started had
 // nothing to go by until its leaders were known.
-func (a *Account) Admit(cost, float, chance float64) bool {
+func (a *Account) TrySpend(cost, float, chance float64) bool {
 	left := float - a.owed
 	if cost > left {
 		if a.tried || left <= 0 {
@@ -36,17 +36,17 @@
 // Spend spends units that can't be refused any more: an attempt that follows one that ran.
 func (a *Account) Spend(cost float64) { a.owed += cost }
 
-// Return gives back what a request that never ran had spent.
-func (a *Account) Return(cost float64) { a.owed -= cost }
+// Refund gives back what a request that never ran had spent.
+func (a *Account) Refund(cost float64) { a.owed -= cost }
 
-// Demand returns what is owed, or was drawn ahead, for a pool.
-func (a *Account) Demand() (owed, returned float64) {
+// StartSettlement returns what is owed, or was drawn ahead, for a pool.
+func (a *Account) StartSettlement() (owed, returned float64) {
 	a.told = a.owed
 	return max(a.owed, 0), max(-a.owed, 0)
 }
 
-// Settle notes a pool's answer to the last demand.
-func (a *Account) Settle(paid float64) {
+// FinishSettlement notes a pool's answer to the last demand.
+func (a *Account) FinishSettlement(paid float64) {
 	if a.told < 0 {
 		a.owed -= a.told
 	}
@@ -65,8 +65,8 @@
 	a.at = now
 }
 
-// Answered notes that a pool answers: nothing is forgiven from now on.
-func (a *Account) Answered() { a.at = time.Time{} }
+// StopForgiving notes that a pool answers: nothing is forgiven from now on.
+func (a *Account) StopForgiving() { a.at = time.Time{} }
 
 // Owed returns the units that are spent and not drawn.
 func (a *Account) Owed() float64 { return a.owed }
--- a/access/bound_test.go
+++ b/access/bound_test.go
@@ -139,7 +139,7 @@
 func (f *fleet) settle(i int) {
 	b := f.boxes[i]
 	if !f.reach(i, b.leader) {
-		b.account.Forgive(f.bounds.Float(f.quota, len(f.boxes)), f.bounds.Window, f.time())
+		b.account.Forgive(f.bounds.CreditLimit(f.quota, len(f.boxes)), f.bounds.Window, f.time())
 		return
 	}
 	l := f.boxes[b.leader]
@@ -147,25 +147,25 @@
 		l.pool, l.drawn = new(Pool), make(map[int]int)
 	}
 	l.drawn[i] = f.now
-	owed, returned := b.account.Demand()
+	owed, returned := b.account.StartSettlement()
 	a := l.pool.Draw(Demand{Organisation: "o", Owed: owed, Returned: returned}, f.limit(b.leader), f.time())
 	if f.random.IntN(20) == 0 {
 		return // the answer is lost
 	}
 	b.mute = f.now
-	b.account.Settle(a.Paid)
-	b.account.Answered()
+	b.account.FinishSettlement(a.Paid)
+	b.account.StopForgiving()
 	f.lend(b.leader, l)
 }
 
 // lend moves units between data centres where one lacks some.
 func (f *fleet) lend(i int, l *fleetBox) {
-	short := l.pool.Short()["o"]
+	short := l.pool.TakeShortfalls()["o"]
 	for j, o := range f.boxes {
 		if short > 0 && o.pool != nil && o.centre != l.centre && f.reach(i, j) {
 			got := o.pool.Lend("o", short, f.limit(j), f.time())
 			if f.random.IntN(20) > 0 {
-				l.pool.Borrowed("o", got, f.time(), 0)
+				l.pool.AddBorrowed("o", got, f.time(), 0)
 			}
 		}
 	}
@@ -204,7 +204,7 @@
 // serve spends a request's units at a box, at once or by a settlement for it alone.
 func (f *fleet) serve(i int, cost float64) {
 	b := f.boxes[i]
-	if b.account.Admit(cost, f.bounds.Float(f.quota, len(f.boxes)), f.random.Float64()) {
+	if b.account.TrySpend(cost, f.bounds.CreditLimit(f.quota, len(f.boxes)), f.random.Float64()) {
 		f.spent[f.now] += cost
 		return
 	}
@@ -213,10 +213,10 @@
 	}
 	l := f.boxes[b.leader]
 	l.drawn[i] = f.now
-	owed, returned := b.account.Demand()
+	owed, returned := b.account.StartSettlement()
 	a := l.pool.Draw(Demand{Organisation: "o", Owed: owed, Returned: returned, Wanted: []float64{cost}}, f.limit(b.leader), f.time())
-	b.account.Settle(a.Paid)
-	b.account.Answered()
+	b.account.FinishSettlement(a.Paid)
+	b.account.StopForgiving()
 	f.lend(b.leader, l)
 	if a.Granted == 1 {
 		f.spent[f.now] += cost
--- a/access/pool.go
+++ b/access/pool.go
@@ -51,12 +51,12 @@
 	if !b.at.IsZero() {
 		b.level += l.Rate * max(now.Sub(b.at).Seconds(), 0)
 	}
-	b.level = min(b.level, l.Most)
+	b.level = min(b.level, l.Capacity)
 	b.limit, b.at = l, now
 }
 
-// Open begins to fill the bucket of a quota of which nothing has been drawn yet.
-func (p *Pool) Open(organisation string, l Limit, now time.Time) {
+// StartFilling begins to fill the bucket of a quota of which nothing has been drawn yet.
+func (p *Pool) StartFilling(organisation string, l Limit, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.buckets[organisation] == nil {
@@ -64,8 +64,8 @@
 	}
 }
 
-// Clear empties the pool: another one counted since.
-func (p *Pool) Clear() {
+// Reset empties the pool: another one counted since.
+func (p *Pool) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.buckets = nil
@@ -98,11 +98,11 @@
 	a := Allowance{Organisation: d.Organisation}
 	b := p.bucketLocked(d.Organisation)
 	b.refill(l, now)
-	b.level = min(b.level+max(d.Returned, 0), l.Most)
+	b.level = min(b.level+max(d.Returned, 0), l.Capacity)
 	a.Paid = min(max(d.Owed, 0), max(b.level, 0))
 	b.level -= a.Paid
 	for _, w := range d.Wanted {
-		if b.level < min(w, largePart*l.Most) || b.level <= 0 {
+		if b.level < min(w, largePart*l.Capacity) || b.level <= 0 {
 			break
 		}
 		b.level -= w
@@ -110,7 +110,7 @@
 	}
 	b.noteShort(d, a, now)
 	if a.Granted < len(d.Wanted) {
-		next := min(d.Wanted[a.Granted], largePart*l.Most)
+		next := min(d.Wanted[a.Granted], largePart*l.Capacity)
 		a.Wait = waitFor(max(next, b.refused.within(now))-b.level, l.Rate)
 		if !now.Before(b.dry) {
 			a.Wait = min(a.Wait, borrowTime)
@@ -130,9 +130,9 @@
 	}
 }
 
-// Short returns how many units each organisation lacked at its last draw, of those that lacked
+// TakeShortfalls returns how many units each organisation lacked at its last draw, of those that lacked
 // any; they are counted as asked for elsewhere then.
-func (p *Pool) Short() map[string]float64 {
+func (p *Pool) TakeShortfalls() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := make(map[string]float64)
@@ -155,14 +155,14 @@
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
 	b.refill(l, now)
-	lent := min(max(units, 0), max(b.level-keptPart*l.Most, 0))
+	lent := min(max(units, 0), max(b.level-keptPart*l.Capacity, 0))
 	b.level -= lent
 	return lent
 }
 
-// Borrowed adds units that other pools lent. Where they lent none they are expected to have none
+// AddBorrowed adds units that other pools lent. Where they lent none they are expected to have none
 // for some time.
-func (p *Pool) Borrowed(organisation string, units float64, now time.Time, dry time.Duration) {
+func (p *Pool) AddBorrowed(organisation string, units float64, now time.Time, dry time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
@@ -175,8 +175,8 @@
 // noteEvery is between two reports that an organisation lacks units.
 const noteEvery = time.Second
 
-// Lacks tells whether it is time to report that an organisation lacks units, and what it has left.
-func (p *Pool) Lacks(organisation string, now time.Time) (Level, bool) {
+// ShortageReport tells whether it is time to report that an organisation lacks units, and what it has left.
+func (p *Pool) ShortageReport(organisation string, now time.Time) (Level, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
@@ -187,13 +187,15 @@
 	return b.report(), true
 }
 
-func (b *bucket) report() Level { return Level{Left: b.level, Most: b.limit.Most, Rate: b.limit.Rate} }
+func (b *bucket) report() Level {
+	return Level{Left: b.level, Capacity: b.limit.Capacity, Rate: b.limit.Rate}
+}
 
 // Level is what a pool has left of one quota.
 type Level struct {
-	Left float64 `json:"left"` // units; below zero: the last request was larger than the share
-	Most float64 `json:"most"` // units that the share holds
-	Rate float64 `json:"rate"` // units a second that the share brings
+	Left     float64 `json:"left"` // units; below zero: the last request was larger than the share
+	Capacity float64 `json:"most"` // units that the share holds
+	Rate     float64 `json:"rate"` // units a second that the share brings
 }
 
 // Levels returns what is left, as of the last call, by organisation.
--- a/access/quota.go
+++ b/access/quota.go
@@ -24,7 +24,7 @@
 	Unit        Unit
 	Rate        float64 // units a second; zero: no limit
 	Burst       float64 // units besides, at any moment; zero: half a second of the rate
-	Unspecified float64 // units of a request that does not say how many tokens it uses
+	DefaultCost float64 // units of a request that does not say how many tokens it uses
 }
 
 // mostUnits bounds what a quota or a request may say, so that sums of thousands stay exact in
@@ -36,7 +36,7 @@
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"rate", q.Rate}, {"burst", q.Burst}, {"tokens of a request that states none", q.Unspecified}} {
+	}{{"rate", q.Rate}, {"burst", q.Burst}, {"tokens of a request that states none", q.DefaultCost}} {
 		if !(f.value >= 0 && f.value <= mostUnits) { // nor NaN
 			return errors.Errorf("%s: %v: give a number from 0 to %v", f.name, f.value, float64(mostUnits))
 		}
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Limits tells whether the quota sets a limit.
-func (q Quota) Limits() bool { return q.Rate > 0 }
+// IsLimited tells whether the quota sets a limit.
+func (q Quota) IsLimited() bool { return q.Rate > 0 }
 
 // burstTime is the time of the rate that a quota without a burst holds at any moment, so that a
 // request of usual size fits at all.
@@ -66,7 +66,7 @@
 	case q.Unit == Requests:
 		return 1
 	case !stated:
-		return max(q.Unspecified, 1)
+		return max(q.DefaultCost, 1)
 	}
 	return min(max(float64(tokens), 1), mostUnits)
 }
@@ -116,22 +116,22 @@
 
 // Limit is what a pool hands out of one quota.
 type Limit struct {
-	Rate float64 // units a second
-	Most float64 // units that it holds
+	Rate     float64 // units a second
+	Capacity float64 // units that it holds
 }
 
 // Limit returns what a pool hands out of a quota of which it has a share.
 func (b Bounds) Limit(q Quota, share float64) Limit {
-	l := Limit{Rate: b.rate(q) * share, Most: q.burst() * share}
+	l := Limit{Rate: b.rate(q) * share, Capacity: q.burst() * share}
 	if b.Window > 0 {
-		l.Most += reservePart * b.rest(q) * share
+		l.Capacity += reservePart * b.rest(q) * share
 	}
 	return l
 }
 
-// Float returns how many units one of so many boxes may have spent of a quota and not drawn;
+// CreditLimit returns how many units one of so many boxes may have spent of a quota and not drawn;
 // zero where the number of boxes is not known.
-func (b Bounds) Float(q Quota, boxes int) float64 {
+func (b Bounds) CreditLimit(q Quota, boxes int) float64 {
 	if boxes <= 0 || b.Window <= 0 {
 		return 0
 	}
--- a/backoff/parse.go
+++ b/backoff/parse.go
@@ -13,8 +13,8 @@
 	"github.com/pkg/errors"
 )
 
-// Longest bounds a back-off: an endpoint that is out of use for longer has to drain.
-const Longest = time.Hour
+// Max bounds a back-off: an endpoint that is out of use for longer has to drain.
+const Max = time.Hour
 
 // Parse reads a back-off in decimal seconds; zero: none is set. Of several values the longest counts. What is
 // above Longest is cut to it. An error means that a value can't be read, such as a time of day: clocks
@@ -38,10 +38,10 @@
 func parse(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if math.IsInf(seconds, 1) { // also one that is too large for a float
-		return Longest, nil
+		return Max, nil
 	}
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
 		return 0, errors.Errorf("backoff: %.40q: give the seconds as a decimal number from 0", value)
 	}
-	return time.Duration(min(seconds, Longest.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(seconds, Max.Seconds()) * float64(time.Second)), nil
 }
--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -21,9 +21,9 @@
 		{values: []string{"0"}},
 		{values: []string{"1", "2.5"}, want: 2500 * time.Millisecond},
 		{values: []string{"never", "2"}, want: 2 * time.Second},
-		{values: []string{"1e300"}, want: Longest},
-		{values: []string{"1e999"}, want: Longest},
-		{values: []string{"inf"}, want: Longest},
+		{values: []string{"1e300"}, want: Max},
+		{values: []string{"1e999"}, want: Max},
+		{values: []string{"inf"}, want: Max},
 		{values: []string{"-inf"}, unread: true},
 		{values: []string{"-1"}, unread: true},
 		{values: []string{"NaN"}, unread: true},
@@ -44,7 +44,7 @@
 	f.Add("-1", "0")
 	f.Fuzz(func(t *testing.T, first, second string) {
 		d, err := Parse([]string{first, second})
-		if d < 0 || d > Longest || (d > 0 && err != nil) {
+		if d < 0 || d > Max || (d > 0 && err != nil) {
 			t.Errorf("%q and %q are %v, and %v", first, second, d, err)
 		}
 	})
--- a/backoff/table.go
+++ b/backoff/table.go
@@ -17,14 +17,14 @@
 	until map[string]time.Time // by endpoint; expired ones stay until the next Ask
 }
 
-// Ask starts or extends an endpoint's back-off; it never shortens one. It reports whether the endpoint was in
+// Extend starts or extends an endpoint's back-off; it never shortens one. It reports whether the endpoint was in
 // use before.
-func (t *Table) Ask(endpoint string, d time.Duration, now time.Time) bool {
+func (t *Table) Extend(endpoint string, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	used := !now.Before(t.until[endpoint])
 	t.forgetLocked(now)
-	if until := now.Add(min(d, Longest)); until.After(t.until[endpoint]) {
+	if until := now.Add(min(d, Max)); until.After(t.until[endpoint]) {
 		t.until[endpoint] = until
 	}
 	return used
@@ -38,15 +38,15 @@
 	maps.DeleteFunc(t.until, func(_ string, until time.Time) bool { return !now.Before(until) })
 }
 
-// Left returns how long an endpoint stays in its back-off; zero: it may be used.
-func (t *Table) Left(endpoint string, now time.Time) time.Duration {
+// Remaining returns how long an endpoint stays in its back-off; zero: it may be used.
+func (t *Table) Remaining(endpoint string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.until[endpoint].Sub(now), 0)
 }
 
-// Under returns the endpoints that are in a back-off now, sorted.
-func (t *Table) Under(now time.Time) []string {
+// Active returns the endpoints that are in a back-off now, sorted.
+func (t *Table) Active(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []string
@@ -63,7 +63,7 @@
 // refused during one back-off would come back at its end.
 const spreadPart = 0.25
 
-// ComeBack returns when a caller may come back to endpoints whose back-offs last so long.
-func ComeBack(left time.Duration) time.Duration {
+// RetryAfter returns when a caller may come back to endpoints whose back-offs last so long.
+func RetryAfter(left time.Duration) time.Duration {
 	return left + time.Duration(rand.Float64()*spreadPart*float64(left))
 }
--- a/backoff/table_test.go
+++ b/backoff/table_test.go
@@ -13,12 +13,12 @@
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
-	c.Assert(b.Left("e1", now), quicktest.Equals, time.Duration(0))
-	c.Assert(b.Ask("e1", 3*time.Second, now), quicktest.IsTrue)
-	c.Assert(b.Left("e1", now.Add(time.Second)), quicktest.Equals, 2*time.Second)
-	c.Assert(b.Left("e2", now.Add(time.Second)), quicktest.Equals, time.Duration(0))
-	c.Assert(b.Left("e1", now.Add(3*time.Second)), quicktest.Equals, time.Duration(0))
-	c.Assert(b.Ask("e1", time.Second, now.Add(3*time.Second)), quicktest.IsTrue)
+	c.Assert(b.Remaining("e1", now), quicktest.Equals, time.Duration(0))
+	c.Assert(b.Extend("e1", 3*time.Second, now), quicktest.IsTrue)
+	c.Assert(b.Remaining("e1", now.Add(time.Second)), quicktest.Equals, 2*time.Second)
+	c.Assert(b.Remaining("e2", now.Add(time.Second)), quicktest.Equals, time.Duration(0))
+	c.Assert(b.Remaining("e1", now.Add(3*time.Second)), quicktest.Equals, time.Duration(0))
+	c.Assert(b.Extend("e1", time.Second, now.Add(3*time.Second)), quicktest.IsTrue)
 }
 
 // An endpoint that asks each request for a second or for three counts each answer for itself.
@@ -26,24 +26,24 @@
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
-	b.Ask("e1", 3*time.Second, now)
-	c.Assert(b.Ask("e1", time.Second, now.Add(time.Second)), quicktest.IsFalse)
-	c.Assert(b.Left("e1", now.Add(time.Second)), quicktest.Equals, 2*time.Second)
-	b.Ask("e1", 3*time.Second, now.Add(2*time.Second))
-	c.Assert(b.Left("e1", now.Add(2*time.Second)), quicktest.Equals, 3*time.Second)
-	b.Ask("e1", 1<<62, now)
-	c.Assert(b.Left("e1", now), quicktest.Equals, Longest)
+	b.Extend("e1", 3*time.Second, now)
+	c.Assert(b.Extend("e1", time.Second, now.Add(time.Second)), quicktest.IsFalse)
+	c.Assert(b.Remaining("e1", now.Add(time.Second)), quicktest.Equals, 2*time.Second)
+	b.Extend("e1", 3*time.Second, now.Add(2*time.Second))
+	c.Assert(b.Remaining("e1", now.Add(2*time.Second)), quicktest.Equals, 3*time.Second)
+	b.Extend("e1", 1<<62, now)
+	c.Assert(b.Remaining("e1", now), quicktest.Equals, Max)
 }
 
 func TestWhatIsOverIsForgottenAtTheNextWord(t *testing.T) {
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
-	b.Ask("short", time.Second, now)
-	b.Ask("long", time.Minute, now)
-	c.Assert(b.Under(now), quicktest.DeepEquals, []string{"long", "short"})
-	c.Assert(b.Under(now.Add(time.Second)), quicktest.DeepEquals, []string{"long"})
-	c.Assert(b.Ask("third", time.Second, now.Add(2*time.Second)), quicktest.IsTrue)
+	b.Extend("short", time.Second, now)
+	b.Extend("long", time.Minute, now)
+	c.Assert(b.Active(now), quicktest.DeepEquals, []string{"long", "short"})
+	c.Assert(b.Active(now.Add(time.Second)), quicktest.DeepEquals, []string{"long"})
+	c.Assert(b.Extend("third", time.Second, now.Add(2*time.Second)), quicktest.IsTrue)
 	c.Assert(b.until, quicktest.HasLen, 2)
 }
 
@@ -51,10 +51,10 @@
 	c := quicktest.New(t)
 	seen := make(map[time.Duration]bool)
 	for range 20 {
-		d := ComeBack(3 * time.Second)
+		d := RetryAfter(3 * time.Second)
 		c.Assert(d >= 3*time.Second && d <= 3750*time.Millisecond, quicktest.IsTrue)
 		seen[d] = true
 	}
 	c.Assert(len(seen) > 1, quicktest.IsTrue)
-	c.Assert(ComeBack(0), quicktest.Equals, time.Duration(0))
+	c.Assert(RetryAfter(0), quicktest.Equals, time.Duration(0))
 }
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -302,7 +302,7 @@
 	wanted, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	await(ts, 15*time.Second, args[0]+" has not seen so many ends", func() string {
-		var ends quarantine.Ends
+		var ends quarantine.TerminationCounts
 		if err := json.Unmarshal(vars(worldOf(ts).fleet.OperatorsAddress(c, b, "gateway"))["gateway_endpoint_ends"], &ends); err != nil {
 			return err.Error()
 		}
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -216,7 +216,7 @@
 		for _, n := range boxes {
 			asked++
 			go func() {
-				s := n.spending.spend(context.Background(), o.Named("org"), 1, forward.QuotaTimeouts{Exceeded: 60 * time.Millisecond, Unavailable: time.Second})
+				s := n.spending.spend(context.Background(), o.ByName("org"), 1, forward.QuotaTimeouts{Exceeded: 60 * time.Millisecond, Unavailable: time.Second})
 				answers <- s.OK
 			}()
 		}
@@ -251,7 +251,7 @@
 	took := time.Since(begun).Seconds()
 	bounds, q := first.Settings.Quota, orgSpec.Quota
 	l := bounds.Limit(q, 1)
-	most := l.Rate*took + l.Most + 2*3*bounds.Float(q, 2)
+	most := l.Rate*took + l.Capacity + 2*3*bounds.CreditLimit(q, 2)
 	c.Logf("%d of %d in %.1f s, %.0f at the most", granted, asked, took, most)
 	c.Check(float64(granted) <= most, quicktest.IsTrue)
 	c.Check(float64(granted) >= 0.9*q.Rate*took, quicktest.IsTrue)
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -42,7 +42,7 @@
 // send, and know by a fact which endpoints to ask for.
 type limits struct {
 	node    *Node
-	counter ratelimit.Counter // for the endpoints of the data centres that this box leads
+	counter ratelimit.Limiter // for the endpoints of the data centres that this box leads
 	wake    chan struct{}     // holds one when a word is to be told
 
 	mu     sync.Mutex
@@ -52,10 +52,10 @@
 
 // limited is an endpoint that names a limit, or did.
 type limited struct {
-	word   ratelimit.Word  // the latest, by an answer or by a fact
-	untold bool            // its leader has not been told of word
-	line   time.Time       // when a line last told of it
-	fact   ratelimit.Limit // by the last fact
+	word   ratelimit.Observation // the latest, by an answer or by a fact
+	untold bool                  // its leader has not been told of word
+	line   time.Time             // when a line last told of it
+	fact   ratelimit.Limit       // by the last fact
 	factAt time.Time
 	denied denial
 	counts LimitCounts
@@ -66,7 +66,7 @@
 type denial struct {
 	until time.Time
 	back  time.Time // when callers are told to come back
-	want  ratelimit.Ask
+	want  ratelimit.Request
 }
 
 // LimitCounts is what one box did with an endpoint that names a limit, since it named one first.
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
-	return k != nil && k.word.Limit.Named()
+	return k != nil && k.word.Limit.IsSet()
 }
 
 // RequestSent implements forward.Limits.
@@ -100,7 +100,7 @@
 // ObserveLimit implements forward.Limits.
 func (s *limits) ObserveLimit(endpoint string, l ratelimit.Limit, sent time.Time) {
 	now := clock.Now()
-	w := ratelimit.NewWord(l, sent, now)
+	w := ratelimit.NewObservation(l, sent, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.learnLocked(endpoint, w, now) {
@@ -114,8 +114,8 @@
 }
 
 // learnLocked takes in a word; it tells whether the limit is another one now.
-func (s *limits) learnLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
-	if s.known[endpoint] == nil && !w.Limit.Named() {
+func (s *limits) learnLocked(endpoint string, w ratelimit.Observation, now time.Time) bool {
+	if s.known[endpoint] == nil && !w.Limit.IsSet() {
 		return false
 	}
 	k := s.entryLocked(endpoint)
@@ -128,12 +128,12 @@
 		return false
 	}
 	k.denied = denial{}
-	if before.Named() && w.Limit.Named() && now.Sub(k.line) < limitLine {
+	if before.IsSet() && w.Limit.IsSet() && now.Sub(k.line) < limitLine {
 		return true
 	}
 	k.line = now
 	line := "Endpoint names a limit"
-	if !w.Limit.Named() {
+	if !w.Limit.IsSet() {
 		line = "Endpoint names no limit any more"
 	}
 	s.node.Log.Info(line, "endpoint", endpoint, "a_second", w.Limit.Rate(), "sent", k.counts.Sent, "granted", k.counts.Granted, "denied", k.counts.Denied)
@@ -153,7 +153,7 @@
 }
 
 // Acquire implements forward.Limits.
-func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.AcquireResult {
+func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Request) forward.AcquireResult {
 	now := clock.Now()
 	word, denied := s.look(e.ID(), want, now)
 	if denied > 0 {
@@ -163,8 +163,8 @@
 		Box:            s.node.peers.box,
 		Word:           wire.NewLimitWord(e.ID(), word, now),
 		Rank:           int32(want.Rank),
-		PatienceMicros: want.Patience.Microseconds(),
-		Spare:          want.Spare,
+		PatienceMicros: want.MaxWait.Microseconds(),
+		Spare:          want.SpareOnly,
 	}
 	a := s.ask(ctx, e.DataCentre(), q)
 	return s.taken(e.ID(), word, a, want, clock.Now())
@@ -172,7 +172,7 @@
 
 // look returns what is known of an endpoint's limit, and how long a request has to wait by what its
 // leader answered before; zero: the leader is asked.
-func (s *limits) look(endpoint string, want ratelimit.Ask, now time.Time) (w ratelimit.Word, denied time.Duration) {
+func (s *limits) look(endpoint string, want ratelimit.Request, now time.Time) (w ratelimit.Observation, denied time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
@@ -207,7 +207,7 @@
 
 // taken notes what became of a request for an endpoint. Where nobody counts for the endpoint it gets none:
 // each box alone can't know what the others send.
-func (s *limits) taken(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.AcquireResult {
+func (s *limits) taken(endpoint string, asked ratelimit.Observation, a *wire.TakeReply, want ratelimit.Request, now time.Time) forward.AcquireResult {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 		return forward.AcquireResult{Wait: takeAgain}
 	case !a.GetLimited():
 		if k.word == asked { // its leader knows better
-			k.word = ratelimit.Word{At: now}
+			k.word = ratelimit.Observation{At: now}
 		}
 		return forward.AcquireResult{OK: true}
 	case a.GetGranted():
@@ -231,7 +231,7 @@
 	}
 	k.counts.Denied++
 	again := min(wait, deniedMost)
-	if want.Spare {
+	if want.SpareOnly {
 		again = spareAgain
 	}
 	k.denied = denial{until: now.Add(again), back: now.Add(wait), want: want}
@@ -251,7 +251,7 @@
 	defer s.mu.Unlock()
 	k := s.entryLocked(endpoint)
 	k.fact, k.factAt = limit, now
-	s.learnLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
+	s.learnLocked(endpoint, ratelimit.Observation{Limit: limit, At: now}, now)
 }
 
 func (s *limits) entryLocked(endpoint string) *limited {
@@ -284,7 +284,7 @@
 	defer s.mu.Unlock()
 	list := make(map[string]limitReport, len(s.known))
 	for e, k := range s.known {
-		list[e] = limitReport{Named: k.word.Limit.Named(), Rate: k.word.Limit.Rate(), LimitCounts: k.counts}
+		list[e] = limitReport{Named: k.word.Limit.IsSet(), Rate: k.word.Limit.Rate(), LimitCounts: k.counts}
 	}
 	return list
 }
--- a/edge/limits_lead.go
+++ b/edge/limits_lead.go
@@ -18,10 +18,10 @@
 		return &wire.TakeReply{}
 	}
 	s.hear(q.GetWord(), now)
-	g := s.counter.Take(id, ratelimit.Ask{
-		Rank:     int(q.GetRank()),
-		Patience: time.Duration(q.GetPatienceMicros()) * time.Microsecond,
-		Spare:    q.GetSpare(),
+	g := s.counter.Take(id, ratelimit.Request{
+		Rank:      int(q.GetRank()),
+		MaxWait:   time.Duration(q.GetPatienceMicros()) * time.Microsecond,
+		SpareOnly: q.GetSpare(),
 	}, now)
 	return &wire.TakeReply{Leads: true, Limited: g.Limited, Granted: g.OK, WaitMicros: g.Wait.Microseconds()}
 }
@@ -41,13 +41,13 @@
 func (s *limits) hear(w *wire.LimitWord, now time.Time) {
 	id := w.GetEndpoint()
 	s.mu.Lock()
-	var own ratelimit.Word
+	var own ratelimit.Observation
 	if k := s.known[id]; k != nil {
 		own = k.word
 	}
 	s.mu.Unlock()
-	s.counter.Hear(id, own, now)
-	s.counter.Hear(id, w.Word(now), now)
+	s.counter.Observe(id, own, now)
+	s.counter.Observe(id, w.Word(now), now)
 	if l := s.counter.Limit(id); s.isNews(id, l, now) {
 		s.publish(id, l)
 	}
@@ -59,9 +59,9 @@
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
-		return l.Named()
+		return l.IsSet()
 	}
-	if k.fact.Named() != l.Named() {
+	if k.fact.IsSet() != l.IsSet() {
 		return true
 	}
 	return math.Abs(l.Rate()-k.fact.Rate()) > limitPart*k.fact.Rate() && now.Sub(k.factAt) >= limitLine
@@ -85,10 +85,10 @@
 }
 
 // room returns what an endpoint takes, for the one that decides where adapters are loaded.
-func (s *limits) room(endpoint string, now time.Time) ratelimit.Room {
-	r := s.counter.Room(endpoint, now)
+func (s *limits) room(endpoint string, now time.Time) ratelimit.Headroom {
+	r := s.counter.Headroom(endpoint, now)
 	if !r.Limited && s.HasLimit(endpoint) { // nobody has asked this box for it yet
-		return ratelimit.Room{Limited: true}
+		return ratelimit.Headroom{Limited: true}
 	}
 	return r
 }
--- a/edge/limits_tell.go
+++ b/edge/limits_tell.go
@@ -40,7 +40,7 @@
 // untoldWords is what one leader is to be told.
 type untoldWords struct {
 	leader member.Member
-	words  map[string]ratelimit.Word // by endpoint
+	words  map[string]ratelimit.Observation // by endpoint
 }
 
 // tell tells each leader what it has not been told. It returns whether all were.
@@ -75,7 +75,7 @@
 		}
 		u, known := list[m.Name()]
 		if !known {
-			u = untoldWords{leader: m, words: make(map[string]ratelimit.Word)}
+			u = untoldWords{leader: m, words: make(map[string]ratelimit.Observation)}
 			list[m.Name()] = u
 		}
 		u.words[id] = k.word
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -298,7 +298,7 @@
 	n = newNode(c, "box-1")
 	n.build()
 	n.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "s", DataCentre: "dc"}))
-	n.limits.publish("e1", ratelimit.Of(5))
+	n.limits.publish("e1", ratelimit.PerSecond(5))
 	c.Assert(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	return n, clock.Now()
 }
@@ -323,7 +323,7 @@
 	ahead := n.items.Version(limitsPrefix+"e1") + uint64(time.Hour.Microseconds())
 	n.items.Merge(&wire.Item{Key: limitsPrefix + "e1", Version: ahead, Value: nil})
 	c.Assert(n.limits.HasLimit("e1"), quicktest.IsFalse) // a fact without a value names none
-	n.limits.publish("e1", ratelimit.Of(3))
+	n.limits.publish("e1", ratelimit.PerSecond(3))
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	c.Check(n.items.Version(limitsPrefix+"e1"), quicktest.Equals, ahead+1)
 }
@@ -332,9 +332,9 @@
 func TestAllBoxesAreToldFewOfTheValuesThatALimitTakes(t *testing.T) {
 	c := quicktest.New(t)
 	n, now := newLimited(c)
-	c.Check(n.limits.isNews("e1", ratelimit.Of(5.5), now.Add(time.Minute)), quicktest.IsFalse)
-	c.Check(n.limits.isNews("e1", ratelimit.Of(9), now), quicktest.IsFalse)
-	c.Check(n.limits.isNews("e1", ratelimit.Of(9), now.Add(time.Minute)), quicktest.IsTrue)
+	c.Check(n.limits.isNews("e1", ratelimit.PerSecond(5.5), now.Add(time.Minute)), quicktest.IsFalse)
+	c.Check(n.limits.isNews("e1", ratelimit.PerSecond(9), now), quicktest.IsFalse)
+	c.Check(n.limits.isNews("e1", ratelimit.PerSecond(9), now.Add(time.Minute)), quicktest.IsTrue)
 	c.Check(n.limits.isNews("e1", ratelimit.Limit{}, now), quicktest.IsTrue)
 }
 
@@ -342,7 +342,7 @@
 func TestWhatIsGoneHasNoLimit(t *testing.T) {
 	c := quicktest.New(t)
 	n, _ := newLimited(c)
-	n.limits.publish("unknown", ratelimit.Of(1)) // as a box tells that has not heard of its end
+	n.limits.publish("unknown", ratelimit.PerSecond(1)) // as a box tells that has not heard of its end
 	n.limits.forgetGone()
 	c.Check(n.limits.HasLimit("unknown"), quicktest.IsFalse)
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
@@ -358,7 +358,7 @@
 	n, now := newLimited(c)
 	c.Check(n.limits.answer(&wire.TakeRequest{}, now).GetLeads(), quicktest.IsFalse)
 	c.Check(n.limits.hearAll(&wire.LimitsRequest{Words: []*wire.LimitWord{nil, {Endpoint: "e1", Limit: &wire.RateLimit{Named: true, Rate: math.NaN()}}}}, now).GetLeads(), quicktest.IsFalse)
-	taken := n.limits.Acquire(context.Background(), n.view.Endpoint("e1"), ratelimit.Ask{})
+	taken := n.limits.Acquire(context.Background(), n.view.Endpoint("e1"), ratelimit.Request{})
 	c.Check(taken.OK, quicktest.IsFalse)
 	c.Check(taken.Wait > 0, quicktest.IsTrue)
 	c.Check(n.limits.report()["e1"].Denied, quicktest.Equals, int64(1))
@@ -368,7 +368,7 @@
 func TestTheLeadersWordEndsALimit(t *testing.T) {
 	c := quicktest.New(t)
 	n, now := newLimited(c)
-	word, _ := n.limits.look("e1", ratelimit.Ask{}, now)
-	c.Check(n.limits.taken("e1", word, &wire.TakeReply{Leads: true}, ratelimit.Ask{}, now).OK, quicktest.IsTrue)
+	word, _ := n.limits.look("e1", ratelimit.Request{}, now)
+	c.Check(n.limits.taken("e1", word, &wire.TakeReply{Leads: true}, ratelimit.Request{}, now).OK, quicktest.IsTrue)
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsFalse)
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -192,10 +192,10 @@
 // room returns an endpoint's remaining rate limit, which the loader uses to decide where to load adapters. An endpoint
 // that asked this box for a back-off counts as saturated: it likely asks other boxes for one too, and would reject
 // requests for the adapter.
-func (n *Node) room(endpoint string, now time.Time) ratelimit.Room {
+func (n *Node) room(endpoint string, now time.Time) ratelimit.Headroom {
 	r := n.limits.room(endpoint, now)
 	if !r.Limited && n.gateway.BackoffRemaining(endpoint, now) > 0 {
-		return ratelimit.Room{Limited: true}
+		return ratelimit.Headroom{Limited: true}
 	}
 	return r
 }
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -163,6 +163,6 @@
 	now := clock.Now()
 	c.Check(n.room("e1", now).Limited, quicktest.IsFalse)
 	n.HandleNotice("e1", forward.Notice{Backoff: time.Minute})
-	c.Check(n.room("e1", now), quicktest.Equals, ratelimit.Room{Limited: true})
+	c.Check(n.room("e1", now), quicktest.Equals, ratelimit.Headroom{Limited: true})
 	c.Check(n.room("e2", now).Limited, quicktest.IsFalse)
 }
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -112,8 +112,8 @@
 	}
 	bounds := s.node.current.Load().Quota
 	for _, o := range s.node.view.Config().Callers().All() {
-		if o.Quota().Limits() {
-			s.pool.Open(o.Name(), bounds.Limit(o.Quota(), share), now)
+		if o.Quota().IsLimited() {
+			s.pool.StartFilling(o.Name(), bounds.Limit(o.Quota(), share), now)
 		}
 	}
 }
@@ -125,15 +125,15 @@
 // closePool discards the pool after another box has become the leader.
 func (s *spending) closePool() {
 	if s.opened.Swap(0) != 0 {
-		s.pool.Clear()
+		s.pool.Reset()
 	}
 }
 
 // grant handles a box's demand from one quota. A demand from an organisation without a limit in this box's
 // configuration, which may be another version than the caller's, is granted in full.
 func (s *spending) grant(d *wire.Demand, share float64, now time.Time) *wire.Allowance {
-	o := s.node.view.Config().Callers().Named(d.GetOrganisation())
-	if o == nil || !o.Quota().Limits() {
+	o := s.node.view.Config().Callers().ByName(d.GetOrganisation())
+	if o == nil || !o.Quota().IsLimited() {
 		return &wire.Allowance{Organisation: d.GetOrganisation(), Paid: d.GetOwed(), Granted: int32(len(d.GetWanted()))}
 	}
 	wanted := make([]float64, len(d.GetWanted()))
@@ -159,9 +159,9 @@
 	case s.short <- struct{}{}:
 	default:
 	}
-	if l, tell := s.pool.Lacks(a.Organisation, now); tell {
+	if l, tell := s.pool.ShortageReport(a.Organisation, now); tell {
 		s.node.Log.Info("Organisation lacks units of its quota", "organisation", a.Organisation, "left", int64(l.Left),
-			"holds", int64(l.Most), "a_second", int64(l.Rate), "share", share, "wait_ms", a.Wait.Milliseconds())
+			"holds", int64(l.Capacity), "a_second", int64(l.Rate), "share", share, "wait_ms", a.Wait.Milliseconds())
 	}
 }
 
@@ -193,7 +193,7 @@
 		}
 	}
 	q := &wire.LendRequest{DataCentre: s.node.peers.centre}
-	for o, units := range s.pool.Short() {
+	for o, units := range s.pool.TakeShortfalls() {
 		q.Loans = append(q.Loans, &wire.Loan{Organisation: o, Units: int64(units)/int64(max(len(others), 1)) + 1})
 	}
 	answers := make(chan *wire.LendReply, len(others))
@@ -208,7 +208,7 @@
 	}
 	now := clock.Now()
 	for _, l := range q.GetLoans() {
-		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
+		s.pool.AddBorrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
 	}
 	if len(lent) > 0 {
 		s.hurry() // requests held by this box may wait for the units
@@ -238,8 +238,8 @@
 	share := s.share(s.drawers.count(now), now)
 	bounds := s.node.current.Load().Quota
 	for _, l := range q.GetLoans() {
-		o := s.node.view.Config().Callers().Named(l.GetOrganisation())
-		if o == nil || !o.Quota().Limits() {
+		o := s.node.view.Config().Callers().ByName(l.GetOrganisation())
+		if o == nil || !o.Quota().IsLimited() {
 			continue
 		}
 		if units := int64(s.pool.Lend(l.GetOrganisation(), float64(l.GetUnits()), bounds.Limit(o.Quota(), share), now)); units > 0 {
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -24,12 +24,12 @@
 type quarantined struct{ node *Node }
 
 // Remaining implements forward.Quarantine.
-func (q quarantined) Remaining(c quarantine.Content, now time.Time) (time.Duration, bool) {
-	return q.node.state.tracker.Kept().Left(c, now)
+func (q quarantined) Remaining(c quarantine.Fingerprint, now time.Time) (time.Duration, bool) {
+	return q.node.state.tracker.List().Remaining(c, now)
 }
 
 // Ended implements forward.Quarantine.
-func (q quarantined) Ended(endpoint string, contents []quarantine.Content) {
+func (q quarantined) Ended(endpoint string, contents []quarantine.Fingerprint) {
 	now := time.Now()
 	q.count(endpoint, contents, now)
 	end := &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(contents)}
@@ -47,12 +47,12 @@
 
 // count counts an end of an endpoint, and tells all boxes of the requests that it puts into
 // quarantine. A leader brings nothing more to the endpoint until its entry has lapsed.
-func (q quarantined) count(endpoint string, contents []quarantine.Content, now time.Time) {
+func (q quarantined) count(endpoint string, contents []quarantine.Fingerprint, now time.Time) {
 	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.RegistrationTTL))
-	for _, c := range q.node.state.tracker.Note(endpoint, contents, now) {
+	for _, c := range q.node.state.tracker.RecordTermination(endpoint, contents, now) {
 		q.node.items.Merge(&wire.Item{
 			Key:        quarantinePrefix + c.String(),
-			Version:    uint64(now.Add(quarantine.KeptFor).UnixMicro()),
+			Version:    uint64(now.Add(quarantine.Duration).UnixMicro()),
 			DataCentre: q.node.Settings.DataCentre,
 		})
 	}
@@ -60,13 +60,13 @@
 
 // applyQuarantine takes in a fact that a request is kept from endpoints, by the rest of its key.
 func (s *state) applyQuarantine(rest string, i *wire.Item) {
-	c, ok := quarantine.ParseContent(rest)
+	c, ok := quarantine.ParseFingerprint(rest)
 	if !ok {
 		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", "no content")
 		return
 	}
 	until := time.UnixMicro(int64(i.GetVersion()))
-	if s.tracker.Kept().Add(c, until) {
+	if s.tracker.List().Add(c, until) {
 		s.log.Info("Request is kept from endpoints", "content", c.String(), "until", until.UTC().Format(time.RFC3339))
 	}
 }
@@ -78,7 +78,7 @@
 
 // expire forgets requests whose time is over.
 func (q quarantined) expire(now time.Time) {
-	for _, c := range q.node.state.tracker.Kept().Expire(now) {
+	for _, c := range q.node.state.tracker.List().Expire(now) {
 		q.node.items.Forget(quarantinePrefix + c.String())
 		q.node.Log.Info("Request may reach endpoints again", "content", c.String())
 	}
--- a/edge/quarantine_test.go
+++ b/edge/quarantine_test.go
@@ -16,8 +16,8 @@
 	"github.com/go-logr/logr"
 )
 
-func contentOf(body string) quarantine.Content {
-	return quarantine.ContentOf("POST", "h", "/", "", []byte(body))
+func contentOf(body string) quarantine.Fingerprint {
+	return quarantine.NewFingerprint("POST", "h", "/", "", []byte(body))
 }
 
 // newKeepingNode returns the parts of a node that keep requests away.
@@ -66,12 +66,12 @@
 func TestAQuarantineThatIsOverIsNotTakenInAgain(t *testing.T) {
 	c := quicktest.New(t)
 	n := newKeepingNode()
-	begun := time.Now().Add(-quarantine.KeptFor - time.Second)
-	over := &wire.Item{Key: quarantinePrefix + contentOf("fatal").String(), Version: uint64(begun.Add(quarantine.KeptFor).UnixMicro())}
+	begun := time.Now().Add(-quarantine.Duration - time.Second)
+	over := &wire.Item{Key: quarantinePrefix + contentOf("fatal").String(), Version: uint64(begun.Add(quarantine.Duration).UnixMicro())}
 	n.items.Merge(over)
-	c.Assert(n.state.tracker.Kept().Len(), quicktest.Equals, 1)
+	c.Assert(n.state.tracker.List().Len(), quicktest.Equals, 1)
 	n.quarantine.expire(time.Now())
-	c.Assert(n.state.tracker.Kept().Len(), quicktest.Equals, 0)
+	c.Assert(n.state.tracker.List().Len(), quicktest.Equals, 0)
 	c.Assert(n.items.Keys(), quicktest.HasLen, 0)
 	n.items.Receive(over)
 	c.Assert(n.items.Keys(), quicktest.HasLen, 0)
@@ -88,7 +88,7 @@
 	}
 	n.quarantine.hear(&wire.EndedRequest{Ends: []*wire.EndpointEnd{nil, {}}}, now)
 	n.items.Merge(&wire.Item{Key: quarantinePrefix + "no content", Version: 1 << 62})
-	c.Assert(n.state.tracker.Kept().Len(), quicktest.Equals, 1)
+	c.Assert(n.state.tracker.List().Len(), quicktest.Equals, 1)
 	c.Assert(keeps(n, "fatal", now), quicktest.IsTrue)
 }
 
@@ -98,7 +98,7 @@
 	n := newNode(c, "box-1")
 	n.build()
 	now := time.Now()
-	n.quarantine.Ended("e1", []quarantine.Content{contentOf("fatal")})
+	n.quarantine.Ended("e1", []quarantine.Fingerprint{contentOf("fatal")})
 	gone := member.New("gone", "", roleBox, "dc", 1)
 	answers := member.New("answers", "", roleBox, "dc", 1)
 	e := n.outbox.pending()[0]
@@ -107,6 +107,6 @@
 	c.Assert(n.outbox.removeDone([]member.Member{answers, gone}, now.Add(notifyMaxAge-time.Second)), quicktest.IsFalse)
 	e.delivered["gone"] = true
 	c.Assert(n.outbox.removeDone([]member.Member{answers, gone}, now), quicktest.IsTrue)
-	n.quarantine.Ended("e2", []quarantine.Content{contentOf("fatal")})
+	n.quarantine.Ended("e2", []quarantine.Fingerprint{contentOf("fatal")})
 	c.Assert(n.outbox.removeDone([]member.Member{gone}, now.Add(2*notifyMaxAge)), quicktest.IsTrue)
 }
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -97,7 +97,7 @@
 	if boxes == 0 {
 		boxes = boxesAssumed
 	}
-	return s.node.current.Load().Quota.Float(q, boxes)
+	return s.node.current.Load().Quota.CreditLimit(q, boxes)
 }
 
 // change adds to what this box spent, without asking.
@@ -113,7 +113,7 @@
 	now := clock.Now()
 	s.mu.Lock()
 	a := s.accountLocked(o.Name())
-	if len(a.waiting) == 0 && a.Admit(units, s.float(o.Quota()), rand.Float64()) {
+	if len(a.waiting) == 0 && a.TrySpend(units, s.float(o.Quota()), rand.Float64()) {
 		s.mu.Unlock()
 		return forward.ChargeResult{OK: true}
 	}
@@ -247,7 +247,7 @@
 	q := &wire.SettleRequest{Box: s.node.peers.box, DataCentre: s.node.peers.centre}
 	asked := make(map[string][]*waiter)
 	for name, a := range s.accounts {
-		owed, returned := a.Demand()
+		owed, returned := a.StartSettlement()
 		d := &wire.Demand{Organisation: name, Owed: int64(owed), Returned: int64(returned)}
 		for _, w := range a.waiting[:min(len(a.waiting), askedMost)] {
 			d.Wanted = append(d.Wanted, int64(math.Ceil(w.units)))
@@ -267,11 +267,11 @@
 // take notes a leader's answer for one organisation, nil where nothing was asked. Requests whose
 // units come too late for them are refused now.
 func (a *account) take(w *wire.Allowance, asked []*waiter, now time.Time) {
-	a.Settle(float64(w.GetPaid()))
-	a.Answered()
+	a.FinishSettlement(float64(w.GetPaid()))
+	a.StopForgiving()
 	for _, r := range asked[:min(int(w.GetGranted()), len(asked))] {
 		if !a.finish(r, forward.ChargeResult{OK: true}) {
-			a.Return(r.units) // it did not wait so long
+			a.Refund(r.units) // it did not wait so long
 		}
 	}
 	if w.GetWaitMicros() == 0 {
@@ -299,13 +299,13 @@
 
 // carryOn goes on without a leader, with what the operator allows beyond a quota.
 func (s *spending) carryOn(name string, a *account, now time.Time) {
-	o := s.node.view.Config().Callers().Named(name)
+	o := s.node.view.Config().Callers().ByName(name)
 	if o == nil {
 		return
 	}
 	float := s.float(o.Quota())
 	a.Forgive(float, s.node.current.Load().Quota.Window, now)
-	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, float, 1) {
+	for len(a.waiting) > 0 && a.TrySpend(a.waiting[0].units, float, 1) {
 		a.finish(a.waiting[0], forward.ChargeResult{OK: true})
 	}
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -187,13 +187,13 @@
 		s.log.Info("Organisations may call", "config", after.Version(), "organisations", len(after.Callers().All()))
 		return
 	}
-	changes := access.Changes(before.Callers(), after.Callers())
+	changes := access.KeyChanges(before.Callers(), after.Callers())
 	for i, c := range changes {
 		if i == mostKeyLines {
 			s.log.Info("Further keys came or went", "config", after.Version(), "keys", len(changes)-mostKeyLines)
 			return
 		}
 		s.log.Info("Key stands for another organisation", "config", after.Version(), "key_digest", c.Key.Short(digestShown),
-			"before", c.Before, "now", c.Now)
+			"before", c.Before, "now", c.After)
 	}
 }
--- a/forward/adapter.go
+++ b/forward/adapter.go
@@ -159,7 +159,7 @@
 			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: unavailableRetryAfter, Detail: "the chosen endpoint is not in this box's view"}
 		}
 		if g.isExcluded(q, e.ID(), now) { // owners of an older version ignore AdapterRequest.Avoid
-			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(unavailableRetryAfter, backoff.ComeBack(g.BackoffRemaining(e.ID(), now))),
+			return target{}, &Refusal{Code: CodeNotLoaded, RetryAfter: max(unavailableRetryAfter, backoff.RetryAfter(g.BackoffRemaining(e.ID(), now))),
 				Detail: "the chosen endpoint has failed the request or is in a back-off"}
 		}
 	}
@@ -176,7 +176,7 @@
 
 // excludedEndpoints returns the endpoints that a request must not go to, though they may hold its adapter.
 func (g *Gateway) excludedEndpoints(q *request, now time.Time) []string {
-	list := append(g.notices.backoffs.Under(now), slices.Collect(maps.Keys(q.excluded))...)
+	list := append(g.notices.backoffs.Active(now), slices.Collect(maps.Keys(q.excluded))...)
 	slices.Sort(list)
 	return slices.Compact(list)
 }
--- a/forward/admission.go
+++ b/forward/admission.go
@@ -54,7 +54,7 @@
 		return nil
 	}
 	credential := q.call.Credential
-	if !credential.Given() {
+	if !credential.IsSet() {
 		return &Refusal{Code: CodeKeyUnknown, Detail: "the request has no key, or several"}
 	}
 	if !g.Admission.KeysUsable(now) {
@@ -80,7 +80,7 @@
 }
 
 // hasQuota reports whether the request counts towards a quota.
-func (q *request) hasQuota() bool { return q.organisation != nil && q.organisation.Quota().Limits() }
+func (q *request) hasQuota() bool { return q.organisation != nil && q.organisation.Quota().IsLimited() }
 
 // quotaCost returns the units of one execution of the request.
 func (q *request) quotaCost() float64 {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -118,9 +118,9 @@
 // Quarantine holds the requests that crash endpoints, as reported by all boxes.
 type Quarantine interface {
 	// Remaining returns how much longer a request is quarantined; false: it is not.
-	Remaining(c quarantine.Content, now time.Time) (time.Duration, bool)
+	Remaining(c quarantine.Fingerprint, now time.Time) (time.Duration, bool)
 	// Ended reports that an endpoint ended while it ran requests of this box.
-	Ended(endpoint string, contents []quarantine.Content)
+	Ended(endpoint string, contents []quarantine.Fingerprint)
 }
 
 // Limits tracks the endpoints that announce a rate limit, which all boxes share.
@@ -128,7 +128,7 @@
 	// HasLimit reports whether an endpoint has a rate limit.
 	HasLimit(endpoint string) bool
 	// Acquire reserves one request of an endpoint's rate limit.
-	Acquire(ctx context.Context, e *topology.Endpoint, a ratelimit.Ask) AcquireResult
+	Acquire(ctx context.Context, e *topology.Endpoint, a ratelimit.Request) AcquireResult
 	// RequestSent is called before a request is sent to an endpoint.
 	RequestSent(endpoint string)
 	// ObserveLimit records the limit that a response announced, and when its request was sent.
--- a/forward/gateway.go
+++ b/forward/gateway.go
@@ -41,7 +41,7 @@
 	upstreams   upstreams
 	notices     noticeTable
 	watchOnce   sync.Once
-	watcher     *quarantine.Watch // use watch
+	watcher     *quarantine.Monitor // use watch
 	dataCentres dataCentres
 	inFlight    atomic.Int64
 	draining    atomic.Bool
@@ -62,13 +62,13 @@
 }
 
 // watch returns the detector of endpoints that ended; requests may come before Run.
-func (g *Gateway) watch() *quarantine.Watch {
+func (g *Gateway) watch() *quarantine.Monitor {
 	g.watchOnce.Do(func() { g.watcher = g.newWatch() })
 	return g.watcher
 }
 
 // Ends returns counts of the endpoints that ended under requests of this box.
-func (g *Gateway) Ends() quarantine.Ends { return g.watch().Counts() }
+func (g *Gateway) Ends() quarantine.TerminationCounts { return g.watch().Counts() }
 
 // start sets the time from which this box earns its share of the extra retries.
 func (g *Gateway) start(now time.Time) {
--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -28,7 +28,7 @@
 // ParseCall implements Protocol.
 func (plainProtocol) ParseCall(h http.Header) (Call, error) {
 	c := Call{ID: h.Get("Id"), Adapter: topology.ParseAdapter(h.Get("Adapter")), LastEventID: h.Get("Test-Last-Event-Id")}
-	c.Credential = access.Show(h.Values("Key"))
+	c.Credential = access.NewCredential(h.Values("Key"))
 	if d, err := time.ParseDuration(h.Get("Test-Deadline")); err == nil {
 		c.Deadline = d
 	}
@@ -77,10 +77,12 @@
 type noQuarantine struct{}
 
 // Remaining implements Quarantine.
-func (noQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) { return 0, false }
+func (noQuarantine) Remaining(quarantine.Fingerprint, time.Time) (time.Duration, bool) {
+	return 0, false
+}
 
 // Ended implements Quarantine.
-func (noQuarantine) Ended(string, []quarantine.Content) {}
+func (noQuarantine) Ended(string, []quarantine.Fingerprint) {}
 
 // noLimits has no endpoints with rate limits.
 type noLimits struct{}
@@ -89,7 +91,7 @@
 func (noLimits) HasLimit(string) bool { return false }
 
 // Acquire implements Limits.
-func (noLimits) Acquire(context.Context, *topology.Endpoint, ratelimit.Ask) AcquireResult {
+func (noLimits) Acquire(context.Context, *topology.Endpoint, ratelimit.Request) AcquireResult {
 	return AcquireResult{OK: true}
 }
 
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -27,7 +27,7 @@
 	switch {
 	case head.LimitErr != nil:
 		g.Limits.InvalidLimit(t.endpoint.ID(), head.LimitErr)
-	case head.Limit.Named() || (head.MatchesCall && head.Signed):
+	case head.Limit.IsSet() || (head.MatchesCall && head.Signed):
 		g.Limits.ObserveLimit(t.endpoint.ID(), head.Limit, q.sentAt)
 	}
 }
@@ -77,7 +77,7 @@
 
 // limitDenial records that an endpoint had no capacity left in its rate limit.
 type limitDenial struct {
-	request ratelimit.Ask
+	request ratelimit.Request
 	wait    time.Duration // until such a request is likely granted
 }
 
@@ -90,19 +90,19 @@
 
 // limitRequest returns what the request asks of an endpoint with a rate limit: spare capacity if an endpoint
 // without a limit could serve it, or else any capacity after a short wait.
-func (g *Gateway) limitRequest(q *request, e *topology.Endpoint) ratelimit.Ask {
-	ask := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
+func (g *Gateway) limitRequest(q *request, e *topology.Endpoint) ratelimit.Request {
+	ask := ratelimit.Request{Rank: q.config.Rank(q.route, q.organisation)}
 	others := g.View.Endpoints(q.service.Name())
 	if q.call.Adapter.Name != "" && q.service.Engine() != nil {
 		others = intersect(g.View.Holders(q.call.Adapter), others)
 	}
 	for _, other := range g.untried(others, q.tried, clock.Now()) {
 		if other.ID() != e.ID() && !g.Limits.HasLimit(other.ID()) {
-			ask.Spare = true
+			ask.SpareOnly = true
 			return ask
 		}
 	}
-	ask.Patience = time.Duration(limitWaitFraction * float64(q.route.Target()))
+	ask.MaxWait = time.Duration(limitWaitFraction * float64(q.route.Target()))
 	return ask
 }
 
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -37,11 +37,11 @@
 }
 
 // Acquire implements Limits.
-func (l *fakeLimits) Acquire(_ context.Context, e *topology.Endpoint, a ratelimit.Ask) AcquireResult {
+func (l *fakeLimits) Acquire(_ context.Context, e *topology.Endpoint, a ratelimit.Request) AcquireResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asked = append(l.asked, e.ID())
-	if l.available[e.ID()] == 0 || (a.Spare && l.noneSpare) {
+	if l.available[e.ID()] == 0 || (a.SpareOnly && l.noneSpare) {
 		return AcquireResult{Wait: time.Duration(len(l.asked)) * 300 * time.Millisecond}
 	}
 	l.available[e.ID()]--
@@ -226,12 +226,12 @@
 	g := &Gateway{Limits: l, Log: logr.Discard()}
 	e := topology.NewEndpoint(topology.EndpointSpec{ID: "e1"})
 	observe := func(a Response) { g.observeResponse(&request{}, newUpstream(e), target{endpoint: e}, a) }
-	observe(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.Of(3)}})
+	observe(Response{WrongEndpoint: true, Notice: Notice{Limit: ratelimit.PerSecond(3)}})
 	observe(Response{MatchesCall: true})
 	observe(Response{MatchesCall: true, Signed: true, Notice: Notice{LimitErr: http.ErrBodyNotAllowed}})
 	c.Check(l.observed, quicktest.HasLen, 0)
-	observe(Response{Notice: Notice{Limit: ratelimit.Of(3)}})
+	observe(Response{Notice: Notice{Limit: ratelimit.PerSecond(3)}})
 	observe(Response{MatchesCall: true, Signed: true})
 	c.Check(l.observed, quicktest.HasLen, 2)
-	c.Check([]bool{l.observed[0].Named(), l.observed[1].Named()}, quicktest.DeepEquals, []bool{true, false})
+	c.Check([]bool{l.observed[0].IsSet(), l.observed[1].IsSet()}, quicktest.DeepEquals, []bool{true, false})
 }
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -80,7 +80,7 @@
 // endpoint that rejects requests has none of this box in flight, so without the back-off it would look the
 // least loaded and be preferred.
 func (g *Gateway) BackoffRemaining(endpoint string, now time.Time) time.Duration {
-	return g.notices.backoffs.Left(endpoint, now)
+	return g.notices.backoffs.Remaining(endpoint, now)
 }
 
 // earliestAvailable returns the Retry-After for callers until the first of the endpoints may be used again;
@@ -94,7 +94,7 @@
 			after, known = left, true
 		}
 	}
-	return backoff.ComeBack(after), known
+	return backoff.RetryAfter(after), known
 }
 
 // noticeTable holds the announcements of endpoints to this box. Its lock is taken before that of
@@ -147,7 +147,7 @@
 	n.mu.Lock()
 	n.entryLocked(endpoint).backoffs++
 	n.mu.Unlock()
-	return n.backoffs.Ask(endpoint, d, now)
+	return n.backoffs.Extend(endpoint, d, now)
 }
 
 // invalidLogInterval is the minimum time between two log lines about invalid back-offs of one endpoint: every
@@ -170,7 +170,7 @@
 func (n *noticeTable) recordSent(endpoint string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if entry := n.byEndpoint[endpoint]; entry != nil && (entry.draining || n.backoffs.Left(endpoint, now) > 0) {
+	if entry := n.byEndpoint[endpoint]; entry != nil && (entry.draining || n.backoffs.Remaining(endpoint, now) > 0) {
 		entry.ignored++
 	}
 }
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -199,7 +199,7 @@
 func (drainingLimits) HasLimit(endpoint string) bool { return endpoint == "e1" }
 
 // Acquire implements Limits.
-func (l drainingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Ask) AcquireResult {
+func (l drainingLimits) Acquire(_ context.Context, e *topology.Endpoint, _ ratelimit.Request) AcquireResult {
 	l.view.Leave(e.ID())
 	return AcquireResult{OK: true, Wait: time.Millisecond}
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -16,22 +16,22 @@
 type fakeQuarantine struct {
 	mu        sync.Mutex
 	remaining time.Duration // of every request's quarantine; zero: none
-	ended     map[string][]quarantine.Content
+	ended     map[string][]quarantine.Fingerprint
 }
 
 // Remaining implements Quarantine.
-func (k *fakeQuarantine) Remaining(quarantine.Content, time.Time) (time.Duration, bool) {
+func (k *fakeQuarantine) Remaining(quarantine.Fingerprint, time.Time) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.remaining, k.remaining > 0
 }
 
 // Ended implements Quarantine.
-func (k *fakeQuarantine) Ended(endpoint string, contents []quarantine.Content) {
+func (k *fakeQuarantine) Ended(endpoint string, contents []quarantine.Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended == nil {
-		k.ended = make(map[string][]quarantine.Content)
+		k.ended = make(map[string][]quarantine.Fingerprint)
 	}
 	k.ended[endpoint] = append(k.ended[endpoint], contents...)
 }
@@ -42,7 +42,7 @@
 	k.remaining = left
 }
 
-func (k *fakeQuarantine) endedUnder(endpoint string) []quarantine.Content {
+func (k *fakeQuarantine) endedUnder(endpoint string) []quarantine.Fingerprint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ended[endpoint]
@@ -105,12 +105,12 @@
 	s.addCrashing(t, "e1", "the body")
 	_, _, err := s.ask("/x?y")
 	s.c.Assert(err, quicktest.IsNil)
-	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.TerminationCounts{Endpoints: 1, Requests: 1})
 	for k.endedUnder("e1") == nil {
 		time.Sleep(time.Millisecond)
 	}
-	want := quarantine.ContentOf(http.MethodPost, "site.example", "/x?y", "", []byte("the body"))
-	s.c.Assert(k.endedUnder("e1"), quicktest.DeepEquals, []quarantine.Content{want})
+	want := quarantine.NewFingerprint(http.MethodPost, "site.example", "/x?y", "", []byte("the body"))
+	s.c.Assert(k.endedUnder("e1"), quicktest.DeepEquals, []quarantine.Fingerprint{want})
 }
 
 // Several endpoints end together while all of them run a popular request. It has recently been served, so it
@@ -127,6 +127,6 @@
 	s.addCrashing(t, "e2", "the body")
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.awaitEnds(quarantine.Ends{Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.TerminationCounts{Endpoints: 1, Requests: 1})
 	s.c.Assert(k.endedUnder("e2"), quicktest.HasLen, 0)
 }
--- a/forward/record.go
+++ b/forward/record.go
@@ -46,7 +46,7 @@
 // recordSuccess logs and counts a served request.
 func (g *Gateway) recordSuccess(q *request, out *callerResponse) {
 	now := clock.Now()
-	g.watch().Answered(q.content, now)
+	g.watch().RecordResponse(q.content, now)
 	g.Stats.Routes.Observe(q.route.Name(), now.Sub(q.received))
 	g.Stats.FirstByte.Observe(q.route.Name(), out.firstByteAt.Sub(q.received))
 	if q.organisation != nil {
--- a/forward/request.go
+++ b/forward/request.go
@@ -32,7 +32,7 @@
 	organisation  *access.Organisation // nil: the route is public
 	charged       float64              // units of the organisation's quota for an execution that has not begun
 	body          []byte
-	content       quarantine.Content     // zero: the body has not been read
+	content       quarantine.Fingerprint // zero: the body has not been read
 	attempts      int                    // requests sent to endpoints
 	unsent        int                    // of these, those of which no byte was sent
 	executions    int                    // of these, those that may have been executed
@@ -145,7 +145,7 @@
 	_, err := buffer.ReadFrom(http.MaxBytesReader(w, q.inbound.Body, limit))
 	if err == nil {
 		q.body = buffer.Bytes()
-		q.content = quarantine.ContentOf(q.inbound.Method, hostOf(q.inbound), q.inbound.RequestURI, q.organisationName(), q.body)
+		q.content = quarantine.NewFingerprint(q.inbound.Method, hostOf(q.inbound), q.inbound.RequestURI, q.organisationName(), q.body)
 		return nil
 	}
 	if isBodyTooLarge(err) {
--- a/forward/termination.go
+++ b/forward/termination.go
@@ -12,18 +12,18 @@
 
 // newWatch returns the detector of endpoints that end under requests of this box, and its
 // callback.
-func (g *Gateway) newWatch() *quarantine.Watch {
-	return &quarantine.Watch{
-		HasEnded: func(ctx context.Context, address string) bool {
+func (g *Gateway) newWatch() *quarantine.Monitor {
+	return &quarantine.Monitor{
+		IsTerminated: func(ctx context.Context, address string) bool {
 			return engine.HasEnded(ctx, newDialer().DialContext, address)
 		},
-		Ended: g.endpointEnded,
+		OnTermination: g.endpointEnded,
 	}
 }
 
 // endpointEnded handles the end of an endpoint; suspects are the requests that may have caused it.
-func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
-	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
+func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Fingerprint) {
+	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Strings(suspects))
 	if e := g.View.Endpoint(endpoint); e != nil {
 		g.upstreams.get(e).markDown(clock.Now())
 	}
@@ -32,5 +32,5 @@
 
 // reportBroken reports that an endpoint broke off the response to a request.
 func (g *Gateway) reportBroken(u *upstream, q *request) {
-	g.watch().Cut(u.endpoint.ID(), u.endpoint.Address(), q.content)
+	g.watch().RecordInterruption(u.endpoint.ID(), u.endpoint.Address(), q.content)
 }
--- a/forward/termination_test.go
+++ b/forward/termination_test.go
@@ -46,7 +46,7 @@
 }
 
 // awaitEnds waits until the gateway's counts are as wanted.
-func (s *testSite) awaitEnds(want quarantine.Ends) {
+func (s *testSite) awaitEnds(want quarantine.TerminationCounts) {
 	for range 500 {
 		if s.gateway.Ends() == want {
 			return
@@ -62,10 +62,10 @@
 	s.endpoint(t, dropConnection)
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.awaitEnds(quarantine.Ends{Alive: 1})
+	s.awaitEnds(quarantine.TerminationCounts{Alive: 1})
 	s.gateway.View.RemoveEndpoint("e1")
 	s.addCrashing(t, "e2", "the body")
 	_, _, err = s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
-	s.awaitEnds(quarantine.Ends{Alive: 1, Endpoints: 1, Requests: 1})
+	s.awaitEnds(quarantine.TerminationCounts{Alive: 1, Endpoints: 1, Requests: 1})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -48,9 +48,9 @@
 func (g *Gateway) watchAttempt(ctx context.Context, q *request, h heldGrant, f *Failure) {
 	switch {
 	case f == nil:
-		g.watch.Answered(q.content, clock.Now())
+		g.watch.RecordResponse(q.content, clock.Now())
 	case ctx.Err() == nil && f.Ran == Unknown && (f.Code == CodeLost || f.Code == CodeCut):
-		g.watch.Cut(lifeOf(h), h.grant.GetAddress(), q.content)
+		g.watch.RecordInterruption(lifeOf(h), h.grant.GetAddress(), q.content)
 	}
 }
 
--- a/gateway/backoff.go
+++ b/gateway/backoff.go
@@ -13,18 +13,18 @@
 // hearBackoff takes in for how long an endpoint that turned a request away wants nothing more from this
 // gateway; zero: it does not say. Its owner goes on giving grants there to others.
 func (g *Gateway) hearBackoff(endpoint string, d time.Duration) {
-	if d > 0 && g.backoffs.Ask(endpoint, d, clock.Now()) {
+	if d > 0 && g.backoffs.Extend(endpoint, d, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", d.Milliseconds())
 	}
 }
 
 // backingOff refuses a request for an endpoint that wants nothing from this gateway; nil: it may be sent.
 func (g *Gateway) backingOff(endpoint string) *Failure {
-	left := g.backoffs.Left(endpoint, clock.Now())
+	left := g.backoffs.Remaining(endpoint, clock.Now())
 	if left == 0 {
 		return nil
 	}
-	return &Failure{Code: CodeRefused, Ran: NotRun, Message: endpoint + " wants nothing for a while", Retry: backoff.ComeBack(left)}
+	return &Failure{Code: CodeRefused, Ran: NotRun, Message: endpoint + " wants nothing for a while", Retry: backoff.RetryAfter(left)}
 }
 
 // backoffLeast returns when the first of the endpoints that could serve a request wants work of this gateway
@@ -34,7 +34,7 @@
 	var least time.Duration
 	for _, n := range q.catalog.EndpointsOf(q.model.Adapter().Base()) {
 		e, _ := q.catalog.Endpoint(n)
-		left := g.backoffs.Left(n, now)
+		left := g.backoffs.Remaining(n, now)
 		if left > 0 && e.State() == catalog.Serving && (least == 0 || left < least) {
 			least = left
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -80,7 +80,7 @@
 	prefixes *prefixes
 	calls    *schedulerCalls
 	releases chan release
-	watch    *quarantine.Watch
+	watch    *quarantine.Monitor
 	tracker  quarantine.Tracker
 	ends     chan *wire.EndpointEnd // that the other gateways have not been told
 	inFlight atomic.Int64
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -17,22 +17,22 @@
 // zero value knows nothing.
 type limits struct {
 	mu    sync.Mutex
-	words map[string]ratelimit.Word // by endpoint; of those that named a limit once, or that are limited
+	words map[string]ratelimit.Observation // by endpoint; of those that named a limit once, or that are limited
 }
 
 // hear takes in what an answer says of a limit, whose request was sent at sent. It tells whether the limit
 // is another one than before. Of an endpoint that names none and never did nothing is kept, unless its
 // owner limits it, by the word of another gateway.
 func (l *limits) hear(endpoint string, said ratelimit.Limit, limited bool, sent, now time.Time) bool {
-	w := ratelimit.NewWord(said, sent, now)
+	w := ratelimit.NewObservation(said, sent, now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before, known := l.words[endpoint]
-	if (!known && !limited && !said.Named()) || !w.At.After(before.At) {
+	if (!known && !limited && !said.IsSet()) || !w.At.After(before.At) {
 		return false
 	}
 	if l.words == nil {
-		l.words = make(map[string]ratelimit.Word)
+		l.words = make(map[string]ratelimit.Observation)
 	}
 	l.words[endpoint] = w
 	return before.Limit != said
@@ -57,6 +57,6 @@
 		return
 	}
 	if g.limits.hear(held.endpoint, l, held.grant.GetLimited(), sent, now) {
-		g.Log.V(1).Info("Endpoint names another limit than before", "endpoint", held.endpoint, "named", l.Named(), "a_second", l.Rate())
+		g.Log.V(1).Info("Endpoint names another limit than before", "endpoint", held.endpoint, "named", l.IsSet(), "a_second", l.Rate())
 	}
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -25,7 +25,7 @@
 	c.Check(l.of("e1", now), quicktest.IsNil) // nobody limits it
 	l.hear("e1", ratelimit.Limit{}, true, now.Add(-time.Second), now)
 	w := l.of("e1", now).Word(now)
-	c.Check(w.Limit.Named(), quicktest.IsFalse)
+	c.Check(w.Limit.IsSet(), quicktest.IsFalse)
 	c.Check(w.At.Equal(now.Add(-time.Second)), quicktest.IsTrue)
 }
 
@@ -33,7 +33,7 @@
 	c := quicktest.New(t)
 	now := time.Now()
 	var l limits
-	c.Check(l.hear("e1", ratelimit.Of(3), false, now, now.Add(time.Second)), quicktest.IsTrue)
+	c.Check(l.hear("e1", ratelimit.PerSecond(3), false, now, now.Add(time.Second)), quicktest.IsTrue)
 	c.Check(l.hear("e1", ratelimit.Limit{}, true, now, now.Add(2*time.Second)), quicktest.IsFalse)
 	c.Check(l.of("e1", now).Word(now).Limit.Rate(), quicktest.Equals, 3.0)
 	c.Check(l.hear("e1", ratelimit.Limit{}, true, now.Add(2*time.Second), now.Add(3*time.Second)), quicktest.IsTrue)
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -64,7 +64,7 @@
 	now := clock.Now()
 	var stages [][]string
 	add := func(names []string) {
-		names = slices.DeleteFunc(names, func(n string) bool { return g.backoffs.Left(n, now) > 0 })
+		names = slices.DeleteFunc(names, func(n string) bool { return g.backoffs.Remaining(n, now) > 0 })
 		if len(names) > 0 {
 			stages = append(stages, names)
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -26,20 +26,20 @@
 }
 
 // newWatch returns what finds out which endpoints ended under requests of this gateway.
-func (g *Gateway) newWatch() *quarantine.Watch {
-	return &quarantine.Watch{
-		HasEnded: func(ctx context.Context, address string) bool {
+func (g *Gateway) newWatch() *quarantine.Monitor {
+	return &quarantine.Monitor{
+		IsTerminated: func(ctx context.Context, address string) bool {
 			ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 			defer cancel()
 			return engine.HasEnded(ctx, g.Dial, address)
 		},
-		Ended: g.endpointEnded,
+		OnTermination: g.endpointEnded,
 	}
 }
 
 // endpointEnded takes in what this gateway saw, and has the other gateways told.
-func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
-	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
+func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Fingerprint) {
+	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Strings(suspects))
 	if len(suspects) == 0 {
 		return
 	}
@@ -59,17 +59,17 @@
 	}
 }
 
-func (g *Gateway) count(endpoint string, contents []quarantine.Content, now time.Time) {
-	for _, c := range g.tracker.Note(endpoint, contents, now) {
-		until := now.Add(quarantine.KeptFor)
-		g.tracker.Kept().Add(c, until)
+func (g *Gateway) count(endpoint string, contents []quarantine.Fingerprint, now time.Time) {
+	for _, c := range g.tracker.RecordTermination(endpoint, contents, now) {
+		until := now.Add(quarantine.Duration)
+		g.tracker.List().Add(c, until)
 		g.Log.Info("Request is kept from endpoints", "content", c.String(), "until", until.UTC().Format(time.RFC3339))
 	}
 }
 
 // quarantined refuses a request under which endpoints ended; nil: it may run.
-func (g *Gateway) quarantined(c quarantine.Content) *Failure {
-	left, kept := g.tracker.Kept().Left(c, time.Now())
+func (g *Gateway) quarantined(c quarantine.Fingerprint) *Failure {
+	left, kept := g.tracker.List().Remaining(c, time.Now())
 	if !kept {
 		return nil
 	}
@@ -89,7 +89,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-expire.C:
-			for _, c := range g.tracker.Kept().Expire(time.Now()) {
+			for _, c := range g.tracker.List().Expire(time.Now()) {
 				g.Log.Info("Request may reach endpoints again", "content", c.String())
 			}
 		case e := <-g.ends:
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -52,7 +52,7 @@
 	body       map[string]json.RawMessage
 	attempts   int // runs begun at endpoints
 	candidates int // endpoints asked
-	content    quarantine.Content
+	content    quarantine.Fingerprint
 	prefix     uint64 // hash of the adapter and the prompt's beginning
 	width      int    // how many homes the adapter is believed to have
 	unsure     bool   // an attempt may have run and gave no answer
@@ -167,7 +167,7 @@
 	if f != nil {
 		return f
 	}
-	q.content = quarantine.ContentOf(r.Method, "", r.URL.RequestURI(), q.caller, raw)
+	q.content = quarantine.NewFingerprint(r.Method, "", r.URL.RequestURI(), q.caller, raw)
 	if err := json.Unmarshal(raw, &q.body); err != nil {
 		return badRequest("body: not a JSON object: %v", err)
 	}
--- a/gateway/route.go
+++ b/gateway/route.go
@@ -55,7 +55,7 @@
 // noneOpen refuses a request for which no endpoint may be asked.
 func (g *Gateway) noneOpen(q *request) *Failure {
 	if left := g.backoffLeast(q); left > 0 {
-		return &Failure{Code: CodeRefused, Ran: NotRun, Message: "the endpoints that could serve it want nothing for a while", Retry: backoff.ComeBack(left)}
+		return &Failure{Code: CodeRefused, Ran: NotRun, Message: "the endpoints that could serve it want nothing for a while", Retry: backoff.RetryAfter(left)}
 	}
 	return &Failure{Code: CodeNoEndpoint, Ran: NotRun, Message: "no endpoint serves " + q.model.Adapter().Base(), Retry: g.Spans.Retry}
 }
@@ -129,7 +129,7 @@
 		if f == nil || f.Ran != NotRun || f.Code != CodeRefused || ctx.Err() != nil {
 			return f
 		}
-		if q.attempts >= maxAttempts || g.backoffs.Left(endpoint, clock.Now()) > 0 || !g.Retries.Take() {
+		if q.attempts >= maxAttempts || g.backoffs.Remaining(endpoint, clock.Now()) > 0 || !g.Retries.Take() {
 			return f
 		}
 	}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -26,7 +26,7 @@
 	path       string // with its query
 	header     http.Header
 	body       []byte
-	content    quarantine.Content
+	content    quarantine.Fingerprint
 	repeatable bool
 }
 
@@ -73,7 +73,7 @@
 	if f != nil {
 		return nil, f
 	}
-	c.content = quarantine.ContentOf(r.Method, s.Name(), c.path, r.Header.Get(CallerHeader), c.body)
+	c.content = quarantine.NewFingerprint(r.Method, s.Name(), c.path, r.Header.Get(CallerHeader), c.body)
 	return c, nil
 }
 
@@ -126,7 +126,7 @@
 		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the answer of " + c.service.Name() + " broke off", Retry: g.Spans.Retry}
 	}
 	g.Retries.RecordSuccess()
-	g.watch.Answered(c.content, clock.Now())
+	g.watch.RecordResponse(c.content, clock.Now())
 	copyHeader(out.Header(), a.Header)
 	out.give(a.StatusCode, body)
 	return nil
@@ -136,7 +136,7 @@
 // apart that start at one address, so each call that is cut off stands for one.
 func (g *Gateway) watchCall(ctx context.Context, c *call, address string) {
 	if ctx.Err() == nil {
-		g.watch.Cut(address+" under "+c.id, address, c.content)
+		g.watch.RecordInterruption(address+" under "+c.id, address, c.content)
 	}
 }
 
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -114,6 +114,6 @@
 	expvar.Publish("gateway_load_stall", g.stats.Stall)
 	expvar.Publish("gateway_codes", g.stats.Codes)
 	expvar.Publish("gateway_endpoint_ends", expvar.Func(func() any { return g.watch.Counts() }))
-	expvar.Publish("gateway_quarantined", expvar.Func(func() any { return g.tracker.Kept().Len() }))
+	expvar.Publish("gateway_quarantined", expvar.Func(func() any { return g.tracker.List().Len() }))
 	expvar.Publish("gateway_in_flight", expvar.Func(func() any { return g.InFlight() }))
 }
--- a/placement/headroom.go
+++ b/placement/headroom.go
@@ -10,7 +10,7 @@
 )
 
 // noLimits is the default of Loader.Headroom: no endpoint announces a limit.
-func noLimits(string, time.Time) ratelimit.Room { return ratelimit.Room{Spare: true} }
+func noLimits(string, time.Time) ratelimit.Headroom { return ratelimit.Headroom{Spare: true} }
 
 // isSaturated reports whether an endpoint announces a rate limit and receives all the requests
 // that it accepts. Adapters are loaded elsewhere where possible, since each adapter attracts
--- a/placement/headroom_test.go
+++ b/placement/headroom_test.go
@@ -15,9 +15,9 @@
 // limitEndpoints gives endpoints rate limits without spare capacity; it must be called before
 // the loader runs.
 func (b *fixture) limitEndpoints(endpoints map[string]time.Duration) {
-	b.loader.Headroom = func(id string, _ time.Time) ratelimit.Room {
+	b.loader.Headroom = func(id string, _ time.Time) ratelimit.Headroom {
 		wait, limited := endpoints[id]
-		return ratelimit.Room{Limited: limited, Wait: wait, Spare: !limited}
+		return ratelimit.Headroom{Limited: limited, Wait: wait, Spare: !limited}
 	}
 }
 
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -42,7 +42,7 @@
 	AskToResign func(ctx context.Context, e *topology.Endpoint) (Handover, time.Duration)
 	// Headroom returns the remaining capacity of an endpoint that announces a rate limit; nil: no
 	// endpoint does.
-	Headroom func(endpoint string, now time.Time) ratelimit.Room
+	Headroom func(endpoint string, now time.Time) ratelimit.Headroom
 	// Lease is the ownership lease. A box whose claim was refused retries after somewhat longer,
 	// so that two boxes that both consider themselves owner do not alternate.
 	Lease func() time.Duration
--- a/quarantine/answered.go
+++ b/quarantine/answered.go
@@ -16,15 +16,15 @@
 	mostAnswered = 4096
 )
 
-// Answered is the requests that endpoints lately answered whole, so that they are not suspected: they did not end
+// AnsweredRequests is the requests that endpoints lately answered whole, so that they are not suspected: they did not end
 // under those. It is safe for concurrent use; the zero value is empty.
-type Answered struct {
+type AnsweredRequests struct {
 	mu     sync.Mutex
 	memory *memory
 }
 
 // Add notes that an endpoint answered a request.
-func (a *Answered) Add(c Content, now time.Time) {
+func (a *AnsweredRequests) Add(c Fingerprint, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
@@ -32,7 +32,7 @@
 }
 
 // Has tells whether an endpoint answered a request lately.
-func (a *Answered) Has(c Content, now time.Time) bool {
+func (a *AnsweredRequests) Has(c Fingerprint, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
@@ -40,7 +40,7 @@
 	return ok
 }
 
-func (a *Answered) initLocked() {
+func (a *AnsweredRequests) initLocked() {
 	if a.memory == nil {
 		a.memory = &memory{span: answeredFor, most: mostAnswered}
 	}
--- a/quarantine/counter.go
+++ b/quarantine/counter.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// MostEnds is how many endpoints may end under one request before it is kept from the rest. One
+	// MaxTerminations is how many endpoints may end under one request before it is kept from the rest. One
 	// says nothing: an endpoint runs some ten requests at a time, and ends under all of them. Two
 	// happen to requests that only ran beside, where callers send them again while endpoints end for
 	// another cause: by the model of the tests 81 such requests would be refused, with three 4.
-	MostEnds = 3
+	MaxTerminations = 3
 
 	// suspectFor is how long an end counts. Callers come back within seconds or by a schedule of
 	// minutes; endpoints that end hours apart under one request do so by chance more often than by it.
@@ -27,7 +27,7 @@
 
 // endsKept bounds the endpoints that are remembered for one request: some that others explain, and
 // those that count.
-const endsKept = 2 * MostEnds
+const endsKept = 2 * MaxTerminations
 
 // Counter counts the endpoints that ended under each request, by the word of many boxes, and finds
 // the requests to keep away. It is safe for concurrent use; the zero value has counted nothing.
@@ -46,19 +46,19 @@
 	}
 }
 
-// Note takes in that an endpoint ended while it ran the requests of these contents, as one box saw
+// RecordTermination takes in that an endpoint ended while it ran the requests of these contents, as one box saw
 // it. It returns those that have to be kept from endpoints from now on. kept tells which ones are
 // already: what ended under one of them says nothing of the others that ran there.
-func (k *Counter) Note(endpoint string, contents []Content, kept func(Content) bool, now time.Time) []Content {
+func (k *Counter) RecordTermination(endpoint string, contents []Fingerprint, kept func(Fingerprint) bool, now time.Time) []Fingerprint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.initLocked()
 	if slices.ContainsFunc(contents, kept) {
 		k.explained.put(endpoint, nil, now)
 	}
-	var found []Content
+	var found []Fingerprint
 	for _, c := range contents {
-		if !kept(c) && k.addLocked(c, endpoint, now) >= MostEnds {
+		if !kept(c) && k.addLocked(c, endpoint, now) >= MaxTerminations {
 			found = append(found, c)
 		}
 	}
@@ -69,7 +69,7 @@
 }
 
 // addLocked adds an endpoint to those that ended under a content, and returns how many count.
-func (k *Counter) addLocked(c Content, endpoint string, now time.Time) int {
+func (k *Counter) addLocked(c Fingerprint, endpoint string, now time.Time) int {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
 	if !slices.Contains(ends, endpoint) {
@@ -99,7 +99,7 @@
 }
 
 // explainLocked notes that a content explains the ends of all endpoints that ended under it.
-func (k *Counter) explainLocked(c Content, now time.Time) {
+func (k *Counter) explainLocked(c Fingerprint, now time.Time) {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
 	for _, e := range ends {
--- a/quarantine/content.go
+++ b/quarantine/fingerprint.go
@@ -19,40 +19,40 @@
 // meet in 128 bits, also where somebody looks for such a pair.
 const contentSize = 16
 
-// Content names what a request asks for: its method, host and target, whose it is, and its body.
+// Fingerprint names what a request asks for: its method, host and target, whose it is, and its body.
 // Requests that differ in nothing else, such as their IDs, have the same one.
-type Content [contentSize]byte
+type Fingerprint [contentSize]byte
 
-// ContentOf returns the content of a request; target is the path and the query as the caller
+// NewFingerprint returns the content of a request; target is the path and the query as the caller
 // wrote them, organisation is empty for nobody's. Whose it is counts, so that no caller can have
 // the requests of others kept away.
-func ContentOf(method, host, target, organisation string, body []byte) Content {
+func NewFingerprint(method, host, target, organisation string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, t := range []string{method, host, target, organisation} {
 		h.Write(binary.AppendUvarint(nil, uint64(len(t)))) // no field runs into the next
 		h.Write([]byte(t))
 	}
 	h.Write(body)
-	return Content(h.Sum(nil)[:contentSize])
+	return Fingerprint(h.Sum(nil)[:contentSize])
 }
 
-// ParseContent reads what String returned; false where it is none.
-func ParseContent(text string) (c Content, ok bool) {
+// ParseFingerprint reads what String returned; false where it is none.
+func ParseFingerprint(text string) (c Fingerprint, ok bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != contentSize {
-		return Content{}, false
+		return Fingerprint{}, false
 	}
-	return Content(raw), true
+	return Fingerprint(raw), true
 }
 
 // String returns the content in hexadecimal digits.
-func (c Content) String() string { return hex.EncodeToString(c[:]) }
+func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
 
 // mostTold bounds the contents that one message names of one endpoint: more than an endpoint runs at a time.
 const mostTold = 512
 
 // Encode returns contents for a message to another process.
-func Encode(list []Content) [][]byte {
+func Encode(list []Fingerprint) [][]byte {
 	raw := make([][]byte, 0, min(len(list), mostTold))
 	for _, c := range list[:min(len(list), mostTold)] {
 		raw = append(raw, c[:])
@@ -61,11 +61,11 @@
 }
 
 // Decode reads the contents of a message of another process; what is none is passed over.
-func Decode(raw [][]byte) []Content {
-	var list []Content
+func Decode(raw [][]byte) []Fingerprint {
+	var list []Fingerprint
 	for _, r := range raw[:min(len(raw), mostTold)] {
 		if len(r) == contentSize {
-			list = append(list, Content(r))
+			list = append(list, Fingerprint(r))
 		}
 	}
 	return list
@@ -74,8 +74,8 @@
 // mostTexts bounds the contents that one line of a log names.
 const mostTexts = 32
 
-// Texts returns contents for a line of a log.
-func Texts(list []Content) []string {
+// Strings returns contents for a line of a log.
+func Strings(list []Fingerprint) []string {
 	some := make([]string, 0, min(len(list), mostTexts))
 	for _, c := range list[:min(len(list), mostTexts)] {
 		some = append(some, c.String())
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// KeptFor is how long a request is kept from endpoints. Three endpoints an hour is what a request
+	// Duration is how long a request is kept from endpoints. Three endpoints an hour is what a request
 	// that a caller sends all day can end then; a shorter time ends more, each with some ten
 	// requests of others. A request that was repaired has other content, and an endpoint that was runs
 	// it an hour later.
-	KeptFor = time.Hour
+	Duration = time.Hour
 	// mostKept bounds the list; a new one takes the place of the one that ends first. A full one
 	// takes 0.4 MB of heap.
 	mostKept = 4096
@@ -22,16 +22,16 @@
 // empty. Its times are those of the day: boxes tell each other until when a request is kept away.
 type List struct {
 	mu    sync.Mutex
-	until map[Content]time.Time
-	over  []Content // dropped since the last call of Expire
+	until map[Fingerprint]time.Time
+	over  []Fingerprint // dropped since the last call of Expire
 }
 
 // Add keeps a request from endpoints until a time; it tells whether that is news.
-func (l *List) Add(c Content, until time.Time) bool {
+func (l *List) Add(c Fingerprint, until time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.until == nil {
-		l.until = make(map[Content]time.Time)
+		l.until = make(map[Fingerprint]time.Time)
 	}
 	_, known := l.until[c]
 	if !known && len(l.until) >= mostKept {
@@ -45,7 +45,7 @@
 
 // dropFirstLocked drops the request whose time ends first.
 func (l *List) dropFirstLocked() {
-	var first Content
+	var first Fingerprint
 	var ends time.Time
 	for c, u := range l.until {
 		if ends.IsZero() || u.Before(ends) {
@@ -56,8 +56,8 @@
 	l.over = append(l.over, first)
 }
 
-// Left tells how much longer a request is kept from endpoints; false: it is not.
-func (l *List) Left(c Content, now time.Time) (time.Duration, bool) {
+// Remaining tells how much longer a request is kept from endpoints; false: it is not.
+func (l *List) Remaining(c Fingerprint, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u, ok := l.until[c]
@@ -69,7 +69,7 @@
 
 // Expire drops the requests whose time is over, and returns them with those that others took the
 // place of since the last call.
-func (l *List) Expire(now time.Time) []Content {
+func (l *List) Expire(now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	over := l.over
--- a/quarantine/watch.go
+++ b/quarantine/monitor.go
@@ -15,29 +15,29 @@
 // where several endpoints end together. More are left out, and counted.
 const mostCuts = 1024
 
-// Watch finds out which endpoints ended while they ran requests of this process. An answer that
+// Monitor finds out which endpoints ended while they ran requests of this process. An answer that
 // breaks off says nothing of that: a link may be cut, one answer may be spoilt. Set the exported
 // fields before Run and before the first call.
-type Watch struct {
-	// HasEnded tells whether nothing listens at an address any more.
-	HasEnded func(ctx context.Context, address string) bool
-	// Ended hears that an endpoint ended, and which requests it cut off then, without those that an
+type Monitor struct {
+	// IsTerminated tells whether nothing listens at an address any more.
+	IsTerminated func(ctx context.Context, address string) bool
+	// OnTermination hears that an endpoint ended, and which requests it cut off then, without those that an
 	// endpoint answered lately: much that callers ask for is asked for by many of them.
-	Ended func(endpoint string, suspects []Content)
+	OnTermination func(endpoint string, suspects []Fingerprint)
 
-	answered Answered
+	answered AnsweredRequests
 
 	mu     sync.Mutex
 	queue  chan cutOff // made at its first use
-	counts Ends
+	counts TerminationCounts
 }
 
-// Ends counts what one process saw of endpoints that ended.
-type Ends struct {
+// TerminationCounts counts what one process saw of endpoints that ended.
+type TerminationCounts struct {
 	Endpoints int64 `json:"endpoints"` // that ended while they ran requests of this process
 	Requests  int64 `json:"requests"`  // that were cut off then
 	Alive     int64 `json:"alive"`     // answers that broke off while their endpoint lived on
-	LeftOut   int64 `json:"left_out"`  // requests that were not looked into, since too many waited
+	Dropped   int64 `json:"left_out"`  // requests that were not looked into, since too many waited
 }
 
 // place is one life of an endpoint, and where it is.
@@ -49,7 +49,7 @@
 // cutOff is a request whose answer broke off.
 type cutOff struct {
 	place   place
-	content Content
+	content Fingerprint
 }
 
 // look is what a look at an endpoint showed.
@@ -58,29 +58,29 @@
 	ended bool
 }
 
-// Answered notes that an endpoint answered a request whole; now is a time of package clock.
-func (w *Watch) Answered(c Content, now time.Time) { w.answered.Add(c, now) }
+// RecordResponse notes that an endpoint answered a request whole; now is a time of package clock.
+func (w *Monitor) RecordResponse(c Fingerprint, now time.Time) { w.answered.Add(c, now) }
 
-// Cut notes that an endpoint broke off the answer to a request.
-func (w *Watch) Cut(endpoint, address string, c Content) {
+// RecordInterruption notes that an endpoint broke off the answer to a request.
+func (w *Monitor) RecordInterruption(endpoint, address string, c Fingerprint) {
 	select {
 	case w.cuts() <- cutOff{place: place{endpoint: endpoint, address: address}, content: c}:
 	default:
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.counts.LeftOut++
+		w.counts.Dropped++
 	}
 }
 
 // Counts returns what was seen so far.
-func (w *Watch) Counts() Ends {
+func (w *Monitor) Counts() TerminationCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts
 }
 
 // cuts returns the requests that were cut off and wait to be looked into.
-func (w *Watch) cuts() chan cutOff {
+func (w *Monitor) cuts() chan cutOff {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.queue == nil {
@@ -91,15 +91,15 @@
 
 // Run looks at each endpoint that cut off requests, until ctx ends. What an endpoint cuts off
 // during a look counts by it too.
-func (w *Watch) Run(ctx context.Context) error {
-	waiting := make(map[place][]Content)
+func (w *Monitor) Run(ctx context.Context) error {
+	waiting := make(map[place][]Fingerprint)
 	looked := make(chan look)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case c := <-w.cuts():
 			if waiting[c.place] == nil {
-				go func() { looked <- look{place: c.place, ended: w.HasEnded(ctx, c.place.address)} }()
+				go func() { looked <- look{place: c.place, ended: w.IsTerminated(ctx, c.place.address)} }()
 			}
 			waiting[c.place] = append(waiting[c.place], c.content)
 		case l := <-looked:
@@ -114,14 +114,14 @@
 }
 
 // conclude notes what a look at an endpoint showed for the requests that it cut off.
-func (w *Watch) conclude(l look, cut []Content, now time.Time) {
+func (w *Monitor) conclude(l look, cut []Fingerprint, now time.Time) {
 	w.count(l.ended, len(cut))
 	if l.ended {
-		w.Ended(l.place.endpoint, slices.DeleteFunc(cut, func(c Content) bool { return w.answered.Has(c, now) }))
+		w.OnTermination(l.place.endpoint, slices.DeleteFunc(cut, func(c Fingerprint) bool { return w.answered.Has(c, now) }))
 	}
 }
 
-func (w *Watch) count(ended bool, requests int) {
+func (w *Monitor) count(ended bool, requests int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !ended {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -11,15 +11,15 @@
 	counter Counter
 }
 
-// Kept returns the requests that are kept from endpoints.
-func (t *Tracker) Kept() *List { return &t.list }
+// List returns the requests that are kept from endpoints.
+func (t *Tracker) List() *List { return &t.list }
 
-// Note takes in that an endpoint ended while it ran requests, as one process saw it, and returns
+// RecordTermination takes in that an endpoint ended while it ran requests, as one process saw it, and returns
 // those that have to be kept from endpoints from now on.
-func (t *Tracker) Note(endpoint string, contents []Content, now time.Time) []Content {
-	kept := func(c Content) bool {
-		_, held := t.list.Left(c, now)
+func (t *Tracker) RecordTermination(endpoint string, contents []Fingerprint, now time.Time) []Fingerprint {
+	kept := func(c Fingerprint) bool {
+		_, held := t.list.Remaining(c, now)
 		return held
 	}
-	return t.counter.Note(endpoint, contents, kept, now)
+	return t.counter.RecordTermination(endpoint, contents, kept, now)
 }
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -23,17 +23,17 @@
 	named bool
 }
 
-// Of returns the limit of so many requests a second; one that is no number, is below zero or limits
+// PerSecond returns the limit of so many requests a second; one that is no number, is below zero or limits
 // nothing is none.
-func Of(rate float64) Limit {
+func PerSecond(rate float64) Limit {
 	if !(rate >= 0 && rate <= mostRate) { // nor NaN
 		return Limit{}
 	}
 	return Limit{rate: rate, named: true}
 }
 
-// Named tells whether there is a limit.
-func (l Limit) Named() bool { return l.named }
+// IsSet tells whether there is a limit.
+func (l Limit) IsSet() bool { return l.named }
 
 // Rate returns the requests a second; 0 where none are taken, or where no limit is named.
 func (l Limit) Rate() float64 { return l.rate }
@@ -52,7 +52,7 @@
 		case err != nil || math.IsNaN(rate) || rate < 0:
 			unread = errors.Errorf("ratelimit: %.40q: give the requests a second as a decimal number from 0", v)
 		case !l.named || rate < l.rate:
-			l = Of(rate)
+			l = PerSecond(rate)
 		}
 	}
 	if l.named {
--- a/ratelimit/limit_test.go
+++ b/ratelimit/limit_test.go
@@ -37,7 +37,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
 			l, err := Parse(x.values)
-			c.Check(l.Named(), quicktest.Equals, x.named)
+			c.Check(l.IsSet(), quicktest.Equals, x.named)
 			c.Check(l.Rate(), quicktest.Equals, x.rate)
 			c.Check(err != nil, quicktest.Equals, x.unread)
 		})
@@ -52,13 +52,13 @@
 	f.Add("0x1p-1074", "")
 	f.Fuzz(func(t *testing.T, a, b string) {
 		l, err := Parse([]string{a, b})
-		if l.Named() && err != nil {
+		if l.IsSet() && err != nil {
 			t.Errorf("%q, %q: a limit and an error: %v", a, b, err)
 		}
 		if !(l.Rate() >= 0 && l.Rate() <= mostRate) || math.IsNaN(l.Rate()) {
 			t.Errorf("%q, %q: %v", a, b, l.Rate())
 		}
-		if !l.Named() && l.Rate() != 0 {
+		if !l.IsSet() && l.Rate() != 0 {
 			t.Errorf("%q, %q: no limit of %v", a, b, l.Rate())
 		}
 	})
--- a/ratelimit/counter.go
+++ b/ratelimit/limiter.go
@@ -22,8 +22,8 @@
 	mostWait = 2 * time.Second
 )
 
-// Word is what an answer of an endpoint said of its limit.
-type Word struct {
+// Observation is what an answer of an endpoint said of its limit.
+type Observation struct {
 	Limit Limit
 	// At is when a limit was named at the latest, or when none was at the earliest: when the answer
 	// that names one came, or when the request was sent whose answer names none. So an answer that
@@ -31,28 +31,28 @@
 	At time.Time
 }
 
-// NewWord returns what an answer says that came at came, to a request sent at sent. That a limit is named
+// NewObservation returns what an answer says that came at came, to a request sent at sent. That a limit is named
 // holds from the answer on; that none is, from the request on: what another answer named meanwhile is newer.
-func NewWord(l Limit, sent, came time.Time) Word {
-	if !l.Named() {
-		return Word{At: sent}
+func NewObservation(l Limit, sent, came time.Time) Observation {
+	if !l.IsSet() {
+		return Observation{At: sent}
 	}
-	return Word{Limit: l, At: came}
+	return Observation{Limit: l, At: came}
 }
 
-// Counter hands out the requests that endpoints take which name limits. For each endpoint one box
+// Limiter hands out the requests that endpoints take which name limits. For each endpoint one box
 // counts at a time, and boxes ask it before each send, so the sum over all boxes keeps to the limit,
 // however many there are. A box that begins to count hands out nothing for a moment: the one before
 // may just have handed out all that there was. It is safe for concurrent use; the zero value knows
 // no limit.
-type Counter struct {
+type Limiter struct {
 	mu        sync.Mutex
 	endpoints map[string]*count
 }
 
 // count is what is handed out for one endpoint.
 type count struct {
-	word     Word
+	word     Observation
 	bucket   *rate.Limiter // nil while no limit is named
 	promised time.Time     // when the last of the refused callers was told to come back
 	latest   time.Time     // of the times that were passed in
@@ -68,14 +68,14 @@
 	return n.latest
 }
 
-// Hear takes in a word of an endpoint; it tells whether the limit is another one now. An older word
+// Observe takes in a word of an endpoint; it tells whether the limit is another one now. An older word
 // than the latest one changes nothing, by whatever way it comes.
-func (c *Counter) Hear(endpoint string, w Word, now time.Time) bool {
+func (c *Limiter) Observe(endpoint string, w Observation, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.endpoints[endpoint]
 	if n == nil {
-		if !w.Limit.Named() {
+		if !w.Limit.IsSet() {
 			return false
 		}
 		if c.endpoints == nil {
@@ -97,7 +97,7 @@
 
 // adjust makes the bucket one of the limit.
 func (n *count) adjust(now time.Time) {
-	if !n.word.Limit.Named() {
+	if !n.word.Limit.IsSet() {
 		n.bucket = nil
 		return
 	}
@@ -115,25 +115,25 @@
 // perSecond is how many requests a second are handed out.
 func (n *count) perSecond() float64 { return max(n.word.Limit.Rate(), leastRate) }
 
-// Ask is a request that would go to an endpoint.
-type Ask struct {
-	Rank     int           // 0 is the most urgent
-	Patience time.Duration // how long it can wait
-	// Spare says that another endpoint without a limit can serve it: it takes only what others leave.
+// Request is a request that would go to an endpoint.
+type Request struct {
+	Rank    int           // 0 is the most urgent
+	MaxWait time.Duration // how long it can wait
+	// SpareOnly says that another endpoint without a limit can serve it: it takes only what others leave.
 	// So what an endpoint takes goes to the adapters that no other one holds, and those need no copy.
-	Spare bool
+	SpareOnly bool
 }
 
 // Before tells whether a request may get what another one did not.
-func (a Ask) Before(o Ask) bool {
-	if a.Spare != o.Spare {
-		return o.Spare
+func (a Request) Before(o Request) bool {
+	if a.SpareOnly != o.SpareOnly {
+		return o.SpareOnly
 	}
 	return a.Rank < o.Rank
 }
 
-// Grant is the answer to one request that would go to an endpoint.
-type Grant struct {
+// Result is the answer to one request that would go to an endpoint.
+type Result struct {
 	Limited bool          // the endpoint names a limit; else all requests may go
 	OK      bool          // it may be sent, after Wait
 	Wait    time.Duration // not OK: until such a request is likely granted
@@ -141,24 +141,24 @@
 
 // Take answers a request that would go to an endpoint. Of a more urgent rank more of the time that it can
 // wait counts: what is scarce for all goes to the most urgent.
-func (c *Counter) Take(endpoint string, a Ask, now time.Time) Grant {
+func (c *Limiter) Take(endpoint string, a Request, now time.Time) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.endpoints[endpoint]
 	if n == nil || n.bucket == nil {
-		return Grant{OK: true}
+		return Result{OK: true}
 	}
 	now = n.inOrder(now)
-	if a.Spare && !n.hasSpare(now) {
-		return Grant{Limited: true, Wait: n.waitFor(float64(n.bucket.Burst()), now)}
+	if a.SpareOnly && !n.hasSpare(now) {
+		return Result{Limited: true, Wait: n.waitFor(float64(n.bucket.Burst()), now)}
 	}
 	r := n.bucket.ReserveN(now, 1)
 	wait := r.DelayFrom(now)
-	if wait <= max(a.Patience, 0)/time.Duration(1+max(a.Rank, 0)) {
-		return Grant{Limited: true, OK: true, Wait: wait}
+	if wait <= max(a.MaxWait, 0)/time.Duration(1+max(a.Rank, 0)) {
+		return Result{Limited: true, OK: true, Wait: wait}
 	}
 	r.CancelAt(now)
-	return Grant{Limited: true, Wait: n.comeBack(wait, now)}
+	return Result{Limited: true, Wait: n.comeBack(wait, now)}
 }
 
 // hasSpare tells whether nobody took anything for a while: what comes now would be lost.
@@ -185,27 +185,27 @@
 	return at.Sub(now)
 }
 
-// Room is what an endpoint takes just now.
-type Room struct {
+// Headroom is what an endpoint takes just now.
+type Headroom struct {
 	Limited bool          // it names a limit; else it takes all
 	Wait    time.Duration // until it takes one more request
 	Spare   bool          // it takes more than it is sent
 }
 
-// Room returns what an endpoint takes at now.
-func (c *Counter) Room(endpoint string, now time.Time) Room {
+// Headroom returns what an endpoint takes at now.
+func (c *Limiter) Headroom(endpoint string, now time.Time) Headroom {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.endpoints[endpoint]
 	if n == nil || n.bucket == nil {
-		return Room{Spare: true}
+		return Headroom{Spare: true}
 	}
 	now = n.inOrder(now)
-	return Room{Limited: true, Wait: n.waitFor(1, now), Spare: n.hasSpare(now)}
+	return Headroom{Limited: true, Wait: n.waitFor(1, now), Spare: n.hasSpare(now)}
 }
 
-// Turns returns how long an endpoint takes for so many requests.
-func (c *Counter) Turns(endpoint string, requests int) time.Duration {
+// TimeFor returns how long an endpoint takes for so many requests.
+func (c *Limiter) TimeFor(endpoint string, requests int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.endpoints[endpoint]
@@ -216,7 +216,7 @@
 }
 
 // Limit returns the limit that is counted by; the zero value where the endpoint names none.
-func (c *Counter) Limit(endpoint string) Limit {
+func (c *Limiter) Limit(endpoint string) Limit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.endpoints[endpoint]; n != nil {
@@ -226,7 +226,7 @@
 }
 
 // Forget drops what is known of an endpoint that is gone.
-func (c *Counter) Forget(endpoint string) {
+func (c *Limiter) Forget(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.endpoints, endpoint)
--- a/ratelimit/counter_test.go
+++ b/ratelimit/limiter_test.go
@@ -17,9 +17,9 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // counterOf returns a counter of one endpoint, e, that names a limit at the start.
-func counterOf(perSecond float64) *Counter {
-	c := new(Counter)
-	c.Hear("e", Word{Limit: Of(perSecond), At: start}, start)
+func counterOf(perSecond float64) *Limiter {
+	c := new(Limiter)
+	c.Observe("e", Observation{Limit: PerSecond(perSecond), At: start}, start)
 	return c
 }
 
@@ -31,7 +31,7 @@
 			r := rand.New(rand.NewPCG(1, uint64(perSecond*10)))
 			var sent []time.Time
 			for now := start; now.Before(at(40 * time.Second)); now = now.Add(time.Duration(r.ExpFloat64() * float64(time.Millisecond))) {
-				if g := k.Take("e", Ask{Rank: r.IntN(3), Patience: time.Duration(r.IntN(80)) * time.Millisecond, Spare: r.IntN(4) == 0}, now); g.OK {
+				if g := k.Take("e", Request{Rank: r.IntN(3), MaxWait: time.Duration(r.IntN(80)) * time.Millisecond, SpareOnly: r.IntN(4) == 0}, now); g.OK {
 					sent = append(sent, now.Add(g.Wait))
 				}
 			}
@@ -51,33 +51,33 @@
 
 func TestAnEndpointThatNamesNoLimitTakesAll(t *testing.T) {
 	c := quicktest.New(t)
-	k := new(Counter)
-	c.Check(k.Hear("e", Word{At: start}, start), quicktest.IsFalse)
-	c.Check(k.Take("e", Ask{Rank: 9}, start), quicktest.Equals, Grant{OK: true})
-	c.Check(k.Room("e", start), quicktest.Equals, Room{Spare: true})
+	k := new(Limiter)
+	c.Check(k.Observe("e", Observation{At: start}, start), quicktest.IsFalse)
+	c.Check(k.Take("e", Request{Rank: 9}, start), quicktest.Equals, Result{OK: true})
+	c.Check(k.Headroom("e", start), quicktest.Equals, Headroom{Spare: true})
 }
 
 func TestAWordThatIsOlderChangesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	k := counterOf(5)
-	c.Check(k.Hear("e", Word{Limit: Of(2), At: at(2 * time.Second)}, at(2*time.Second)), quicktest.IsTrue)
-	c.Check(k.Hear("e", Word{Limit: Of(5), At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse)
-	c.Check(k.Hear("e", Word{At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse) // sent before
-	c.Check(k.Take("e", Ask{}, at(2*time.Second)).Limited, quicktest.IsTrue)
-	c.Check(k.Hear("e", Word{At: at(3 * time.Second)}, at(3*time.Second)), quicktest.IsTrue)
-	c.Check(k.Take("e", Ask{}, at(3*time.Second)), quicktest.Equals, Grant{OK: true})
-	c.Check(k.Hear("e", Word{Limit: Of(2), At: at(2 * time.Second)}, at(3*time.Second)), quicktest.IsFalse)
-	c.Check(k.Take("e", Ask{}, at(3*time.Second)), quicktest.Equals, Grant{OK: true})
+	c.Check(k.Observe("e", Observation{Limit: PerSecond(2), At: at(2 * time.Second)}, at(2*time.Second)), quicktest.IsTrue)
+	c.Check(k.Observe("e", Observation{Limit: PerSecond(5), At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse)
+	c.Check(k.Observe("e", Observation{At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse) // sent before
+	c.Check(k.Take("e", Request{}, at(2*time.Second)).Limited, quicktest.IsTrue)
+	c.Check(k.Observe("e", Observation{At: at(3 * time.Second)}, at(3*time.Second)), quicktest.IsTrue)
+	c.Check(k.Take("e", Request{}, at(3*time.Second)), quicktest.Equals, Result{OK: true})
+	c.Check(k.Observe("e", Observation{Limit: PerSecond(2), At: at(2 * time.Second)}, at(3*time.Second)), quicktest.IsFalse)
+	c.Check(k.Take("e", Request{}, at(3*time.Second)), quicktest.Equals, Result{OK: true})
 }
 
 func TestALowerLimitCountsAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	k := counterOf(100)
 	now := at(10 * time.Second)
-	k.Hear("e", Word{Limit: Of(2), At: now}, now)
+	k.Observe("e", Observation{Limit: PerSecond(2), At: now}, now)
 	granted := 0
 	for range 50 {
-		if k.Take("e", Ask{}, now).OK {
+		if k.Take("e", Request{}, now).OK {
 			granted++
 		}
 	}
@@ -91,7 +91,7 @@
 	granted := make(map[int]int)
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		rank := int(now.Sub(start)/(5*time.Millisecond)) % 2 * 2
-		if k.Take("e", Ask{Rank: rank, Patience: 200 * time.Millisecond}, now).OK {
+		if k.Take("e", Request{Rank: rank, MaxWait: 200 * time.Millisecond}, now).OK {
 			granted[rank]++
 		}
 	}
@@ -105,12 +105,12 @@
 	k := counterOf(5)
 	var back []time.Time
 	for range 6 {
-		g := k.Take("e", Ask{}, start)
+		g := k.Take("e", Request{}, start)
 		c.Assert(g.OK, quicktest.IsFalse)
 		back = append(back, start.Add(g.Wait))
 	}
 	for i, b := range back {
-		c.Check(k.Take("e", Ask{}, b).OK, quicktest.IsTrue, quicktest.Commentf("caller %d after %v", i, b.Sub(start)))
+		c.Check(k.Take("e", Request{}, b).OK, quicktest.IsTrue, quicktest.Commentf("caller %d after %v", i, b.Sub(start)))
 	}
 }
 
@@ -119,13 +119,13 @@
 	k := counterOf(0)
 	granted := 0
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if k.Take("e", Ask{}, now).OK {
+		if k.Take("e", Request{}, now).OK {
 			granted++
 		}
 	}
 	c.Check(granted >= 9 && granted <= 11, quicktest.IsTrue, quicktest.Commentf("%d", granted))
 	k.Forget("e")
-	c.Check(k.Take("e", Ask{}, at(20*time.Second)), quicktest.Equals, Grant{OK: true})
+	c.Check(k.Take("e", Request{}, at(20*time.Second)), quicktest.Equals, Result{OK: true})
 }
 
 // Requests that others can serve take only what is left: none while others want all, and all that would
@@ -136,18 +136,18 @@
 	granted := make(map[bool]int)
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		step := int(now.Sub(start) / (10 * time.Millisecond))
-		if now.Before(at(10*time.Second)) && step%7 == 3 && k.Take("e", Ask{}, now).OK {
+		if now.Before(at(10*time.Second)) && step%7 == 3 && k.Take("e", Request{}, now).OK {
 			granted[false]++
 		}
-		if k.Take("e", Ask{Spare: true}, now).OK {
+		if k.Take("e", Request{SpareOnly: true}, now).OK {
 			granted[true]++
 		}
 	}
 	c.Check(granted[false] >= 97, quicktest.IsTrue, quicktest.Commentf("%v", granted))
 	c.Check(granted[true] >= 95 && granted[true] <= 105, quicktest.IsTrue, quicktest.Commentf("%v", granted))
-	c.Check(Ask{}.Before(Ask{Spare: true}), quicktest.IsTrue)
-	c.Check(Ask{Rank: 1}.Before(Ask{Rank: 2}), quicktest.IsTrue)
-	c.Check(Ask{Spare: true}.Before(Ask{Rank: 2}), quicktest.IsFalse)
+	c.Check(Request{}.Before(Request{SpareOnly: true}), quicktest.IsTrue)
+	c.Check(Request{Rank: 1}.Before(Request{Rank: 2}), quicktest.IsTrue)
+	c.Check(Request{SpareOnly: true}.Before(Request{Rank: 2}), quicktest.IsFalse)
 }
 
 // Found by reading, after a soak on a busy machine: calls are granted more than a limit allows where they
@@ -165,11 +165,11 @@
 	granted := 0
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(50 * time.Millisecond) {
 		for _, late := range []time.Duration{0, 300 * time.Millisecond, 20 * time.Millisecond} {
-			if k.Take("e", Ask{}, now.Add(-late)).OK {
+			if k.Take("e", Request{}, now.Add(-late)).OK {
 				granted++
 			}
-			k.Room("e", now.Add(-late))
-			k.Hear("e", Word{Limit: Of(3 + float64(granted%2)/10), At: now}, now.Add(-late))
+			k.Headroom("e", now.Add(-late))
+			k.Observe("e", Observation{Limit: PerSecond(3 + float64(granted%2)/10), At: now}, now.Add(-late))
 		}
 	}
 	c.Check(granted <= 20*3+3, quicktest.IsTrue, quicktest.Commentf("%d", granted))
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -175,7 +175,7 @@
 // that runs as many at a time as come at that rate: so its adapters get further homes, and requests
 // choose those that are less full.
 func (e *endpoint) mostLocked() int {
-	if !e.takes.Named() {
+	if !e.takes.IsSet() {
 		return e.spec.Running()
 	}
 	return min(int(math.Ceil(e.takes.Rate()*e.service.Seconds())), e.spec.Running())
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -39,7 +39,7 @@
 		WaitedMicros: waited.Microseconds(),
 		LoadMicros:   w.stall(now, sl).Microseconds(),
 		Priority:     int32(w.class.Priority()),
-		Limited:      e.takes.Named(),
+		Limited:      e.takes.IsSet(),
 	}}
 }
 
--- a/scheduler/limits_test.go
+++ b/scheduler/limits_test.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	a, err := b.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
 		Request: "r", Endpoint: "e1", Adapter: "a@1", Class: "counter", Caller: "till", WaitMicros: wait.Microseconds(),
-		Limit: wire.NewLimitWord("e1", ratelimit.Word{Limit: l, At: now}, now),
+		Limit: wire.NewLimitWord("e1", ratelimit.Observation{Limit: l, At: now}, now),
 	})
 	b.Assert(err, quicktest.IsNil)
 	return a
@@ -32,7 +32,7 @@
 	begun := time.Now()
 	granted := 0
 	for time.Since(begun) < time.Second {
-		a := b.askKnowing(ratelimit.Of(perSecond), 0)
+		a := b.askKnowing(ratelimit.PerSecond(perSecond), 0)
 		if a.GetGrant() != nil {
 			granted++
 			b.release(a, wire.Outcome_OUTCOME_COMPLETED)
@@ -50,7 +50,7 @@
 	b := newBench(t, "a@1")
 	b.own().seen = time.Now().Add(time.Minute) // no look is needed in this test
 	for range 4 {
-		a := b.askKnowing(ratelimit.Of(20), time.Second)
+		a := b.askKnowing(ratelimit.PerSecond(20), time.Second)
 		b.Assert(a.GetGrant(), quicktest.IsNotNil)
 		b.Assert(a.GetGrant().GetLimited(), quicktest.IsTrue)
 		b.release(a, wire.Outcome_OUTCOME_COMPLETED)
@@ -62,7 +62,7 @@
 	b := newBench(t, "a@1")
 	b.own().seen = time.Now().Add(time.Minute) // no look is needed in this test
 	begun := time.Now()
-	a := b.askKnowing(ratelimit.Of(0), 300*time.Millisecond)
+	a := b.askKnowing(ratelimit.PerSecond(0), 300*time.Millisecond)
 	b.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
 	b.Assert(time.Since(begun) < 200*time.Millisecond, quicktest.IsTrue)
 	b.Assert(b.askKnowing(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // its need is over
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -85,7 +85,7 @@
 	looks       chan *endpoint // to look at
 	orders      chan order     // to carry out
 	budget      *storeBudget
-	limits      ratelimit.Counter // by endpoint; its lock is taken last and alone
+	limits      ratelimit.Limiter // by endpoint; its lock is taken last and alone
 	loadsWanted atomic.Int64      // at all endpoints, and not begun
 	stats       stats
 }
--- a/standin/limit.go
+++ b/standin/limit.go
@@ -43,7 +43,7 @@
 	defer l.mu.Unlock()
 	l.all++
 	p, err := ratelimit.Parse(l.named)
-	if err != nil || !p.Named() {
+	if err != nil || !p.IsSet() {
 		return l.named
 	}
 	if l.since.IsZero() { // until now nobody could know of it: the engine may have been out of reach
--- a/wire/limit.go
+++ b/wire/limit.go
@@ -9,23 +9,23 @@
 )
 
 // NewRateLimit returns the message of a limit.
-func NewRateLimit(l ratelimit.Limit) *RateLimit { return &RateLimit{Named: l.Named(), Rate: l.Rate()} }
+func NewRateLimit(l ratelimit.Limit) *RateLimit { return &RateLimit{Named: l.IsSet(), Rate: l.Rate()} }
 
 // Limit returns the limit of a message; one that can't be meant is none.
 func (l *RateLimit) Limit() ratelimit.Limit {
 	if !l.GetNamed() {
 		return ratelimit.Limit{}
 	}
-	return ratelimit.Of(l.GetRate())
+	return ratelimit.PerSecond(l.GetRate())
 }
 
 // NewLimitWord returns the message of what an endpoint said, with its age at now.
-func NewLimitWord(endpoint string, w ratelimit.Word, now time.Time) *LimitWord {
+func NewLimitWord(endpoint string, w ratelimit.Observation, now time.Time) *LimitWord {
 	return &LimitWord{Endpoint: endpoint, Limit: NewRateLimit(w.Limit), AgeMicros: now.Sub(w.At).Microseconds()}
 }
 
 // Word returns what an endpoint said, by a message that came at now.
-func (w *LimitWord) Word(now time.Time) ratelimit.Word {
+func (w *LimitWord) Word(now time.Time) ratelimit.Observation {
 	age := time.Duration(max(w.GetAgeMicros(), 0)) * time.Microsecond
-	return ratelimit.Word{Limit: w.GetLimit().Limit(), At: now.Add(-age)}
+	return ratelimit.Observation{Limit: w.GetLimit().Limit(), At: now.Add(-age)}
 }
