--- a/access/access.go
+++ b/access/access.go
@@ -25,7 +25,7 @@
 
 // Credential is what a caller shows. The zero value shows none.
 type Credential struct {
-	given  bool
+	set    bool
 	digest Digest
 }
 
@@ -35,11 +35,11 @@
 	if len(keys) != 1 || keys[0] == "" {
 		return Credential{}
 	}
-	return Credential{given: true, digest: KeyDigest(keys[0])}
+	return Credential{set: true, digest: KeyDigest(keys[0])}
 }
 
 // IsSet tells whether the caller shows one key.
-func (c Credential) IsSet() bool { return c.given }
+func (c Credential) IsSet() bool { return c.set }
 
 // Spec is an organisation as its source describes it.
 type Spec struct {
@@ -111,7 +111,7 @@
 
 // Find returns the organisation of a credential; nil where there is none.
 func (d *Directory) Find(c Credential) *Organisation {
-	if d == nil || !c.given {
+	if d == nil || !c.set {
 		return nil
 	}
 	return d.byKey[c.digest]
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestAKeyStandsForTheFirstOrganisationThatListsIt(t *testing.T) {
+func TestKeyBelongsToTheFirstOrganisationThatListsIt(t *testing.T) {
 	c := quicktest.New(t)
 	k, l := KeyDigest("k"), KeyDigest("l")
 	d, err := NewDirectory([]Spec{{Name: "b", Keys: []Digest{k}}, {Name: "a", Keys: []Digest{k, l}}})
@@ -22,7 +22,7 @@
 	c.Assert(d.ByName("a").Keys(), quicktest.HasLen, 2)
 }
 
-func TestWithoutOrganisationsNobodyIsFound(t *testing.T) {
+func TestNilDirectory(t *testing.T) {
 	c := quicktest.New(t)
 	d, err := NewDirectory(nil)
 	c.Assert(err, quicktest.IsNil)
@@ -32,7 +32,7 @@
 	c.Assert(d.All(), quicktest.HasLen, 0)
 }
 
-func TestChangesNameTheKeysThatCameWentAndMoved(t *testing.T) {
+func TestKeyChanges(t *testing.T) {
 	c := quicktest.New(t)
 	directory := func(specs ...Spec) *Directory {
 		d, err := NewDirectory(specs)
@@ -48,18 +48,18 @@
 	c.Assert(KeyChanges(after, after), quicktest.HasLen, 0)
 }
 
-func TestNoRequestIsFree(t *testing.T) {
+func TestCostIsAtLeastOneUnit(t *testing.T) {
 	c := quicktest.New(t)
 	tokens := Quota{Unit: Tokens, DefaultCost: 200}
 	c.Assert(tokens.Cost(1540, true), quicktest.Equals, 1540.0)
 	c.Assert(tokens.Cost(0, true), quicktest.Equals, 1.0)
 	c.Assert(tokens.Cost(7, false), quicktest.Equals, 200.0)
 	c.Assert(Quota{Unit: Tokens}.Cost(7, false), quicktest.Equals, 1.0)
-	c.Assert(tokens.Cost(math.MaxInt, true), quicktest.Equals, float64(mostUnits))
+	c.Assert(tokens.Cost(math.MaxInt, true), quicktest.Equals, float64(maxUnits))
 	c.Assert(Quota{}.Cost(1540, true), quicktest.Equals, 1.0)
 }
 
-func TestAPoolHandsOutItsShareAndSaysWhenMoreComes(t *testing.T) {
+func TestDrawGrantsTheShareAndEstimatesTheWait(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 500, Capacity: 500}
 	var p Pool
@@ -78,7 +78,7 @@
 	c.Assert(p.Draw(again, l, now.Add(a.Wait)), quicktest.Equals, Allowance{Organisation: "o", Granted: 1})
 }
 
-func TestARequestLargerThanTheBucketIsGranted(t *testing.T) {
+func TestRequestLargerThanTheBucketIsGranted(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
@@ -90,7 +90,7 @@
 	c.Assert(p.Draw(Demand{Organisation: "o", Wanted: []float64{1}}, l, now.Add(9*time.Second)).Granted, quicktest.Equals, 1)
 }
 
-func TestWhatAPoolLendsItHasNoMore(t *testing.T) {
+func TestLentUnitsLeaveThePool(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 500, Capacity: 500}
 	var from, to Pool
@@ -108,20 +108,20 @@
 
 // A data centre's part was used up while another had plenty; those that were told how long the own
 // part takes to refill went away.
-func TestWhileOthersMayLendAWaitIsShort(t *testing.T) {
+func TestWaitIsShortWhileOthersMayLend(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
 	now := time.Now()
 	d := Demand{Organisation: "o", Wanted: []float64{50}}
-	c.Assert(p.Draw(d, l, now).Wait, quicktest.Equals, borrowTime)
+	c.Assert(p.Draw(d, l, now).Wait, quicktest.Equals, borrowLatency)
 	p.AddBorrowed("o", 0, now, time.Second)
 	c.Assert(p.Draw(d, l, now).Wait > 400*time.Millisecond, quicktest.IsTrue)
 	p.AddBorrowed("o", 60, now, time.Second)
 	c.Assert(p.Draw(d, l, now).Granted, quicktest.Equals, 1)
 }
 
-func TestAPoolThatIsOpenedFillsBeforeItsFirstDraw(t *testing.T) {
+func TestStartFillingBeforeTheFirstDraw(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 100, Capacity: 100}
 	var p Pool
@@ -133,7 +133,7 @@
 	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 100}, l, now.Add(time.Hour)).Paid, quicktest.Equals, 0.0)
 }
 
-func TestChanceDecidesOnceOnTheRestOfAFloat(t *testing.T) {
+func TestRemainingCreditIsDecidedAtRandomOnce(t *testing.T) {
 	c := quicktest.New(t)
 	var a Account
 	c.Assert(a.TrySpend(200, 100, 0.6), quicktest.IsFalse)
@@ -146,7 +146,7 @@
 	c.Assert(a.TrySpend(1, 100, 0), quicktest.IsFalse)
 }
 
-func TestAnAccountGivesBackWhatItDrewForNothing(t *testing.T) {
+func TestUnusedUnitsAreReturnedToThePool(t *testing.T) {
 	c := quicktest.New(t)
 	var a Account
 	c.Assert(a.TrySpend(60, 100, 0.9), quicktest.IsTrue)
--- a/access/bound_test.go
+++ b/access/bound_test.go
@@ -16,39 +16,39 @@
 // what is spent in every window.
 
 const (
-	fleetTick   = 20 * time.Millisecond
-	fleetTime   = 60 * time.Second
-	settleTicks = 15 // between two settlements of a box
-	drawnTicks  = 55 // for which a box counts as one that draws
+	fleetTick    = 20 * time.Millisecond
+	fleetTime    = 60 * time.Second
+	settleTicks  = 15 // between two settlements of a box
+	drawingTicks = 55 // for which a box counts as one that draws
 )
 
 // fleetBox is a box with its account, and its pool while it believes that it leads.
 type fleetBox struct {
-	centre  int
-	account Account
-	pool    *Pool
-	drawn   map[int]int // tick of the last draw, by box
-	leader  int         // the box that this one draws from
-	alone   int         // cut off from all others until that tick
-	frozen  int         // stands still until that tick
-	mute    int         // tick at which a leader last answered
+	centre        int
+	account       Account
+	pool          *Pool
+	drawn         map[int]int // tick of the last draw, by box
+	leader        int         // the box that this one draws from
+	isolatedUntil int         // cut off from all others until that tick
+	stalledUntil  int         // stands still until that tick
+	answeredAt    int         // tick at which a leader last answered
 }
 
 // fleet is the world of one seed.
 type fleet struct {
-	random  *rand.Rand
-	quota   Quota
-	bounds  Bounds
-	boxes   []*fleetBox
-	centres int
-	cut     []int // by data centre: cut off until that tick
-	now     int
-	spent   []float64 // by tick
-	begin   time.Time
+	random           *rand.Rand
+	quota            Quota
+	bounds           Bounds
+	boxes            []*fleetBox
+	centres          int
+	partitionedUntil []int // by data centre: cut off until that tick
+	now              int
+	spent            []float64 // by tick
+	begin            time.Time
 }
 
 func newFleet(seed uint64, boxes, centres int, q Quota, b Bounds) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), quota: q, bounds: b, centres: centres, cut: make([]int, centres), begin: time.Now()}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), quota: q, bounds: b, centres: centres, partitionedUntil: make([]int, centres), begin: time.Now()}
 	for i := range boxes {
 		f.boxes = append(f.boxes, &fleetBox{centre: i % centres, leader: i % centres})
 	}
@@ -58,7 +58,7 @@
 func (f *fleet) time() time.Time { return f.begin.Add(time.Duration(f.now) * fleetTick) }
 
 // runs tells whether a box works now.
-func (f *fleet) runs(i int) bool { return f.boxes[i].frozen <= f.now }
+func (f *fleet) runs(i int) bool { return f.boxes[i].stalledUntil <= f.now }
 
 // reach tells whether two boxes hear each other.
 func (f *fleet) reach(i, j int) bool {
@@ -66,10 +66,10 @@
 	if i == j {
 		return f.runs(i)
 	}
-	if !f.runs(i) || !f.runs(j) || a.alone > f.now || b.alone > f.now {
+	if !f.runs(i) || !f.runs(j) || a.isolatedUntil > f.now || b.isolatedUntil > f.now {
 		return false
 	}
-	return a.centre == b.centre || (f.cut[a.centre] <= f.now && f.cut[b.centre] <= f.now)
+	return a.centre == b.centre || (f.partitionedUntil[a.centre] <= f.now && f.partitionedUntil[b.centre] <= f.now)
 }
 
 // known is how many boxes of a data centre a box knows: those that fell silent too.
@@ -88,15 +88,15 @@
 	b := f.boxes[i]
 	drawing := 0
 	for _, at := range b.drawn {
-		if f.now-at <= drawnTicks {
+		if f.now-at <= drawingTicks {
 			drawing++
 		}
 	}
 	return f.bounds.Limit(f.quota, Share(drawing, f.known(b.centre), f.centres))
 }
 
-// disturb has something go wrong now and then.
-func (f *fleet) disturb() {
+// injectFault has something go wrong now and then.
+func (f *fleet) injectFault() {
 	i := f.random.IntN(len(f.boxes))
 	if f.random.IntN(2) == 0 {
 		i = f.boxes[i].leader // those that count, more often than chance
@@ -105,13 +105,13 @@
 	length := 50 + f.random.IntN(300)
 	switch f.random.IntN(5) {
 	case 0: // killed, and started again with nothing
-		f.boxes[i] = &fleetBox{centre: b.centre, leader: b.leader, frozen: f.now + 50}
+		f.boxes[i] = &fleetBox{centre: b.centre, leader: b.leader, stalledUntil: f.now + 50}
 	case 1:
-		b.frozen = f.now + length
+		b.stalledUntil = f.now + length
 	case 2:
-		b.alone = f.now + length
+		b.isolatedUntil = f.now + length
 	case 3:
-		f.cut[f.random.IntN(f.centres)] = f.now + length
+		f.partitionedUntil[f.random.IntN(f.centres)] = f.now + length
 	case 4: // others believe in another leader, each for itself
 		for _, o := range f.boxes {
 			if o.centre == b.centre && f.random.IntN(2) == 0 {
@@ -124,7 +124,7 @@
 // follow has a box that has heard of no leader for a while look for another one.
 func (f *fleet) follow(i int) {
 	b := f.boxes[i]
-	if f.reach(i, b.leader) || f.now-b.mute < 60 {
+	if f.reach(i, b.leader) || f.now-b.answeredAt < 60 {
 		return
 	}
 	for j, o := range f.boxes {
@@ -152,7 +152,7 @@
 	if f.random.IntN(20) == 0 {
 		return // the answer is lost
 	}
-	b.mute = f.now
+	b.answeredAt = f.now
 	b.account.FinishSettlement(a.Paid)
 	b.account.StopForgiving()
 	f.lend(b.leader, l)
@@ -173,13 +173,13 @@
 
 // run plays the day with so many times the quota asked for, and returns the part of the quota that
 // was served and the most that was spent in a window.
-func (f *fleet) run(load float64, rough bool) (served, most float64) {
+func (f *fleet) run(load float64, faults bool) (served, most float64) {
 	ticks := int(fleetTime / fleetTick)
 	f.spent = make([]float64, ticks)
 	asked := 0.0
 	for ; f.now < ticks; f.now++ {
-		if rough && f.random.IntN(25) == 0 {
-			f.disturb()
+		if faults && f.random.IntN(25) == 0 {
+			f.injectFault()
 		}
 		for due := load * f.quota.Rate * fleetTick.Seconds(); due > 0; {
 			cost := 200 + 900*f.random.Float64()
@@ -198,10 +198,10 @@
 			}
 		}
 	}
-	return f.total() / min(asked, f.quota.Rate*fleetTime.Seconds()), f.mostInAWindow()
+	return f.total() / min(asked, f.quota.Rate*fleetTime.Seconds()), f.maxInWindow()
 }
 
-// serve spends a request's units at a box, at once or by a settlement for it alone.
+// serve spends a request's units at a box, at once or by a settlement for it isolatedUntil.
 func (f *fleet) serve(i int, cost float64) {
 	b := f.boxes[i]
 	if b.account.TrySpend(cost, f.bounds.CreditLimit(f.quota, len(f.boxes)), f.random.Float64()) {
@@ -231,7 +231,7 @@
 	return sum
 }
 
-func (f *fleet) mostInAWindow() float64 {
+func (f *fleet) maxInWindow() float64 {
 	window := int(f.bounds.Window / fleetTick)
 	sum, most := 0.0, 0.0
 	for i, s := range f.spent {
@@ -253,18 +253,18 @@
 
 var allowed = Bounds{Window: 8 * time.Second, Overshoot: 0.25, Slack: 110_000}
 
-// mostOf returns how many units of a quota may be spent in a window over all boxes.
-func mostOf(q Quota, b Bounds) float64 { return q.Rate*b.Window.Seconds() + q.Burst + b.beyond(q) }
+// maxUnitsOf returns how many units of a quota may be spent in a window over all boxes.
+func maxUnitsOf(q Quota, b Bounds) float64 { return q.Rate*b.Window.Seconds() + q.Burst + b.excess(q) }
 
 // However boxes are cut off, stand still, are killed or believe in leaders that are none, no more
 // than the operator allows is spent in any window, with six times the quota asked for.
-func TestNoWindowHoldsMoreThanAQuotaAllows(t *testing.T) {
+func TestSpendingStaysWithinTheBoundInEveryWindow(t *testing.T) {
 	for _, k := range fleets {
 		for seed := range uint64(8) {
 			q := Quota{Unit: Tokens, Rate: k.rate, Burst: k.rate}
 			t.Run(fmt.Sprint(k.boxes, "boxes", k.rate, "seed", seed), func(t *testing.T) {
 				_, most := newFleet(seed, k.boxes, k.centres, q, allowed).run(6, true)
-				quicktest.Assert(t, most <= mostOf(q, allowed), quicktest.IsTrue, quicktest.Commentf("%.0f of %.0f", most, mostOf(q, allowed)))
+				quicktest.Assert(t, most <= maxUnitsOf(q, allowed), quicktest.IsTrue, quicktest.Commentf("%.0f of %.0f", most, maxUnitsOf(q, allowed)))
 			})
 		}
 	}
@@ -272,7 +272,7 @@
 
 // An organisation that asks less than its quota is served whole where nothing goes wrong, and one
 // that asks more gets its quota, but for the first second, in which the pools fill.
-func TestWhatIsWithinAQuotaIsServed(t *testing.T) {
+func TestDemandWithinTheQuotaIsServed(t *testing.T) {
 	for _, k := range fleets {
 		q := Quota{Unit: Tokens, Rate: k.rate, Burst: k.rate}
 		for _, load := range []float64{0.6, 0.85, 3} {
--- a/access/pool.go
+++ b/access/pool.go
@@ -19,13 +19,13 @@
 
 // bucket is what is left of one quota's share.
 type bucket struct {
-	level   float64 // units; below zero: a request was larger than the bucket
-	limit   Limit   // of the last call
-	at      time.Time
-	short   float64   // units that the last draw lacked
-	dry     time.Time // until then the other data centres are known to have none
-	refused backlog   // units that come back, as those that are told to wait now do
-	noted   time.Time // when it was last told that something was refused
+	level             float64 // units; below zero: a request was larger than the bucket
+	limit             Limit   // of the last call
+	refilledAt        time.Time
+	shortfall         float64   // units that the last draw lacked
+	lendersEmptyUntil time.Time // until then the other data centres are known to have none
+	refused           backlog   // units that come back, as those that are told to wait now do
+	reportedAt        time.Time // when it was last told that something was refused
 }
 
 // Demand is what a box asks of one organisation's quota.
@@ -48,11 +48,11 @@
 // refill brings the bucket up to now. A new one is empty: who counted before may have handed out
 // all that the quota holds.
 func (b *bucket) refill(l Limit, now time.Time) {
-	if !b.at.IsZero() {
-		b.level += l.Rate * max(now.Sub(b.at).Seconds(), 0)
+	if !b.refilledAt.IsZero() {
+		b.level += l.Rate * max(now.Sub(b.refilledAt).Seconds(), 0)
 	}
 	b.level = min(b.level, l.Capacity)
-	b.limit, b.at = l, now
+	b.limit, b.refilledAt = l, now
 }
 
 // StartFilling begins to fill the bucket of a quota of which nothing has been drawn yet.
@@ -83,13 +83,13 @@
 	return b
 }
 
-// largePart is the part of a bucket from which a request counts as large: it is granted when so
+// largeFraction is the part of a bucket from which a request counts as large: it is granted when so
 // much is there, and leaves the bucket below zero. One that is larger than the bucket would else
 // never be granted.
-const largePart = 0.5
+const largeFraction = 0.5
 
-// borrowTime is how long units take from another data centre, with the question that follows.
-const borrowTime = 25 * time.Millisecond
+// borrowLatency is how long units take from another data centre, with the question that follows.
+const borrowLatency = 25 * time.Millisecond
 
 // Draw answers what a box asks of a quota at now.
 func (p *Pool) Draw(d Demand, l Limit, now time.Time) Allowance {
@@ -102,28 +102,28 @@
 	a.Paid = min(max(d.Owed, 0), max(b.level, 0))
 	b.level -= a.Paid
 	for _, w := range d.Wanted {
-		if b.level < min(w, largePart*l.Capacity) || b.level <= 0 {
+		if b.level < min(w, largeFraction*l.Capacity) || b.level <= 0 {
 			break
 		}
 		b.level -= w
 		a.Granted++
 	}
-	b.noteShort(d, a, now)
+	b.recordShortfall(d, a, now)
 	if a.Granted < len(d.Wanted) {
-		next := min(d.Wanted[a.Granted], largePart*l.Capacity)
-		a.Wait = waitFor(max(next, b.refused.within(now))-b.level, l.Rate)
-		if !now.Before(b.dry) {
-			a.Wait = min(a.Wait, borrowTime)
+		next := min(d.Wanted[a.Granted], largeFraction*l.Capacity)
+		a.Wait = waitFor(max(next, b.refused.total(now))-b.level, l.Rate)
+		if !now.Before(b.lendersEmptyUntil) {
+			a.Wait = min(a.Wait, borrowLatency)
 		}
 	}
 	return a
 }
 
-// noteShort notes what could not be handed out.
-func (b *bucket) noteShort(d Demand, a Allowance, now time.Time) {
-	b.short = max(d.Owed-a.Paid, 0)
+// recordShortfall notes what could not be handed out.
+func (b *bucket) recordShortfall(d Demand, a Allowance, now time.Time) {
+	b.shortfall = max(d.Owed-a.Paid, 0)
 	for i, w := range d.Wanted[a.Granted:] {
-		b.short += w
+		b.shortfall += w
 		if a.Granted+i >= d.Again {
 			b.refused.add(w, now)
 		}
@@ -137,17 +137,17 @@
 	defer p.mu.Unlock()
 	list := make(map[string]float64)
 	for o, b := range p.buckets {
-		if b.short > 0 {
-			list[o] = b.short
-			b.short = 0
+		if b.shortfall > 0 {
+			list[o] = b.shortfall
+			b.shortfall = 0
 		}
 	}
 	return list
 }
 
-// keptPart is the part of a bucket that a pool keeps for its own data centre when another one
+// reservedFraction is the part of a bucket that a pool keeps for its own data centre when another one
 // asks: requests there go on without a wait.
-const keptPart = 0.5
+const reservedFraction = 0.5
 
 // Lend takes units for another data centre's pool out of what this one does not need.
 func (p *Pool) Lend(organisation string, units float64, l Limit, now time.Time) float64 {
@@ -155,39 +155,39 @@
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
 	b.refill(l, now)
-	lent := min(max(units, 0), max(b.level-keptPart*l.Capacity, 0))
+	lent := min(max(units, 0), max(b.level-reservedFraction*l.Capacity, 0))
 	b.level -= lent
 	return lent
 }
 
 // AddBorrowed adds units that other pools lent. Where they lent none they are expected to have none
 // for some time.
-func (p *Pool) AddBorrowed(organisation string, units float64, now time.Time, dry time.Duration) {
+func (p *Pool) AddBorrowed(organisation string, units float64, now time.Time, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
 	b.level += max(units, 0)
 	if units <= 0 {
-		b.dry = now.Add(dry)
+		b.lendersEmptyUntil = now.Add(retryAfter)
 	}
 }
 
-// noteEvery is between two reports that an organisation lacks units.
-const noteEvery = time.Second
+// shortageReportInterval is between two reports that an organisation lacks units.
+const shortageReportInterval = time.Second
 
 // ShortageReport tells whether it is time to report that an organisation lacks units, and what it has left.
 func (p *Pool) ShortageReport(organisation string, now time.Time) (Level, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
-	if now.Sub(b.noted) < noteEvery {
+	if now.Sub(b.reportedAt) < shortageReportInterval {
 		return Level{}, false
 	}
-	b.noted = now
-	return b.report(), true
+	b.reportedAt = now
+	return b.currentLevel(), true
 }
 
-func (b *bucket) report() Level {
+func (b *bucket) currentLevel() Level {
 	return Level{Left: b.level, Capacity: b.limit.Capacity, Rate: b.limit.Rate}
 }
 
@@ -204,37 +204,37 @@
 	defer p.mu.Unlock()
 	list := make(map[string]Level, len(p.buckets))
 	for o, b := range p.buckets {
-		list[o] = b.report()
+		list[o] = b.currentLevel()
 	}
 	return list
 }
 
-// backlogTime is how long those that were refused are expected to come back: callers are told
+// backlogWindow is how long those that were refused are expected to come back: callers are told
 // times of a few hundred milliseconds.
-const backlogTime = time.Second
+const backlogWindow = time.Second
 
 // backlog is what was asked for and refused lately, by halves of backlogTime.
 type backlog struct {
-	now, before float64
-	begun       time.Time // of now
+	current, previous float64
+	rotatedAt         time.Time // of now
 }
 
-func (b *backlog) turn(now time.Time) {
-	switch since := now.Sub(b.begun); {
-	case since >= backlogTime:
-		*b = backlog{begun: now}
-	case since >= backlogTime/2:
-		*b = backlog{before: b.now, begun: now}
+func (b *backlog) rotate(now time.Time) {
+	switch since := now.Sub(b.rotatedAt); {
+	case since >= backlogWindow:
+		*b = backlog{rotatedAt: now}
+	case since >= backlogWindow/2:
+		*b = backlog{previous: b.current, rotatedAt: now}
 	}
 }
 
 func (b *backlog) add(units float64, now time.Time) {
-	b.turn(now)
-	b.now += units
+	b.rotate(now)
+	b.current += units
 }
 
-// within returns what was refused within the last backlogTime.
-func (b *backlog) within(now time.Time) float64 {
-	b.turn(now)
-	return b.now + b.before
+// total returns what was refused total the last backlogTime.
+func (b *backlog) total(now time.Time) float64 {
+	b.rotate(now)
+	return b.current + b.previous
 }
--- a/access/quota.go
+++ b/access/quota.go
@@ -27,9 +27,9 @@
 	DefaultCost float64 // units of a request that does not say how many tokens it uses
 }
 
-// mostUnits bounds what a quota or a request may say, so that sums of thousands stay exact in
+// maxUnits bounds what a quota or a request may say, so that sums of thousands stay exact in
 // floating point.
-const mostUnits = 1e12
+const maxUnits = 1e12
 
 // check names the field that can't be meant.
 func (q Quota) check() error {
@@ -37,8 +37,8 @@
 		name  string
 		value float64
 	}{{"rate", q.Rate}, {"burst", q.Burst}, {"tokens of a request that states none", q.DefaultCost}} {
-		if !(f.value >= 0 && f.value <= mostUnits) { // nor NaN
-			return errors.Errorf("%s: %v: give a number from 0 to %v", f.name, f.value, float64(mostUnits))
+		if !(f.value >= 0 && f.value <= maxUnits) { // nor NaN
+			return errors.Errorf("%s: %v: give a number from 0 to %v", f.name, f.value, float64(maxUnits))
 		}
 	}
 	return nil
@@ -47,16 +47,16 @@
 // IsLimited tells whether the quota sets a limit.
 func (q Quota) IsLimited() bool { return q.Rate > 0 }
 
-// burstTime is the time of the rate that a quota without a burst holds at any moment, so that a
+// defaultBurstWindow is the time of the rate that a quota without a burst holds at any moment, so that a
 // request of usual size fits at all.
-const burstTime = 500 * time.Millisecond
+const defaultBurstWindow = 500 * time.Millisecond
 
 // burst returns how many units the quota holds at any moment.
 func (q Quota) burst() float64 {
 	if q.Burst > 0 {
 		return q.Burst
 	}
-	return q.Rate * burstTime.Seconds()
+	return q.Rate * defaultBurstWindow.Seconds()
 }
 
 // Cost returns how many units a request counts, by the tokens that it says it uses; stated is
@@ -68,7 +68,7 @@
 	case !stated:
 		return max(q.DefaultCost, 1)
 	}
-	return min(max(float64(tokens), 1), mostUnits)
+	return min(max(float64(tokens), 1), maxUnits)
 }
 
 // Bounds is what an operator allows beyond the quotas, over all boxes, so that boxes need not ask
@@ -84,16 +84,16 @@
 // the start, and what it was forgiven without a leader. What is left of the whole is for leaders that
 // change, and for requests that are larger than a pool.
 const (
-	// callersPart is the part of the overshoot that callers are given, of the rate: who asks a little
+	// callerFraction is the part of the overshoot that callers are given, of the rate: who asks a little
 	// more than its quota is served, as the operator allows. On a day on which one of sixteen
 	// organisations asked a tenth more than its quota, 263 of 24,700 requests were refused without it.
-	callersPart = 0.5
-	// floatPart is what the boxes may have spent and not drawn, of the rest.
-	floatPart = 0.2
-	// reservePart is what pools hold besides the burst, of the rest: the burst's parts in the data
+	callerFraction = 0.5
+	// creditFraction is what the boxes may have spent and not drawn, of the rest.
+	creditFraction = 0.2
+	// reserveFraction is what pools hold besides the burst, of the rest: the burst's parts in the data
 	// centres would be smaller than a long prompt, and one that is there must not make the next
 	// ones wait.
-	reservePart = 0.2
+	reserveFraction = 0.2
 )
 
 // rate returns how many units a second are handed out of a quota.
@@ -101,17 +101,17 @@
 	if b.Window <= 0 {
 		return q.Rate
 	}
-	return q.Rate * (1 + callersPart*max(b.Overshoot, 0))
+	return q.Rate * (1 + callerFraction*max(b.Overshoot, 0))
 }
 
-// beyond returns how many units are allowed in a window besides the quota.
-func (b Bounds) beyond(q Quota) float64 {
+// excess returns how many units are allowed in a window besides the quota.
+func (b Bounds) excess(q Quota) float64 {
 	return max(b.Overshoot*(q.Rate*b.Window.Seconds()+q.Burst)+b.Slack, 0)
 }
 
-// rest returns how many of these callers are not given.
-func (b Bounds) rest(q Quota) float64 {
-	return b.beyond(q) - (b.rate(q)-q.Rate)*b.Window.Seconds()
+// internalExcess returns how many of these callers are not given.
+func (b Bounds) internalExcess(q Quota) float64 {
+	return b.excess(q) - (b.rate(q)-q.Rate)*b.Window.Seconds()
 }
 
 // Limit is what a pool hands out of one quota.
@@ -124,7 +124,7 @@
 func (b Bounds) Limit(q Quota, share float64) Limit {
 	l := Limit{Rate: b.rate(q) * share, Capacity: q.burst() * share}
 	if b.Window > 0 {
-		l.Capacity += reservePart * b.rest(q) * share
+		l.Capacity += reserveFraction * b.internalExcess(q) * share
 	}
 	return l
 }
@@ -135,7 +135,7 @@
 	if boxes <= 0 || b.Window <= 0 {
 		return 0
 	}
-	return floatPart * b.rest(q) / float64(boxes)
+	return creditFraction * b.internalExcess(q) / float64(boxes)
 }
 
 // Share returns the part of each quota that a box hands out for its data centre, one of so many:
--- a/backoff/parse.go
+++ b/backoff/parse.go
@@ -21,18 +21,18 @@
 // disagree.
 func Parse(values []string) (time.Duration, error) {
 	var longest time.Duration
-	var unread error
+	var invalid error
 	for _, v := range values {
 		d, err := parse(v)
 		if err != nil {
-			unread = err
+			invalid = err
 		}
 		longest = max(longest, d)
 	}
 	if longest > 0 {
 		return longest, nil
 	}
-	return 0, unread
+	return 0, invalid
 }
 
 func parse(value string) (time.Duration, error) {
--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -9,11 +9,11 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestWhatAnEndpointAsksForIsRead(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, x := range []struct {
-		values []string
-		want   time.Duration
-		unread bool
+		values  []string
+		want    time.Duration
+		invalid bool
 	}{
 		{values: nil},
 		{values: []string{"3"}, want: 3 * time.Second},
@@ -24,16 +24,16 @@
 		{values: []string{"1e300"}, want: Max},
 		{values: []string{"1e999"}, want: Max},
 		{values: []string{"inf"}, want: Max},
-		{values: []string{"-inf"}, unread: true},
-		{values: []string{"-1"}, unread: true},
-		{values: []string{"NaN"}, unread: true},
-		{values: []string{""}, unread: true},
-		{values: []string{"Thu, 03 Dec 2026 07:00:00 GMT"}, unread: true},
+		{values: []string{"-inf"}, invalid: true},
+		{values: []string{"-1"}, invalid: true},
+		{values: []string{"NaN"}, invalid: true},
+		{values: []string{""}, invalid: true},
+		{values: []string{"Thu, 03 Dec 2026 07:00:00 GMT"}, invalid: true},
 	} {
 		c := quicktest.New(t)
 		got, err := Parse(x.values)
 		c.Check(got, quicktest.Equals, x.want, quicktest.Commentf("%q", x.values))
-		c.Check(err != nil, quicktest.Equals, x.unread, quicktest.Commentf("%q", x.values))
+		c.Check(err != nil, quicktest.Equals, x.invalid, quicktest.Commentf("%q", x.values))
 	}
 }
 
--- a/backoff/table.go
+++ b/backoff/table.go
@@ -22,16 +22,16 @@
 func (t *Table) Extend(endpoint string, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	used := !now.Before(t.until[endpoint])
-	t.forgetLocked(now)
+	wasAvailable := !now.Before(t.until[endpoint])
+	t.dropExpiredLocked(now)
 	if until := now.Add(min(d, Max)); until.After(t.until[endpoint]) {
 		t.until[endpoint] = until
 	}
-	return used
+	return wasAvailable
 }
 
-// forgetLocked drops expired back-offs.
-func (t *Table) forgetLocked(now time.Time) {
+// dropExpiredLocked drops expired back-offs.
+func (t *Table) dropExpiredLocked(now time.Time) {
 	if t.until == nil {
 		t.until = make(map[string]time.Time)
 	}
@@ -59,11 +59,11 @@
 	return list
 }
 
-// spreadPart is the part of a back-off by which callers come back later than others: all that are
+// jitterFraction is the part of a back-off by which callers come back later than others: all that are
 // refused during one back-off would come back at its end.
-const spreadPart = 0.25
+const jitterFraction = 0.25
 
 // RetryAfter returns when a caller may come back to endpoints whose back-offs last so long.
 func RetryAfter(left time.Duration) time.Duration {
-	return left + time.Duration(rand.Float64()*spreadPart*float64(left))
+	return left + time.Duration(rand.Float64()*jitterFraction*float64(left))
 }
--- a/backoff/table_test.go
+++ b/backoff/table_test.go
@@ -9,7 +9,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestAnEndpointIsLeftAloneForAsLongAsItAsks(t *testing.T) {
+func TestBackoffLastsAsLongAsRequested(t *testing.T) {
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
@@ -22,7 +22,7 @@
 }
 
 // An endpoint that asks each request for a second or for three counts each answer for itself.
-func TestTheLongestOfSeveralWordsHolds(t *testing.T) {
+func TestBackoffIsNeverShortened(t *testing.T) {
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
@@ -35,7 +35,7 @@
 	c.Assert(b.Remaining("e1", now), quicktest.Equals, Max)
 }
 
-func TestWhatIsOverIsForgottenAtTheNextWord(t *testing.T) {
+func TestExtendDropsExpiredBackoffs(t *testing.T) {
 	c := quicktest.New(t)
 	var b Table
 	now := time.Unix(1000, 0)
@@ -47,7 +47,7 @@
 	c.Assert(b.until, quicktest.HasLen, 2)
 }
 
-func TestCallersDoNotComeBackTogether(t *testing.T) {
+func TestRetryAfterHasJitter(t *testing.T) {
 	c := quicktest.New(t)
 	seen := make(map[time.Duration]bool)
 	for range 20 {
--- a/measure/scarce.go
+++ b/measure/scarce.go
@@ -15,7 +15,7 @@
 )
 
 // Scarce simulates endpoints whose slots for adapters are scarce and whose prompts are long,
-// and compares where loads go: to each adapter's fixed endpoint, or where policy.SiteFacts
+// and compares where loads go: to each adapter's fixed endpoint, or where policy.LoadTarget
 // costs the least. Both get the same requests in one run. Time is simulated, so the result
 // depends on the seed alone.
 type Scarce struct {
--- a/placement/headroom.go
+++ b/placement/headroom.go
@@ -10,7 +10,7 @@
 )
 
 // noLimits is the default of Loader.Headroom: no endpoint announces a limit.
-func noLimits(string, time.Time) ratelimit.Headroom { return ratelimit.Headroom{Spare: true} }
+func noLimits(string, time.Time) ratelimit.Headroom { return ratelimit.Headroom{HasSpare: true} }
 
 // isSaturated reports whether an endpoint announces a rate limit and receives all the requests
 // that it accepts. Adapters are loaded elsewhere where possible, since each adapter attracts
@@ -18,7 +18,7 @@
 // are useful for rarely requested adapters.
 func (l *Loader) isSaturated(endpoint string, now time.Time) bool {
 	r := l.Headroom(endpoint, now)
-	return r.Limited && !r.Spare
+	return r.Limited && !r.HasSpare
 }
 
 // isThrottled reports whether an endpoint currently accepts no more requests.
--- a/placement/headroom_test.go
+++ b/placement/headroom_test.go
@@ -17,7 +17,7 @@
 func (b *fixture) limitEndpoints(endpoints map[string]time.Duration) {
 	b.loader.Headroom = func(id string, _ time.Time) ratelimit.Headroom {
 		wait, limited := endpoints[id]
-		return ratelimit.Headroom{Limited: limited, Wait: wait, Spare: !limited}
+		return ratelimit.Headroom{Limited: limited, Wait: wait, HasSpare: !limited}
 	}
 }
 
--- a/policy/decay.go
+++ b/policy/decay.go
@@ -14,25 +14,25 @@
 }
 
 // Add counts n events at now.
-func (p *DecayingCounter) Add(n float64, now time.Time, halfLife time.Duration) {
-	p.count = p.decayed(now, halfLife) + n
-	p.updatedAt = now
+func (c *DecayingCounter) Add(n float64, now time.Time, halfLife time.Duration) {
+	c.count = c.decayed(now, halfLife) + n
+	c.updatedAt = now
 }
 
 // Rate returns the events per second at now.
-func (p *DecayingCounter) Rate(now time.Time, halfLife time.Duration) float64 {
-	return p.decayed(now, halfLife) * math.Ln2 / halfLife.Seconds()
+func (c *DecayingCounter) Rate(now time.Time, halfLife time.Duration) float64 {
+	return c.decayed(now, halfLife) * math.Ln2 / halfLife.Seconds()
 }
 
 // Count returns the decayed number of events at now.
-func (p *DecayingCounter) Count(now time.Time, halfLife time.Duration) float64 {
-	return p.decayed(now, halfLife)
+func (c *DecayingCounter) Count(now time.Time, halfLife time.Duration) float64 {
+	return c.decayed(now, halfLife)
 }
 
-func (p *DecayingCounter) decayed(now time.Time, halfLife time.Duration) float64 {
-	if p.count == 0 {
+func (c *DecayingCounter) decayed(now time.Time, halfLife time.Duration) float64 {
+	if c.count == 0 {
 		return 0
 	}
-	age := now.Sub(p.updatedAt).Seconds()
-	return p.count * math.Exp2(-age/halfLife.Seconds())
+	age := now.Sub(c.updatedAt).Seconds()
+	return c.count * math.Exp2(-age/halfLife.Seconds())
 }
--- a/policy/defer.go
+++ b/policy/defer.go
@@ -24,13 +24,13 @@
 
 // ShouldDefer reports whether a deferrable request should wait for a fuller batch: the running
 // requests and the deferrable ones together would fill less of the batch than Fullness requires.
-func (w BatchPolicy) ShouldDefer(f DeferralState) bool {
-	if w.Fullness <= 0 || !IsDeferrable(f.MaxWait) {
+func (b BatchPolicy) ShouldDefer(s DeferralState) bool {
+	if b.Fullness <= 0 || !IsDeferrable(s.MaxWait) {
 		return false
 	}
-	longest := min(f.MaxWait/deferralDivisor, maxDeferral)
-	if f.Waited >= time.Duration(w.Fullness*float64(longest)) {
+	longest := min(s.MaxWait/deferralDivisor, maxDeferral)
+	if s.Waited >= time.Duration(b.Fullness*float64(longest)) {
 		return false
 	}
-	return float64(f.Running+f.Deferrable) < w.Fullness*float64(f.Limit)
+	return float64(s.Running+s.Deferrable) < b.Fullness*float64(s.Limit)
 }
--- a/policy/evict.go
+++ b/policy/evict.go
@@ -73,7 +73,7 @@
 	if best < 0 || w.OldestWait >= w.MaxDeferral {
 		return best
 	}
-	if least > deferralThreshold*w.value(slots[best].LoadCost) {
+	if least > deferralThreshold*w.reloadCost(slots[best].LoadCost) {
 		return -1
 	}
 	return best
@@ -83,10 +83,10 @@
 	return s.Rate * s.LoadCost.Seconds() * priorityWeight(s.Priority)
 }
 
-// value is the expected reload cost of the pending adapter. Its waiting requests count as
+// reloadCost is the expected reload cost of the pending adapter. Its waiting requests count as
 // arrivals within one second.
-func (w PendingAdapter) value(loadCost time.Duration) float64 {
-	return (w.Rate + float64(w.Requests)) * loadCost.Seconds() * priorityWeight(w.Priority)
+func (p PendingAdapter) reloadCost(loadCost time.Duration) float64 {
+	return (p.Rate + float64(p.Requests)) * loadCost.Seconds() * priorityWeight(p.Priority)
 }
 
 func priorityWeight(p int) float64 { return 1 + float64(max(p, 0)) }
--- a/policy/place.go
+++ b/policy/place.go
@@ -22,11 +22,11 @@
 }
 
 // utilisation is 1 for a full batch with an empty queue, and 0 if the capacity is not known.
-func (f EndpointState) utilisation() float64 {
-	if f.Limit == 0 {
+func (s EndpointState) utilisation() float64 {
+	if s.Limit == 0 {
 		return 0
 	}
-	return float64(f.Running+f.Waiting) / float64(f.Limit)
+	return float64(s.Running+s.Waiting) / float64(s.Limit)
 }
 
 // Placement orders the endpoints of a request's base model, best first. Scores are by index of
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -38,18 +38,18 @@
 	return best
 }
 
-func (w QueuedRequest) before(o QueuedRequest) bool {
-	a, b := w.rank(), o.rank()
+func (q QueuedRequest) before(o QueuedRequest) bool {
+	a, b := q.agedPriority(), o.agedPriority()
 	if a != b {
 		return a < b
 	}
-	if w.CallerRunning != o.CallerRunning {
-		return w.CallerRunning < o.CallerRunning
+	if q.CallerRunning != o.CallerRunning {
+		return q.CallerRunning < o.CallerRunning
 	}
-	return w.Waited > o.Waited
+	return q.Waited > o.Waited
 }
 
-func (w QueuedRequest) rank() int { return w.Priority - int(w.Waited/agingInterval) }
+func (q QueuedRequest) agedPriority() int { return q.Priority - int(q.Waited/agingInterval) }
 
 // Admission is the input to Admit for a request that cannot run at once.
 type Admission struct {
--- a/policy/target.go
+++ b/policy/target.go
@@ -34,13 +34,13 @@
 // Cost returns the expected time to first token, without the request's own prompt, plus the
 // cost to other requests. Queued prompts count in full although some are processed during the
 // load, since about as many arrive until its end.
-func (s LoadTarget) Cost() time.Duration {
-	cost := s.SlotWait + s.LoadTime + s.PrefillTime
-	cost += time.Duration(s.SlotUtilisation * float64(utilisationCost))
-	if s.FromStore {
+func (t LoadTarget) Cost() time.Duration {
+	cost := t.SlotWait + t.LoadTime + t.PrefillTime
+	cost += time.Duration(t.SlotUtilisation * float64(utilisationCost))
+	if t.FromStore {
 		cost += storeLoadCost
 	}
-	if !s.Preferred {
+	if !t.Preferred {
 		cost += nonPreferredCost
 	}
 	return cost
--- a/quarantine/answered.go
+++ b/quarantine/answered.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// answeredFor is how long an answer keeps a request from being suspected: what many callers ask for, such as a page
+	// answeredTTL is how long an answer keeps a request from being suspected: what many callers ask for, such as a page
 	// that all of them open, is answered many times a minute.
-	answeredFor = time.Minute
-	// mostAnswered bounds what is remembered; two full generations take 0.9 MB of heap. A box with
+	answeredTTL = time.Minute
+	// maxAnswered bounds what is remembered; two full generations take 0.9 MB of heap. A box with
 	// 100 requests a second remembers 40 s.
-	mostAnswered = 4096
+	maxAnswered = 4096
 )
 
 // AnsweredRequests is the requests that endpoints lately answered whole, so that they are not suspected: they did not end
 // under those. It is safe for concurrent use; the zero value is empty.
 type AnsweredRequests struct {
-	mu     sync.Mutex
-	memory *memory
+	mu   sync.Mutex
+	seen *generationMap
 }
 
 // Add notes that an endpoint answered a request.
@@ -28,7 +28,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	a.memory.put(string(c[:]), nil, now)
+	a.seen.put(string(c[:]), nil, now)
 }
 
 // Has tells whether an endpoint answered a request lately.
@@ -36,12 +36,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	_, ok := a.memory.get(string(c[:]), now)
+	_, ok := a.seen.get(string(c[:]), now)
 	return ok
 }
 
 func (a *AnsweredRequests) initLocked() {
-	if a.memory == nil {
-		a.memory = &memory{span: answeredFor, most: mostAnswered}
+	if a.seen == nil {
+		a.seen = &generationMap{lifetime: answeredTTL, maxKeys: maxAnswered}
 	}
 }
--- a/quarantine/counter.go
+++ b/quarantine/counter.go
@@ -15,82 +15,82 @@
 	// another cause: by the model of the tests 81 such requests would be refused, with three 4.
 	MaxTerminations = 3
 
-	// suspectFor is how long an end counts. Callers come back within seconds or by a schedule of
+	// suspectTTL is how long an end counts. Callers come back within seconds or by a schedule of
 	// minutes; endpoints that end hours apart under one request do so by chance more often than by it.
-	suspectFor = time.Hour
-	// mostSuspects bounds what is counted: requests that ran at endpoints that ended. Two full
+	suspectTTL = time.Hour
+	// maxSuspects bounds what is counted: requests that ran at endpoints that ended. Two full
 	// generations with one end each take 2.4 MB of heap.
-	mostSuspects = 8192
-	// mostExplained bounds the endpoints of which it is known under what they ended.
-	mostExplained = 1024
+	maxSuspects = 8192
+	// maxAttributed bounds the endpoints of which it is known under what they ended.
+	maxAttributed = 1024
 )
 
-// endsKept bounds the endpoints that are remembered for one request: some that others explain, and
+// maxTerminationsKept bounds the endpoints that are remembered for one request: some that others explain, and
 // those that count.
-const endsKept = 2 * MaxTerminations
+const maxTerminationsKept = 2 * MaxTerminations
 
 // Counter counts the endpoints that ended under each request, by the word of many boxes, and finds
 // the requests to keep away. It is safe for concurrent use; the zero value has counted nothing.
 type Counter struct {
 	mu       sync.Mutex
-	suspects *memory // by content: endpoints that ended under it, oldest first
-	// explained has, by endpoint, the ends for which a request was found that explains them; none
+	suspects *generationMap // by content: endpoints that ended under it, oldest first
+	// attributed has, by endpoint, the ends for which a request was found that explains them; none
 	// where that one was kept away already, and was still on its way.
-	explained *memory
+	attributed *generationMap
 }
 
 func (k *Counter) initLocked() {
 	if k.suspects == nil {
-		k.suspects = &memory{span: suspectFor, most: mostSuspects}
-		k.explained = &memory{span: suspectFor, most: mostExplained}
+		k.suspects = &generationMap{lifetime: suspectTTL, maxKeys: maxSuspects}
+		k.attributed = &generationMap{lifetime: suspectTTL, maxKeys: maxAttributed}
 	}
 }
 
 // RecordTermination takes in that an endpoint ended while it ran the requests of these contents, as one box saw
 // it. It returns those that have to be kept from endpoints from now on. kept tells which ones are
 // already: what ended under one of them says nothing of the others that ran there.
-func (k *Counter) RecordTermination(endpoint string, contents []Fingerprint, kept func(Fingerprint) bool, now time.Time) []Fingerprint {
+func (k *Counter) RecordTermination(endpoint string, requests []Fingerprint, isQuarantined func(Fingerprint) bool, now time.Time) []Fingerprint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.initLocked()
-	if slices.ContainsFunc(contents, kept) {
-		k.explained.put(endpoint, nil, now)
+	if slices.ContainsFunc(requests, isQuarantined) {
+		k.attributed.put(endpoint, nil, now)
 	}
 	var found []Fingerprint
-	for _, c := range contents {
-		if !kept(c) && k.addLocked(c, endpoint, now) >= MaxTerminations {
+	for _, c := range requests {
+		if !isQuarantined(c) && k.addTerminationLocked(c, endpoint, now) >= MaxTerminations {
 			found = append(found, c)
 		}
 	}
 	for _, c := range found {
-		k.explainLocked(c, now)
+		k.attributeLocked(c, now)
 	}
 	return found
 }
 
-// addLocked adds an endpoint to those that ended under a content, and returns how many count.
-func (k *Counter) addLocked(c Fingerprint, endpoint string, now time.Time) int {
+// addTerminationLocked adds an endpoint to those that ended under a content, and returns how many count.
+func (k *Counter) addTerminationLocked(c Fingerprint, endpoint string, now time.Time) int {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
 	if !slices.Contains(ends, endpoint) {
 		ends = append(slices.Clone(ends), endpoint)
-		ends = ends[max(len(ends)-endsKept, 0):]
+		ends = ends[max(len(ends)-maxTerminationsKept, 0):]
 		k.suspects.put(key, ends, now)
 	}
 	count := 0
 	for _, e := range ends {
-		if !k.isExplainedLocked(e, ends, now) {
+		if !k.isAttributedLocked(e, ends, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// isExplainedLocked tells whether the end of an endpoint is explained by another request than one
+// isAttributedLocked tells whether the end of an endpoint is explained by another request than one
 // under which those of ends ended. A request that was there each time explains it as well: the one
 // that was found may have run beside it, and have been told first.
-func (k *Counter) isExplainedLocked(endpoint string, ends []string, now time.Time) bool {
-	by, ok := k.explained.get(endpoint, now)
+func (k *Counter) isAttributedLocked(endpoint string, ends []string, now time.Time) bool {
+	by, ok := k.attributed.get(endpoint, now)
 	if !ok {
 		return false
 	}
@@ -98,12 +98,12 @@
 	return len(by) == 0 || slices.ContainsFunc(by, missing)
 }
 
-// explainLocked notes that a content explains the ends of all endpoints that ended under it.
-func (k *Counter) explainLocked(c Fingerprint, now time.Time) {
+// attributeLocked notes that a content explains the ends of all endpoints that ended under it.
+func (k *Counter) attributeLocked(c Fingerprint, now time.Time) {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
 	for _, e := range ends {
-		k.explained.put(e, ends, now)
+		k.attributed.put(e, ends, now)
 	}
-	k.suspects.drop(key)
+	k.suspects.remove(key)
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -15,13 +15,13 @@
 	"encoding/hex"
 )
 
-// contentSize is how many bytes of a SHA-256 make a Content: two requests that differ do not
+// fingerprintSize is how many bytes of a SHA-256 make a Content: two requests that differ do not
 // meet in 128 bits, also where somebody looks for such a pair.
-const contentSize = 16
+const fingerprintSize = 16
 
 // Fingerprint names what a request asks for: its method, host and target, whose it is, and its body.
 // Requests that differ in nothing else, such as their IDs, have the same one.
-type Fingerprint [contentSize]byte
+type Fingerprint [fingerprintSize]byte
 
 // NewFingerprint returns the content of a request; target is the path and the query as the caller
 // wrote them, organisation is empty for nobody's. Whose it is counts, so that no caller can have
@@ -33,13 +33,13 @@
 		h.Write([]byte(t))
 	}
 	h.Write(body)
-	return Fingerprint(h.Sum(nil)[:contentSize])
+	return Fingerprint(h.Sum(nil)[:fingerprintSize])
 }
 
 // ParseFingerprint reads what String returned; false where it is none.
 func ParseFingerprint(text string) (c Fingerprint, ok bool) {
 	raw, err := hex.DecodeString(text)
-	if err != nil || len(raw) != contentSize {
+	if err != nil || len(raw) != fingerprintSize {
 		return Fingerprint{}, false
 	}
 	return Fingerprint(raw), true
@@ -48,13 +48,13 @@
 // String returns the content in hexadecimal digits.
 func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
 
-// mostTold bounds the contents that one message names of one endpoint: more than an endpoint runs at a time.
-const mostTold = 512
+// maxPerMessage bounds the contents that one message names of one endpoint: more than an endpoint runs at a time.
+const maxPerMessage = 512
 
 // Encode returns contents for a message to another process.
 func Encode(list []Fingerprint) [][]byte {
-	raw := make([][]byte, 0, min(len(list), mostTold))
-	for _, c := range list[:min(len(list), mostTold)] {
+	raw := make([][]byte, 0, min(len(list), maxPerMessage))
+	for _, c := range list[:min(len(list), maxPerMessage)] {
 		raw = append(raw, c[:])
 	}
 	return raw
@@ -63,21 +63,21 @@
 // Decode reads the contents of a message of another process; what is none is passed over.
 func Decode(raw [][]byte) []Fingerprint {
 	var list []Fingerprint
-	for _, r := range raw[:min(len(raw), mostTold)] {
-		if len(r) == contentSize {
+	for _, r := range raw[:min(len(raw), maxPerMessage)] {
+		if len(r) == fingerprintSize {
 			list = append(list, Fingerprint(r))
 		}
 	}
 	return list
 }
 
-// mostTexts bounds the contents that one line of a log names.
-const mostTexts = 32
+// maxPerLogLine bounds the contents that one line of a log names.
+const maxPerLogLine = 32
 
 // Strings returns contents for a line of a log.
 func Strings(list []Fingerprint) []string {
-	some := make([]string, 0, min(len(list), mostTexts))
-	for _, c := range list[:min(len(list), mostTexts)] {
+	some := make([]string, 0, min(len(list), maxPerLogLine))
+	for _, c := range list[:min(len(list), maxPerLogLine)] {
 		some = append(some, c.String())
 	}
 	return some
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestRequestsThatAskForTheSameHaveTheSameContent(t *testing.T) {
+func TestFingerprintDependsOnEveryField(t *testing.T) {
 	c := quicktest.New(t)
 	one := NewFingerprint("POST", "h", "/a?q=1", "org", []byte("body"))
 	c.Assert(NewFingerprint("POST", "h", "/a?q=1", "org", []byte("body")), quicktest.Equals, one)
@@ -32,7 +32,7 @@
 }
 
 // Each request is named once: 1.9 microseconds with a body of 2 KB, where none was named before.
-func BenchmarkContentOf(b *testing.B) {
+func BenchmarkNewFingerprint(b *testing.B) {
 	body := make([]byte, 2<<10)
 	for b.Loop() {
 		NewFingerprint("POST", "h.example", "/v1/completions", "org", body)
--- a/quarantine/generation_map.go
+++ b/quarantine/generation_map.go
@@ -4,43 +4,43 @@
 
 import "time"
 
-// memory keeps lists of names by key for a while, and a bounded number of them. It has two
+// generationMap keeps lists of names by key for a while, and a bounded number of them. It has two
 // generations, of which the older is dropped whole: what was put is kept for a span at least, unless
 // more came within it than a generation holds, and for two at most.
-type memory struct {
-	span time.Duration // of a generation
-	most int           // keys of a generation
+type generationMap struct {
+	lifetime time.Duration // of a generation
+	maxKeys  int           // keys of a generation
 
-	recent, older map[string][]string
-	begun         time.Time // when recent began
+	current, previous map[string][]string
+	rotatedAt         time.Time // when recent began
 }
 
-// turn begins a new generation where the recent one is old or full.
-func (m *memory) turn(now time.Time) {
-	if m.recent != nil && now.Sub(m.begun) < m.span && len(m.recent) < m.most {
+// rotate begins a new generation where the recent one is old or full.
+func (m *generationMap) rotate(now time.Time) {
+	if m.current != nil && now.Sub(m.rotatedAt) < m.lifetime && len(m.current) < m.maxKeys {
 		return
 	}
-	m.older = m.recent
-	if now.Sub(m.begun) >= 2*m.span {
-		m.older = nil
+	m.previous = m.current
+	if now.Sub(m.rotatedAt) >= 2*m.lifetime {
+		m.previous = nil
 	}
-	m.recent, m.begun = make(map[string][]string), now
+	m.current, m.rotatedAt = make(map[string][]string), now
 }
 
-func (m *memory) get(key string, now time.Time) (names []string, ok bool) {
-	m.turn(now)
-	if names, ok = m.recent[key]; !ok {
-		names, ok = m.older[key]
+func (m *generationMap) get(key string, now time.Time) (names []string, ok bool) {
+	m.rotate(now)
+	if names, ok = m.current[key]; !ok {
+		names, ok = m.previous[key]
 	}
 	return names, ok
 }
 
-func (m *memory) put(key string, names []string, now time.Time) {
-	m.turn(now)
-	m.recent[key] = names
+func (m *generationMap) put(key string, names []string, now time.Time) {
+	m.rotate(now)
+	m.current[key] = names
 }
 
-func (m *memory) drop(key string) {
-	delete(m.recent, key)
-	delete(m.older, key)
+func (m *generationMap) remove(key string) {
+	delete(m.current, key)
+	delete(m.previous, key)
 }
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -13,17 +13,17 @@
 	// requests of others. A request that was repaired has other content, and an endpoint that was runs
 	// it an hour later.
 	Duration = time.Hour
-	// mostKept bounds the list; a new one takes the place of the one that ends first. A full one
+	// maxListed bounds the list; a new one takes the place of the one that ends first. A full one
 	// takes 0.4 MB of heap.
-	mostKept = 4096
+	maxListed = 4096
 )
 
 // List is the requests that no endpoint is to run. It is safe for concurrent use; the zero value is
 // empty. Its times are those of the day: boxes tell each other until when a request is kept away.
 type List struct {
-	mu    sync.Mutex
-	until map[Fingerprint]time.Time
-	over  []Fingerprint // dropped since the last call of Expire
+	mu      sync.Mutex
+	until   map[Fingerprint]time.Time
+	dropped []Fingerprint // dropped since the last call of Expire
 }
 
 // Add keeps a request from endpoints until a time; it tells whether that is news.
@@ -33,18 +33,18 @@
 	if l.until == nil {
 		l.until = make(map[Fingerprint]time.Time)
 	}
-	_, known := l.until[c]
-	if !known && len(l.until) >= mostKept {
-		l.dropFirstLocked()
+	_, listed := l.until[c]
+	if !listed && len(l.until) >= maxListed {
+		l.dropEarliestLocked()
 	}
 	if until.After(l.until[c]) {
 		l.until[c] = until
 	}
-	return !known
+	return !listed
 }
 
-// dropFirstLocked drops the request whose time ends first.
-func (l *List) dropFirstLocked() {
+// dropEarliestLocked drops the request whose time ends first.
+func (l *List) dropEarliestLocked() {
 	var first Fingerprint
 	var ends time.Time
 	for c, u := range l.until {
@@ -53,7 +53,7 @@
 		}
 	}
 	delete(l.until, first)
-	l.over = append(l.over, first)
+	l.dropped = append(l.dropped, first)
 }
 
 // Remaining tells how much longer a request is kept from endpoints; false: it is not.
@@ -72,15 +72,15 @@
 func (l *List) Expire(now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := l.over
-	l.over = nil
+	removed := l.dropped
+	l.dropped = nil
 	for c, u := range l.until {
 		if !now.Before(u) {
-			over = append(over, c)
+			removed = append(removed, c)
 			delete(l.until, c)
 		}
 	}
-	return over
+	return removed
 }
 
 // Len returns how many requests are kept away.
--- a/quarantine/monitor.go
+++ b/quarantine/monitor.go
@@ -11,9 +11,9 @@
 	"cairnwick.example/clock"
 )
 
-// mostCuts is how many requests that were cut off wait to be looked into: as many as a box holds
+// maxPendingInterruptions is how many requests that were cut off wait to be looked into: as many as a box holds
 // where several endpoints end together. More are left out, and counted.
-const mostCuts = 1024
+const maxPendingInterruptions = 1024
 
 // Monitor finds out which endpoints ended while they ran requests of this process. An answer that
 // breaks off says nothing of that: a link may be cut, one answer may be spoilt. Set the exported
@@ -28,7 +28,7 @@
 	answered AnsweredRequests
 
 	mu     sync.Mutex
-	queue  chan cutOff // made at its first use
+	queue  chan interruption // made at its first use
 	counts TerminationCounts
 }
 
@@ -40,22 +40,22 @@
 	Dropped   int64 `json:"left_out"`  // requests that were not looked into, since too many waited
 }
 
-// place is one life of an endpoint, and where it is.
-type place struct {
+// instance is one life of an endpoint, and where it is.
+type instance struct {
 	endpoint string
 	address  string
 }
 
-// cutOff is a request whose answer broke off.
-type cutOff struct {
-	place   place
-	content Fingerprint
+// interruption is a request whose answer broke off.
+type interruption struct {
+	instance instance
+	request  Fingerprint
 }
 
-// look is what a look at an endpoint showed.
-type look struct {
-	place place
-	ended bool
+// probeResult is what a probeResult at an endpoint showed.
+type probeResult struct {
+	instance   instance
+	terminated bool
 }
 
 // RecordResponse notes that an endpoint answered a request whole; now is a time of package clock.
@@ -64,7 +64,7 @@
 // RecordInterruption notes that an endpoint broke off the answer to a request.
 func (w *Monitor) RecordInterruption(endpoint, address string, c Fingerprint) {
 	select {
-	case w.cuts() <- cutOff{place: place{endpoint: endpoint, address: address}, content: c}:
+	case w.interruptions() <- interruption{instance: instance{endpoint: endpoint, address: address}, request: c}:
 	default:
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -79,12 +79,12 @@
 	return w.counts
 }
 
-// cuts returns the requests that were cut off and wait to be looked into.
-func (w *Monitor) cuts() chan cutOff {
+// interruptions returns the requests that were cut off and wait to be looked into.
+func (w *Monitor) interruptions() chan interruption {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.queue == nil {
-		w.queue = make(chan cutOff, mostCuts)
+		w.queue = make(chan interruption, maxPendingInterruptions)
 	}
 	return w.queue
 }
@@ -92,39 +92,41 @@
 // Run looks at each endpoint that cut off requests, until ctx ends. What an endpoint cuts off
 // during a look counts by it too.
 func (w *Monitor) Run(ctx context.Context) error {
-	waiting := make(map[place][]Fingerprint)
-	looked := make(chan look)
+	pending := make(map[instance][]Fingerprint)
+	results := make(chan probeResult)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case c := <-w.cuts():
-			if waiting[c.place] == nil {
-				go func() { looked <- look{place: c.place, ended: w.IsTerminated(ctx, c.place.address)} }()
+		case c := <-w.interruptions():
+			if pending[c.instance] == nil {
+				go func() {
+					results <- probeResult{instance: c.instance, terminated: w.IsTerminated(ctx, c.instance.address)}
+				}()
 			}
-			waiting[c.place] = append(waiting[c.place], c.content)
-		case l := <-looked:
-			w.conclude(l, waiting[l.place], clock.Now())
-			delete(waiting, l.place)
+			pending[c.instance] = append(pending[c.instance], c.request)
+		case r := <-results:
+			w.handleProbe(r, pending[r.instance], clock.Now())
+			delete(pending, r.instance)
 		}
 	}
-	for range waiting {
-		<-looked
+	for range pending {
+		<-results
 	}
 	return nil
 }
 
-// conclude notes what a look at an endpoint showed for the requests that it cut off.
-func (w *Monitor) conclude(l look, cut []Fingerprint, now time.Time) {
-	w.count(l.ended, len(cut))
-	if l.ended {
-		w.OnTermination(l.place.endpoint, slices.DeleteFunc(cut, func(c Fingerprint) bool { return w.answered.Has(c, now) }))
+// handleProbe notes what a look at an endpoint showed for the requests that it cut off.
+func (w *Monitor) handleProbe(r probeResult, requests []Fingerprint, now time.Time) {
+	w.addCounts(r.terminated, len(requests))
+	if r.terminated {
+		w.OnTermination(r.instance.endpoint, slices.DeleteFunc(requests, func(c Fingerprint) bool { return w.answered.Has(c, now) }))
 	}
 }
 
-func (w *Monitor) count(ended bool, requests int) {
+func (w *Monitor) addCounts(terminated bool, requests int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !ended {
+	if !terminated {
 		w.counts.Alive += int64(requests)
 		return
 	}
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -16,10 +16,10 @@
 
 // RecordTermination takes in that an endpoint ended while it ran requests, as one process saw it, and returns
 // those that have to be kept from endpoints from now on.
-func (t *Tracker) RecordTermination(endpoint string, contents []Fingerprint, now time.Time) []Fingerprint {
-	kept := func(c Fingerprint) bool {
-		_, held := t.list.Remaining(c, now)
-		return held
+func (t *Tracker) RecordTermination(endpoint string, requests []Fingerprint, now time.Time) []Fingerprint {
+	isQuarantined := func(c Fingerprint) bool {
+		_, listed := t.list.Remaining(c, now)
+		return listed
 	}
-	return t.counter.RecordTermination(endpoint, contents, kept, now)
+	return t.counter.RecordTermination(endpoint, requests, isQuarantined, now)
 }
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -12,28 +12,28 @@
 	"github.com/pkg/errors"
 )
 
-// mostRate is above the requests a second that any endpoint could be sent: a limit beyond it limits
+// maxRate is above the requests a second that any endpoint could be sent: a limit beyond it limits
 // nothing. It keeps sums of rates and times exact.
-const mostRate = 1e6
+const maxRate = 1e6
 
 // Limit is how many requests a second an endpoint takes from all boxes together. The zero value says
 // that it names no limit.
 type Limit struct {
-	rate  float64 // requests a second; from 0 to mostRate
-	named bool
+	rate float64 // requests a second; from 0 to mostRate
+	set  bool
 }
 
 // PerSecond returns the limit of so many requests a second; one that is no number, is below zero or limits
 // nothing is none.
 func PerSecond(rate float64) Limit {
-	if !(rate >= 0 && rate <= mostRate) { // nor NaN
+	if !(rate >= 0 && rate <= maxRate) { // nor NaN
 		return Limit{}
 	}
-	return Limit{rate: rate, named: true}
+	return Limit{rate: rate, set: true}
 }
 
 // IsSet tells whether there is a limit.
-func (l Limit) IsSet() bool { return l.named }
+func (l Limit) IsSet() bool { return l.set }
 
 // Rate returns the requests a second; 0 where none are taken, or where no limit is named.
 func (l Limit) Rate() float64 { return l.rate }
@@ -44,19 +44,19 @@
 // a limit nor that there is none, so what was known before stays.
 func Parse(values []string) (Limit, error) {
 	var l Limit
-	var unread error
+	var invalid error
 	for _, v := range values {
 		rate, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 		switch {
 		case math.IsInf(rate, 1): // limits nothing; also one that is too large for a float
 		case err != nil || math.IsNaN(rate) || rate < 0:
-			unread = errors.Errorf("ratelimit: %.40q: give the requests a second as a decimal number from 0", v)
-		case !l.named || rate < l.rate:
+			invalid = errors.Errorf("ratelimit: %.40q: give the requests a second as a decimal number from 0", v)
+		case !l.set || rate < l.rate:
 			l = PerSecond(rate)
 		}
 	}
-	if l.named {
+	if l.set {
 		return l, nil
 	}
-	return l, unread
+	return l, invalid
 }
--- a/ratelimit/limit_test.go
+++ b/ratelimit/limit_test.go
@@ -9,42 +9,42 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestALimitIsReadFromWhatAnEndpointNames(t *testing.T) {
+func TestParse(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		values []string
-		rate   float64
-		named  bool
-		unread bool
+		name    string
+		values  []string
+		rate    float64
+		set     bool
+		invalid bool
 	}{
 		{name: "no header"},
-		{name: "a decimal number", values: []string{"9.4"}, rate: 9.4, named: true},
-		{name: "with spaces", values: []string{" 5 "}, rate: 5, named: true},
-		{name: "zero: none are taken", values: []string{"0"}, named: true},
-		{name: "below zero by a sign alone", values: []string{"-0"}, named: true},
-		{name: "below zero", values: []string{"-3"}, unread: true},
-		{name: "no number", values: []string{"many"}, unread: true},
-		{name: "empty", values: []string{""}, unread: true},
-		{name: "NaN", values: []string{"NaN"}, unread: true},
+		{name: "a decimal number", values: []string{"9.4"}, rate: 9.4, set: true},
+		{name: "with spaces", values: []string{" 5 "}, rate: 5, set: true},
+		{name: "zero: none are taken", values: []string{"0"}, set: true},
+		{name: "below zero by a sign alone", values: []string{"-0"}, set: true},
+		{name: "below zero", values: []string{"-3"}, invalid: true},
+		{name: "no number", values: []string{"many"}, invalid: true},
+		{name: "empty", values: []string{""}, invalid: true},
+		{name: "NaN", values: []string{"NaN"}, invalid: true},
 		{name: "infinite: no limit", values: []string{"inf"}},
-		{name: "below all numbers", values: []string{"-inf"}, unread: true},
+		{name: "below all numbers", values: []string{"-inf"}, invalid: true},
 		{name: "too large for a float: no limit", values: []string{"1e999"}},
 		{name: "beyond what anybody sends: no limit", values: []string{"1e300"}},
-		{name: "two values: the lower", values: []string{"7", "5"}, rate: 5, named: true},
-		{name: "one of two can be read", values: []string{"x", "5"}, rate: 5, named: true},
-		{name: "two in one header", values: []string{"7, 5"}, unread: true},
+		{name: "two values: the lower", values: []string{"7", "5"}, rate: 5, set: true},
+		{name: "one of two can be read", values: []string{"x", "5"}, rate: 5, set: true},
+		{name: "two in one header", values: []string{"7, 5"}, invalid: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			c := quicktest.New(t)
 			l, err := Parse(x.values)
-			c.Check(l.IsSet(), quicktest.Equals, x.named)
+			c.Check(l.IsSet(), quicktest.Equals, x.set)
 			c.Check(l.Rate(), quicktest.Equals, x.rate)
-			c.Check(err != nil, quicktest.Equals, x.unread)
+			c.Check(err != nil, quicktest.Equals, x.invalid)
 		})
 	}
 }
 
-// FuzzParse: a limit that is named is a number that can be counted with.
+// FuzzParse: a limit that is set is a number that can be counted with.
 func FuzzParse(f *testing.F) {
 	f.Add("9.4", "5")
 	f.Add("NaN", "1e300")
@@ -55,7 +55,7 @@
 		if l.IsSet() && err != nil {
 			t.Errorf("%q, %q: a limit and an error: %v", a, b, err)
 		}
-		if !(l.Rate() >= 0 && l.Rate() <= mostRate) || math.IsNaN(l.Rate()) {
+		if !(l.Rate() >= 0 && l.Rate() <= maxRate) || math.IsNaN(l.Rate()) {
 			t.Errorf("%q, %q: %v", a, b, l.Rate())
 		}
 		if !l.IsSet() && l.Rate() != 0 {
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// leastRate is how many requests a second go to an endpoint that takes fewer, or none: only by
+	// minRate is how many requests a second go to an endpoint that takes fewer, or none: only by
 	// an answer do boxes hear that its need is over. Two in 4 s are below the five that may be under
 	// way to any endpoint.
-	leastRate = 0.5
-	// burstTime is the time of the rate whose requests may come at once: callers do not come evenly,
+	minRate = 0.5
+	// burstWindow is the time of the rate whose requests may come at once: callers do not come evenly,
 	// and what an endpoint takes in a second it need not take in a tenth of it.
-	burstTime = 250 * time.Millisecond
-	// mostWait bounds when a refused caller is told to come back: few wait longer, and a limit ends.
-	mostWait = 2 * time.Second
+	burstWindow = 250 * time.Millisecond
+	// maxRetryAfter bounds when a refused caller is told to come back: few wait longer, and a limit ends.
+	maxRetryAfter = 2 * time.Second
 )
 
 // Observation is what an answer of an endpoint said of its limit.
@@ -33,11 +33,11 @@
 
 // NewObservation returns what an answer says that came at came, to a request sent at sent. That a limit is named
 // holds from the answer on; that none is, from the request on: what another answer named meanwhile is newer.
-func NewObservation(l Limit, sent, came time.Time) Observation {
+func NewObservation(l Limit, sent, received time.Time) Observation {
 	if !l.IsSet() {
 		return Observation{At: sent}
 	}
-	return Observation{Limit: l, At: came}
+	return Observation{Limit: l, At: received}
 }
 
 // Limiter hands out the requests that endpoints take which name limits. For each endpoint one box
@@ -47,25 +47,25 @@
 // no limit.
 type Limiter struct {
 	mu        sync.Mutex
-	endpoints map[string]*count
+	endpoints map[string]*endpointLimiter
 }
 
-// count is what is handed out for one endpoint.
-type count struct {
-	word     Observation
-	bucket   *rate.Limiter // nil while no limit is named
-	promised time.Time     // when the last of the refused callers was told to come back
-	latest   time.Time     // of the times that were passed in
+// endpointLimiter is what is handed out for one endpoint.
+type endpointLimiter struct {
+	observed    Observation
+	bucket      *rate.Limiter // nil while no limit is named
+	lastRetryAt time.Time     // when the last of the refused callers was told to come back
+	latestNow   time.Time     // of the times that were passed in
 }
 
-// inOrder returns now, or the latest time that was passed in before: calls may wait for a lock or for the
+// monotonic returns now, or the latest time that was passed in before: calls may wait for a lock or for the
 // processor after they have read the clock, and a bucket that is asked for an older time counts the time
 // in between twice.
-func (n *count) inOrder(now time.Time) time.Time {
-	if now.After(n.latest) {
-		n.latest = now
+func (n *endpointLimiter) monotonic(now time.Time) time.Time {
+	if now.After(n.latestNow) {
+		n.latestNow = now
 	}
-	return n.latest
+	return n.latestNow
 }
 
 // Observe takes in a word of an endpoint; it tells whether the limit is another one now. An older word
@@ -79,30 +79,30 @@
 			return false
 		}
 		if c.endpoints == nil {
-			c.endpoints = make(map[string]*count)
+			c.endpoints = make(map[string]*endpointLimiter)
 		}
-		n = new(count)
+		n = new(endpointLimiter)
 		c.endpoints[endpoint] = n
 	}
-	if !w.At.After(n.word.At) {
+	if !w.At.After(n.observed.At) {
 		return false
 	}
-	changed := n.word.Limit != w.Limit
-	n.word = w
+	changed := n.observed.Limit != w.Limit
+	n.observed = w
 	if changed {
-		n.adjust(n.inOrder(now))
+		n.applyLimit(n.monotonic(now))
 	}
 	return changed
 }
 
-// adjust makes the bucket one of the limit.
-func (n *count) adjust(now time.Time) {
-	if !n.word.Limit.IsSet() {
+// applyLimit makes the bucket one of the limit.
+func (n *endpointLimiter) applyLimit(now time.Time) {
+	if !n.observed.Limit.IsSet() {
 		n.bucket = nil
 		return
 	}
-	perSecond := n.perSecond()
-	burst := max(1, int(math.Ceil(perSecond*burstTime.Seconds())))
+	perSecond := n.rate()
+	burst := max(1, int(math.Ceil(perSecond*burstWindow.Seconds())))
 	if n.bucket == nil {
 		n.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
 		n.bucket.ReserveN(now, burst) // it begins empty
@@ -112,8 +112,8 @@
 	n.bucket.SetBurstAt(now, burst)
 }
 
-// perSecond is how many requests a second are handed out.
-func (n *count) perSecond() float64 { return max(n.word.Limit.Rate(), leastRate) }
+// rate is how many requests a second are handed out.
+func (n *endpointLimiter) rate() float64 { return max(n.observed.Limit.Rate(), minRate) }
 
 // Request is a request that would go to an endpoint.
 type Request struct {
@@ -148,7 +148,7 @@
 	if n == nil || n.bucket == nil {
 		return Result{OK: true}
 	}
-	now = n.inOrder(now)
+	now = n.monotonic(now)
 	if a.SpareOnly && !n.hasSpare(now) {
 		return Result{Limited: true, Wait: n.waitFor(float64(n.bucket.Burst()), now)}
 	}
@@ -158,38 +158,40 @@
 		return Result{Limited: true, OK: true, Wait: wait}
 	}
 	r.CancelAt(now)
-	return Result{Limited: true, Wait: n.comeBack(wait, now)}
+	return Result{Limited: true, Wait: n.retryAfter(wait, now)}
 }
 
 // hasSpare tells whether nobody took anything for a while: what comes now would be lost.
-func (n *count) hasSpare(now time.Time) bool { return n.waitFor(float64(n.bucket.Burst()), now) <= 0 }
+func (n *endpointLimiter) hasSpare(now time.Time) bool {
+	return n.waitFor(float64(n.bucket.Burst()), now) <= 0
+}
 
 // waitFor returns how long it takes until so many may be taken at once.
-func (n *count) waitFor(requests float64, now time.Time) time.Duration {
+func (n *endpointLimiter) waitFor(requests float64, now time.Time) time.Duration {
 	missing := requests - n.bucket.TokensAt(now)
-	return time.Duration(max(missing, 0) / n.perSecond() * float64(time.Second))
+	return time.Duration(max(missing, 0) / n.rate() * float64(time.Second))
 }
 
-// comeBack tells a refused caller when to come back, each one a turn after the one before: told the
+// retryAfter tells a refused caller when to come back, each one a turn after the one before: told the
 // same moment, all but one would be refused again.
-func (n *count) comeBack(wait time.Duration, now time.Time) time.Duration {
-	turn := time.Duration(float64(time.Second) / n.perSecond())
+func (n *endpointLimiter) retryAfter(wait time.Duration, now time.Time) time.Duration {
+	interval := time.Duration(float64(time.Second) / n.rate())
 	at := now.Add(wait)
-	if next := n.promised.Add(turn); next.After(at) {
+	if next := n.lastRetryAt.Add(interval); next.After(at) {
 		at = next
 	}
-	if latest := now.Add(mostWait); at.After(latest) {
+	if latest := now.Add(maxRetryAfter); at.After(latest) {
 		at = latest
 	}
-	n.promised = at
+	n.lastRetryAt = at
 	return at.Sub(now)
 }
 
 // Headroom is what an endpoint takes just now.
 type Headroom struct {
-	Limited bool          // it names a limit; else it takes all
-	Wait    time.Duration // until it takes one more request
-	Spare   bool          // it takes more than it is sent
+	Limited  bool          // it names a limit; else it takes all
+	Wait     time.Duration // until it takes one more request
+	HasSpare bool          // it takes more than it is sent
 }
 
 // Headroom returns what an endpoint takes at now.
@@ -198,10 +200,10 @@
 	defer c.mu.Unlock()
 	n := c.endpoints[endpoint]
 	if n == nil || n.bucket == nil {
-		return Headroom{Spare: true}
+		return Headroom{HasSpare: true}
 	}
-	now = n.inOrder(now)
-	return Headroom{Limited: true, Wait: n.waitFor(1, now), Spare: n.hasSpare(now)}
+	now = n.monotonic(now)
+	return Headroom{Limited: true, Wait: n.waitFor(1, now), HasSpare: n.hasSpare(now)}
 }
 
 // TimeFor returns how long an endpoint takes for so many requests.
@@ -212,7 +214,7 @@
 	if n == nil || n.bucket == nil {
 		return 0
 	}
-	return time.Duration(float64(requests) / n.perSecond() * float64(time.Second))
+	return time.Duration(float64(requests) / n.rate() * float64(time.Second))
 }
 
 // Limit returns the limit that is counted by; the zero value where the endpoint names none.
@@ -220,7 +222,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n := c.endpoints[endpoint]; n != nil {
-		return n.word.Limit
+		return n.observed.Limit
 	}
 	return Limit{}
 }
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -16,18 +16,18 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// counterOf returns a counter of one endpoint, e, that names a limit at the start.
-func counterOf(perSecond float64) *Limiter {
+// limiterOf returns a counter of one endpoint, e, that names a limit at the start.
+func limiterOf(perSecond float64) *Limiter {
 	c := new(Limiter)
 	c.Observe("e", Observation{Limit: PerSecond(perSecond), At: start}, start)
 	return c
 }
 
-func TestWhoeverAsksTheSumKeepsToTheLimit(t *testing.T) {
+func TestTotalStaysWithinTheLimit(t *testing.T) {
 	for _, perSecond := range []float64{0, 0.3, 1, 5.4, 9.4, 250} {
 		t.Run(fmt.Sprint(perSecond), func(t *testing.T) {
 			c := quicktest.New(t)
-			k := counterOf(perSecond)
+			k := limiterOf(perSecond)
 			r := rand.New(rand.NewPCG(1, uint64(perSecond*10)))
 			var sent []time.Time
 			for now := start; now.Before(at(40 * time.Second)); now = now.Add(time.Duration(r.ExpFloat64() * float64(time.Millisecond))) {
@@ -49,17 +49,17 @@
 	}
 }
 
-func TestAnEndpointThatNamesNoLimitTakesAll(t *testing.T) {
+func TestNoLimitPermitsAllRequests(t *testing.T) {
 	c := quicktest.New(t)
 	k := new(Limiter)
 	c.Check(k.Observe("e", Observation{At: start}, start), quicktest.IsFalse)
 	c.Check(k.Take("e", Request{Rank: 9}, start), quicktest.Equals, Result{OK: true})
-	c.Check(k.Headroom("e", start), quicktest.Equals, Headroom{Spare: true})
+	c.Check(k.Headroom("e", start), quicktest.Equals, Headroom{HasSpare: true})
 }
 
-func TestAWordThatIsOlderChangesNothing(t *testing.T) {
+func TestOlderObservationsAreIgnored(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(5)
+	k := limiterOf(5)
 	c.Check(k.Observe("e", Observation{Limit: PerSecond(2), At: at(2 * time.Second)}, at(2*time.Second)), quicktest.IsTrue)
 	c.Check(k.Observe("e", Observation{Limit: PerSecond(5), At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse)
 	c.Check(k.Observe("e", Observation{At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse) // sent before
@@ -70,9 +70,9 @@
 	c.Check(k.Take("e", Request{}, at(3*time.Second)), quicktest.Equals, Result{OK: true})
 }
 
-func TestALowerLimitCountsAtOnce(t *testing.T) {
+func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(100)
+	k := limiterOf(100)
 	now := at(10 * time.Second)
 	k.Observe("e", Observation{Limit: PerSecond(2), At: now}, now)
 	granted := 0
@@ -85,9 +85,9 @@
 }
 
 // What is scarce goes to the most urgent: they wait for what comes next, the others take what is there.
-func TestMoreUrgentRequestsGoFirst(t *testing.T) {
+func TestHigherPriorityGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(10)
+	k := limiterOf(10)
 	granted := make(map[int]int)
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		rank := int(now.Sub(start)/(5*time.Millisecond)) % 2 * 2
@@ -100,9 +100,9 @@
 }
 
 // Refused callers that come back when they are told to are served then, as long as no others come.
-func TestTheTimeToComeBackComesTrue(t *testing.T) {
+func TestRetryAfterIsAccurate(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(5)
+	k := limiterOf(5)
 	var back []time.Time
 	for range 6 {
 		g := k.Take("e", Request{}, start)
@@ -114,9 +114,9 @@
 	}
 }
 
-func TestAnEndpointThatTakesNoneIsAskedNowAndThen(t *testing.T) {
+func TestLimitOfZeroPermitsOccasionalRequests(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(0)
+	k := limiterOf(0)
 	granted := 0
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if k.Take("e", Request{}, now).OK {
@@ -130,9 +130,9 @@
 
 // Requests that others can serve take only what is left: none while others want all, and all that would
 // be lost else.
-func TestRequestsThatOthersCanServeTakeWhatIsLeft(t *testing.T) {
+func TestSpareOnlyRequestsUseRemainingCapacity(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(10)
+	k := limiterOf(10)
 	granted := make(map[bool]int)
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		step := int(now.Sub(start) / (10 * time.Millisecond))
@@ -159,9 +159,9 @@
 // The cause: a bucket that is asked for an older time than before counts the time in between twice.
 //
 // The evidence: 399 of these calls were granted in 20 s where 60 are allowed; 57 with times in order.
-func TestCallsThatComeOutOfOrderGetNoMore(t *testing.T) {
+func TestCallsOutOfTimeOrderStayWithinTheLimit(t *testing.T) {
 	c := quicktest.New(t)
-	k := counterOf(3)
+	k := limiterOf(3)
 	granted := 0
 	for now := start; now.Before(at(20 * time.Second)); now = now.Add(50 * time.Millisecond) {
 		for _, late := range []time.Duration{0, 300 * time.Millisecond, 20 * time.Millisecond} {
--- a/scheduler/budget.go
+++ b/scheduler/budget.go
@@ -9,7 +9,7 @@
 	"cairnwick.example/policy"
 )
 
-// storeBudget is the policy.Budget behind a lock of its own.
+// storeBudget is the policy.LoadBudget with a lock.
 type storeBudget struct {
 	mu     sync.Mutex
 	budget policy.LoadBudget
