--- a/access/access.go
+++ b/access/access.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package access decides who may call, and how much: which organisation a caller's key belongs
-// to, and what is left of the organisation's quota, which holds over all boxes together.
+// Package access authenticates callers by their API keys and enforces the quotas of organisations, which
+// hold over all boxes together.
 //
-// A quota is counted twice. A Pool, at the box that leads a data centre, hands out what the data
-// centre may spend. An Account, at each box, holds what the box has spent and not yet drawn
-// from a pool, so that most requests wait for no other box.
+// A quota is tracked at two levels. A Pool, on the box that leads a data centre, hands out the units
+// of that data centre. An Account, on each box, tracks what the box has spent and not yet drawn from
+// the pool, so that most requests need not wait for another box.
 //
-// Everything here is a table or a function with the time passed in; nothing does input or output.
+// Nothing here does I/O, and the current time is passed in.
 package access
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/pkg/errors"
 )
 
-// Digest stands for a key. Boxes keep, tell each other and log digests, never keys.
+// Digest is the hash of an API key. Boxes store, exchange and log digests, never keys.
 type Digest [sha256.Size]byte
 
-// KeyDigest returns the digest of a key.
+// KeyDigest returns the SHA-256 digest of a key.
 func KeyDigest(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Credential is what a caller shows. The zero value shows none.
+// Credential is the API key that a caller presents. The zero value is none.
 type Credential struct {
 	set    bool
 	digest Digest
 }
 
-// NewCredential returns the credential of a caller that shows these keys. One that shows several has shown
-// none: a box that chose one of them would decide who pays.
+// NewCredential returns the credential of a request with these keys. Several keys count as none: choosing one
+// of them would mean deciding who pays.
 func NewCredential(keys []string) Credential {
 	if len(keys) != 1 || keys[0] == "" {
 		return Credential{}
@@ -38,42 +38,42 @@
 	return Credential{set: true, digest: KeyDigest(keys[0])}
 }
 
-// IsSet tells whether the caller shows one key.
+// IsSet reports whether the caller presents exactly one key.
 func (c Credential) IsSet() bool { return c.set }
 
-// Spec is an organisation as its source describes it.
+// Spec is the configuration of an organisation.
 type Spec struct {
 	Name     string
-	Keys     []Digest // each stands for the organisation
-	Priority int      // 0 is the most urgent; comes before that of a route
+	Keys     []Digest // of all its API keys
+	Priority int      // 0 is the highest; takes precedence over the priority of a route
 	Quota    Quota
 }
 
-// Organisation is one of those that may call. It never changes.
+// Organisation is a customer that may call. It is immutable.
 type Organisation struct{ spec Spec }
 
-// Name returns the organisation's name.
+// Name returns the unique name.
 func (o *Organisation) Name() string { return o.spec.Name }
 
-// Priority returns the rank; 0 is the most urgent.
+// Priority returns the priority; 0 is the highest.
 func (o *Organisation) Priority() int { return o.spec.Priority }
 
-// Quota returns how much the organisation may ask.
+// Quota returns the quota over all boxes.
 func (o *Organisation) Quota() Quota { return o.spec.Quota }
 
-// Keys returns the digests of its keys; do not change the list.
+// Keys returns the digests of its API keys. Callers must not modify the slice.
 func (o *Organisation) Keys() []Digest { return o.spec.Keys }
 
-// Directory is all organisations of one configuration. It never changes. The nil directory is
-// that of a configuration without organisations, which asks no caller for a key.
+// Directory holds the organisations of a configuration. It is immutable. The nil directory belongs to a
+// configuration without organisations, which requires no API keys.
 type Directory struct {
 	list   []*Organisation
 	byKey  map[Digest]*Organisation
 	byName map[string]*Organisation
 }
 
-// NewDirectory returns the directory of some organisations; nil for none. A key that two of them
-// list stands for the first. Errors name the organisation and the field.
+// NewDirectory returns a directory of organisations; nil if there are none. A key that several organisations
+// list belongs to the first of them. Errors name the organisation and the field.
 func NewDirectory(specs []Spec) (*Directory, error) {
 	if len(specs) == 0 {
 		return nil, nil
@@ -81,10 +81,10 @@
 	d := &Directory{byKey: make(map[Digest]*Organisation), byName: make(map[string]*Organisation, len(specs))}
 	for i, s := range specs {
 		if s.Name == "" {
-			return nil, errors.Errorf("access: organisation %d: name is missing: give it a text", i)
+			return nil, errors.Errorf("access: organisation at index %d: name is missing", i)
 		}
 		if d.byName[s.Name] != nil {
-			return nil, errors.Errorf("access: organisation %q: name stands twice: give each its own", s.Name)
+			return nil, errors.Errorf("access: organisation %q: duplicate name", s.Name)
 		}
 		if err := s.check(); err != nil {
 			return nil, errors.Wrapf(err, "access: organisation %q", s.Name)
@@ -101,15 +101,15 @@
 	return d, nil
 }
 
-// check names the field that can't be meant.
+// check returns an error that names the first invalid field.
 func (s Spec) check() error {
 	if s.Priority < 0 {
-		return errors.Errorf("priority: %d: give 0 or more", s.Priority)
+		return errors.Errorf("priority: invalid value %d: must be 0 or more", s.Priority)
 	}
 	return s.Quota.check()
 }
 
-// Find returns the organisation of a credential; nil where there is none.
+// Find returns the organisation of a credential; nil if there is none.
 func (d *Directory) Find(c Credential) *Organisation {
 	if d == nil || !c.set {
 		return nil
@@ -117,7 +117,7 @@
 	return d.byKey[c.digest]
 }
 
-// ByName returns the organisation with a name; nil where there is none.
+// ByName returns the organisation with a name; nil if there is none.
 func (d *Directory) ByName(name string) *Organisation {
 	if d == nil {
 		return nil
@@ -125,7 +125,7 @@
 	return d.byName[name]
 }
 
-// All returns every organisation in the order of the configuration; do not change the list.
+// All returns the organisations in configuration order. Callers must not modify the slice.
 func (d *Directory) All() []*Organisation {
 	if d == nil {
 		return nil
@@ -133,7 +133,7 @@
 	return d.list
 }
 
-// OwnerName returns the name of the organisation that a key stands for; empty for none.
+// OwnerName returns the name of the organisation that a key belongs to; empty if there is none.
 func (d *Directory) OwnerName(k Digest) string {
 	if d == nil || d.byKey[k] == nil {
 		return ""
@@ -141,16 +141,17 @@
 	return d.byKey[k].Name()
 }
 
-// Short returns the first bytes of a digest, for people.
+// Short returns the first n bytes of a digest in hexadecimal, for logs.
 func (k Digest) Short(n int) string { return hex.EncodeToString(k[:n]) }
 
-// KeyChange is a key that stands for another organisation than before; an empty name: for none.
+// KeyChange is a key whose organisation changed. An empty name is no organisation.
 type KeyChange struct {
 	Key           Digest
 	Before, After string
 }
 
-// KeyChanges returns the keys that changed between two directories, those that went first.
+// KeyChanges returns the keys whose organisation differs between two directories: first the removed and
+// moved ones, then the added ones.
 func KeyChanges(before, after *Directory) []KeyChange {
 	var list []KeyChange
 	for _, o := range before.All() {
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -64,17 +64,17 @@
 	l := Limit{Rate: 500, Capacity: 500}
 	var p Pool
 	now := time.Now()
-	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 10}, l, now).Paid, quicktest.Equals, 0.0) // it begins empty
-	p.AddBorrowed("o", 0, now, time.Hour)                                                     // nor do others have any
+	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 10}, l, now).Paid, quicktest.Equals, 0.0) // a new pool is empty
+	p.AddBorrowed("o", 0, now, time.Hour)                                                     // other pools have none to lend
 	now = now.Add(time.Minute)
 	a := p.Draw(Demand{Organisation: "o", Owed: 100, Wanted: []float64{200, 200, 200}}, l, now)
 	c.Assert(a.Paid, quicktest.Equals, 100.0)
 	c.Assert(a.Granted, quicktest.Equals, 2)
-	c.Assert(a.Wait, quicktest.Equals, 400*time.Millisecond) // at 500 units a second
+	c.Assert(a.Wait, quicktest.Equals, 400*time.Millisecond) // at 500 units per second
 	again := Demand{Organisation: "o", Wanted: []float64{200}, Again: 1}
 	c.Assert(p.Draw(again, l, now.Add(100*time.Millisecond)).Wait, quicktest.Equals, 300*time.Millisecond)
 	other := Demand{Organisation: "o", Wanted: []float64{100}}
-	c.Assert(p.Draw(other, l, now.Add(150*time.Millisecond)).Wait, quicktest.Equals, 450*time.Millisecond) // after the one before
+	c.Assert(p.Draw(other, l, now.Add(150*time.Millisecond)).Wait, quicktest.Equals, 450*time.Millisecond) // after the previous one
 	c.Assert(p.Draw(again, l, now.Add(a.Wait)), quicktest.Equals, Allowance{Organisation: "o", Granted: 1})
 }
 
@@ -106,8 +106,8 @@
 	c.Assert(from.Levels()["o"].Left, quicktest.Equals, 250.0)
 }
 
-// A data centre's part was used up while another had plenty; those that were told how long the own
-// part takes to refill went away.
+// Guards against a data centre that refuses callers for the time that its own share takes to refill, while
+// another data centre has units to lend: those callers did not retry.
 func TestWaitIsShortWhileOthersMayLend(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 100, Capacity: 100}
@@ -137,7 +137,7 @@
 	c := quicktest.New(t)
 	var a Account
 	c.Assert(a.TrySpend(200, 100, 0.6), quicktest.IsFalse)
-	c.Assert(a.TrySpend(200, 100, 0.1), quicktest.IsFalse) // not again
+	c.Assert(a.TrySpend(200, 100, 0.1), quicktest.IsFalse) // no second decision
 	c.Assert(a.TrySpend(40, 100, 0.9), quicktest.IsTrue)
 	a.StartSettlement()
 	a.FinishSettlement(40)
--- a/access/account.go
+++ b/access/account.go
@@ -4,20 +4,20 @@
 
 import "time"
 
-// Account is what one box spent of an organisation's quota and has not drawn. It is not safe for
-// concurrent use. The zero value owes nothing.
+// Account tracks the units that one box has spent of an organisation's quota and not yet drawn from the pool.
+// It is not safe for concurrent use. The zero value owes nothing.
 type Account struct {
-	owed       float64   // units; below zero: drawn ahead, of requests that never ran
-	requested  float64   // of owed, that is being asked for
-	forgivenAt time.Time // when it was last forgiven
-	randomised bool      // chance decided on what is left of the float
+	owed       float64   // units; negative if units were drawn for requests that never ran
+	requested  float64   // part of owed that the current settlement asks for
+	forgivenAt time.Time // time of the last Forgive; zero while a pool answers
+	randomised bool      // the remaining credit was already put to a random decision
 }
 
-// TrySpend spends a request's units at once, where so little is owed that the float allows it. Where a
-// part of the float is left that is smaller than the request, chance, a number in [0, 1), decides
-// once: over all boxes the floats are used then as if requests could be divided. A float is some
-// hundred units where a request counts 700, so that without it a fleet that has just started had
-// nothing to go by until its leaders were known.
+// TrySpend spends the units of a request if the credit limit permits it. If the remaining credit is smaller
+// than the request, it is granted once with a probability of credit/cost, decided by chance, a random number
+// in [0, 1): over all boxes, the credit is then used as if requests could be divided. Credit limits are some
+// hundred units where a request costs 700; without this, boxes that had just started could grant nothing
+// until they knew their leaders.
 func (a *Account) TrySpend(cost, creditLimit, chance float64) bool {
 	left := creditLimit - a.owed
 	if cost > left {
@@ -33,19 +33,19 @@
 	return true
 }
 
-// Spend spends units that can't be refused any more: an attempt that follows one that ran.
+// Spend spends units regardless of the limit, for a retry of an attempt that ran.
 func (a *Account) Spend(cost float64) { a.owed += cost }
 
-// Refund gives back what a request that never ran had spent.
+// Refund returns the units of a request that never ran.
 func (a *Account) Refund(cost float64) { a.owed -= cost }
 
-// StartSettlement returns what is owed, or was drawn ahead, for a pool.
+// StartSettlement returns the units to draw from the pool, or to return to it.
 func (a *Account) StartSettlement() (owed, returned float64) {
 	a.requested = a.owed
 	return max(a.owed, 0), max(-a.owed, 0)
 }
 
-// FinishSettlement notes a pool's answer to the last demand.
+// FinishSettlement applies the pool's answer to the last StartSettlement.
 func (a *Account) FinishSettlement(paid float64) {
 	if a.requested < 0 {
 		a.owed -= a.requested
@@ -55,8 +55,8 @@
 	a.randomised = a.randomised && paid <= 0
 }
 
-// Forgive drops what is owed while no pool answers, a float in each window: the box then goes on
-// with what the operator allows beyond the quota, and no longer than that carries it.
+// Forgive writes off debt while no pool answers, one credit limit per window. This lets the box serve
+// within the overshoot that the operator allows, and no further.
 func (a *Account) Forgive(creditLimit float64, window time.Duration, now time.Time) {
 	if !a.forgivenAt.IsZero() && window > 0 && a.owed > 0 {
 		a.owed = max(a.owed-creditLimit*now.Sub(a.forgivenAt).Seconds()/window.Seconds(), 0)
@@ -65,8 +65,8 @@
 	a.forgivenAt = now
 }
 
-// StopForgiving notes that a pool answers: nothing is forgiven from now on.
+// StopForgiving records that a pool answered, so that nothing is written off until the next Forgive.
 func (a *Account) StopForgiving() { a.forgivenAt = time.Time{} }
 
-// Owed returns the units that are spent and not drawn.
+// Owed returns the units that are spent and not yet drawn.
 func (a *Account) Owed() float64 { return a.owed }
--- a/access/bound_test.go
+++ b/access/bound_test.go
@@ -11,39 +11,39 @@
 	"github.com/frankban/quicktest"
 )
 
-// This file drives real pools and accounts of a whole fleet through cuts, lost answers, leaders
-// that are killed, stand still and wake beside their successors, and floods, by seeds, and counts
-// what is spent in every window.
+// This file simulates a fleet with the real pools and accounts, and sums the units spent in every window.
+// Depending on the seed, there are network partitions, lost answers, overload, and leaders that are
+// killed, or stall and resume beside their successors.
 
 const (
 	fleetTick    = 20 * time.Millisecond
 	fleetTime    = 60 * time.Second
 	settleTicks  = 15 // between two settlements of a box
-	drawingTicks = 55 // for which a box counts as one that draws
+	drawingTicks = 55 // time since its last draw for which a box counts as drawing
 )
 
-// fleetBox is a box with its account, and its pool while it believes that it leads.
+// fleetBox is a box with its account, and with its pool while it acts as leader.
 type fleetBox struct {
 	centre        int
 	account       Account
 	pool          *Pool
 	drawn         map[int]int // tick of the last draw, by box
-	leader        int         // the box that this one draws from
-	isolatedUntil int         // cut off from all others until that tick
-	stalledUntil  int         // stands still until that tick
-	answeredAt    int         // tick at which a leader last answered
+	leader        int         // index of the box that this one draws from
+	isolatedUntil int         // partitioned from all other boxes until this tick
+	stalledUntil  int         // stalled or restarting until this tick
+	answeredAt    int         // tick of the last answer of a leader
 }
 
-// fleet is the world of one seed.
+// fleet is the simulation of one seed.
 type fleet struct {
 	random           *rand.Rand
 	quota            Quota
 	bounds           Bounds
 	boxes            []*fleetBox
 	centres          int
-	partitionedUntil []int // by data centre: cut off until that tick
+	partitionedUntil []int // by data centre: partitioned until this tick
 	now              int
-	spent            []float64 // by tick
+	spent            []float64 // units, by tick
 	begin            time.Time
 }
 
@@ -57,10 +57,10 @@
 
 func (f *fleet) time() time.Time { return f.begin.Add(time.Duration(f.now) * fleetTick) }
 
-// runs tells whether a box works now.
+// runs reports whether a box is running.
 func (f *fleet) runs(i int) bool { return f.boxes[i].stalledUntil <= f.now }
 
-// reach tells whether two boxes hear each other.
+// reach reports whether two boxes can communicate.
 func (f *fleet) reach(i, j int) bool {
 	a, b := f.boxes[i], f.boxes[j]
 	if i == j {
@@ -72,7 +72,7 @@
 	return a.centre == b.centre || (f.partitionedUntil[a.centre] <= f.now && f.partitionedUntil[b.centre] <= f.now)
 }
 
-// known is how many boxes of a data centre a box knows: those that fell silent too.
+// known returns the number of boxes of a data centre, including those that do not respond.
 func (f *fleet) known(centre int) int {
 	n := 0
 	for _, b := range f.boxes {
@@ -83,7 +83,7 @@
 	return n
 }
 
-// limit is what a box hands out.
+// limit returns the limit of a box's pool.
 func (f *fleet) limit(i int) Limit {
 	b := f.boxes[i]
 	drawing := 0
@@ -95,16 +95,16 @@
 	return f.bounds.Limit(f.quota, Share(drawing, f.known(b.centre), f.centres))
 }
 
-// injectFault has something go wrong now and then.
+// injectFault injects a random fault.
 func (f *fleet) injectFault() {
 	i := f.random.IntN(len(f.boxes))
 	if f.random.IntN(2) == 0 {
-		i = f.boxes[i].leader // those that count, more often than chance
+		i = f.boxes[i].leader // select leaders more often
 	}
 	b := f.boxes[i]
 	length := 50 + f.random.IntN(300)
 	switch f.random.IntN(5) {
-	case 0: // killed, and started again with nothing
+	case 0: // killed, and restarted without state
 		f.boxes[i] = &fleetBox{centre: b.centre, leader: b.leader, stalledUntil: f.now + 50}
 	case 1:
 		b.stalledUntil = f.now + length
@@ -112,7 +112,7 @@
 		b.isolatedUntil = f.now + length
 	case 3:
 		f.partitionedUntil[f.random.IntN(f.centres)] = f.now + length
-	case 4: // others believe in another leader, each for itself
+	case 4: // some boxes disagree about the leader
 		for _, o := range f.boxes {
 			if o.centre == b.centre && f.random.IntN(2) == 0 {
 				o.leader = i
@@ -121,7 +121,7 @@
 	}
 }
 
-// follow has a box that has heard of no leader for a while look for another one.
+// follow makes a box choose another leader if it has not had an answer for some time.
 func (f *fleet) follow(i int) {
 	b := f.boxes[i]
 	if f.reach(i, b.leader) || f.now-b.answeredAt < 60 {
@@ -135,7 +135,7 @@
 	}
 }
 
-// settle draws from the leader that a box believes in; its answer may be lost.
+// settle lets a box draw from its leader; the answer may be lost.
 func (f *fleet) settle(i int) {
 	b := f.boxes[i]
 	if !f.reach(i, b.leader) {
@@ -158,7 +158,7 @@
 	f.lend(b.leader, l)
 }
 
-// lend moves units between data centres where one lacks some.
+// lend moves units between data centres if one lacks some.
 func (f *fleet) lend(i int, l *fleetBox) {
 	short := l.pool.TakeShortfalls()["o"]
 	for j, o := range f.boxes {
@@ -171,8 +171,8 @@
 	}
 }
 
-// run plays the day with so many times the quota asked for, and returns the part of the quota that
-// was served and the most that was spent in a window.
+// run simulates a demand of load times the quota. It returns the fraction of the quota that was served, and the
+// most units that were spent in a window.
 func (f *fleet) run(load float64, faults bool) (served, most float64) {
 	ticks := int(fleetTime / fleetTick)
 	f.spent = make([]float64, ticks)
@@ -201,7 +201,7 @@
 	return f.total() / min(asked, f.quota.Rate*fleetTime.Seconds()), f.maxInWindow()
 }
 
-// serve spends a request's units at a box, at once or by a settlement for it isolatedUntil.
+// serve spends the units of a request on a box, at once or by a settlement for this request.
 func (f *fleet) serve(i int, cost float64) {
 	b := f.boxes[i]
 	if b.account.TrySpend(cost, f.bounds.CreditLimit(f.quota, len(f.boxes)), f.random.Float64()) {
@@ -244,20 +244,20 @@
 	return most
 }
 
-// fleets are the sizes and quotas for which the bound is checked: the slack is what an operator
-// may allow for all boxes together, some long prompts.
+// fleets are the sizes and quotas for which the bound is checked.
 var fleets = []struct {
 	boxes, centres int
 	rate           float64
 }{{6, 3, 29_000}, {74, 3, 29_000}, {74, 3, 280_000}, {300, 5, 100_000}}
 
+// allowed is the permitted excess. Its slack is what an operator may allow over all boxes: some long prompts.
 var allowed = Bounds{Window: 8 * time.Second, Overshoot: 0.25, Slack: 110_000}
 
-// maxUnitsOf returns how many units of a quota may be spent in a window over all boxes.
+// maxUnitsOf returns the units of a quota that may be spent in a window over all boxes.
 func maxUnitsOf(q Quota, b Bounds) float64 { return q.Rate*b.Window.Seconds() + q.Burst + b.excess(q) }
 
-// However boxes are cut off, stand still, are killed or believe in leaders that are none, no more
-// than the operator allows is spent in any window, with six times the quota asked for.
+// However boxes are partitioned, stalled or killed, or disagree about the leader, no more units than the operator
+// allows are spent in any window, with a demand of six times the quota.
 func TestSpendingStaysWithinTheBoundInEveryWindow(t *testing.T) {
 	for _, k := range fleets {
 		for seed := range uint64(8) {
@@ -270,8 +270,8 @@
 	}
 }
 
-// An organisation that asks less than its quota is served whole where nothing goes wrong, and one
-// that asks more gets its quota, but for the first second, in which the pools fill.
+// Without faults, an organisation whose demand is below its quota is served completely, and one with a higher
+// demand gets its quota, except in the first second, in which the pools fill.
 func TestDemandWithinTheQuotaIsServed(t *testing.T) {
 	for _, k := range fleets {
 		q := Quota{Unit: Tokens, Rate: k.rate, Burst: k.rate}
--- a/access/pool.go
+++ b/access/pool.go
@@ -7,46 +7,45 @@
 	"time"
 )
 
-// Pool hands out what a data centre may spend of the organisations' quotas. Units are moved and
-// never copied: what a pool gives to a box or to another data centre's pool it has no more. So
-// over all pools no more is spent in a window than the rates bring in it and the bursts hold,
-// as long as the shares that pools go by add up to one at the most. It is safe for concurrent use.
-// The zero value is empty.
+// Pool hands out the units that a data centre may spend of the organisations' quotas. Units are moved, never
+// copied: the pool no longer has what it gives to a box or lends to another data centre's pool. So all pools
+// together spend at most the rates and bursts in any window, if the shares of all pools add up to at most
+// one. It is safe for concurrent use. The zero value is empty.
 type Pool struct {
 	mu      sync.Mutex
 	buckets map[string]*bucket // by organisation
 }
 
-// bucket is what is left of one quota's share.
+// bucket is the token bucket of the pool's share of one quota.
 type bucket struct {
-	level             float64 // units; below zero: a request was larger than the bucket
-	limit             Limit   // of the last call
+	level             float64 // units; negative after a request that was larger than the level
+	limit             Limit   // as of the last call
 	refilledAt        time.Time
-	shortfall         float64   // units that the last draw lacked
-	lendersEmptyUntil time.Time // until then the other data centres are known to have none
-	refused           backlog   // units that come back, as those that are told to wait now do
-	reportedAt        time.Time // when it was last told that something was refused
+	shortfall         float64   // units that the last draw requested in vain
+	lendersEmptyUntil time.Time // until then, other data centres are assumed to have nothing to lend
+	refused           backlog   // units of refused requests, which are expected to be retried
+	reportedAt        time.Time // time of the last ShortageReport
 }
 
-// Demand is what a box asks of one organisation's quota.
+// Demand is a request of a box for units of one organisation's quota.
 type Demand struct {
 	Organisation string
 	Owed         float64   // spent already
-	Returned     float64   // drawn and not needed
-	Wanted       []float64 // of requests that wait, in their order
-	Again        int       // of these, the first ones, that were asked for before
+	Returned     float64   // drawn and not used
+	Wanted       []float64 // by waiting requests, in queue order
+	Again        int       // number of the first of these that an earlier demand included
 }
 
-// Allowance is the answer to a demand.
+// Allowance is the answer to a Demand.
 type Allowance struct {
 	Organisation string
-	Paid         float64       // of what was owed
-	Granted      int           // of the requests that wait, the first ones
-	Wait         time.Duration // until the next one is likely granted; zero where all were
+	Paid         float64       // part of Owed
+	Granted      int           // number of the first waiting requests that may run
+	Wait         time.Duration // until the next one is likely granted; zero if all were
 }
 
-// refill brings the bucket up to now. A new one is empty: who counted before may have handed out
-// all that the quota holds.
+// refill adds the units that accrued until now. A new bucket starts empty, since the previous leader may
+// have handed out all units.
 func (b *bucket) refill(l Limit, now time.Time) {
 	if !b.refilledAt.IsZero() {
 		b.level += l.Rate * max(now.Sub(b.refilledAt).Seconds(), 0)
@@ -55,7 +54,7 @@
 	b.limit, b.refilledAt = l, now
 }
 
-// StartFilling begins to fill the bucket of a quota of which nothing has been drawn yet.
+// StartFilling creates the bucket of a quota before its first draw, so that it starts to fill.
 func (p *Pool) StartFilling(organisation string, l Limit, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +63,7 @@
 	}
 }
 
-// Reset empties the pool: another one counted since.
+// Reset empties the pool, for when another box was the leader in the meantime.
 func (p *Pool) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,15 +82,14 @@
 	return b
 }
 
-// largeFraction is the part of a bucket from which a request counts as large: it is granted when so
-// much is there, and leaves the bucket below zero. One that is larger than the bucket would else
-// never be granted.
+// largeFraction is the fraction of a bucket above which a request is large. A large request is granted at that
+// level and makes the level negative; otherwise one that exceeds the bucket would never be granted.
 const largeFraction = 0.5
 
-// borrowLatency is how long units take from another data centre, with the question that follows.
+// borrowLatency is the time to borrow units from another data centre and settle again.
 const borrowLatency = 25 * time.Millisecond
 
-// Draw answers what a box asks of a quota at now.
+// Draw answers a demand.
 func (p *Pool) Draw(d Demand, l Limit, now time.Time) Allowance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +117,7 @@
 	return a
 }
 
-// recordShortfall notes what could not be handed out.
+// recordShortfall records the units that Draw could not hand out.
 func (b *bucket) recordShortfall(d Demand, a Allowance, now time.Time) {
 	b.shortfall = max(d.Owed-a.Paid, 0)
 	for i, w := range d.Wanted[a.Granted:] {
@@ -130,8 +128,8 @@
 	}
 }
 
-// TakeShortfalls returns how many units each organisation lacked at its last draw, of those that lacked
-// any; they are counted as asked for elsewhere then.
+// TakeShortfalls returns the units that organisations lacked at their last draw, without those that lacked none,
+// and clears them: the caller asks other data centres for them.
 func (p *Pool) TakeShortfalls() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,11 +143,11 @@
 	return list
 }
 
-// reservedFraction is the part of a bucket that a pool keeps for its own data centre when another one
-// asks: requests there go on without a wait.
+// reservedFraction is the fraction of a bucket that a pool does not lend to other data centres, so that
+// local requests need not wait.
 const reservedFraction = 0.5
 
-// Lend takes units for another data centre's pool out of what this one does not need.
+// Lend removes up to that many units for another data centre's pool, and returns how many.
 func (p *Pool) Lend(organisation string, units float64, l Limit, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,8 +158,8 @@
 	return lent
 }
 
-// AddBorrowed adds units that other pools lent. Where they lent none they are expected to have none
-// for some time.
+// AddBorrowed adds units that other pools lent. If they lent none, they are assumed to have none until
+// retryAfter has passed.
 func (p *Pool) AddBorrowed(organisation string, units float64, now time.Time, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,10 +170,10 @@
 	}
 }
 
-// shortageReportInterval is between two reports that an organisation lacks units.
+// shortageReportInterval is the minimum time between two reports of one organisation's shortage.
 const shortageReportInterval = time.Second
 
-// ShortageReport tells whether it is time to report that an organisation lacks units, and what it has left.
+// ShortageReport returns the level of a quota that is short of units, and whether it is time to report it.
 func (p *Pool) ShortageReport(organisation string, now time.Time) (Level, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -191,14 +189,14 @@
 	return Level{Left: b.level, Capacity: b.limit.Capacity, Rate: b.limit.Rate}
 }
 
-// Level is what a pool has left of one quota.
+// Level is the state of the pool's share of one quota.
 type Level struct {
-	Left     float64 `json:"left"` // units; below zero: the last request was larger than the share
-	Capacity float64 `json:"most"` // units that the share holds
-	Rate     float64 `json:"rate"` // units a second that the share brings
+	Left     float64 `json:"left"` // units; negative after a request that was larger than the level
+	Capacity float64 `json:"most"` // units that the share can hold
+	Rate     float64 `json:"rate"` // units per second that the share gains
 }
 
-// Levels returns what is left, as of the last call, by organisation.
+// Levels returns the levels as of the last call, by organisation.
 func (p *Pool) Levels() map[string]Level {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -209,14 +207,14 @@
 	return list
 }
 
-// backlogWindow is how long those that were refused are expected to come back: callers are told
-// times of a few hundred milliseconds.
+// backlogWindow is the time within which refused callers are expected to retry. They are told times of a few
+// hundred milliseconds.
 const backlogWindow = time.Second
 
-// backlog is what was asked for and refused lately, by halves of backlogTime.
+// backlog sums the units that were refused within the last backlogWindow, in two halves of it.
 type backlog struct {
 	current, previous float64
-	rotatedAt         time.Time // of now
+	rotatedAt         time.Time // start of current
 }
 
 func (b *backlog) rotate(now time.Time) {
@@ -233,7 +231,7 @@
 	b.current += units
 }
 
-// total returns what was refused total the last backlogTime.
+// total returns the units that were refused within the last backlogWindow.
 func (b *backlog) total(now time.Time) float64 {
 	b.rotate(now)
 	return b.current + b.previous
--- a/access/quota.go
+++ b/access/quota.go
@@ -9,49 +9,48 @@
 	"github.com/pkg/errors"
 )
 
-// Unit is what a quota counts.
+// Unit is the unit of a quota.
 type Unit int
 
-// The units.
+// Units of quotas.
 const (
 	Requests Unit = iota
-	Tokens        // of the prompt and, at the most, of the answer
+	Tokens        // of the prompt, plus the maximum of the completion
 )
 
-// Quota is how much all requests of an organisation may ask over all boxes. The zero value sets
-// no limit.
+// Quota limits the requests of an organisation over all boxes. The zero value is unlimited.
 type Quota struct {
 	Unit        Unit
-	Rate        float64 // units a second; zero: no limit
-	Burst       float64 // units besides, at any moment; zero: half a second of the rate
-	DefaultCost float64 // units of a request that does not say how many tokens it uses
+	Rate        float64 // units per second; zero: unlimited
+	Burst       float64 // units that may be spent at once; zero: half a second of the rate
+	DefaultCost float64 // units of a request that does not state its tokens
 }
 
-// maxUnits bounds what a quota or a request may say, so that sums of thousands stay exact in
-// floating point.
+// maxUnits bounds the values of quotas and requests, so that sums of thousands of them are exact in floating
+// point.
 const maxUnits = 1e12
 
-// check names the field that can't be meant.
+// check returns an error that names the first invalid field.
 func (q Quota) check() error {
 	for _, f := range []struct {
 		name  string
 		value float64
-	}{{"rate", q.Rate}, {"burst", q.Burst}, {"tokens of a request that states none", q.DefaultCost}} {
-		if !(f.value >= 0 && f.value <= maxUnits) { // nor NaN
-			return errors.Errorf("%s: %v: give a number from 0 to %v", f.name, f.value, float64(maxUnits))
+	}{{"rate", q.Rate}, {"burst", q.Burst}, {"tokens of a request that does not state them", q.DefaultCost}} {
+		if !(f.value >= 0 && f.value <= maxUnits) { // also true for NaN
+			return errors.Errorf("%s: invalid value %v: must be from 0 to %v", f.name, f.value, float64(maxUnits))
 		}
 	}
 	return nil
 }
 
-// IsLimited tells whether the quota sets a limit.
+// IsLimited reports whether the quota sets a limit.
 func (q Quota) IsLimited() bool { return q.Rate > 0 }
 
-// defaultBurstWindow is the time of the rate that a quota without a burst holds at any moment, so that a
-// request of usual size fits at all.
+// defaultBurstWindow is the time whose units form the burst of a quota that sets none, so that a request of
+// common size fits.
 const defaultBurstWindow = 500 * time.Millisecond
 
-// burst returns how many units the quota holds at any moment.
+// burst returns the units that may be spent at once.
 func (q Quota) burst() float64 {
 	if q.Burst > 0 {
 		return q.Burst
@@ -59,8 +58,8 @@
 	return q.Rate * defaultBurstWindow.Seconds()
 }
 
-// Cost returns how many units a request counts, by the tokens that it says it uses; stated is
-// false where it says nothing. No request is free.
+// Cost returns the units of a request that states its tokens, or of one that does not if stated is false. Each
+// request costs at least one unit.
 func (q Quota) Cost(tokens int, stated bool) float64 {
 	switch {
 	case q.Unit == Requests:
@@ -71,32 +70,33 @@
 	return min(max(float64(tokens), 1), maxUnits)
 }
 
-// Bounds is what an operator allows beyond the quotas, over all boxes, so that boxes need not ask
-// each other before every request.
+// Bounds is how far the operator allows quotas to be exceeded over all boxes, so that boxes need not
+// coordinate before each request.
 type Bounds struct {
-	Window    time.Duration // over which requests are counted; zero: nothing is allowed beyond
-	Overshoot float64       // part of what the quota allows in a window
-	Slack     float64       // units in a window, besides
+	Window    time.Duration // over which requests are counted; zero: quotas may not be exceeded
+	Overshoot float64       // fraction of the units that the quota allows in a window
+	Slack     float64       // additional units in a window
 }
 
-// What is allowed beyond a quota is divided between callers and the parts of the count. An account can
-// spend up to thrice its float in a window: what it has not drawn at the end, what it had drawn ahead at
-// the start, and what it was forgiven without a leader. What is left of the whole is for leaders that
-// change, and for requests that are larger than a pool.
+// The permitted excess over a quota is divided between callers and the inaccuracy of the distributed count.
+// An account can spend up to three times its credit limit in a window: the debt at its end, the units drawn
+// ahead at its start, and those forgiven without a leader. The unassigned remainder covers leader changes
+// and requests that are larger than a pool.
 const (
-	// callerFraction is the part of the overshoot that callers are given, of the rate: who asks a little
-	// more than its quota is served, as the operator allows. On a day on which one of sixteen
-	// organisations asked a tenth more than its quota, 263 of 24,700 requests were refused without it.
+	// callerFraction is the fraction of the overshoot that is added to the rate, so that callers that exceed
+	// their quota slightly are served, as the operator allows. On a day on which one of sixteen
+	// organisations exceeded its quota by a tenth, 263 of 24,700 requests were refused without it.
 	callerFraction = 0.5
-	// creditFraction is what the boxes may have spent and not drawn, of the rest.
+	// creditFraction is the fraction of the remaining excess that all boxes together may have spent and not
+	// drawn.
 	creditFraction = 0.2
-	// reserveFraction is what pools hold besides the burst, of the rest: the burst's parts in the data
-	// centres would be smaller than a long prompt, and one that is there must not make the next
-	// ones wait.
+	// reserveFraction is the fraction of the remaining excess that pools can hold in addition to the burst.
+	// Otherwise the share of the burst in a data centre would be smaller than a long prompt, and such a
+	// request must not make the next ones wait.
 	reserveFraction = 0.2
 )
 
-// rate returns how many units a second are handed out of a quota.
+// rate returns the units per second that are handed out of a quota.
 func (b Bounds) rate(q Quota) float64 {
 	if b.Window <= 0 {
 		return q.Rate
@@ -104,23 +104,23 @@
 	return q.Rate * (1 + callerFraction*max(b.Overshoot, 0))
 }
 
-// excess returns how many units are allowed in a window besides the quota.
+// excess returns the units in a window by which a quota may be exceeded.
 func (b Bounds) excess(q Quota) float64 {
 	return max(b.Overshoot*(q.Rate*b.Window.Seconds()+q.Burst)+b.Slack, 0)
 }
 
-// internalExcess returns how many of these callers are not given.
+// internalExcess returns the part of the excess that is not given to callers.
 func (b Bounds) internalExcess(q Quota) float64 {
 	return b.excess(q) - (b.rate(q)-q.Rate)*b.Window.Seconds()
 }
 
-// Limit is what a pool hands out of one quota.
+// Limit is the rate and capacity of a pool for one quota.
 type Limit struct {
-	Rate     float64 // units a second
-	Capacity float64 // units that it holds
+	Rate     float64 // units per second
+	Capacity float64 // units
 }
 
-// Limit returns what a pool hands out of a quota of which it has a share.
+// Limit returns the rate and capacity of a pool with a share of a quota.
 func (b Bounds) Limit(q Quota, share float64) Limit {
 	l := Limit{Rate: b.rate(q) * share, Capacity: q.burst() * share}
 	if b.Window > 0 {
@@ -129,8 +129,8 @@
 	return l
 }
 
-// CreditLimit returns how many units one of so many boxes may have spent of a quota and not drawn;
-// zero where the number of boxes is not known.
+// CreditLimit returns the units that one of so many boxes may have spent of a quota and not drawn; zero if the
+// number of boxes is not known.
 func (b Bounds) CreditLimit(q Quota, boxes int) float64 {
 	if boxes <= 0 || b.Window <= 0 {
 		return 0
@@ -138,16 +138,16 @@
 	return creditFraction * b.internalExcess(q) / float64(boxes)
 }
 
-// Share returns the part of each quota that a box hands out for its data centre, one of so many:
-// the data centre's equal part, by how many of the boxes that are known there draw from this one. A
-// box draws from one other at a time, so on all sides of a cut, and where several believe that they
-// lead, the parts add up to the whole at the most, if those that fell silent count as known.
+// Share returns the fraction of each quota that a leader hands out for its data centre: the equal share of a data
+// centre, times the fraction of its known boxes that draw from this leader. A box draws from one leader at
+// a time, so the shares add up to at most one on all sides of a network partition and with several leaders,
+// if known includes boxes that are no longer reachable.
 func Share(drawing, known, centres int) float64 {
 	return min(float64(drawing)/float64(max(known, 1)), 1) / float64(max(centres, 1))
 }
 
-// waitFor returns how long so many units take at a rate; what would take longer than a minute is
-// not worth telling apart.
+// waitFor returns the time until so many units accrue at a rate, at most a minute: longer waits need not be
+// distinguished.
 func waitFor(units, rate float64) time.Duration {
 	if units <= 0 {
 		return 0
--- a/backoff/parse.go
+++ b/backoff/parse.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package backoff keeps the Retry-After intervals that endpoints set for one box when they reject a
-// request. Nothing here does input or output, and time is passed in.
+// Package backoff stores the Retry-After intervals with which endpoints reject requests of one box.
+// Nothing here does I/O, and the current time is passed in.
 package backoff
 
 import (
@@ -13,12 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// Max bounds a back-off: an endpoint that is out of use for longer has to drain.
+// Max is the upper bound of a back-off. An endpoint that is unavailable for longer has to drain.
 const Max = time.Hour
 
-// Parse reads a back-off in decimal seconds; zero: none is set. Of several values the longest counts. What is
-// above Longest is cut to it. An error means that a value can't be read, such as a time of day: clocks
-// disagree.
+// Parse returns the longest of the Retry-After values, in decimal seconds and at most Max; zero if none is
+// set. It returns an error only if no value is valid. Dates are invalid, since clocks differ.
 func Parse(values []string) (time.Duration, error) {
 	var longest time.Duration
 	var invalid error
@@ -37,11 +36,11 @@
 
 func parse(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
-	if math.IsInf(seconds, 1) { // also one that is too large for a float
+	if math.IsInf(seconds, 1) { // including values that overflow a float
 		return Max, nil
 	}
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
-		return 0, errors.Errorf("backoff: %.40q: give the seconds as a decimal number from 0", value)
+		return 0, errors.Errorf("backoff: invalid interval %.40q: must be a decimal number of seconds, 0 or more", value)
 	}
 	return time.Duration(min(seconds, Max.Seconds()) * float64(time.Second)), nil
 }
--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// FuzzParse: whatever is asked for is between nothing and Longest, and never both read and not.
+// FuzzParse checks that a back-off is from zero to Max, and never returned together with an error.
 func FuzzParse(f *testing.F) {
 	f.Add("3", "")
 	f.Add("NaN", "1e300")
--- a/backoff/table.go
+++ b/backoff/table.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Table holds the endpoints that are in a back-off, and until when. An endpoint whose entry goes and comes back
-// meanwhile is still in it: the incarnation is the same. It is safe for concurrent use; the zero value holds none.
+// Table holds the endpoints that are in a back-off. An endpoint whose entry is removed and returns stays in
+// its back-off, since it is the same incarnation. It is safe for concurrent use; the zero value is empty.
 type Table struct {
 	mu    sync.Mutex
-	until map[string]time.Time // by endpoint; expired ones stay until the next Ask
+	until map[string]time.Time // by endpoint; expired entries stay until the next Extend
 }
 
-// Extend starts or extends an endpoint's back-off; it never shortens one. It reports whether the endpoint was in
-// use before.
+// Extend starts or extends an endpoint's back-off; it never shortens one. It reports whether the endpoint was
+// available before.
 func (t *Table) Extend(endpoint string, d time.Duration, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,7 +30,6 @@
 	return wasAvailable
 }
 
-// dropExpiredLocked drops expired back-offs.
 func (t *Table) dropExpiredLocked(now time.Time) {
 	if t.until == nil {
 		t.until = make(map[string]time.Time)
@@ -38,14 +37,14 @@
 	maps.DeleteFunc(t.until, func(_ string, until time.Time) bool { return !now.Before(until) })
 }
 
-// Remaining returns how long an endpoint stays in its back-off; zero: it may be used.
+// Remaining returns how long an endpoint stays in its back-off; zero if it may be used.
 func (t *Table) Remaining(endpoint string, now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.until[endpoint].Sub(now), 0)
 }
 
-// Active returns the endpoints that are in a back-off now, sorted.
+// Active returns the endpoints that are in a back-off, sorted.
 func (t *Table) Active(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,11 +58,11 @@
 	return list
 }
 
-// jitterFraction is the part of a back-off by which callers come back later than others: all that are
-// refused during one back-off would come back at its end.
+// jitterFraction is the maximum jitter as a fraction of the back-off. Without jitter, all callers that are
+// refused during a back-off would retry at its end.
 const jitterFraction = 0.25
 
-// RetryAfter returns when a caller may come back to endpoints whose back-offs last so long.
+// RetryAfter returns the remaining back-off of endpoints with random jitter added, as the Retry-After for a caller.
 func RetryAfter(left time.Duration) time.Duration {
 	return left + time.Duration(rand.Float64()*jitterFraction*float64(left))
 }
--- a/backoff/table_test.go
+++ b/backoff/table_test.go
@@ -21,7 +21,7 @@
 	c.Assert(b.Extend("e1", time.Second, now.Add(3*time.Second)), quicktest.IsTrue)
 }
 
-// An endpoint that asks each request for a second or for three counts each answer for itself.
+// An endpoint may reject requests with different intervals; each response counts on its own.
 func TestBackoffIsNeverShortened(t *testing.T) {
 	c := quicktest.New(t)
 	var b Table
--- a/quarantine/answered.go
+++ b/quarantine/answered.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// answeredTTL is how long an answer keeps a request from being suspected: what many callers ask for, such as a page
-	// that all of them open, is answered many times a minute.
+	// answeredTTL is how long a complete response clears a request of suspicion. Requests that many
+	// callers send, such as for a popular page, are answered many times a minute.
 	answeredTTL = time.Minute
-	// maxAnswered bounds what is remembered; two full generations take 0.9 MB of heap. A box with
-	// 100 requests a second remembers 40 s.
+	// maxAnswered bounds the entries of a generation. Two full generations take 0.9 MB of heap; at 100
+	// requests per second one generation covers 40 s.
 	maxAnswered = 4096
 )
 
-// AnsweredRequests is the requests that endpoints lately answered whole, so that they are not suspected: they did not end
-// under those. It is safe for concurrent use; the zero value is empty.
+// AnsweredRequests remembers requests that endpoints recently answered completely. They did not
+// terminate those endpoints, so they are not suspects. It is safe for concurrent use; the zero value
+// is empty.
 type AnsweredRequests struct {
 	mu   sync.Mutex
 	seen *generationMap
 }
 
-// Add notes that an endpoint answered a request.
+// Add records that an endpoint answered a request completely.
 func (a *AnsweredRequests) Add(c Fingerprint, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,7 +32,7 @@
 	a.seen.put(string(c[:]), nil, now)
 }
 
-// Has tells whether an endpoint answered a request lately.
+// Has reports whether an endpoint recently answered a request completely.
 func (a *AnsweredRequests) Has(c Fingerprint, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/quarantine/counter.go
+++ b/quarantine/counter.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// MaxTerminations is how many endpoints may end under one request before it is kept from the rest. One
-	// says nothing: an endpoint runs some ten requests at a time, and ends under all of them. Two
-	// happen to requests that only ran beside, where callers send them again while endpoints end for
-	// another cause: by the model of the tests 81 such requests would be refused, with three 4.
+	// MaxTerminations is the number of endpoint terminations after which a request is quarantined. One
+	// says little, since an endpoint runs some ten requests at a time and terminates under all of them.
+	// Two happen to unrelated requests when callers retry while endpoints terminate for another reason:
+	// in the simulation of the tests, 81 unrelated requests were quarantined with a threshold of two,
+	// and 4 with three.
 	MaxTerminations = 3
 
-	// suspectTTL is how long an end counts. Callers come back within seconds or by a schedule of
-	// minutes; endpoints that end hours apart under one request do so by chance more often than by it.
+	// suspectTTL is how long a termination counts. Callers retry within seconds, or on a schedule of
+	// minutes. Terminations under one request that are hours apart are more often coincidence than
+	// caused by it.
 	suspectTTL = time.Hour
-	// maxSuspects bounds what is counted: requests that ran at endpoints that ended. Two full
-	// generations with one end each take 2.4 MB of heap.
+	// maxSuspects bounds the requests of a generation, which are those that ran on terminated endpoints.
+	// Two full generations with one termination per request take 2.4 MB of heap.
 	maxSuspects = 8192
-	// maxAttributed bounds the endpoints of which it is known under what they ended.
+	// maxAttributed bounds the terminated endpoints of a generation whose cause is known.
 	maxAttributed = 1024
 )
 
-// maxTerminationsKept bounds the endpoints that are remembered for one request: some that others explain, and
-// those that count.
+// maxTerminationsKept bounds the endpoints that are stored per request: some whose termination is
+// attributed to other requests, and those that count.
 const maxTerminationsKept = 2 * MaxTerminations
 
-// Counter counts the endpoints that ended under each request, by the word of many boxes, and finds
-// the requests to keep away. It is safe for concurrent use; the zero value has counted nothing.
+// Counter counts the endpoints that terminated under each request, from the reports of all boxes, and
+// finds the requests to quarantine. It is safe for concurrent use; the zero value is empty.
 type Counter struct {
 	mu       sync.Mutex
-	suspects *generationMap // by content: endpoints that ended under it, oldest first
-	// attributed has, by endpoint, the ends for which a request was found that explains them; none
-	// where that one was kept away already, and was still on its way.
+	suspects *generationMap // by fingerprint: endpoints that terminated under it, oldest first
+	// attributed has, by endpoint, the endpoints that terminated under the request that caused this
+	// termination. The list is empty if that request was already quarantined, but still in flight.
 	attributed *generationMap
 }
 
@@ -46,9 +48,9 @@
 	}
 }
 
-// RecordTermination takes in that an endpoint ended while it ran the requests of these contents, as one box saw
-// it. It returns those that have to be kept from endpoints from now on. kept tells which ones are
-// already: what ended under one of them says nothing of the others that ran there.
+// RecordTermination records that an endpoint terminated while it ran these requests, as reported by
+// one box. It returns the requests to quarantine as a result. isQuarantined reports whether a request
+// is quarantined already: if one of those was running, the termination says nothing about the others.
 func (k *Counter) RecordTermination(endpoint string, requests []Fingerprint, isQuarantined func(Fingerprint) bool, now time.Time) []Fingerprint {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -68,7 +70,8 @@
 	return found
 }
 
-// addTerminationLocked adds an endpoint to those that ended under a content, and returns how many count.
+// addTerminationLocked adds an endpoint to those that terminated under a request, and returns the number
+// of those that count.
 func (k *Counter) addTerminationLocked(c Fingerprint, endpoint string, now time.Time) int {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
@@ -86,9 +89,9 @@
 	return count
 }
 
-// isAttributedLocked tells whether the end of an endpoint is explained by another request than one
-// under which those of ends ended. A request that was there each time explains it as well: the one
-// that was found may have run beside it, and have been told first.
+// isAttributedLocked reports whether the termination of an endpoint is attributed to another request than
+// the one with these terminations. It is not if this request ran on every endpoint that terminated under
+// the other one: the other may have run beside it by chance and have been reported first.
 func (k *Counter) isAttributedLocked(endpoint string, ends []string, now time.Time) bool {
 	by, ok := k.attributed.get(endpoint, now)
 	if !ok {
@@ -98,7 +101,7 @@
 	return len(by) == 0 || slices.ContainsFunc(by, missing)
 }
 
-// attributeLocked notes that a content explains the ends of all endpoints that ended under it.
+// attributeLocked attributes the terminations of all endpoints that terminated under a request to it.
 func (k *Counter) attributeLocked(c Fingerprint, now time.Time) {
 	key := string(c[:])
 	ends, _ := k.suspects.get(key, now)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine finds requests under which one endpoint ends after the other, and keeps
-// them from the rest. Nothing here does input or output.
+// Package quarantine detects requests that terminate one endpoint after another, and blocks them
+// from the remaining endpoints. Nothing here does I/O.
 //
-// A caller that gets no answer sends its request again, under a new ID and at any box; so a
-// request is known by its Content.
+// A caller that gets no response sends its request again, with a new ID and through any box, so
+// requests are identified by a Fingerprint.
 //
-// Lock order: each lock is taken alone.
+// Locks are never nested.
 package quarantine
 
 import (
@@ -15,28 +15,28 @@
 	"encoding/hex"
 )
 
-// fingerprintSize is how many bytes of a SHA-256 make a Content: two requests that differ do not
-// meet in 128 bits, also where somebody looks for such a pair.
+// fingerprintSize is the number of bytes kept of a SHA-256 hash. 128 bits resist collisions, including
+// deliberate ones.
 const fingerprintSize = 16
 
-// Fingerprint names what a request asks for: its method, host and target, whose it is, and its body.
-// Requests that differ in nothing else, such as their IDs, have the same one.
+// Fingerprint identifies a request by its method, host, target, organisation and body. Requests that
+// differ only in other headers, such as the request ID, have the same fingerprint.
 type Fingerprint [fingerprintSize]byte
 
-// NewFingerprint returns the content of a request; target is the path and the query as the caller
-// wrote them, organisation is empty for nobody's. Whose it is counts, so that no caller can have
-// the requests of others kept away.
+// NewFingerprint returns the fingerprint of a request. The target is the path and query as the caller
+// wrote them; the organisation is empty for public routes. It includes the organisation so that no
+// caller can get the requests of others blocked.
 func NewFingerprint(method, host, target, organisation string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, t := range []string{method, host, target, organisation} {
-		h.Write(binary.AppendUvarint(nil, uint64(len(t)))) // no field runs into the next
+		h.Write(binary.AppendUvarint(nil, uint64(len(t)))) // prevents ambiguous field boundaries
 		h.Write([]byte(t))
 	}
 	h.Write(body)
 	return Fingerprint(h.Sum(nil)[:fingerprintSize])
 }
 
-// ParseFingerprint reads what String returned; false where it is none.
+// ParseFingerprint parses the result of String; ok is false if it is invalid.
 func ParseFingerprint(text string) (c Fingerprint, ok bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != fingerprintSize {
@@ -45,13 +45,14 @@
 	return Fingerprint(raw), true
 }
 
-// String returns the content in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
 
-// maxPerMessage bounds the contents that one message names of one endpoint: more than an endpoint runs at a time.
+// maxPerMessage bounds the fingerprints that a message contains per endpoint. An endpoint runs fewer
+// requests at a time.
 const maxPerMessage = 512
 
-// Encode returns contents for a message to another process.
+// Encode converts fingerprints for a message to another process.
 func Encode(list []Fingerprint) [][]byte {
 	raw := make([][]byte, 0, min(len(list), maxPerMessage))
 	for _, c := range list[:min(len(list), maxPerMessage)] {
@@ -60,7 +61,7 @@
 	return raw
 }
 
-// Decode reads the contents of a message of another process; what is none is passed over.
+// Decode converts the fingerprints of a message from another process. Invalid ones are skipped.
 func Decode(raw [][]byte) []Fingerprint {
 	var list []Fingerprint
 	for _, r := range raw[:min(len(raw), maxPerMessage)] {
@@ -71,10 +72,10 @@
 	return list
 }
 
-// maxPerLogLine bounds the contents that one line of a log names.
+// maxPerLogLine bounds the fingerprints in a log line.
 const maxPerLogLine = 32
 
-// Strings returns contents for a line of a log.
+// Strings formats fingerprints for a log line.
 func Strings(list []Fingerprint) []string {
 	some := make([]string, 0, min(len(list), maxPerLogLine))
 	for _, c := range list[:min(len(list), maxPerLogLine)] {
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Each request is named once: 1.9 microseconds with a body of 2 KB, where none was named before.
+// Each request is hashed once. With a body of 2 KB that takes 1.9 microseconds.
 func BenchmarkNewFingerprint(b *testing.B) {
 	body := make([]byte, 2<<10)
 	for b.Loop() {
--- a/quarantine/generation_map.go
+++ b/quarantine/generation_map.go
@@ -4,18 +4,18 @@
 
 import "time"
 
-// generationMap keeps lists of names by key for a while, and a bounded number of them. It has two
-// generations, of which the older is dropped whole: what was put is kept for a span at least, unless
-// more came within it than a generation holds, and for two at most.
+// generationMap is a bounded map from keys to lists of names whose entries expire. It has two generations;
+// the previous one is discarded as a whole. An entry is kept for at least one lifetime, unless maxKeys
+// newer ones arrive earlier, and for at most two.
 type generationMap struct {
 	lifetime time.Duration // of a generation
-	maxKeys  int           // keys of a generation
+	maxKeys  int           // of a generation
 
 	current, previous map[string][]string
-	rotatedAt         time.Time // when recent began
+	rotatedAt         time.Time // when current was created
 }
 
-// rotate begins a new generation where the recent one is old or full.
+// rotate starts a new generation if the current one is expired or full.
 func (m *generationMap) rotate(now time.Time) {
 	if m.current != nil && now.Sub(m.rotatedAt) < m.lifetime && len(m.current) < m.maxKeys {
 		return
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// Duration is how long a request is kept from endpoints. Three endpoints an hour is what a request
-	// that a caller sends all day can end then; a shorter time ends more, each with some ten
-	// requests of others. A request that was repaired has other content, and an endpoint that was runs
-	// it an hour later.
+	// Duration is how long a request stays in quarantine. With it, a request that a caller keeps sending
+	// terminates at most three endpoints per hour. A shorter time would terminate more, each with some
+	// ten unrelated requests. A corrected request has another fingerprint, and an endpoint with the
+	// cause fixed runs the request an hour later.
 	Duration = time.Hour
-	// maxListed bounds the list; a new one takes the place of the one that ends first. A full one
-	// takes 0.4 MB of heap.
+	// maxListed bounds the list. A new entry replaces the one that expires first. A full list takes
+	// 0.4 MB of heap.
 	maxListed = 4096
 )
 
-// List is the requests that no endpoint is to run. It is safe for concurrent use; the zero value is
-// empty. Its times are those of the day: boxes tell each other until when a request is kept away.
+// List holds the quarantined requests. It is safe for concurrent use; the zero value is empty. Times are
+// wall-clock times, since boxes send the expiry to each other.
 type List struct {
 	mu      sync.Mutex
 	until   map[Fingerprint]time.Time
-	dropped []Fingerprint // dropped since the last call of Expire
+	dropped []Fingerprint // removed by Add since the last call of Expire
 }
 
-// Add keeps a request from endpoints until a time; it tells whether that is news.
+// Add quarantines a request until a time, and reports whether it was not listed before. An earlier
+// expiry does not replace a later one.
 func (l *List) Add(c Fingerprint, until time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +44,7 @@
 	return !listed
 }
 
-// dropEarliestLocked drops the request whose time ends first.
+// dropEarliestLocked removes the request that expires first.
 func (l *List) dropEarliestLocked() {
 	var first Fingerprint
 	var ends time.Time
@@ -56,7 +57,7 @@
 	l.dropped = append(l.dropped, first)
 }
 
-// Remaining tells how much longer a request is kept from endpoints; false: it is not.
+// Remaining returns how much longer a request is quarantined; false if it is not.
 func (l *List) Remaining(c Fingerprint, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,11 +65,11 @@
 	if !ok || !now.Before(u) {
 		return 0, false
 	}
-	return u.Sub(now.Round(0)), true // by the time of day, as u is
+	return u.Sub(now.Round(0)), true // without the monotonic clock, as u has none
 }
 
-// Expire drops the requests whose time is over, and returns them with those that others took the
-// place of since the last call.
+// Expire removes the expired requests. It returns them together with those that Add has removed since the
+// last call.
 func (l *List) Expire(now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +84,7 @@
 	return removed
 }
 
-// Len returns how many requests are kept away.
+// Len returns the number of entries, including expired ones that Expire has not removed yet.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quarantine/monitor.go
+++ b/quarantine/monitor.go
@@ -11,57 +11,57 @@
 	"cairnwick.example/clock"
 )
 
-// maxPendingInterruptions is how many requests that were cut off wait to be looked into: as many as a box holds
-// where several endpoints end together. More are left out, and counted.
+// maxPendingInterruptions is the number of interrupted requests that wait to be checked: as many as a
+// box runs on several endpoints that terminate together. Further ones are dropped and counted.
 const maxPendingInterruptions = 1024
 
-// Monitor finds out which endpoints ended while they ran requests of this process. An answer that
-// breaks off says nothing of that: a link may be cut, one answer may be spoilt. Set the exported
-// fields before Run and before the first call.
+// Monitor detects endpoints that terminated while they ran requests of this process. An interrupted
+// response alone is no evidence: the connection may have failed, or the response may be invalid.
+// Set the exported fields before Run and before the first call.
 type Monitor struct {
-	// IsTerminated tells whether nothing listens at an address any more.
+	// IsTerminated reports whether nothing listens at an address any more.
 	IsTerminated func(ctx context.Context, address string) bool
-	// OnTermination hears that an endpoint ended, and which requests it cut off then, without those that an
-	// endpoint answered lately: much that callers ask for is asked for by many of them.
+	// OnTermination is called for a terminated endpoint with the requests that it interrupted, except
+	// those that an endpoint recently answered: many callers send the same requests.
 	OnTermination func(endpoint string, suspects []Fingerprint)
 
 	answered AnsweredRequests
 
 	mu     sync.Mutex
-	queue  chan interruption // made at its first use
+	queue  chan interruption // created on first use
 	counts TerminationCounts
 }
 
-// TerminationCounts counts what one process saw of endpoints that ended.
+// TerminationCounts counts the terminated endpoints that one process detected.
 type TerminationCounts struct {
-	Endpoints int64 `json:"endpoints"` // that ended while they ran requests of this process
-	Requests  int64 `json:"requests"`  // that were cut off then
-	Alive     int64 `json:"alive"`     // answers that broke off while their endpoint lived on
-	Dropped   int64 `json:"left_out"`  // requests that were not looked into, since too many waited
+	Endpoints int64 `json:"endpoints"` // that terminated while they ran requests of this process
+	Requests  int64 `json:"requests"`  // that were interrupted by those
+	Alive     int64 `json:"alive"`     // responses that were interrupted although the endpoint is still running
+	Dropped   int64 `json:"left_out"`  // interrupted requests that were not checked because too many were pending
 }
 
-// instance is one life of an endpoint, and where it is.
+// instance is one incarnation of an endpoint and its address.
 type instance struct {
 	endpoint string
 	address  string
 }
 
-// interruption is a request whose answer broke off.
+// interruption is a request whose response was interrupted.
 type interruption struct {
 	instance instance
 	request  Fingerprint
 }
 
-// probeResult is what a probeResult at an endpoint showed.
+// probeResult is the result of IsTerminated for an endpoint.
 type probeResult struct {
 	instance   instance
 	terminated bool
 }
 
-// RecordResponse notes that an endpoint answered a request whole; now is a time of package clock.
+// RecordResponse records that an endpoint answered a request completely; now is a time of package clock.
 func (w *Monitor) RecordResponse(c Fingerprint, now time.Time) { w.answered.Add(c, now) }
 
-// RecordInterruption notes that an endpoint broke off the answer to a request.
+// RecordInterruption records that the response of an endpoint to a request was interrupted.
 func (w *Monitor) RecordInterruption(endpoint, address string, c Fingerprint) {
 	select {
 	case w.interruptions() <- interruption{instance: instance{endpoint: endpoint, address: address}, request: c}:
@@ -72,14 +72,14 @@
 	}
 }
 
-// Counts returns what was seen so far.
+// Counts returns the counts since the start.
 func (w *Monitor) Counts() TerminationCounts {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts
 }
 
-// interruptions returns the requests that were cut off and wait to be looked into.
+// interruptions returns the queue of interrupted requests that were not checked yet.
 func (w *Monitor) interruptions() chan interruption {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,8 +89,8 @@
 	return w.queue
 }
 
-// Run looks at each endpoint that cut off requests, until ctx ends. What an endpoint cuts off
-// during a look counts by it too.
+// Run probes each endpoint that interrupted requests, until ctx ends. Requests that are interrupted
+// during a probe share its result.
 func (w *Monitor) Run(ctx context.Context) error {
 	pending := make(map[instance][]Fingerprint)
 	results := make(chan probeResult)
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// handleProbe notes what a look at an endpoint showed for the requests that it cut off.
+// handleProbe applies the result of a probe to the requests that the endpoint interrupted.
 func (w *Monitor) handleProbe(r probeResult, requests []Fingerprint, now time.Time) {
 	w.addCounts(r.terminated, len(requests))
 	if r.terminated {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -12,7 +12,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// fingerprint returns one of many contents.
+// fingerprint returns a fingerprint for a number.
 func fingerprint(number int) (c Fingerprint) {
 	binary.BigEndian.PutUint64(c[:], uint64(number))
 	return c
@@ -28,7 +28,7 @@
 	fatal, other := fingerprint(1), fingerprint(2)
 	c.Assert(k.RecordTermination("e1", []Fingerprint{fatal, other}, notQuarantined, start), quicktest.HasLen, 0)
 	c.Assert(k.RecordTermination("e2", []Fingerprint{fatal}, notQuarantined, start), quicktest.HasLen, 0)
-	c.Assert(k.RecordTermination("e2", []Fingerprint{fatal}, notQuarantined, start), quicktest.HasLen, 0) // another box saw the same
+	c.Assert(k.RecordTermination("e2", []Fingerprint{fatal}, notQuarantined, start), quicktest.HasLen, 0) // report of another box
 	c.Assert(k.RecordTermination("e3", []Fingerprint{fatal, other}, notQuarantined, start), quicktest.DeepEquals, []Fingerprint{fatal})
 }
 
@@ -40,7 +40,8 @@
 	c.Assert(k.RecordTermination("e3", []Fingerprint{fingerprint(1)}, notQuarantined, start.Add(2*suspectTTL)), quicktest.HasLen, 0)
 }
 
-// Requests of others run where endpoints end. What explains those ends takes them off the others.
+// Unrelated requests run on endpoints that terminate. Once the terminations are attributed to a request,
+// they no longer count for the others.
 func TestAttributedTerminationsDoNotCountForOtherRequests(t *testing.T) {
 	c := quicktest.New(t)
 	var k Counter
@@ -53,14 +54,15 @@
 	c.Assert(k.RecordTermination("e5", []Fingerprint{unrelated}, notQuarantined, start), quicktest.HasLen, 0)
 	c.Assert(k.RecordTermination("e6", []Fingerprint{unrelated}, notQuarantined, start), quicktest.HasLen, 0)
 	isQuarantined := func(c Fingerprint) bool { return c == fatal }
-	k.RecordTermination("e7", []Fingerprint{fatal}, isQuarantined, start) // it was on its way
+	k.RecordTermination("e7", []Fingerprint{fatal}, isQuarantined, start) // it was in flight
 	c.Assert(k.RecordTermination("e7", []Fingerprint{unrelated}, isQuarantined, start), quicktest.HasLen, 0)
 	c.Assert(k.RecordTermination("e8", []Fingerprint{unrelated}, isQuarantined, start), quicktest.DeepEquals, []Fingerprint{unrelated}) // e5, e6, e8
 }
 
-// Endpoints end under a request that comes again and again, each with ten others that ran there, of a
-// hundred that are sent again and again as well. The one is found in time whoever tells first. Of
-// the others one in a thousand was at all three by chance: 4 in 200 runs, where 20 could be each time.
+// A request terminates endpoints repeatedly. Ten of a hundred other requests, which are also retried, run
+// on each endpoint. The fatal request must be quarantined after MaxTerminations, whichever box reports
+// first. Of the other requests, one in a thousand ran on all three endpoints by chance: 4 in 200 runs,
+// with 20 candidates per run.
 func TestFatalRequestIsFoundAmongManyOthers(t *testing.T) {
 	c := quicktest.New(t)
 	falsePositives := 0
@@ -72,7 +74,7 @@
 		ends := 0
 		for ; ends < MaxTerminations; ends++ {
 			reports := [][]Fingerprint{{fingerprint(0)}, nil, nil}
-			for range 10 { // each is at one of the last endpoints to end, as its few attempts allow
+			for range 10 { // each runs on one of the most recently terminated endpoints, since it has few attempts
 				box := r.IntN(len(reports))
 				reports[box] = append(reports[box], fingerprint(1+ends*40+r.IntN(100)))
 			}
@@ -87,14 +89,14 @@
 		c.Check(listed, quicktest.IsTrue, quicktest.Commentf("seed %d", seed))
 		falsePositives += list.Len() - 1
 	}
-	c.Check(falsePositives <= 8, quicktest.IsTrue, quicktest.Commentf("%d others in 200 runs", falsePositives))
+	c.Check(falsePositives <= 8, quicktest.IsTrue, quicktest.Commentf("%d unrelated requests quarantined in 200 runs", falsePositives))
 }
 
 func TestQuarantineExpires(t *testing.T) {
 	c := quicktest.New(t)
 	var l List
 	c.Assert(l.Add(fingerprint(1), start.Add(time.Hour)), quicktest.IsTrue)
-	c.Assert(l.Add(fingerprint(1), start.Add(time.Minute)), quicktest.IsFalse) // an older word
+	c.Assert(l.Add(fingerprint(1), start.Add(time.Minute)), quicktest.IsFalse) // an earlier expiry
 	left, listed := l.Remaining(fingerprint(1), start.Add(10*time.Minute))
 	c.Assert(listed, quicktest.IsTrue)
 	c.Assert(left, quicktest.Equals, 50*time.Minute)
@@ -115,7 +117,7 @@
 	c.Assert(l.Len(), quicktest.Equals, maxListed)
 	_, listed := l.Remaining(fingerprint(0), start)
 	c.Assert(listed, quicktest.IsFalse)
-	c.Assert(l.Expire(start), quicktest.DeepEquals, []Fingerprint{fingerprint(0)}) // who keeps more of it can forget that
+	c.Assert(l.Expire(start), quicktest.DeepEquals, []Fingerprint{fingerprint(0)}) // lets the caller remove its own data
 }
 
 func TestAnsweredRequestsExpire(t *testing.T) {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -4,18 +4,18 @@
 
 import "time"
 
-// Tracker is what one process knows of requests under which endpoints end: those that it counts, and
-// those that are kept away. It is safe for concurrent use; the zero value knows of none.
+// Tracker combines the counter of suspects and the list of quarantined requests of one process. It is
+// safe for concurrent use; the zero value is empty.
 type Tracker struct {
 	list    List
 	counter Counter
 }
 
-// List returns the requests that are kept from endpoints.
+// List returns the quarantined requests.
 func (t *Tracker) List() *List { return &t.list }
 
-// RecordTermination takes in that an endpoint ended while it ran requests, as one process saw it, and returns
-// those that have to be kept from endpoints from now on.
+// RecordTermination records that an endpoint terminated while it ran requests, as reported by one
+// process. It returns the requests that the caller must add to the list.
 func (t *Tracker) RecordTermination(endpoint string, requests []Fingerprint, now time.Time) []Fingerprint {
 	isQuarantined := func(c Fingerprint) bool {
 		_, listed := t.list.Remaining(c, now)
--- a/ratelimit/limit_test.go
+++ b/ratelimit/limit_test.go
@@ -20,18 +20,18 @@
 		{name: "no header"},
 		{name: "a decimal number", values: []string{"9.4"}, rate: 9.4, set: true},
 		{name: "with spaces", values: []string{" 5 "}, rate: 5, set: true},
-		{name: "zero: none are taken", values: []string{"0"}, set: true},
-		{name: "below zero by a sign alone", values: []string{"-0"}, set: true},
-		{name: "below zero", values: []string{"-3"}, invalid: true},
-		{name: "no number", values: []string{"many"}, invalid: true},
+		{name: "zero: no requests are accepted", values: []string{"0"}, set: true},
+		{name: "negative zero", values: []string{"-0"}, set: true},
+		{name: "negative", values: []string{"-3"}, invalid: true},
+		{name: "not a number", values: []string{"many"}, invalid: true},
 		{name: "empty", values: []string{""}, invalid: true},
 		{name: "NaN", values: []string{"NaN"}, invalid: true},
 		{name: "infinite: no limit", values: []string{"inf"}},
-		{name: "below all numbers", values: []string{"-inf"}, invalid: true},
+		{name: "negative infinity", values: []string{"-inf"}, invalid: true},
 		{name: "too large for a float: no limit", values: []string{"1e999"}},
-		{name: "beyond what anybody sends: no limit", values: []string{"1e300"}},
+		{name: "above the maximum: no limit", values: []string{"1e300"}},
 		{name: "two values: the lower", values: []string{"7", "5"}, rate: 5, set: true},
-		{name: "one of two can be read", values: []string{"x", "5"}, rate: 5, set: true},
+		{name: "one of two is valid", values: []string{"x", "5"}, rate: 5, set: true},
 		{name: "two in one header", values: []string{"7, 5"}, invalid: true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// FuzzParse: a limit that is set is a number that can be counted with.
+// FuzzParse checks that a parsed limit is a valid rate, and never returned together with an error.
 func FuzzParse(f *testing.F) {
 	f.Add("9.4", "5")
 	f.Add("NaN", "1e300")
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// minRate is how many requests a second go to an endpoint that takes fewer, or none: only by
-	// an answer do boxes hear that its need is over. Two in 4 s are below the five that may be under
-	// way to any endpoint.
+	// minRate is the number of requests per second that are sent to an endpoint that accepts fewer, or none:
+	// only a response tells boxes that its overload is over. Two in 4 s are below the five that may be in
+	// flight to any endpoint.
 	minRate = 0.5
-	// burstWindow is the time of the rate whose requests may come at once: callers do not come evenly,
-	// and what an endpoint takes in a second it need not take in a tenth of it.
+	// burstWindow sets the burst: the requests that the limit allows in this time. Callers do not send at
+	// an even rate, but an endpoint may not accept the requests of a second within a tenth of it.
 	burstWindow = 250 * time.Millisecond
-	// maxRetryAfter bounds when a refused caller is told to come back: few wait longer, and a limit ends.
+	// maxRetryAfter bounds the Retry-After of a refused caller: few callers wait longer, and limits are
+	// temporary.
 	maxRetryAfter = 2 * time.Second
 )
 
-// Observation is what an answer of an endpoint said of its limit.
+// Observation is the limit that a response of an endpoint announced, or its absence.
 type Observation struct {
 	Limit Limit
-	// At is when a limit was named at the latest, or when none was at the earliest: when the answer
-	// that names one came, or when the request was sent whose answer names none. So an answer that
-	// was overtaken by one that names a limit does not end it.
+	// At is when the response was received if it announces a limit, and when its request was sent if
+	// it announces none. So a response that announces no limit does not end a limit that a faster
+	// response announced in the meantime.
 	At time.Time
 }
 
-// NewObservation returns what an answer says that came at came, to a request sent at sent. That a limit is named
-// holds from the answer on; that none is, from the request on: what another answer named meanwhile is newer.
+// NewObservation returns the observation of a response to a request that was sent and received at these times.
+// See Observation.At.
 func NewObservation(l Limit, sent, received time.Time) Observation {
 	if !l.IsSet() {
 		return Observation{At: sent}
@@ -40,27 +41,26 @@
 	return Observation{Limit: l, At: received}
 }
 
-// Limiter hands out the requests that endpoints take which name limits. For each endpoint one box
-// counts at a time, and boxes ask it before each send, so the sum over all boxes keeps to the limit,
-// however many there are. A box that begins to count hands out nothing for a moment: the one before
-// may just have handed out all that there was. It is safe for concurrent use; the zero value knows
-// no limit.
+// Limiter enforces the limits of endpoints. One box at a time runs the limiter of an endpoint, and the other
+// boxes ask it before each request, so the total stays below the limit for any number of boxes. A new
+// limiter starts empty, since its predecessor may just have used up the limit. It is safe for concurrent
+// use; the zero value has no limits.
 type Limiter struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpointLimiter
 }
 
-// endpointLimiter is what is handed out for one endpoint.
+// endpointLimiter enforces the limit of one endpoint.
 type endpointLimiter struct {
 	observed    Observation
-	bucket      *rate.Limiter // nil while no limit is named
-	lastRetryAt time.Time     // when the last of the refused callers was told to come back
-	latestNow   time.Time     // of the times that were passed in
+	bucket      *rate.Limiter // nil if there is no limit
+	lastRetryAt time.Time     // latest time at which a refused caller was told to retry
+	latestNow   time.Time     // latest time that was passed in
 }
 
-// monotonic returns now, or the latest time that was passed in before: calls may wait for a lock or for the
-// processor after they have read the clock, and a bucket that is asked for an older time counts the time
-// in between twice.
+// monotonic returns now, or the latest time that was passed in if that is later. A call may wait for a lock
+// or for the CPU after it has read the clock, and a token bucket that is asked for an earlier time than before
+// counts the time in between twice.
 func (n *endpointLimiter) monotonic(now time.Time) time.Time {
 	if now.After(n.latestNow) {
 		n.latestNow = now
@@ -68,8 +68,8 @@
 	return n.latestNow
 }
 
-// Observe takes in a word of an endpoint; it tells whether the limit is another one now. An older word
-// than the latest one changes nothing, by whatever way it comes.
+// Observe applies an observation, and reports whether the limit changed. It ignores observations that are
+// older than the latest one.
 func (c *Limiter) Observe(endpoint string, w Observation, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	return changed
 }
 
-// applyLimit makes the bucket one of the limit.
+// applyLimit updates the bucket to the observed limit.
 func (n *endpointLimiter) applyLimit(now time.Time) {
 	if !n.observed.Limit.IsSet() {
 		n.bucket = nil
@@ -105,26 +105,27 @@
 	burst := max(1, int(math.Ceil(perSecond*burstWindow.Seconds())))
 	if n.bucket == nil {
 		n.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
-		n.bucket.ReserveN(now, burst) // it begins empty
+		n.bucket.ReserveN(now, burst) // starts empty
 		return
 	}
 	n.bucket.SetLimitAt(now, rate.Limit(perSecond))
 	n.bucket.SetBurstAt(now, burst)
 }
 
-// rate is how many requests a second are handed out.
+// rate returns the requests per second that are permitted.
 func (n *endpointLimiter) rate() float64 { return max(n.observed.Limit.Rate(), minRate) }
 
-// Request is a request that would go to an endpoint.
+// Request is a request that a box would send to an endpoint.
 type Request struct {
-	Rank    int           // 0 is the most urgent
+	Rank    int           // 0 is the highest priority
 	MaxWait time.Duration // how long it can wait
-	// SpareOnly says that another endpoint without a limit can serve it: it takes only what others leave.
-	// So what an endpoint takes goes to the adapters that no other one holds, and those need no copy.
+	// SpareOnly marks a request that another endpoint without a limit can serve. It only uses capacity
+	// that would be lost otherwise. So the capacity of a limited endpoint goes to adapters that are
+	// loaded nowhere else, and those need no copy.
 	SpareOnly bool
 }
 
-// Before tells whether a request may get what another one did not.
+// Before reports whether a request has precedence over another one.
 func (a Request) Before(o Request) bool {
 	if a.SpareOnly != o.SpareOnly {
 		return o.SpareOnly
@@ -132,15 +133,15 @@
 	return a.Rank < o.Rank
 }
 
-// Result is the answer to one request that would go to an endpoint.
+// Result is the answer to a Request.
 type Result struct {
-	Limited bool          // the endpoint names a limit; else all requests may go
-	OK      bool          // it may be sent, after Wait
-	Wait    time.Duration // not OK: until such a request is likely granted
+	Limited bool          // the endpoint announces a limit; otherwise OK is true
+	OK      bool          // it may be sent after Wait
+	Wait    time.Duration // if not OK: time until such a request is likely permitted
 }
 
-// Take answers a request that would go to an endpoint. Of a more urgent rank more of the time that it can
-// wait counts: what is scarce for all goes to the most urgent.
+// Take permits or refuses a request to an endpoint. The higher the priority, the larger the part of MaxWait for
+// which a request may wait, so a scarce limit goes to the highest priority.
 func (c *Limiter) Take(endpoint string, a Request, now time.Time) Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,19 +162,19 @@
 	return Result{Limited: true, Wait: n.retryAfter(wait, now)}
 }
 
-// hasSpare tells whether nobody took anything for a while: what comes now would be lost.
+// hasSpare reports whether the bucket is full, so that further tokens would be lost.
 func (n *endpointLimiter) hasSpare(now time.Time) bool {
 	return n.waitFor(float64(n.bucket.Burst()), now) <= 0
 }
 
-// waitFor returns how long it takes until so many may be taken at once.
+// waitFor returns the time until that many tokens are available.
 func (n *endpointLimiter) waitFor(requests float64, now time.Time) time.Duration {
 	missing := requests - n.bucket.TokensAt(now)
 	return time.Duration(max(missing, 0) / n.rate() * float64(time.Second))
 }
 
-// retryAfter tells a refused caller when to come back, each one a turn after the one before: told the
-// same moment, all but one would be refused again.
+// retryAfter returns the Retry-After of a refused caller. Each caller gets a time of its own, one interval after
+// the previous one: if they all retried at once, all but one would be refused again.
 func (n *endpointLimiter) retryAfter(wait time.Duration, now time.Time) time.Duration {
 	interval := time.Duration(float64(time.Second) / n.rate())
 	at := now.Add(wait)
@@ -187,14 +188,14 @@
 	return at.Sub(now)
 }
 
-// Headroom is what an endpoint takes just now.
+// Headroom is what an endpoint accepts at a moment.
 type Headroom struct {
-	Limited  bool          // it names a limit; else it takes all
-	Wait     time.Duration // until it takes one more request
-	HasSpare bool          // it takes more than it is sent
+	Limited  bool          // it announces a limit
+	Wait     time.Duration // until it accepts another request
+	HasSpare bool          // it accepts more requests than it receives
 }
 
-// Headroom returns what an endpoint takes at now.
+// Headroom returns what an endpoint accepts at now.
 func (c *Limiter) Headroom(endpoint string, now time.Time) Headroom {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +207,7 @@
 	return Headroom{Limited: true, Wait: n.waitFor(1, now), HasSpare: n.hasSpare(now)}
 }
 
-// TimeFor returns how long an endpoint takes for so many requests.
+// TimeFor returns the time in which an endpoint accepts that many requests.
 func (c *Limiter) TimeFor(endpoint string, requests int) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,7 +218,7 @@
 	return time.Duration(float64(requests) / n.rate() * float64(time.Second))
 }
 
-// Limit returns the limit that is counted by; the zero value where the endpoint names none.
+// Limit returns the limit that is enforced; the zero value if there is none.
 func (c *Limiter) Limit(endpoint string) Limit {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -227,7 +228,7 @@
 	return Limit{}
 }
 
-// Forget drops what is known of an endpoint that is gone.
+// Forget removes an endpoint that no longer exists.
 func (c *Limiter) Forget(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/ratelimit/limiter_test.go
+++ b/ratelimit/limiter_test.go
@@ -11,12 +11,11 @@
 	"github.com/frankban/quicktest"
 )
 
-// start is when tests begin; only what passes since matters.
 var start = time.Unix(1000, 0)
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// limiterOf returns a counter of one endpoint, e, that names a limit at the start.
+// limiterOf returns a limiter of the endpoint e with a limit that was observed at the start.
 func limiterOf(perSecond float64) *Limiter {
 	c := new(Limiter)
 	c.Observe("e", Observation{Limit: PerSecond(perSecond), At: start}, start)
@@ -62,7 +61,7 @@
 	k := limiterOf(5)
 	c.Check(k.Observe("e", Observation{Limit: PerSecond(2), At: at(2 * time.Second)}, at(2*time.Second)), quicktest.IsTrue)
 	c.Check(k.Observe("e", Observation{Limit: PerSecond(5), At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse)
-	c.Check(k.Observe("e", Observation{At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse) // sent before
+	c.Check(k.Observe("e", Observation{At: at(time.Second)}, at(2*time.Second)), quicktest.IsFalse) // its request was sent before
 	c.Check(k.Take("e", Request{}, at(2*time.Second)).Limited, quicktest.IsTrue)
 	c.Check(k.Observe("e", Observation{At: at(3 * time.Second)}, at(3*time.Second)), quicktest.IsTrue)
 	c.Check(k.Take("e", Request{}, at(3*time.Second)), quicktest.Equals, Result{OK: true})
@@ -84,7 +83,7 @@
 	c.Check(granted, quicktest.Equals, 1)
 }
 
-// What is scarce goes to the most urgent: they wait for what comes next, the others take what is there.
+// Requests with high priority may wait for the next token; the others get only a token that is available.
 func TestHigherPriorityGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
 	k := limiterOf(10)
@@ -99,7 +98,7 @@
 	c.Check(granted[2] <= 5, quicktest.IsTrue, quicktest.Commentf("%v", granted))
 }
 
-// Refused callers that come back when they are told to are served then, as long as no others come.
+// Refused callers that retry at the time that they were told are served if no others come.
 func TestRetryAfterIsAccurate(t *testing.T) {
 	c := quicktest.New(t)
 	k := limiterOf(5)
@@ -128,8 +127,8 @@
 	c.Check(k.Take("e", Request{}, at(20*time.Second)), quicktest.Equals, Result{OK: true})
 }
 
-// Requests that others can serve take only what is left: none while others want all, and all that would
-// be lost else.
+// SpareOnly requests use only the remaining capacity: none while other requests use all of it, and otherwise
+// all that would be lost.
 func TestSpareOnlyRequestsUseRemainingCapacity(t *testing.T) {
 	c := quicktest.New(t)
 	k := limiterOf(10)
@@ -150,15 +149,10 @@
 	c.Check(Request{SpareOnly: true}.Before(Request{Rank: 2}), quicktest.IsFalse)
 }
 
-// Found by reading, after a soak on a busy machine: calls are granted more than a limit allows where they
-// do not come in the order of their times.
-//
-// The order of events: a call reads the clock and waits for a lock, or for the processor. Others that
-// read it later go first. Then the first one takes, at its older time.
-//
-// The cause: a bucket that is asked for an older time than before counts the time in between twice.
-//
-// The evidence: 399 of these calls were granted in 20 s where 60 are allowed; 57 with times in order.
+// Guards against granting more requests than the limit permits when calls arrive out of time order: a call
+// reads the clock and then waits for a lock or for the CPU while later calls go first. A token bucket that is
+// asked for an earlier time counts the time in between twice. With that fault, 399 of these calls were granted
+// in 20 s where 60 are allowed; with times in order, 57 were.
 func TestCallsOutOfTimeOrderStayWithinTheLimit(t *testing.T) {
 	c := quicktest.New(t)
 	k := limiterOf(3)
@@ -173,6 +167,6 @@
 		}
 	}
 	c.Check(granted <= 20*3+3, quicktest.IsTrue, quicktest.Commentf("%d", granted))
-	// One may go each third of a second, and is asked for up to a step of 50 ms later.
+	// A request is permitted every third of a second, and requested up to one step of 50 ms later.
 	c.Check(granted >= 52, quicktest.IsTrue, quicktest.Commentf("%d", granted))
 }
