--- a/policy/target.go
+++ b/policy/target.go
@@ -17,8 +17,8 @@
 const (
 	// utilisationCost is the additional cost of an endpoint whose slots are all in use: the next
 	// request that needs a slot there waits one or two seconds for a running request to end. A third
-	// of it, with half of storeLoadCost, served 0.468 of the worth of all requests on days with faults
-	// at a site short of slots; these values served 0.476 (two runs each, within noise).
+	// of it, with half of storeLoadCost, gave a worth of 0.468 on days with faults at a site short
+	// of slots; these values gave 0.476 (two runs each, within noise).
 	utilisationCost = 300 * time.Millisecond
 	// storeLoadCost is the additional cost of a load from the store: it uses the shared
 	// bandwidth of the store, and occupies memory on one more endpoint. With 100 ms, adapters
