--- a/quarantine/answered.go
+++ b/quarantine/answered.go
@@ -25,19 +25,19 @@
 }
 
 // Add records that an endpoint answered a request completely.
-func (a *AnsweredRequests) Add(c Fingerprint, now time.Time) {
+func (a *AnsweredRequests) Add(f Fingerprint, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	a.seen.put(string(c[:]), nil, now)
+	a.seen.put(string(f[:]), nil, now)
 }
 
 // Has reports whether an endpoint recently answered a request completely.
-func (a *AnsweredRequests) Has(c Fingerprint, now time.Time) bool {
+func (a *AnsweredRequests) Has(f Fingerprint, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	_, ok := a.seen.get(string(c[:]), now)
+	_, ok := a.seen.get(string(f[:]), now)
 	return ok
 }
 
--- a/quarantine/counter.go
+++ b/quarantine/counter.go
@@ -41,48 +41,48 @@
 	attributed *generationMap
 }
 
-func (k *Counter) initLocked() {
-	if k.suspects == nil {
-		k.suspects = &generationMap{lifetime: suspectTTL, maxKeys: maxSuspects}
-		k.attributed = &generationMap{lifetime: suspectTTL, maxKeys: maxAttributed}
+func (c *Counter) initLocked() {
+	if c.suspects == nil {
+		c.suspects = &generationMap{lifetime: suspectTTL, maxKeys: maxSuspects}
+		c.attributed = &generationMap{lifetime: suspectTTL, maxKeys: maxAttributed}
 	}
 }
 
 // RecordTermination records that an endpoint terminated while it ran these requests, as reported by
 // one box. It returns the requests to quarantine as a result. isQuarantined reports whether a request
 // is quarantined already: if one of those was running, the termination says nothing about the others.
-func (k *Counter) RecordTermination(endpoint string, requests []Fingerprint, isQuarantined func(Fingerprint) bool, now time.Time) []Fingerprint {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.initLocked()
+func (c *Counter) RecordTermination(endpoint string, requests []Fingerprint, isQuarantined func(Fingerprint) bool, now time.Time) []Fingerprint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.initLocked()
 	if slices.ContainsFunc(requests, isQuarantined) {
-		k.attributed.put(endpoint, nil, now)
+		c.attributed.put(endpoint, nil, now)
 	}
 	var found []Fingerprint
-	for _, c := range requests {
-		if !isQuarantined(c) && k.addTerminationLocked(c, endpoint, now) >= MaxTerminations {
-			found = append(found, c)
+	for _, f := range requests {
+		if !isQuarantined(f) && c.addTerminationLocked(f, endpoint, now) >= MaxTerminations {
+			found = append(found, f)
 		}
 	}
-	for _, c := range found {
-		k.attributeLocked(c, now)
+	for _, f := range found {
+		c.attributeLocked(f, now)
 	}
 	return found
 }
 
 // addTerminationLocked adds an endpoint to those that terminated under a request, and returns the number
 // of those that count.
-func (k *Counter) addTerminationLocked(c Fingerprint, endpoint string, now time.Time) int {
-	key := string(c[:])
-	ends, _ := k.suspects.get(key, now)
-	if !slices.Contains(ends, endpoint) {
-		ends = append(slices.Clone(ends), endpoint)
-		ends = ends[max(len(ends)-maxTerminationsKept, 0):]
-		k.suspects.put(key, ends, now)
+func (c *Counter) addTerminationLocked(f Fingerprint, endpoint string, now time.Time) int {
+	key := string(f[:])
+	endpoints, _ := c.suspects.get(key, now)
+	if !slices.Contains(endpoints, endpoint) {
+		endpoints = append(slices.Clone(endpoints), endpoint)
+		endpoints = endpoints[max(len(endpoints)-maxTerminationsKept, 0):]
+		c.suspects.put(key, endpoints, now)
 	}
 	count := 0
-	for _, e := range ends {
-		if !k.isAttributedLocked(e, ends, now) {
+	for _, e := range endpoints {
+		if !c.isAttributedLocked(e, endpoints, now) {
 			count++
 		}
 	}
@@ -92,21 +92,21 @@
 // isAttributedLocked reports whether the termination of an endpoint is attributed to another request than
 // the one with these terminations. It is not if this request ran on every endpoint that terminated under
 // the other one: the other may have run beside it by chance and have been reported first.
-func (k *Counter) isAttributedLocked(endpoint string, ends []string, now time.Time) bool {
-	by, ok := k.attributed.get(endpoint, now)
+func (c *Counter) isAttributedLocked(endpoint string, endpoints []string, now time.Time) bool {
+	cause, ok := c.attributed.get(endpoint, now)
 	if !ok {
 		return false
 	}
-	missing := func(e string) bool { return !slices.Contains(ends, e) }
-	return len(by) == 0 || slices.ContainsFunc(by, missing)
+	missing := func(e string) bool { return !slices.Contains(endpoints, e) }
+	return len(cause) == 0 || slices.ContainsFunc(cause, missing)
 }
 
 // attributeLocked attributes the terminations of all endpoints that terminated under a request to it.
-func (k *Counter) attributeLocked(c Fingerprint, now time.Time) {
-	key := string(c[:])
-	ends, _ := k.suspects.get(key, now)
-	for _, e := range ends {
-		k.attributed.put(e, ends, now)
+func (c *Counter) attributeLocked(f Fingerprint, now time.Time) {
+	key := string(f[:])
+	endpoints, _ := c.suspects.get(key, now)
+	for _, e := range endpoints {
+		c.attributed.put(e, endpoints, now)
 	}
-	k.suspects.remove(key)
+	c.suspects.remove(key)
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -37,7 +37,7 @@
 }
 
 // ParseFingerprint parses the result of String; ok is false if it is invalid.
-func ParseFingerprint(text string) (c Fingerprint, ok bool) {
+func ParseFingerprint(text string) (f Fingerprint, ok bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != fingerprintSize {
 		return Fingerprint{}, false
@@ -46,7 +46,7 @@
 }
 
 // String returns the fingerprint in hexadecimal.
-func (c Fingerprint) String() string { return hex.EncodeToString(c[:]) }
+func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
 // maxPerMessage bounds the fingerprints that a message contains per endpoint. An endpoint runs fewer
 // requests at a time.
@@ -55,8 +55,8 @@
 // Encode converts fingerprints for a message to another process.
 func Encode(list []Fingerprint) [][]byte {
 	raw := make([][]byte, 0, min(len(list), maxPerMessage))
-	for _, c := range list[:min(len(list), maxPerMessage)] {
-		raw = append(raw, c[:])
+	for _, f := range list[:min(len(list), maxPerMessage)] {
+		raw = append(raw, f[:])
 	}
 	return raw
 }
@@ -78,8 +78,8 @@
 // Strings formats fingerprints for a log line.
 func Strings(list []Fingerprint) []string {
 	some := make([]string, 0, min(len(list), maxPerLogLine))
-	for _, c := range list[:min(len(list), maxPerLogLine)] {
-		some = append(some, c.String())
+	for _, f := range list[:min(len(list), maxPerLogLine)] {
+		some = append(some, f.String())
 	}
 	return some
 }
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -28,18 +28,18 @@
 
 // Add quarantines a request until a time, and reports whether it was not listed before. An earlier
 // expiry does not replace a later one.
-func (l *List) Add(c Fingerprint, until time.Time) bool {
+func (l *List) Add(f Fingerprint, until time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.until == nil {
 		l.until = make(map[Fingerprint]time.Time)
 	}
-	_, listed := l.until[c]
+	_, listed := l.until[f]
 	if !listed && len(l.until) >= maxListed {
 		l.dropEarliestLocked()
 	}
-	if until.After(l.until[c]) {
-		l.until[c] = until
+	if until.After(l.until[f]) {
+		l.until[f] = until
 	}
 	return !listed
 }
@@ -48,9 +48,9 @@
 func (l *List) dropEarliestLocked() {
 	var first Fingerprint
 	var ends time.Time
-	for c, u := range l.until {
+	for f, u := range l.until {
 		if ends.IsZero() || u.Before(ends) {
-			first, ends = c, u
+			first, ends = f, u
 		}
 	}
 	delete(l.until, first)
@@ -58,10 +58,10 @@
 }
 
 // Remaining returns how much longer a request is quarantined; false if it is not.
-func (l *List) Remaining(c Fingerprint, now time.Time) (time.Duration, bool) {
+func (l *List) Remaining(f Fingerprint, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u, ok := l.until[c]
+	u, ok := l.until[f]
 	if !ok || !now.Before(u) {
 		return 0, false
 	}
@@ -75,10 +75,10 @@
 	defer l.mu.Unlock()
 	removed := l.dropped
 	l.dropped = nil
-	for c, u := range l.until {
+	for f, u := range l.until {
 		if !now.Before(u) {
-			removed = append(removed, c)
-			delete(l.until, c)
+			removed = append(removed, f)
+			delete(l.until, f)
 		}
 	}
 	return removed
--- a/quarantine/monitor.go
+++ b/quarantine/monitor.go
@@ -59,53 +59,53 @@
 }
 
 // RecordResponse records that an endpoint answered a request completely; now is a time of package clock.
-func (w *Monitor) RecordResponse(c Fingerprint, now time.Time) { w.answered.Add(c, now) }
+func (m *Monitor) RecordResponse(f Fingerprint, now time.Time) { m.answered.Add(f, now) }
 
 // RecordInterruption records that the response of an endpoint to a request was interrupted.
-func (w *Monitor) RecordInterruption(endpoint, address string, c Fingerprint) {
+func (m *Monitor) RecordInterruption(endpoint, address string, f Fingerprint) {
 	select {
-	case w.interruptions() <- interruption{instance: instance{endpoint: endpoint, address: address}, request: c}:
+	case m.interruptions() <- interruption{instance: instance{endpoint: endpoint, address: address}, request: f}:
 	default:
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.counts.Dropped++
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.counts.Dropped++
 	}
 }
 
 // Counts returns the counts since the start.
-func (w *Monitor) Counts() TerminationCounts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.counts
+func (m *Monitor) Counts() TerminationCounts {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.counts
 }
 
 // interruptions returns the queue of interrupted requests that were not checked yet.
-func (w *Monitor) interruptions() chan interruption {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.queue == nil {
-		w.queue = make(chan interruption, maxPendingInterruptions)
+func (m *Monitor) interruptions() chan interruption {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.queue == nil {
+		m.queue = make(chan interruption, maxPendingInterruptions)
 	}
-	return w.queue
+	return m.queue
 }
 
 // Run probes each endpoint that interrupted requests, until ctx ends. Requests that are interrupted
 // during a probe share its result.
-func (w *Monitor) Run(ctx context.Context) error {
+func (m *Monitor) Run(ctx context.Context) error {
 	pending := make(map[instance][]Fingerprint)
 	results := make(chan probeResult)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case c := <-w.interruptions():
-			if pending[c.instance] == nil {
+		case i := <-m.interruptions():
+			if pending[i.instance] == nil {
 				go func() {
-					results <- probeResult{instance: c.instance, terminated: w.IsTerminated(ctx, c.instance.address)}
+					results <- probeResult{instance: i.instance, terminated: m.IsTerminated(ctx, i.instance.address)}
 				}()
 			}
-			pending[c.instance] = append(pending[c.instance], c.request)
+			pending[i.instance] = append(pending[i.instance], i.request)
 		case r := <-results:
-			w.handleProbe(r, pending[r.instance], clock.Now())
+			m.handleProbe(r, pending[r.instance], clock.Now())
 			delete(pending, r.instance)
 		}
 	}
@@ -116,20 +116,20 @@
 }
 
 // handleProbe applies the result of a probe to the requests that the endpoint interrupted.
-func (w *Monitor) handleProbe(r probeResult, requests []Fingerprint, now time.Time) {
-	w.addCounts(r.terminated, len(requests))
+func (m *Monitor) handleProbe(r probeResult, requests []Fingerprint, now time.Time) {
+	m.addCounts(r.terminated, len(requests))
 	if r.terminated {
-		w.OnTermination(r.instance.endpoint, slices.DeleteFunc(requests, func(c Fingerprint) bool { return w.answered.Has(c, now) }))
+		m.OnTermination(r.instance.endpoint, slices.DeleteFunc(requests, func(f Fingerprint) bool { return m.answered.Has(f, now) }))
 	}
 }
 
-func (w *Monitor) addCounts(terminated bool, requests int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (m *Monitor) addCounts(terminated bool, requests int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if !terminated {
-		w.counts.Alive += int64(requests)
+		m.counts.Alive += int64(requests)
 		return
 	}
-	w.counts.Endpoints++
-	w.counts.Requests += int64(requests)
+	m.counts.Endpoints++
+	m.counts.Requests += int64(requests)
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -17,8 +17,8 @@
 // RecordTermination records that an endpoint terminated while it ran requests, as reported by one
 // process. It returns the requests that the caller must add to the list.
 func (t *Tracker) RecordTermination(endpoint string, requests []Fingerprint, now time.Time) []Fingerprint {
-	isQuarantined := func(c Fingerprint) bool {
-		_, listed := t.list.Remaining(c, now)
+	isQuarantined := func(f Fingerprint) bool {
+		_, listed := t.list.Remaining(f, now)
 		return listed
 	}
 	return t.counter.RecordTermination(endpoint, requests, isQuarantined, now)
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -61,59 +61,59 @@
 // monotonic returns now, or the latest time that was passed in if that is later. A call may wait for a lock
 // or for the CPU after it has read the clock, and a token bucket that is asked for an earlier time than before
 // counts the time in between twice.
-func (n *endpointLimiter) monotonic(now time.Time) time.Time {
-	if now.After(n.latestNow) {
-		n.latestNow = now
+func (e *endpointLimiter) monotonic(now time.Time) time.Time {
+	if now.After(e.latestNow) {
+		e.latestNow = now
 	}
-	return n.latestNow
+	return e.latestNow
 }
 
 // Observe applies an observation, and reports whether the limit changed. It ignores observations that are
 // older than the latest one.
-func (c *Limiter) Observe(endpoint string, w Observation, now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.endpoints[endpoint]
-	if n == nil {
-		if !w.Limit.IsSet() {
+func (l *Limiter) Observe(endpoint string, o Observation, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.endpoints[endpoint]
+	if e == nil {
+		if !o.Limit.IsSet() {
 			return false
 		}
-		if c.endpoints == nil {
-			c.endpoints = make(map[string]*endpointLimiter)
+		if l.endpoints == nil {
+			l.endpoints = make(map[string]*endpointLimiter)
 		}
-		n = new(endpointLimiter)
-		c.endpoints[endpoint] = n
+		e = new(endpointLimiter)
+		l.endpoints[endpoint] = e
 	}
-	if !w.At.After(n.observed.At) {
+	if !o.At.After(e.observed.At) {
 		return false
 	}
-	changed := n.observed.Limit != w.Limit
-	n.observed = w
+	changed := e.observed.Limit != o.Limit
+	e.observed = o
 	if changed {
-		n.applyLimit(n.monotonic(now))
+		e.applyLimit(e.monotonic(now))
 	}
 	return changed
 }
 
 // applyLimit updates the bucket to the observed limit.
-func (n *endpointLimiter) applyLimit(now time.Time) {
-	if !n.observed.Limit.IsSet() {
-		n.bucket = nil
+func (e *endpointLimiter) applyLimit(now time.Time) {
+	if !e.observed.Limit.IsSet() {
+		e.bucket = nil
 		return
 	}
-	perSecond := n.rate()
+	perSecond := e.rate()
 	burst := max(1, int(math.Ceil(perSecond*burstWindow.Seconds())))
-	if n.bucket == nil {
-		n.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
-		n.bucket.ReserveN(now, burst) // starts empty
+	if e.bucket == nil {
+		e.bucket = rate.NewLimiter(rate.Limit(perSecond), burst)
+		e.bucket.ReserveN(now, burst) // starts empty
 		return
 	}
-	n.bucket.SetLimitAt(now, rate.Limit(perSecond))
-	n.bucket.SetBurstAt(now, burst)
+	e.bucket.SetLimitAt(now, rate.Limit(perSecond))
+	e.bucket.SetBurstAt(now, burst)
 }
 
 // rate returns the requests per second that are permitted.
-func (n *endpointLimiter) rate() float64 { return max(n.observed.Limit.Rate(), minRate) }
+func (e *endpointLimiter) rate() float64 { return max(e.observed.Limit.Rate(), minRate) }
 
 // Request is a request that a box would send to an endpoint.
 type Request struct {
@@ -142,49 +142,49 @@
 
 // Take permits or refuses a request to an endpoint. The higher the priority, the larger the part of MaxWait for
 // which a request may wait, so a scarce limit goes to the highest priority.
-func (c *Limiter) Take(endpoint string, a Request, now time.Time) Result {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.endpoints[endpoint]
-	if n == nil || n.bucket == nil {
+func (l *Limiter) Take(endpoint string, a Request, now time.Time) Result {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.endpoints[endpoint]
+	if e == nil || e.bucket == nil {
 		return Result{OK: true}
 	}
-	now = n.monotonic(now)
-	if a.SpareOnly && !n.hasSpare(now) {
-		return Result{Limited: true, Wait: n.waitFor(float64(n.bucket.Burst()), now)}
+	now = e.monotonic(now)
+	if a.SpareOnly && !e.hasSpare(now) {
+		return Result{Limited: true, Wait: e.waitFor(float64(e.bucket.Burst()), now)}
 	}
-	r := n.bucket.ReserveN(now, 1)
+	r := e.bucket.ReserveN(now, 1)
 	wait := r.DelayFrom(now)
 	if wait <= max(a.MaxWait, 0)/time.Duration(1+max(a.Rank, 0)) {
 		return Result{Limited: true, OK: true, Wait: wait}
 	}
 	r.CancelAt(now)
-	return Result{Limited: true, Wait: n.retryAfter(wait, now)}
+	return Result{Limited: true, Wait: e.retryAfter(wait, now)}
 }
 
 // hasSpare reports whether the bucket is full, so that further tokens would be lost.
-func (n *endpointLimiter) hasSpare(now time.Time) bool {
-	return n.waitFor(float64(n.bucket.Burst()), now) <= 0
+func (e *endpointLimiter) hasSpare(now time.Time) bool {
+	return e.waitFor(float64(e.bucket.Burst()), now) <= 0
 }
 
 // waitFor returns the time until that many tokens are available.
-func (n *endpointLimiter) waitFor(requests float64, now time.Time) time.Duration {
-	missing := requests - n.bucket.TokensAt(now)
-	return time.Duration(max(missing, 0) / n.rate() * float64(time.Second))
+func (e *endpointLimiter) waitFor(requests float64, now time.Time) time.Duration {
+	missing := requests - e.bucket.TokensAt(now)
+	return time.Duration(max(missing, 0) / e.rate() * float64(time.Second))
 }
 
 // retryAfter returns the Retry-After of a refused caller. Each caller gets a time of its own, one interval after
 // the previous one: if they all retried at once, all but one would be refused again.
-func (n *endpointLimiter) retryAfter(wait time.Duration, now time.Time) time.Duration {
-	interval := time.Duration(float64(time.Second) / n.rate())
+func (e *endpointLimiter) retryAfter(wait time.Duration, now time.Time) time.Duration {
+	interval := time.Duration(float64(time.Second) / e.rate())
 	at := now.Add(wait)
-	if next := n.lastRetryAt.Add(interval); next.After(at) {
+	if next := e.lastRetryAt.Add(interval); next.After(at) {
 		at = next
 	}
 	if latest := now.Add(maxRetryAfter); at.After(latest) {
 		at = latest
 	}
-	n.lastRetryAt = at
+	e.lastRetryAt = at
 	return at.Sub(now)
 }
 
@@ -196,41 +196,41 @@
 }
 
 // Headroom returns what an endpoint accepts at now.
-func (c *Limiter) Headroom(endpoint string, now time.Time) Headroom {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.endpoints[endpoint]
-	if n == nil || n.bucket == nil {
+func (l *Limiter) Headroom(endpoint string, now time.Time) Headroom {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.endpoints[endpoint]
+	if e == nil || e.bucket == nil {
 		return Headroom{HasSpare: true}
 	}
-	now = n.monotonic(now)
-	return Headroom{Limited: true, Wait: n.waitFor(1, now), HasSpare: n.hasSpare(now)}
+	now = e.monotonic(now)
+	return Headroom{Limited: true, Wait: e.waitFor(1, now), HasSpare: e.hasSpare(now)}
 }
 
 // TimeFor returns the time in which an endpoint accepts that many requests.
-func (c *Limiter) TimeFor(endpoint string, requests int) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	n := c.endpoints[endpoint]
-	if n == nil || n.bucket == nil {
+func (l *Limiter) TimeFor(endpoint string, requests int) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.endpoints[endpoint]
+	if e == nil || e.bucket == nil {
 		return 0
 	}
-	return time.Duration(float64(requests) / n.rate() * float64(time.Second))
+	return time.Duration(float64(requests) / e.rate() * float64(time.Second))
 }
 
 // Limit returns the limit that is enforced; the zero value if there is none.
-func (c *Limiter) Limit(endpoint string) Limit {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if n := c.endpoints[endpoint]; n != nil {
-		return n.observed.Limit
+func (l *Limiter) Limit(endpoint string) Limit {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.endpoints[endpoint]; e != nil {
+		return e.observed.Limit
 	}
 	return Limit{}
 }
 
 // Forget removes an endpoint that no longer exists.
-func (c *Limiter) Forget(endpoint string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.endpoints, endpoint)
+func (l *Limiter) Forget(endpoint string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.endpoints, endpoint)
 }
