--- a/edge/admission.go
+++ b/edge/admission.go
@@ -29,10 +29,10 @@
 
 // ChargeUnchecked implements forward.Admission.
 func (a admission) ChargeUnchecked(o *access.Organisation, units float64) {
-	a.node.spending.change(o.Name(), units)
+	a.node.spending.charge(o.Name(), units)
 }
 
 // Refund implements forward.Admission.
 func (a admission) Refund(o *access.Organisation, units float64) {
-	a.node.spending.change(o.Name(), -units)
+	a.node.spending.charge(o.Name(), -units)
 }
--- a/edge/leave_test.go
+++ b/edge/leave_test.go
@@ -19,7 +19,7 @@
 	"github.com/go-logr/logr"
 )
 
-func TestARequestThatIsHeldAtAStopGetsItsAnswer(t *testing.T) {
+func TestShutdownCompletesHeldRequests(t *testing.T) {
 	c := quicktest.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -50,8 +50,8 @@
 	c.Assert(<-ended, quicktest.IsNil)
 }
 
-// The time to stop was over while a request was held, and its connection was closed.
-func TestARequestThatIsHeldToTheEndOfAStopIsToldBeforeIt(t *testing.T) {
+// Guards against closed connections without a response when the shutdown times out while a request is held.
+func TestShutdownAnswersHeldRequestsBeforeItsTimeout(t *testing.T) {
 	c := quicktest.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -63,7 +63,7 @@
 	})}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- serveHTTP(ctx, server, l, 2*answerTime) }()
+	go func() { ended <- serveHTTP(ctx, server, l, 2*finalAnswerTime) }()
 	body := make(chan string, 1)
 	go func() {
 		a, err := http.Get("http://" + l.Addr().String() + "/")
@@ -81,7 +81,7 @@
 	c.Assert(<-ended, quicktest.IsNil)
 }
 
-// adapterDecoder decodes every value as an endpoint that holds an adapter.
+// adapterDecoder decodes every value as an endpoint that holds one adapter.
 type adapterDecoder struct{ plainDecoder }
 
 // Endpoint implements Decoder.
@@ -90,9 +90,9 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "llm", Adapters: map[topology.Adapter]int64{a: 1}}), nil
 }
 
-// After a restart of every box nobody owns an endpoint for a second; what it published of
-// itself serves until then.
-func TestWhatEndpointsPublishedServesUntilTheyAreOwned(t *testing.T) {
+// After a restart of all boxes no endpoint has an owner for about a second; until then the adapters that it published
+// itself are used.
+func TestPublishedAdaptersAreUsedUntilAnEndpointIsOwned(t *testing.T) {
 	c := quicktest.New(t)
 	view, table := topology.NewView(), share.NewTable()
 	s := &state{view: view, table: table, decoder: adapterDecoder{}, fences: &placement.Fences{}, log: logr.Discard()}
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -28,7 +28,7 @@
 	}
 	shutdown, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	cancelTimer := time.AfterFunc(timeout-answerTime, func() { cancelRequests(forward.ErrShutdown) })
+	cancelTimer := time.AfterFunc(timeout-finalAnswerTime, func() { cancelRequests(forward.ErrShutdown) })
 	defer cancelTimer.Stop()
 	err := s.Shutdown(shutdown)
 	<-served
@@ -77,6 +77,6 @@
 // httpTask returns a task that serves a handler. Idle connections are closed while more than open are open; most bounds
 // the shutdown.
 func httpTask(h http.Handler, l net.Listener, shutdownTimeout time.Duration, maxOpen int) task {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ConnState: newIdleCloser(maxOpen).connStateChanged}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ConnState: newIdleCloser(maxOpen).connStateChanged}
 	return func(ctx context.Context) error { return serveHTTP(ctx, s, l, shutdownTimeout) }
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -44,10 +44,10 @@
 	gateway    *forward.Gateway
 	loader     *placement.Loader
 	usage      *usage
-	levels     levels
+	loadCosts  loadCosts
 	spending   *spending
 	outbox     *outbox
-	quarantine quarantined
+	quarantine requestQuarantine
 	limits     *limits
 
 	departures departures
@@ -78,14 +78,14 @@
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.items.Same, n.items.Outlives = n.isSame, n.outlives
-	n.items.OnIgnored = n.noteIgnored
+	n.items.OnIgnored = n.countIgnored
 	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
 	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
-	n.quarantine = quarantined{node: n}
+	n.quarantine = requestQuarantine{node: n}
 	n.departures = departures{node: n}
 	n.limits = newLimits(n)
 	n.state.limits = n.limits
@@ -117,7 +117,7 @@
 		Quarantine:    n.quarantine,
 		Limits:        n.limits,
 		Boxes:         func() int { return n.peers.budgetBoxes(clock.Now()) },
-		LoadCost:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
+		LoadCost:      func(centre string) (time.Duration, bool) { return n.loadCosts.get(centre, clock.Now()) },
 		Unreachable:   func(centre string) bool { return n.peers.clusterView().unreachable[centre] },
 		RetryLimits:   func() forward.RetryLimits { return n.current.Load().Budget },
 		OnDraining:    n.departures.observe,
@@ -220,14 +220,14 @@
 	server := daemon.NewServer(insecure.NewCredentials(), n.messages)
 	wire.RegisterPeerServer(server, peerServer{node: n})
 	wire.RegisterShareServer(server, shareServer{node: n})
-	drainTime := n.Settings.Bounds.Grace - noticeFor - endMargin // how long requests in flight have to finish during shutdown
+	drainTime := n.Settings.Bounds.Grace - leaveNoticeTime - shutdownMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
 		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.requestLoans, n.outbox.run, n.limits.run,
 		n.reader(Settled).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
 		httpTask(n.gateway, listeners.callers, drainTime, max(n.Settings.Limits.Descriptors/callerConnDivisor, maxAuxiliaryConns)),
-		httpTask(n.readiness(), listeners.ready, drainTime, maxAuxiliaryConns),
+		httpTask(n.readinessHandler(), listeners.ready, drainTime, maxAuxiliaryConns),
 		httpTask(n.metrics(), listeners.metrics, drainTime, maxAuxiliaryConns),
 	}
 	err = n.runAll(ctx, inner, end, tasks)
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -25,12 +25,12 @@
 )
 
 // lateRequests returns how many requests came from boxes later than d after their first response with the header.
-func (e *needyEndpoint) lateRequests(d time.Duration) int {
+func (e *limitedEndpoint) lateRequests(d time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	count := 0
 	for _, a := range e.arrivals {
-		if told, known := e.told[a.box]; known && a.at.Sub(told) > d {
+		if told, known := e.announcedAt[a.box]; known && a.at.Sub(told) > d {
 			count++
 		}
 	}
@@ -39,7 +39,7 @@
 
 // requestsDuringBackoff returns the highest number of requests that one box sent during one back-off of the given
 // length. The endpoint asks for a back-off in each response.
-func (e *needyEndpoint) requestsDuringBackoff(long time.Duration) int {
+func (e *limitedEndpoint) requestsDuringBackoff(long time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	most := 0
@@ -64,10 +64,10 @@
 	t.Parallel()
 	c := quicktest.New(t)
 	const boxes = 4
-	s := newNeedy(c, 4)
+	s := newLimitedService(c, 4)
 	nodes, _ := startFleet(c, s, centreDecoder{}, boxes)
-	s.endpoints[0].say("Leaving", "1", false)
-	got := press(nodes, 80, 5*time.Second)
+	s.endpoints[0].setHeader("Leaving", "1", false)
+	got := sendLoad(nodes, 80, 5*time.Second)
 	c.Check(s.endpoints[0].lateRequests(drainTolerance), quicktest.Equals, 0)
 	c.Check(got, quicktest.DeepEquals, map[int]int{http.StatusOK: 80 * 5})
 }
@@ -77,7 +77,7 @@
 func TestAllBoxesLearnThatAnEndpointDrains(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
-	s := newNeedy(c, 2)
+	s := newLimitedService(c, 2)
 	nodes, end := startFleet(c, s, centreDecoder{}, 4)
 	nodes[3].departures.observe("e/1") // as if by a response; this box leads no data centre
 	for _, n := range nodes {
@@ -85,7 +85,7 @@
 		c.Check(n.view.Endpoint("e/0").Draining(), quicktest.IsFalse)
 	}
 	end(0) // the leader of its data centre
-	started, stop := join(c, s, nodes[1])
+	started, stop := startBox(c, s, nodes[1])
 	awaitLeaving(c, started, "e/1")
 	c.Check(stop(), quicktest.IsNil)
 }
@@ -145,11 +145,11 @@
 	t.Parallel()
 	c := quicktest.New(t)
 	const boxes = 4
-	s := newNeedy(c, 4)
+	s := newLimitedService(c, 4)
 	nodes, _ := startFleet(c, s, centreDecoder{}, boxes)
-	press(nodes, 80, 2*time.Second) // earns each box the retry budget that it needs
-	s.endpoints[0].say("Back-Off", "2", true)
-	got := press(nodes, 80, 5*time.Second)
+	sendLoad(nodes, 80, 2*time.Second) // earns each box the retry budget that it needs
+	s.endpoints[0].setHeader("Back-Off", "2", true)
+	got := sendLoad(nodes, 80, 5*time.Second)
 	ignored := s.endpoints[0].requestsDuringBackoff(2 * time.Second)
 	c.Check(ignored <= backoffTolerance, quicktest.IsTrue, quicktest.Commentf("%d requests from one box in one back-off", ignored))
 	c.Check(got, quicktest.DeepEquals, map[int]int{http.StatusOK: 80 * 5})
--- a/edge/usage.go
+++ b/edge/usage.go
@@ -14,97 +14,97 @@
 	"cairnwick.example/wire"
 )
 
-// useKey is an adapter at an endpoint.
-type useKey struct {
+// usageKey identifies an adapter at an endpoint.
+type usageKey struct {
 	endpoint string
 	centre   string
 	adapter  topology.Adapter
 }
 
-// usage counts where adapters are used and tells the endpoints' leaders.
+// usage counts requests by adapter and endpoint, and reports them to the endpoints' leaders.
 type usage struct {
-	node *Node
-	wake chan struct{} // holds one when something changed
-	told chan string   // data centres whose leader was told
+	node     *Node
+	wake     chan struct{} // signals that something changed
+	reported chan string   // data centres for which a report has been sent or has failed
 
-	mu      sync.Mutex
-	leaders map[string]string        // by data centre: who was its leader at the last look
-	counts  map[useKey]int           // requests begun since the last report
-	running map[useKey]underWay      // requests under way
-	changed map[useKey]bool          // what its leader has not been told
-	far     map[topology.Adapter]int // requests begun in other data centres, of which the own leader has not been told
-	telling map[string]bool          // data centres whose leader is being told
+	mu        sync.Mutex
+	leaders   map[string]string         // by data centre: its leader at the last check
+	counts    map[usageKey]int          // requests started since the last report
+	inFlight  map[usageKey]inFlightLoad // requests in progress
+	changed   map[usageKey]bool         // entries not yet reported to the leader
+	remote    map[topology.Adapter]int  // requests sent to other data centres, not yet reported to this one's leader
+	reporting map[string]bool           // data centres with a report in progress
 }
 
-// underWay is the requests under way with an adapter at an endpoint.
-type underWay struct {
-	requests int
-	reading  int // tokens of prompts that the endpoint has not read
+// inFlightLoad is the load of the requests in progress for an adapter at an endpoint.
+type inFlightLoad struct {
+	requests     int
+	unreadTokens int // prompt tokens that the endpoint has not processed
 }
 
 func newUsage(n *Node) *usage {
 	return &usage{
-		node:    n,
-		wake:    make(chan struct{}, 1),
-		told:    make(chan string),
-		leaders: make(map[string]string),
-		counts:  make(map[useKey]int),
-		running: make(map[useKey]underWay),
-		changed: make(map[useKey]bool),
-		far:     make(map[topology.Adapter]int),
-		telling: make(map[string]bool),
+		node:      n,
+		wake:      make(chan struct{}, 1),
+		reported:  make(chan string),
+		leaders:   make(map[string]string),
+		counts:    make(map[usageKey]int),
+		inFlight:  make(map[usageKey]inFlightLoad),
+		changed:   make(map[usageKey]bool),
+		remote:    make(map[topology.Adapter]int),
+		reporting: make(map[string]bool),
 	}
 }
 
 // RequestStarted implements forward.Observer.
 func (u *usage) RequestStarted(e *topology.Endpoint, c forward.Call) forward.Run {
-	r := &run{usage: u, key: useKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, reading: c.PromptTokens}
+	r := &callTracker{usage: u, key: usageKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, unreadTokens: c.PromptTokens}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.counts[r.key]++
 	if r.key.centre != u.node.peers.centre {
-		u.far[c.Adapter]++
+		u.remote[c.Adapter]++
 	}
-	u.changeLocked(r.key, 1, r.reading)
+	u.changeLocked(r.key, 1, r.unreadTokens)
 	return r
 }
 
-// run implements forward.Run. Guarded by usage.mu.
-type run struct {
-	usage   *usage
-	key     useKey
-	reading int // tokens of its prompt that the endpoint has not read
-	over    bool
+// callTracker implements forward.Run for one call. Guarded by usage.mu.
+type callTracker struct {
+	usage        *usage
+	key          usageKey
+	unreadTokens int // tokens of its prompt that the endpoint has not processed
+	ended        bool
 }
 
 // PromptRead implements forward.Run.
-func (r *run) PromptRead() {
+func (r *callTracker) PromptRead() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
-	if r.reading > 0 {
-		r.usage.changeLocked(r.key, 0, -r.reading)
-		r.reading = 0
+	if r.unreadTokens > 0 {
+		r.usage.changeLocked(r.key, 0, -r.unreadTokens)
+		r.unreadTokens = 0
 	}
 }
 
 // Finished implements forward.Run.
-func (r *run) Finished() {
+func (r *callTracker) Finished() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
-	if !r.over {
-		r.over = true
-		r.usage.changeLocked(r.key, -1, -r.reading)
+	if !r.ended {
+		r.ended = true
+		r.usage.changeLocked(r.key, -1, -r.unreadTokens)
 	}
 }
 
-// changeLocked counts requests and tokens; the endpoint's leader is told soon.
-func (u *usage) changeLocked(k useKey, requests, reading int) {
-	w := u.running[k]
+// changeLocked adjusts the load of an entry and schedules a report to the leader.
+func (u *usage) changeLocked(k usageKey, requests, unreadTokens int) {
+	w := u.inFlight[k]
 	w.requests += requests
-	w.reading += reading
-	u.running[k] = w
+	w.unreadTokens += unreadTokens
+	u.inFlight[k] = w
 	if w.requests <= 0 {
-		delete(u.running, k)
+		delete(u.inFlight, k)
 	}
 	u.changed[k] = true
 	u.wakeUp()
@@ -113,48 +113,48 @@
 func (u *usage) wakeUp() {
 	select {
 	case u.wake <- struct{}{}:
-	default: // it will look anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// run tells the leaders of changes soon, and of everything now and then, until ctx ends.
+// run reports changes to the leaders after a short delay, and everything periodically, until ctx ends.
 func (u *usage) run(ctx context.Context) error {
-	whole := time.NewTicker(fullUsageInterval)
-	defer whole.Stop()
-	var soon <-chan time.Time // when what changed is told; nil: nothing has
-	look := time.NewTicker(leaderCheckInterval)
-	defer look.Stop()
+	full := time.NewTicker(fullUsageInterval)
+	defer full.Stop()
+	var due <-chan time.Time // when pending changes are reported; nil: there are none
+	check := time.NewTicker(leaderCheckInterval)
+	defer check.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-u.wake:
-			if soon == nil { // what changes later is told with what waits: set anew, the time would not run out on a busy box
-				soon = time.After(usageBatchDelay)
+			if due == nil { // later changes must not restart the timer: on a busy box it would never fire
+				due = time.After(usageBatchDelay)
 			}
-		case <-soon:
-			soon = nil
-			u.tell(ctx, false)
-		case <-look.C:
-			u.follow(u.node.peers.clusterView())
-		case <-whole.C:
-			u.tell(ctx, true)
-		case c := <-u.told:
-			u.ended(c)
+		case <-due:
+			due = nil
+			u.report(ctx, false)
+		case <-check.C:
+			u.detectNewLeaders(u.node.peers.clusterView())
+		case <-full.C:
+			u.report(ctx, true)
+		case c := <-u.reported:
+			u.finishReport(c)
 		}
 	}
-	for range u.telling {
-		<-u.told
+	for range u.reporting {
+		<-u.reported
 	}
 	return nil
 }
 
-// follow has a data centre's new leader told of all that is under way there: it empties no
-// slot before it knows what is in use.
-func (u *usage) follow(v *clusterView) {
+// detectNewLeaders schedules reports of all requests in progress to leaders that are new: a new leader evicts no
+// adapter before it knows which ones are in use.
+func (u *usage) detectNewLeaders(v *clusterView) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	moved := make(map[string]string)
-	for k := range u.running {
+	for k := range u.inFlight {
 		m, ok := v.leader(k.centre)
 		if ok && u.leaders[k.centre] != m.Name() {
 			moved[k.centre] = m.Name()
@@ -167,46 +167,46 @@
 	}
 }
 
-// ended notes that a data centre's leader was told. What changed meanwhile is told next.
-func (u *usage) ended(centre string) {
+// finishReport marks the report to a data centre's leader as done. Changes made in the meantime are reported next.
+func (u *usage) finishReport(centre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.telling, centre)
+	delete(u.reporting, centre)
 	if len(u.changed) > 0 {
 		u.wakeUp()
 	}
 }
 
-// tell sends each leader what changed at its endpoints, or, with whole, all that is under
-// way there. A leader that is still being told is told later, so that its reports keep
-// their order; one that does not answer holds up no other.
-func (u *usage) tell(ctx context.Context, whole bool) {
+// report sends each leader the changes at its endpoints or, if full, everything in progress there. While a report
+// to a leader is in progress the next one waits, so that reports arrive in order; a leader that does not answer
+// does not delay the others.
+func (u *usage) report(ctx context.Context, full bool) {
 	u.mu.Lock()
-	list := u.collectLocked(whole)
+	list := u.collectLocked(full)
 	for c := range list {
-		u.telling[c] = true
+		u.reporting[c] = true
 	}
 	u.mu.Unlock()
 	for c, q := range list {
 		go func() {
-			u.tellOne(ctx, c, q)
-			u.told <- c
+			u.sendReport(ctx, c, q)
+			u.reported <- c
 		}()
 	}
 }
 
-// collectLocked takes the reports for the leaders that are not being told.
-func (u *usage) collectLocked(whole bool) map[string]*wire.UseRequest {
+// collectLocked removes and returns the pending reports to the leaders that have no report in progress.
+func (u *usage) collectLocked(full bool) map[string]*wire.UseRequest {
 	list := make(map[string]*wire.UseRequest)
 	add := func(centre string, w *wire.Usage) {
 		if list[centre] == nil {
-			list[centre] = &wire.UseRequest{Box: u.node.peers.box, DataCentre: u.node.peers.centre, Part: !whole}
+			list[centre] = &wire.UseRequest{Box: u.node.peers.box, DataCentre: u.node.peers.centre, Part: !full}
 		}
 		list[centre].Usage = append(list[centre].Usage, w)
 	}
 	keys := maps.Clone(u.changed)
-	if whole {
-		for k := range u.running {
+	if full {
+		for k := range u.inFlight {
 			keys[k] = true
 		}
 		for k := range u.counts {
@@ -214,45 +214,45 @@
 		}
 	}
 	for k := range keys {
-		if u.telling[k.centre] {
+		if u.reporting[k.centre] {
 			continue
 		}
-		w := u.running[k]
+		w := u.inFlight[k]
 		add(k.centre, &wire.Usage{
 			Endpoint: k.endpoint,
 			Adapter:  k.adapter.String(),
 			Count:    int32(u.counts[k]),
 			Running:  int32(w.requests),
-			Reading:  int64(w.reading),
+			Reading:  int64(w.unreadTokens),
 		})
 		delete(u.changed, k)
 		delete(u.counts, k)
 	}
-	if own := u.node.peers.centre; whole && !u.telling[own] {
-		for a, n := range u.far {
+	if own := u.node.peers.centre; full && !u.reporting[own] {
+		for a, n := range u.remote {
 			add(own, &wire.Usage{Adapter: a.String(), Far: int32(n)})
 		}
-		clear(u.far)
+		clear(u.remote)
 	}
 	return list
 }
 
-// tellOne tells one leader. What is lost is told with the next whole report.
-func (u *usage) tellOne(ctx context.Context, centre string, q *wire.UseRequest) {
+// sendReport sends a report to one leader. Running requests of a lost report are sent again in the next full one.
+func (u *usage) sendReport(ctx context.Context, centre string, q *wire.UseRequest) {
 	m, ok := u.node.peers.clusterView().leader(centre)
 	if !ok {
 		return
 	}
 	if m.Name() == u.node.peers.box {
-		u.node.levels.hear(centre, u.node.recordUsage(q), clock.Now())
+		u.node.loadCosts.update(centre, u.node.recordUsage(q), clock.Now())
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, fullUsageInterval)
 	defer cancel()
 	a, err := wire.NewShareClient(u.node.peers.dialer.Conn(m.Address())).Use(call, q)
 	if err != nil {
-		u.node.Log.V(1).Info("Leader was not told of use", "leader", m.Name(), "err", err.Error())
+		u.node.Log.V(1).Info("Reporting adapter usage to the leader failed", "leader", m.Name(), "err", err.Error())
 		return
 	}
-	u.node.levels.hear(centre, a, clock.Now())
+	u.node.loadCosts.update(centre, a, clock.Now())
 }
