--- a/edge/limits.go
+++ b/edge/limits.go
@@ -42,7 +42,7 @@
 // learn from a published fact which endpoints are limited.
 type limits struct {
 	node    *Node
-	counter ratelimit.Counter // for endpoints in the data centres that this box leads
+	counter ratelimit.Limiter // for endpoints in the data centres that this box leads
 	wake    chan struct{}     // signals that a limit has to be reported
 
 	mu                 sync.Mutex
@@ -52,10 +52,10 @@
 
 // limitState is what this box knows of an endpoint that announces a limit or used to.
 type limitState struct {
-	latest      ratelimit.Word  // from a response or a published fact
-	unreported  bool            // latest has not been reported to the leader
-	loggedAt    time.Time       // when a change was last logged
-	published   ratelimit.Limit // value of the last published fact
+	latest      ratelimit.Observation // from a response or a published fact
+	unreported  bool                  // latest has not been reported to the leader
+	loggedAt    time.Time             // when a change was last logged
+	published   ratelimit.Limit       // value of the last published fact
 	publishedAt time.Time
 	denied      denial
 	counts      LimitCounts
@@ -66,7 +66,7 @@
 type denial struct {
 	until   time.Time
 	retryAt time.Time // when callers are told to retry
-	ask     ratelimit.Ask
+	ask     ratelimit.Request
 }
 
 // LimitCounts counts this box's requests for an endpoint since it first announced a limit.
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
-	return k != nil && k.latest.Limit.Named()
+	return k != nil && k.latest.Limit.IsSet()
 }
 
 // RequestSent implements forward.Limits.
@@ -100,7 +100,7 @@
 // ObserveLimit implements forward.Limits.
 func (s *limits) ObserveLimit(endpoint string, l ratelimit.Limit, sent time.Time) {
 	now := clock.Now()
-	w := ratelimit.NewWord(l, sent, now)
+	w := ratelimit.NewObservation(l, sent, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.updateLocked(endpoint, w, now) {
@@ -114,8 +114,8 @@
 }
 
 // updateLocked applies an announcement unless a newer one is known. It returns whether the limit changed.
-func (s *limits) updateLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
-	if s.known[endpoint] == nil && !w.Limit.Named() {
+func (s *limits) updateLocked(endpoint string, w ratelimit.Observation, now time.Time) bool {
+	if s.known[endpoint] == nil && !w.Limit.IsSet() {
 		return false
 	}
 	k := s.entryLocked(endpoint)
@@ -128,12 +128,12 @@
 		return false
 	}
 	k.denied = denial{}
-	if before.Named() && w.Limit.Named() && now.Sub(k.loggedAt) < limitUpdateInterval {
+	if before.IsSet() && w.Limit.IsSet() && now.Sub(k.loggedAt) < limitUpdateInterval {
 		return true
 	}
 	k.loggedAt = now
 	message := "Endpoint announced a rate limit"
-	if !w.Limit.Named() {
+	if !w.Limit.IsSet() {
 		message = "Endpoint no longer announces a rate limit"
 	}
 	s.node.Log.Info(message, "endpoint", endpoint, "a_second", w.Limit.Rate(), "sent", k.counts.Sent, "granted", k.counts.Granted, "denied", k.counts.Denied)
@@ -153,7 +153,7 @@
 }
 
 // Acquire implements forward.Limits.
-func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.AcquireResult {
+func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Request) forward.AcquireResult {
 	now := clock.Now()
 	latest, wait := s.cached(e.ID(), want, now)
 	if wait > 0 {
@@ -163,8 +163,8 @@
 		Box:            s.node.peers.box,
 		Word:           wire.NewLimitWord(e.ID(), latest, now),
 		Rank:           int32(want.Rank),
-		PatienceMicros: want.Patience.Microseconds(),
-		Spare:          want.Spare,
+		PatienceMicros: want.MaxWait.Microseconds(),
+		Spare:          want.SpareOnly,
 	}
 	a := s.askLeader(ctx, e.DataCentre(), q)
 	return s.applyReply(e.ID(), latest, a, want, clock.Now())
@@ -172,7 +172,7 @@
 
 // cached returns the latest known limit of an endpoint and, if an earlier denial applies to the request, how long it
 // has to wait. If that is zero the leader has to be asked.
-func (s *limits) cached(endpoint string, want ratelimit.Ask, now time.Time) (latest ratelimit.Word, wait time.Duration) {
+func (s *limits) cached(endpoint string, want ratelimit.Request, now time.Time) (latest ratelimit.Observation, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
@@ -207,7 +207,7 @@
 
 // applyReply records the leader's answer to a request. While an endpoint has no leader the request is denied, since
 // a single box does not know how many requests the others send.
-func (s *limits) applyReply(endpoint string, sent ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.AcquireResult {
+func (s *limits) applyReply(endpoint string, sent ratelimit.Observation, a *wire.TakeReply, want ratelimit.Request, now time.Time) forward.AcquireResult {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +222,7 @@
 		return forward.AcquireResult{Wait: noLeaderDenialTime}
 	case !a.GetLimited():
 		if k.latest == sent { // the leader knows that the limit has ended
-			k.latest = ratelimit.Word{At: now}
+			k.latest = ratelimit.Observation{At: now}
 		}
 		return forward.AcquireResult{OK: true}
 	case a.GetGranted():
@@ -231,7 +231,7 @@
 	}
 	k.counts.Denied++
 	reuse := min(wait, maxDenialTime)
-	if want.Spare {
+	if want.SpareOnly {
 		reuse = spareDenialTime
 	}
 	k.denied = denial{until: now.Add(reuse), retryAt: now.Add(wait), ask: want}
@@ -251,7 +251,7 @@
 	defer s.mu.Unlock()
 	k := s.entryLocked(endpoint)
 	k.published, k.publishedAt = limit, now
-	s.updateLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
+	s.updateLocked(endpoint, ratelimit.Observation{Limit: limit, At: now}, now)
 }
 
 func (s *limits) entryLocked(endpoint string) *limitState {
@@ -285,7 +285,7 @@
 	defer s.mu.Unlock()
 	list := make(map[string]limitReport, len(s.known))
 	for e, k := range s.known {
-		list[e] = limitReport{Named: k.latest.Limit.Named(), Rate: k.latest.Limit.Rate(), LimitCounts: k.counts}
+		list[e] = limitReport{Named: k.latest.Limit.IsSet(), Rate: k.latest.Limit.Rate(), LimitCounts: k.counts}
 	}
 	return list
 }
--- a/edge/limits_leader.go
+++ b/edge/limits_leader.go
@@ -18,10 +18,10 @@
 		return &wire.TakeReply{}
 	}
 	s.receive(q.GetWord(), now)
-	g := s.counter.Take(id, ratelimit.Ask{
-		Rank:     int(q.GetRank()),
-		Patience: time.Duration(q.GetPatienceMicros()) * time.Microsecond,
-		Spare:    q.GetSpare(),
+	g := s.counter.Take(id, ratelimit.Request{
+		Rank:      int(q.GetRank()),
+		MaxWait:   time.Duration(q.GetPatienceMicros()) * time.Microsecond,
+		SpareOnly: q.GetSpare(),
 	}, now)
 	return &wire.TakeReply{Leads: true, Limited: g.Limited, Granted: g.OK, WaitMicros: g.Wait.Microseconds()}
 }
@@ -42,13 +42,13 @@
 func (s *limits) receive(w *wire.LimitWord, now time.Time) {
 	id := w.GetEndpoint()
 	s.mu.Lock()
-	var own ratelimit.Word
+	var own ratelimit.Observation
 	if k := s.known[id]; k != nil {
 		own = k.latest
 	}
 	s.mu.Unlock()
-	s.counter.Hear(id, own, now)
-	s.counter.Hear(id, w.Word(now), now)
+	s.counter.Observe(id, own, now)
+	s.counter.Observe(id, w.Word(now), now)
 	if l := s.counter.Limit(id); s.shouldPublish(id, l, now) {
 		s.publish(id, l)
 	}
@@ -60,9 +60,9 @@
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
-		return l.Named()
+		return l.IsSet()
 	}
-	if k.published.Named() != l.Named() {
+	if k.published.IsSet() != l.IsSet() {
 		return true
 	}
 	return math.Abs(l.Rate()-k.published.Rate()) > limitChangeRatio*k.published.Rate() && now.Sub(k.publishedAt) >= limitUpdateInterval
@@ -86,10 +86,10 @@
 }
 
 // room returns the remaining capacity of an endpoint, for placement decisions.
-func (s *limits) room(endpoint string, now time.Time) ratelimit.Room {
-	r := s.counter.Room(endpoint, now)
+func (s *limits) room(endpoint string, now time.Time) ratelimit.Headroom {
+	r := s.counter.Headroom(endpoint, now)
 	if !r.Limited && s.HasLimit(endpoint) { // the counter does not know the limit until a box asks for the endpoint
-		return ratelimit.Room{Limited: true}
+		return ratelimit.Headroom{Limited: true}
 	}
 	return r
 }
--- a/edge/limits_notify.go
+++ b/edge/limits_notify.go
@@ -39,7 +39,7 @@
 // limitsReport holds the limits that have to be reported to one leader.
 type limitsReport struct {
 	leader member.Member
-	limits map[string]ratelimit.Word // by endpoint
+	limits map[string]ratelimit.Observation // by endpoint
 }
 
 // notifyLeaders sends pending reports to the leaders. It returns whether all were delivered.
@@ -75,7 +75,7 @@
 		}
 		u, known := list[m.Name()]
 		if !known {
-			u = limitsReport{leader: m, limits: make(map[string]ratelimit.Word)}
+			u = limitsReport{leader: m, limits: make(map[string]ratelimit.Observation)}
 			list[m.Name()] = u
 		}
 		u.limits[id] = k.latest
--- a/edge/limits_test.go
+++ b/edge/limits_test.go
@@ -293,7 +293,7 @@
 	n = newNode(c, "box-1")
 	n.build()
 	n.view.SetEndpoint(topology.NewEndpoint(topology.EndpointSpec{ID: "e1", Service: "s", DataCentre: "dc"}))
-	n.limits.publish("e1", ratelimit.Of(5))
+	n.limits.publish("e1", ratelimit.PerSecond(5))
 	c.Assert(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	return n, clock.Now()
 }
@@ -319,7 +319,7 @@
 	ahead := n.items.Version(limitsPrefix+"e1") + uint64(time.Hour.Microseconds())
 	n.items.Merge(&wire.Item{Key: limitsPrefix + "e1", Version: ahead, Value: nil})
 	c.Assert(n.limits.HasLimit("e1"), quicktest.IsFalse) // a fact without a value has no limit
-	n.limits.publish("e1", ratelimit.Of(3))
+	n.limits.publish("e1", ratelimit.PerSecond(3))
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
 	c.Check(n.items.Version(limitsPrefix+"e1"), quicktest.Equals, ahead+1)
 }
@@ -328,9 +328,9 @@
 func TestOnlyLargeLimitChangesArePublished(t *testing.T) {
 	c := quicktest.New(t)
 	n, now := newLimitedNode(c)
-	c.Check(n.limits.shouldPublish("e1", ratelimit.Of(5.5), now.Add(time.Minute)), quicktest.IsFalse)
-	c.Check(n.limits.shouldPublish("e1", ratelimit.Of(9), now), quicktest.IsFalse)
-	c.Check(n.limits.shouldPublish("e1", ratelimit.Of(9), now.Add(time.Minute)), quicktest.IsTrue)
+	c.Check(n.limits.shouldPublish("e1", ratelimit.PerSecond(5.5), now.Add(time.Minute)), quicktest.IsFalse)
+	c.Check(n.limits.shouldPublish("e1", ratelimit.PerSecond(9), now), quicktest.IsFalse)
+	c.Check(n.limits.shouldPublish("e1", ratelimit.PerSecond(9), now.Add(time.Minute)), quicktest.IsTrue)
 	c.Check(n.limits.shouldPublish("e1", ratelimit.Limit{}, now), quicktest.IsTrue)
 }
 
@@ -338,7 +338,7 @@
 func TestLimitOfRemovedEndpointIsForgotten(t *testing.T) {
 	c := quicktest.New(t)
 	n, _ := newLimitedNode(c)
-	n.limits.publish("unknown", ratelimit.Of(1)) // as by a box that does not know yet that the endpoint ended
+	n.limits.publish("unknown", ratelimit.PerSecond(1)) // as by a box that does not know yet that the endpoint ended
 	n.limits.forgetGone()
 	c.Check(n.limits.HasLimit("unknown"), quicktest.IsFalse)
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsTrue)
@@ -354,7 +354,7 @@
 	n, now := newLimitedNode(c)
 	c.Check(n.limits.handleTake(&wire.TakeRequest{}, now).GetLeads(), quicktest.IsFalse)
 	c.Check(n.limits.handleReport(&wire.LimitsRequest{Words: []*wire.LimitWord{nil, {Endpoint: "e1", Limit: &wire.RateLimit{Named: true, Rate: math.NaN()}}}}, now).GetLeads(), quicktest.IsFalse)
-	taken := n.limits.Acquire(context.Background(), n.view.Endpoint("e1"), ratelimit.Ask{})
+	taken := n.limits.Acquire(context.Background(), n.view.Endpoint("e1"), ratelimit.Request{})
 	c.Check(taken.OK, quicktest.IsFalse)
 	c.Check(taken.Wait > 0, quicktest.IsTrue)
 	c.Check(n.limits.report()["e1"].Denied, quicktest.Equals, int64(1))
@@ -364,7 +364,7 @@
 func TestLeaderReplyEndsALimit(t *testing.T) {
 	c := quicktest.New(t)
 	n, now := newLimitedNode(c)
-	latest, _ := n.limits.cached("e1", ratelimit.Ask{}, now)
-	c.Check(n.limits.applyReply("e1", latest, &wire.TakeReply{Leads: true}, ratelimit.Ask{}, now).OK, quicktest.IsTrue)
+	latest, _ := n.limits.cached("e1", ratelimit.Request{}, now)
+	c.Check(n.limits.applyReply("e1", latest, &wire.TakeReply{Leads: true}, ratelimit.Request{}, now).OK, quicktest.IsTrue)
 	c.Check(n.limits.HasLimit("e1"), quicktest.IsFalse)
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -25,12 +25,12 @@
 type requestQuarantine struct{ node *Node }
 
 // Remaining implements forward.Quarantine.
-func (q requestQuarantine) Remaining(c quarantine.Content, now time.Time) (time.Duration, bool) {
-	return q.node.state.tracker.Kept().Left(c, now)
+func (q requestQuarantine) Remaining(c quarantine.Fingerprint, now time.Time) (time.Duration, bool) {
+	return q.node.state.tracker.List().Remaining(c, now)
 }
 
 // Ended implements forward.Quarantine.
-func (q requestQuarantine) Ended(endpoint string, contents []quarantine.Content) {
+func (q requestQuarantine) Ended(endpoint string, contents []quarantine.Fingerprint) {
 	now := time.Now()
 	q.record(endpoint, contents, now)
 	end := &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(contents)}
@@ -48,12 +48,12 @@
 
 // record counts the end of an endpoint against the requests that it ran, and publishes those that are quarantined
 // by it. The loader assigns the endpoint no more loads until its entry has lapsed.
-func (q requestQuarantine) record(endpoint string, contents []quarantine.Content, now time.Time) {
+func (q requestQuarantine) record(endpoint string, contents []quarantine.Fingerprint, now time.Time) {
 	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.RegistrationTTL))
-	for _, c := range q.node.state.tracker.Note(endpoint, contents, now) {
+	for _, c := range q.node.state.tracker.RecordTermination(endpoint, contents, now) {
 		q.node.items.Merge(&wire.Item{
 			Key:        quarantinePrefix + c.String(),
-			Version:    uint64(now.Add(quarantine.KeptFor).UnixMicro()),
+			Version:    uint64(now.Add(quarantine.Duration).UnixMicro()),
 			DataCentre: q.node.Settings.DataCentre,
 		})
 	}
@@ -61,13 +61,13 @@
 
 // applyQuarantine applies a fact about a quarantined request; rest is its key without the prefix.
 func (s *state) applyQuarantine(rest string, i *wire.Item) {
-	c, ok := quarantine.ParseContent(rest)
+	c, ok := quarantine.ParseFingerprint(rest)
 	if !ok {
 		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", "the key holds no content hash")
 		return
 	}
 	until := time.UnixMicro(int64(i.GetVersion()))
-	if s.tracker.Kept().Add(c, until) {
+	if s.tracker.List().Add(c, until) {
 		s.log.Info("Request is kept from endpoints", "content", c.String(), "until", until.UTC().Format(time.RFC3339))
 	}
 }
@@ -79,7 +79,7 @@
 
 // expire removes quarantines that have ended.
 func (q requestQuarantine) expire(now time.Time) {
-	for _, c := range q.node.state.tracker.Kept().Expire(now) {
+	for _, c := range q.node.state.tracker.List().Expire(now) {
 		q.node.items.Discard(quarantinePrefix + c.String())
 		q.node.Log.Info("Request may reach endpoints again", "content", c.String())
 	}
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -97,7 +97,7 @@
 	if boxes == 0 {
 		boxes = assumedBoxes
 	}
-	return s.node.current.Load().Quota.Float(q, boxes)
+	return s.node.current.Load().Quota.CreditLimit(q, boxes)
 }
 
 // charge adds units to what this box spent, without a check of the quota; negative units are given back.
@@ -113,7 +113,7 @@
 	now := clock.Now()
 	s.mu.Lock()
 	a := s.accountLocked(o.Name())
-	if len(a.waiting) == 0 && a.Admit(units, s.maxOwed(o.Quota()), rand.Float64()) {
+	if len(a.waiting) == 0 && a.TrySpend(units, s.maxOwed(o.Quota()), rand.Float64()) {
 		s.mu.Unlock()
 		return forward.ChargeResult{OK: true}
 	}
@@ -245,7 +245,7 @@
 	q := &wire.SettleRequest{Box: s.node.peers.box, DataCentre: s.node.peers.centre}
 	asked := make(map[string][]*waiter)
 	for name, a := range s.accounts {
-		owed, returned := a.Demand()
+		owed, returned := a.StartSettlement()
 		d := &wire.Demand{Organisation: name, Owed: int64(owed), Returned: int64(returned)}
 		for _, w := range a.waiting[:min(len(a.waiting), maxAskedPerSettlement)] {
 			d.Wanted = append(d.Wanted, int64(math.Ceil(w.units)))
@@ -265,11 +265,11 @@
 // applyAllowance applies the leader's answer for one organisation; it is nil if the settlement did not mention it.
 // Requests are refused if their units will come after their deadline.
 func (a *account) applyAllowance(w *wire.Allowance, asked []*waiter, now time.Time) {
-	a.Settle(float64(w.GetPaid()))
-	a.Answered()
+	a.FinishSettlement(float64(w.GetPaid()))
+	a.StopForgiving()
 	for _, r := range asked[:min(int(w.GetGranted()), len(asked))] {
 		if !a.resolve(r, forward.ChargeResult{OK: true}) {
-			a.Return(r.units) // the request no longer waits
+			a.Refund(r.units) // the request no longer waits
 		}
 	}
 	if w.GetWaitMicros() == 0 {
@@ -297,13 +297,13 @@
 
 // admitWithoutLeader admits waiting requests while no leader answers, within the allowed overshoot of the quota.
 func (s *spending) admitWithoutLeader(name string, a *account, now time.Time) {
-	o := s.node.view.Config().Callers().Named(name)
+	o := s.node.view.Config().Callers().ByName(name)
 	if o == nil {
 		return
 	}
 	maxOwed := s.maxOwed(o.Quota())
 	a.Forgive(maxOwed, s.node.current.Load().Quota.Window, now)
-	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, maxOwed, 1) {
+	for len(a.waiting) > 0 && a.TrySpend(a.waiting[0].units, maxOwed, 1) {
 		a.resolve(a.waiting[0], forward.ChargeResult{OK: true})
 	}
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -188,13 +188,13 @@
 		s.log.Info("Organisations are configured", "config", after.Version(), "organisations", len(after.Callers().All()))
 		return
 	}
-	changes := access.Changes(before.Callers(), after.Callers())
+	changes := access.KeyChanges(before.Callers(), after.Callers())
 	for i, c := range changes {
 		if i == maxKeyChangeLines {
 			s.log.Info("Further key changes are not logged", "config", after.Version(), "keys", len(changes)-maxKeyChangeLines)
 			return
 		}
 		s.log.Info("Key stands for another organisation", "config", after.Version(), "key_digest", c.Key.Short(loggedDigestBytes),
-			"before", c.Before, "now", c.Now)
+			"before", c.Before, "now", c.After)
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -32,7 +32,7 @@
 	f := g.send(ctx, q, out, h, r)
 	g.reportAttempt(ctx, q, h, f)
 	if f == nil {
-		g.RetryBudget.Success()
+		g.RetryBudget.RecordSuccess()
 		g.prefixes.record(q.prefix, h.endpoint, clock.Now())
 	} else if f.Ran != NotRun {
 		q.mayHaveRun = true
@@ -48,9 +48,9 @@
 func (g *Gateway) reportAttempt(ctx context.Context, q *request, h heldGrant, f *Failure) {
 	switch {
 	case f == nil:
-		g.watcher.Answered(q.content, clock.Now())
+		g.watcher.RecordResponse(q.content, clock.Now())
 	case ctx.Err() == nil && f.Ran == MayHaveRun && (f.Code == CodeNoResponse || f.Code == CodeTruncated):
-		g.watcher.Cut(incarnationOf(h), h.grant.GetAddress(), q.content)
+		g.watcher.RecordInterruption(incarnationOf(h), h.grant.GetAddress(), q.content)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -79,7 +79,7 @@
 	prefixes     *prefixTable
 	calls        *schedulerCalls
 	releases     chan pendingRelease
-	watcher      *quarantine.Watch
+	watcher      *quarantine.Monitor
 	tracker      quarantine.Tracker
 	pendingEnds  chan *wire.EndpointEnd // not yet reported to the other gateways
 	inFlight     atomic.Int64
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -17,7 +17,7 @@
 // concurrent use; the zero value is empty.
 type limitTable struct {
 	mu       sync.Mutex
-	observed map[string]ratelimit.Word // by endpoint, of those that announced a limit or whose owner enforces one
+	observed map[string]ratelimit.Observation // by endpoint, of those that announced a limit or whose owner enforces one
 }
 
 // observe records the limit that a response announced, or that it announced none. sentAt is when its request was
@@ -26,15 +26,15 @@
 // An endpoint that announces no limit gets an entry only if its owner enforces one, which the owner learnt from
 // another gateway: the owner has to be told that it is over.
 func (l *limitTable) observe(endpoint string, limit ratelimit.Limit, enforced bool, sentAt, now time.Time) bool {
-	observed := ratelimit.NewWord(limit, sentAt, now)
+	observed := ratelimit.NewObservation(limit, sentAt, now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before, known := l.observed[endpoint]
-	if (!known && !enforced && !limit.Named()) || !observed.At.After(before.At) {
+	if (!known && !enforced && !limit.IsSet()) || !observed.At.After(before.At) {
 		return false
 	}
 	if l.observed == nil {
-		l.observed = make(map[string]ratelimit.Word)
+		l.observed = make(map[string]ratelimit.Observation)
 	}
 	l.observed[endpoint] = observed
 	return before.Limit != limit
@@ -59,6 +59,6 @@
 		return
 	}
 	if g.limits.observe(held.endpoint, limit, held.grant.GetLimited(), sentAt, now) {
-		g.Log.V(1).Info("Endpoint's rate limit changed", "endpoint", held.endpoint, "named", limit.Named(), "a_second", limit.Rate())
+		g.Log.V(1).Info("Endpoint's rate limit changed", "endpoint", held.endpoint, "named", limit.IsSet(), "a_second", limit.Rate())
 	}
 }
--- a/gateway/placement.go
+++ b/gateway/placement.go
@@ -22,12 +22,12 @@
 	for i, n := range names {
 		facts[i].Warm = n == warm
 	}
-	order, scores := g.Placement.Order(policy.PlaceRequest{
-		Key:   q.model.String(),
-		Names: names,
-		Facts: facts,
-		Width: width,
-		Rand:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	order, scores := g.Placement.Order(policy.PlacementRequest{
+		Key:       q.model.String(),
+		Names:     names,
+		States:    facts,
+		HomeCount: width,
+		Rand:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	d := g.newDecision(q, "place", time.Now())
 	ranked := make([]string, len(order))
@@ -42,7 +42,7 @@
 	return ranked
 }
 
-func newCandidate(name string, score float64, f policy.Facts) *wire.Candidate {
+func newCandidate(name string, score float64, f policy.EndpointState) *wire.Candidate {
 	c := &wire.Candidate{Endpoint: name, Score: score, AgeMicros: f.Age.Microseconds()}
 	switch {
 	case f.Warm:
@@ -64,7 +64,7 @@
 	now := clock.Now()
 	var stages [][]string
 	add := func(names []string) {
-		names = slices.DeleteFunc(names, func(n string) bool { return g.backoffs.Left(n, now) > 0 })
+		names = slices.DeleteFunc(names, func(n string) bool { return g.backoffs.Remaining(n, now) > 0 })
 		if len(names) > 0 {
 			stages = append(stages, names)
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -29,21 +29,21 @@
 }
 
 // newWatcher returns the detector of endpoints that end under requests of this gateway.
-func (g *Gateway) newWatcher() *quarantine.Watch {
-	return &quarantine.Watch{
-		HasEnded: func(ctx context.Context, address string) bool {
+func (g *Gateway) newWatcher() *quarantine.Monitor {
+	return &quarantine.Monitor{
+		IsTerminated: func(ctx context.Context, address string) bool {
 			ctx, cancel := context.WithTimeout(ctx, terminationCheckTimeout)
 			defer cancel()
 			return engine.HasEnded(ctx, g.DialEngine, address)
 		},
-		Ended: g.endpointEnded,
+		OnTermination: g.endpointEnded,
 	}
 }
 
 // endpointEnded records the end of an endpoint and queues a report to the other gateways; suspects are the
 // requests that may have caused it.
-func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Content) {
-	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Texts(suspects))
+func (g *Gateway) endpointEnded(endpoint string, suspects []quarantine.Fingerprint) {
+	g.Log.Info("Endpoint ended under requests", "endpoint", endpoint, "contents", quarantine.Strings(suspects))
 	if len(suspects) == 0 {
 		return
 	}
@@ -65,17 +65,17 @@
 
 // recordEnd counts the end of an endpoint against the requests that it ran, and quarantines those that have
 // reached the limit.
-func (g *Gateway) recordEnd(endpoint string, contents []quarantine.Content, now time.Time) {
-	for _, c := range g.tracker.Note(endpoint, contents, now) {
-		until := now.Add(quarantine.KeptFor)
-		g.tracker.Kept().Add(c, until)
+func (g *Gateway) recordEnd(endpoint string, contents []quarantine.Fingerprint, now time.Time) {
+	for _, c := range g.tracker.RecordTermination(endpoint, contents, now) {
+		until := now.Add(quarantine.Duration)
+		g.tracker.List().Add(c, until)
 		g.Log.Info("Request is kept from endpoints", "content", c.String(), "until", until.UTC().Format(time.RFC3339))
 	}
 }
 
 // checkQuarantine returns the failure of a quarantined request; nil: it may be sent.
-func (g *Gateway) checkQuarantine(c quarantine.Content) *Failure {
-	remaining, kept := g.tracker.Kept().Left(c, time.Now())
+func (g *Gateway) checkQuarantine(c quarantine.Fingerprint) *Failure {
+	remaining, kept := g.tracker.List().Remaining(c, time.Now())
 	if !kept {
 		return nil
 	}
@@ -95,7 +95,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-expire.C:
-			for _, c := range g.tracker.Kept().Expire(time.Now()) {
+			for _, c := range g.tracker.List().Expire(time.Now()) {
 				g.Log.Info("Request may reach endpoints again", "content", c.String())
 			}
 		case e := <-g.pendingEnds:
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -51,7 +51,7 @@
 	body       map[string]json.RawMessage
 	attempts   int // executions started at endpoints
 	candidates int // endpoints tried
-	content    quarantine.Content
+	content    quarantine.Fingerprint
 	prefix     uint64 // hash of the adapter and the start of the prompt
 	width      int    // number of endpoints over which the adapter spreads, as last known
 	mayHaveRun bool   // an attempt without a complete response may have been executed
@@ -166,7 +166,7 @@
 	if f != nil {
 		return f
 	}
-	q.content = quarantine.ContentOf(r.Method, "", r.URL.RequestURI(), q.caller, raw)
+	q.content = quarantine.NewFingerprint(r.Method, "", r.URL.RequestURI(), q.caller, raw)
 	if err := json.Unmarshal(raw, &q.body); err != nil {
 		return badRequest("body: not a JSON object: %v", err)
 	}
--- a/gateway/route.go
+++ b/gateway/route.go
@@ -55,7 +55,7 @@
 // noEndpointFailure returns the failure of a request that has no endpoint to try.
 func (g *Gateway) noEndpointFailure(q *request) *Failure {
 	if backoffLeft := g.shortestBackoff(q); backoffLeft > 0 {
-		return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: "all endpoints that serve " + q.model.Adapter().Base() + " are in a back-off", RetryAfter: backoff.ComeBack(backoffLeft)}
+		return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: "all endpoints that serve " + q.model.Adapter().Base() + " are in a back-off", RetryAfter: backoff.RetryAfter(backoffLeft)}
 	}
 	return &Failure{Code: CodeNoEndpoint, Ran: NotRun, Message: "no endpoint serves " + q.model.Adapter().Base(), RetryAfter: g.RetryAfter}
 }
@@ -131,7 +131,7 @@
 		if f == nil || f.Ran != NotRun || f.Code != CodeRefusedByEndpoint || ctx.Err() != nil {
 			return f
 		}
-		if q.attempts >= maxAttempts || g.backoffs.Left(endpoint, clock.Now()) > 0 || !g.RetryBudget.Take() {
+		if q.attempts >= maxAttempts || g.backoffs.Remaining(endpoint, clock.Now()) > 0 || !g.RetryBudget.Take() {
 			return f
 		}
 	}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -26,7 +26,7 @@
 	path       string // including the query
 	headers    http.Header
 	body       []byte
-	content    quarantine.Content
+	content    quarantine.Fingerprint
 	repeatable bool
 }
 
@@ -74,7 +74,7 @@
 	if f != nil {
 		return nil, f
 	}
-	c.content = quarantine.ContentOf(r.Method, s.Name(), c.path, r.Header.Get(CallerHeader), c.body)
+	c.content = quarantine.NewFingerprint(r.Method, s.Name(), c.path, r.Header.Get(CallerHeader), c.body)
 	return c, nil
 }
 
@@ -127,8 +127,8 @@
 		g.reportBrokenCall(ctx, c, address)
 		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: "the response of " + c.service.Name() + " was truncated or too large", RetryAfter: g.RetryAfter}
 	}
-	g.RetryBudget.Success()
-	g.watcher.Answered(c.content, clock.Now())
+	g.RetryBudget.RecordSuccess()
+	g.watcher.RecordResponse(c.content, clock.Now())
 	copyEndToEndHeaders(out.Header(), resp.Header)
 	out.writeComplete(resp.StatusCode, body)
 	return nil
@@ -138,7 +138,7 @@
 // service at one address cannot be told apart, so each call that breaks off counts as one of its own.
 func (g *Gateway) reportBrokenCall(ctx context.Context, c *serviceCall, address string) {
 	if ctx.Err() == nil {
-		g.watcher.Cut(address+" under "+c.id, address, c.content)
+		g.watcher.RecordInterruption(address+" under "+c.id, address, c.content)
 	}
 }
 
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -35,7 +35,7 @@
 // Options describes the settings of a gateway.
 var Options = daemon.Options(settings.Table{
 	{Name: optListen, Kind: settings.Address, Required: true, Help: "address for callers"},
-	{Name: optPlacement, Kind: settings.Text, Default: policy.PlaceHomes, Help: "placement policy: homes, hash, least_loaded or random"},
+	{Name: optPlacement, Kind: settings.Text, Default: policy.PlacementHomes, Help: "placement policy: homes, hash, least_loaded or random"},
 	{Name: optPlacementScope, Kind: settings.Text, Default: ScopeRegion, Help: "where endpoints are tried first: data_centre or region"},
 	{Name: optFailover, Kind: settings.Duration, Default: 4 * time.Second, Help: "timeout for finding a scheduler that responds"},
 	{Name: optKeyWait, Kind: settings.Duration, Default: time.Second, Help: "timeout for claiming an idempotency key at the scheduler that stores its state"},
@@ -115,6 +115,6 @@
 	expvar.Publish("gateway_load_stall", g.stats.LoadStall)
 	expvar.Publish("gateway_codes", g.stats.CodeDuration)
 	expvar.Publish("gateway_endpoint_ends", expvar.Func(func() any { return g.watcher.Counts() }))
-	expvar.Publish("gateway_quarantined", expvar.Func(func() any { return g.tracker.Kept().Len() }))
+	expvar.Publish("gateway_quarantined", expvar.Func(func() any { return g.tracker.List().Len() }))
 	expvar.Publish("gateway_in_flight", expvar.Func(func() any { return g.InFlight() }))
 }
--- a/gateway/state_cache.go
+++ b/gateway/state_cache.go
@@ -19,7 +19,7 @@
 }
 
 type endpointState struct {
-	facts     policy.Facts
+	facts     policy.EndpointState
 	updatedAt time.Time
 	granted   int // grants of this gateway that are not released
 }
@@ -41,11 +41,11 @@
 
 // get returns the state of an adapter's candidate endpoints, and over how many of them the adapter
 // spreads; 1 if that is unknown.
-func (c *stateCache) get(adapter string, names []string, now time.Time) ([]policy.Facts, int) {
+func (c *stateCache) get(adapter string, names []string, now time.Time) ([]policy.EndpointState, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.adapters[adapter]
-	facts := make([]policy.Facts, len(names))
+	facts := make([]policy.EndpointState, len(names))
 	for i, n := range names {
 		facts[i] = c.factsLocked(n, now)
 		facts[i].Loaded = a != nil && now.Sub(a.loaded[n]) < stateTTL
@@ -58,13 +58,13 @@
 
 // factsLocked returns the state of an endpoint. Running is at least the number of this gateway's grants,
 // which the last report may not yet include.
-func (c *stateCache) factsLocked(name string, now time.Time) policy.Facts {
+func (c *stateCache) factsLocked(name string, now time.Time) policy.EndpointState {
 	e := c.endpoints[name]
 	if e == nil {
-		return policy.Facts{}
+		return policy.EndpointState{}
 	}
 	if now.Sub(e.updatedAt) > stateTTL {
-		return policy.Facts{Running: e.granted}
+		return policy.EndpointState{Running: e.granted}
 	}
 	f := e.facts
 	f.Running = max(f.Running, e.granted)
@@ -81,7 +81,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.endpointLocked(endpoint)
-	e.facts = policy.Facts{Running: int(reported.GetRunning()), Limit: int(reported.GetLimit()), Waiting: int(reported.GetWaiting())}
+	e.facts = policy.EndpointState{Running: int(reported.GetRunning()), Limit: int(reported.GetLimit()), Waiting: int(reported.GetWaiting())}
 	e.updatedAt = now
 	a := c.adapterLocked(adapter)
 	a.updatedAt = now
--- a/policy/evict.go
+++ b/policy/evict.go
@@ -8,92 +8,93 @@
 	"github.com/pkg/errors"
 )
 
-// SlotFacts is what is known of one adapter in a slot.
-type SlotFacts struct {
-	Busy     bool      // in use, or not known to be unused: never a victim
-	LastUsed time.Time // when a request last ran on it
-	Rate     float64   // requests a second lately
-	Priority int       // as published; larger is kept rather
+// SlotState describes a slot and the adapter that is loaded in it.
+type SlotState struct {
+	Busy     bool      // in use, or not known to be idle: never evicted
+	LastUsed time.Time // when the adapter last ran a request
+	Rate     float64   // recent requests per second
+	Priority int       // as published; adapters with a higher one are evicted later
 	LoadCost time.Duration
 }
 
-// Eviction chooses what leaves when a slot is needed.
-type Eviction interface {
-	// Victim returns which slot to empty for an adapter with the wanted facts,
-	// or -1 when none should go.
-	Victim(slots []SlotFacts, wanted WantedFacts) int
+// EvictionPolicy chooses the adapter to unload when a slot is needed.
+type EvictionPolicy interface {
+	// Victim returns the index of the slot to evict for a pending adapter, or -1
+	// if none should be evicted.
+	Victim(slots []SlotState, wanted PendingAdapter) int
 }
 
-// WantedFacts is what is known of the adapter that needs a slot.
-type WantedFacts struct {
-	Rate     float64       // requests a second lately
-	Priority int           // as published
-	Waited   time.Duration // how long its first request has waited
-	Waiting  int           // how many requests wait for it
-	Patience time.Duration // how long a one-off request may be held back
+// PendingAdapter describes an adapter that needs a slot.
+type PendingAdapter struct {
+	Rate        float64       // recent requests per second
+	Priority    int           // as published
+	OldestWait  time.Duration // how long its oldest request has waited
+	Requests    int           // number of requests waiting for it
+	MaxDeferral time.Duration // how long a request for a rarely used adapter may be deferred
 }
 
-// The names of the evictions, as settings choose them.
+// Names of the eviction policies in the settings.
 const (
-	EvictReturn = "expected_return"
-	EvictOldest = "least_recently_used"
+	EvictExpectedReturn    = "expected_return"
+	EvictLeastRecentlyUsed = "least_recently_used"
 )
 
-// NewEviction returns the eviction called name.
-func NewEviction(name string) (Eviction, error) {
+// NewEvictionPolicy returns the eviction policy with a name.
+func NewEvictionPolicy(name string) (EvictionPolicy, error) {
 	switch name {
-	case EvictReturn:
+	case EvictExpectedReturn:
 		return expectedReturn{}, nil
-	case EvictOldest:
+	case EvictLeastRecentlyUsed:
 		return leastRecentlyUsed{}, nil
 	}
-	return nil, errors.Errorf("policy: eviction %q: use %s or %s", name, EvictReturn, EvictOldest)
+	return nil, errors.Errorf("policy: unknown eviction %q: use %s or %s", name, EvictExpectedReturn, EvictLeastRecentlyUsed)
 }
 
-// expectedReturn empties the slot whose adapter saves the least waiting: its
-// rate of requests times what loading it again costs. Of equals, as all are after a
-// change of owner, the one unused for the longest time goes.
+// expectedReturn evicts the adapter with the lowest expected reload cost: its request
+// rate times the cost of loading it again. Ties are broken by least recent use; after a
+// change of owner all adapters tie.
 type expectedReturn struct{}
 
-// resistance is how many times as valuable as the wanted adapter a resident
-// may be before it is spared for the wanted one's patience.
-const resistance = 4.0
+// deferralThreshold is the ratio of the victim's expected reload cost to that of the pending
+// adapter above which the eviction is deferred, for up to MaxDeferral.
+const deferralThreshold = 4.0
 
-func (expectedReturn) Victim(slots []SlotFacts, w WantedFacts) int {
+func (expectedReturn) Victim(slots []SlotState, w PendingAdapter) int {
 	best, least := -1, 0.0
 	for i, s := range slots {
 		if s.Busy {
 			continue
 		}
-		v := s.value()
+		v := s.reloadCost()
 		if best < 0 || v < least || (v == least && s.LastUsed.Before(slots[best].LastUsed)) {
 			best, least = i, v
 		}
 	}
-	if best < 0 || w.Waited >= w.Patience {
+	if best < 0 || w.OldestWait >= w.MaxDeferral {
 		return best
 	}
-	if least > resistance*w.value(slots[best].LoadCost) {
+	if least > deferralThreshold*w.reloadCost(slots[best].LoadCost) {
 		return -1
 	}
 	return best
 }
 
-func (s SlotFacts) value() float64 {
+func (s SlotState) reloadCost() float64 {
 	return s.Rate * s.LoadCost.Seconds() * priorityWeight(s.Priority)
 }
 
-// value of what waits: the waiting requests count as one second's arrivals.
-func (w WantedFacts) value(loadCost time.Duration) float64 {
-	return (w.Rate + float64(w.Waiting)) * loadCost.Seconds() * priorityWeight(w.Priority)
+// reloadCost is the expected reload cost of the pending adapter. Its waiting requests count as
+// arrivals within one second.
+func (p PendingAdapter) reloadCost(loadCost time.Duration) float64 {
+	return (p.Rate + float64(p.Requests)) * loadCost.Seconds() * priorityWeight(p.Priority)
 }
 
 func priorityWeight(p int) float64 { return 1 + float64(max(p, 0)) }
 
-// leastRecentlyUsed empties the slot that was unused for the longest time.
+// leastRecentlyUsed evicts the adapter that has been idle for the longest time.
 type leastRecentlyUsed struct{}
 
-func (leastRecentlyUsed) Victim(slots []SlotFacts, _ WantedFacts) int {
+func (leastRecentlyUsed) Victim(slots []SlotState, _ PendingAdapter) int {
 	best := -1
 	for i, s := range slots {
 		if s.Busy {
--- a/policy/firsttoken_test.go
+++ b/policy/firsttoken_test.go
@@ -9,9 +9,9 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestTheTimeToTheFirstTokenIsLearnt(t *testing.T) {
+func TestFirstTokenEstimatorConverges(t *testing.T) {
 	c := quicktest.New(t)
-	var f FirstToken
+	var f FirstTokenEstimator
 	guess := f.Predict(10_000)
 	c.Assert(guess > f.Predict(0), quicktest.IsTrue)
 	for i := range 300 { // 40 ms, and 20 ms for each thousand tokens
@@ -24,9 +24,9 @@
 	}
 }
 
-func TestPromptsOfOneLengthStillGiveALine(t *testing.T) {
+func TestFirstTokenEstimatorWithEqualPromptLengths(t *testing.T) {
 	c := quicktest.New(t)
-	var f FirstToken
+	var f FirstTokenEstimator
 	for range 100 {
 		f.Observe(9000, 100*time.Millisecond)
 	}
--- a/policy/place.go
+++ b/policy/place.go
@@ -10,112 +10,112 @@
 	"github.com/pkg/errors"
 )
 
-// Facts is what is believed of one endpoint.
-type Facts struct {
-	Running int           // requests in its batch or granted
-	Limit   int           // requests that it can batch
-	Waiting int           // requests that its owner holds back
-	Loaded  bool          // the adapter is believed ready there
-	Warm    bool          // the request's prefix is believed cached there
-	Known   bool          // anything was ever heard of it
-	Age     time.Duration // of what was heard
+// EndpointState is the last known state of an endpoint. It may be outdated.
+type EndpointState struct {
+	Running int           // requests running in its batch or granted
+	Limit   int           // capacity of its batch
+	Waiting int           // requests queued at its owner
+	Loaded  bool          // the adapter is probably loaded
+	Warm    bool          // the prompt prefix is probably cached
+	Known   bool          // a state has been received
+	Age     time.Duration // since the state was received
 }
 
-// load is how full the endpoint is: 1 when the batch is full and none waits.
-func (f Facts) load() float64 {
-	if f.Limit == 0 {
+// utilisation is 1 for a full batch with an empty queue, and 0 if the capacity is not known.
+func (s EndpointState) utilisation() float64 {
+	if s.Limit == 0 {
 		return 0
 	}
-	return float64(f.Running+f.Waiting) / float64(f.Limit)
+	return float64(s.Running+s.Waiting) / float64(s.Limit)
 }
 
-// Placement orders the endpoints of a request's base model, the best first.
-// The scores go along with the order, larger is better.
+// Placement orders the endpoints of a request's base model, best first. Scores are by index of
+// the endpoint; higher is better.
 type Placement interface {
-	Order(r PlaceRequest) (order []int, scores []float64)
+	Order(r PlacementRequest) (order []int, scores []float64)
 }
 
-// PlaceRequest is one request to place. Names and Facts run in parallel.
-type PlaceRequest struct {
-	Key   string // the adapter at its version
-	Names []string
-	Facts []Facts
-	Width int        // how many homes the adapter should have; at least 1
-	Rand  *rand.Rand // for the choices that are random
+// PlacementRequest is a request to place. Names and States have the same indexes.
+type PlacementRequest struct {
+	Key       string // the adapter with its version
+	Names     []string
+	States    []EndpointState
+	HomeCount int        // number of home endpoints of the adapter; at least 1
+	Rand      *rand.Rand // for random choices
 }
 
-// The names of the placements, as settings choose them.
+// Names of the placements in the settings.
 const (
-	PlaceHomes  = "homes"
-	PlaceHash   = "hash"
-	PlaceLeast  = "least_loaded"
-	PlaceRandom = "random"
+	PlacementHomes       = "homes"
+	PlacementHash        = "hash"
+	PlacementLeastLoaded = "least_loaded"
+	PlacementRandom      = "random"
 )
 
-// NewPlacement returns the placement called name.
+// NewPlacement returns the placement with a name.
 func NewPlacement(name string) (Placement, error) {
 	switch name {
-	case PlaceHomes:
+	case PlacementHomes:
 		return homes{}, nil
-	case PlaceHash:
+	case PlacementHash:
 		return hashOnly{}, nil
-	case PlaceLeast:
+	case PlacementLeastLoaded:
 		return leastLoaded{}, nil
-	case PlaceRandom:
+	case PlacementRandom:
 		return random{}, nil
 	}
-	return nil, errors.Errorf("policy: placement %q: use %s, %s, %s or %s", name, PlaceHomes, PlaceHash, PlaceLeast, PlaceRandom)
+	return nil, errors.Errorf("policy: unknown placement %q: use %s, %s, %s or %s", name, PlacementHomes, PlacementHash, PlacementLeastLoaded, PlacementRandom)
 }
 
-// homes sends an adapter to its first Width endpoints of the rendezvous order,
-// of two of them to the better one; the rest follow in order, as a last resort.
+// homes prefers the home endpoints of an adapter, the first HomeCount in rendezvous order, and picks
+// the better of two random ones. The other endpoints follow in rendezvous order as a last resort.
 type homes struct{}
 
 const (
-	stickiness = 1.0  // how much fuller a home that has the adapter may be than one that would have to load it
-	warmth     = 0.25 // the same for one that has the prefix: a tie-break, since it is a hint
+	loadedBonus = 1.0  // utilisation by which a home with the adapter loaded may exceed one without
+	warmBonus   = 0.25 // the same for a cached prefix, which is only a hint and serves as a tie-break
 )
 
-func (homes) Order(r PlaceRequest) ([]int, []float64) {
-	ranked := indexOf(r.Names, Rank(r.Key, r.Names))
-	width := min(max(r.Width, 1), len(ranked))
+func (homes) Order(r PlacementRequest) ([]int, []float64) {
+	ranked := indexesOf(r.Names, Rank(r.Key, r.Names))
+	homeCount := min(max(r.HomeCount, 1), len(ranked))
 	scores := make([]float64, len(r.Names))
 	for place, i := range ranked {
-		scores[i] = -r.Facts[i].load() - float64(max(0, place-width+1))
-		if r.Facts[i].Loaded {
-			scores[i] += stickiness
+		scores[i] = -r.States[i].utilisation() - float64(max(0, place-homeCount+1))
+		if r.States[i].Loaded {
+			scores[i] += loadedBonus
 		}
-		if r.Facts[i].Warm {
-			scores[i] += warmth
+		if r.States[i].Warm {
+			scores[i] += warmBonus
 		}
 	}
-	head := ranked[:width]
-	first := twoChoices(head, scores, r.Rand)
-	if warm := warmest(head, r.Facts, scores); warm >= 0 && scores[warm] >= scores[first] {
+	homeEndpoints := ranked[:homeCount]
+	first := betterOfTwo(homeEndpoints, scores, r.Rand)
+	if warm := bestWarm(homeEndpoints, r.States, scores); warm >= 0 && scores[warm] >= scores[first] {
 		first = warm
 	}
 	order := []int{first}
-	for _, i := range sortedBy(head, scores) {
+	for _, i := range sortByScore(homeEndpoints, scores) {
 		if i != first {
 			order = append(order, i)
 		}
 	}
-	return append(order, ranked[width:]...), scores
+	return append(order, ranked[homeCount:]...), scores
 }
 
-// warmest returns the best member whose prefix is warm, or -1.
-func warmest(list []int, facts []Facts, scores []float64) int {
+// bestWarm returns the endpoint with the highest score among those with a cached prefix, or -1.
+func bestWarm(list []int, states []EndpointState, scores []float64) int {
 	best := -1
 	for _, i := range list {
-		if facts[i].Warm && (best < 0 || scores[i] > scores[best]) {
+		if states[i].Warm && (best < 0 || scores[i] > scores[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// twoChoices takes the better of two random members.
-func twoChoices(list []int, scores []float64, r *rand.Rand) int {
+// betterOfTwo returns the better of two random endpoints.
+func betterOfTwo(list []int, scores []float64, r *rand.Rand) int {
 	if len(list) == 1 {
 		return list[0]
 	}
@@ -130,11 +130,11 @@
 	return list[a]
 }
 
-// hashOnly uses the rendezvous order alone.
+// hashOnly uses only the rendezvous order.
 type hashOnly struct{}
 
-func (hashOnly) Order(r PlaceRequest) ([]int, []float64) {
-	ranked := indexOf(r.Names, Rank(r.Key, r.Names))
+func (hashOnly) Order(r PlacementRequest) ([]int, []float64) {
+	ranked := indexesOf(r.Names, Rank(r.Key, r.Names))
 	scores := make([]float64, len(r.Names))
 	for place, i := range ranked {
 		scores[i] = -float64(place)
@@ -142,31 +142,30 @@
 	return ranked, scores
 }
 
-// leastLoaded uses the load alone.
+// leastLoaded uses only the utilisation; ties are ordered at random.
 type leastLoaded struct{}
 
-func (leastLoaded) Order(r PlaceRequest) ([]int, []float64) {
+func (leastLoaded) Order(r PlacementRequest) ([]int, []float64) {
 	scores := make([]float64, len(r.Names))
-	for i, f := range r.Facts {
-		scores[i] = -f.load()
+	for i, f := range r.States {
+		scores[i] = -f.utilisation()
 	}
-	return sortedBy(r.Rand.Perm(len(r.Names)), scores), scores
+	return sortByScore(r.Rand.Perm(len(r.Names)), scores), scores
 }
 
-// random uses nothing.
+// random ignores the state of the endpoints.
 type random struct{}
 
-func (random) Order(r PlaceRequest) ([]int, []float64) {
+func (random) Order(r PlacementRequest) ([]int, []float64) {
 	return r.Rand.Perm(len(r.Names)), make([]float64, len(r.Names))
 }
 
-// Width returns how many homes an adapter should have: enough that its own
-// load, in requests running at a time, fills no home by more than share of its
-// limit.
-func Width(rate float64, service time.Duration, limit int, share float64) int {
-	if limit <= 0 || share <= 0 {
+// HomeCount returns the number of home endpoints that an adapter needs so that its own running
+// requests fill at most maxUtilisation of each one's limit.
+func HomeCount(rate float64, service time.Duration, limit int, maxUtilisation float64) int {
+	if limit <= 0 || maxUtilisation <= 0 {
 		return 1
 	}
-	homes := rate * service.Seconds() / (float64(limit) * share)
+	homes := rate * service.Seconds() / (float64(limit) * maxUtilisation)
 	return max(1, int(math.Ceil(homes)))
 }
--- a/quarantine/answered.go
+++ b/quarantine/answered.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// answeredFor is how long an answer keeps a request from being suspected: what many callers ask for, such as a page
-	// that all of them open, is answered many times a minute.
-	answeredFor = time.Minute
-	// mostAnswered bounds what is remembered; two full generations take 0.9 MB of heap. A box with
-	// 100 requests a second remembers 40 s.
-	mostAnswered = 4096
+	// answeredTTL is how long a complete response clears a request of suspicion. Requests that many
+	// callers send, such as for a popular page, are answered many times a minute.
+	answeredTTL = time.Minute
+	// maxAnswered bounds the entries of a generation. Two full generations take 0.9 MB of heap; at 100
+	// requests per second one generation covers 40 s.
+	maxAnswered = 4096
 )
 
-// Answered is the requests that endpoints lately answered whole, so that they are not suspected: they did not end
-// under those. It is safe for concurrent use; the zero value is empty.
-type Answered struct {
-	mu     sync.Mutex
-	memory *memory
+// AnsweredRequests remembers requests that endpoints recently answered completely. They did not
+// terminate those endpoints, so they are not suspects. It is safe for concurrent use; the zero value
+// is empty.
+type AnsweredRequests struct {
+	mu   sync.Mutex
+	seen *generationMap
 }
 
-// Add notes that an endpoint answered a request.
-func (a *Answered) Add(c Content, now time.Time) {
+// Add records that an endpoint answered a request completely.
+func (a *AnsweredRequests) Add(f Fingerprint, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	a.memory.put(string(c[:]), nil, now)
+	a.seen.put(string(f[:]), nil, now)
 }
 
-// Has tells whether an endpoint answered a request lately.
-func (a *Answered) Has(c Content, now time.Time) bool {
+// Has reports whether an endpoint recently answered a request completely.
+func (a *AnsweredRequests) Has(f Fingerprint, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.initLocked()
-	_, ok := a.memory.get(string(c[:]), now)
+	_, ok := a.seen.get(string(f[:]), now)
 	return ok
 }
 
-func (a *Answered) initLocked() {
-	if a.memory == nil {
-		a.memory = &memory{span: answeredFor, most: mostAnswered}
+func (a *AnsweredRequests) initLocked() {
+	if a.seen == nil {
+		a.seen = &generationMap{lifetime: answeredTTL, maxKeys: maxAnswered}
 	}
 }
--- a/quarantine/counter.go
+++ b/quarantine/counter.go
@@ -9,101 +9,104 @@
 )
 
 const (
-	// MostEnds is how many endpoints may end under one request before it is kept from the rest. One
-	// says nothing: an endpoint runs some ten requests at a time, and ends under all of them. Two
-	// happen to requests that only ran beside, where callers send them again while endpoints end for
-	// another cause: by the model of the tests 81 such requests would be refused, with three 4.
-	MostEnds = 3
+	// MaxTerminations is the number of endpoint terminations after which a request is quarantined. One
+	// says little, since an endpoint runs some ten requests at a time and terminates under all of them.
+	// Two happen to unrelated requests when callers retry while endpoints terminate for another reason:
+	// in the simulation of the tests, 81 unrelated requests were quarantined with a threshold of two,
+	// and 4 with three.
+	MaxTerminations = 3
 
-	// suspectFor is how long an end counts. Callers come back within seconds or by a schedule of
-	// minutes; endpoints that end hours apart under one request do so by chance more often than by it.
-	suspectFor = time.Hour
-	// mostSuspects bounds what is counted: requests that ran at endpoints that ended. Two full
-	// generations with one end each take 2.4 MB of heap.
-	mostSuspects = 8192
-	// mostExplained bounds the endpoints of which it is known under what they ended.
-	mostExplained = 1024
+	// suspectTTL is how long a termination counts. Callers retry within seconds, or on a schedule of
+	// minutes. Terminations under one request that are hours apart are more often coincidence than
+	// caused by it.
+	suspectTTL = time.Hour
+	// maxSuspects bounds the requests of a generation, which are those that ran on terminated endpoints.
+	// Two full generations with one termination per request take 2.4 MB of heap.
+	maxSuspects = 8192
+	// maxAttributed bounds the terminated endpoints of a generation whose cause is known.
+	maxAttributed = 1024
 )
 
-// endsKept bounds the endpoints that are remembered for one request: some that others explain, and
-// those that count.
-const endsKept = 2 * MostEnds
+// maxTerminationsKept bounds the endpoints that are stored per request: some whose termination is
+// attributed to other requests, and those that count.
+const maxTerminationsKept = 2 * MaxTerminations
 
-// Counter counts the endpoints that ended under each request, by the word of many boxes, and finds
-// the requests to keep away. It is safe for concurrent use; the zero value has counted nothing.
+// Counter counts the endpoints that terminated under each request, from the reports of all boxes, and
+// finds the requests to quarantine. It is safe for concurrent use; the zero value is empty.
 type Counter struct {
 	mu       sync.Mutex
-	suspects *memory // by content: endpoints that ended under it, oldest first
-	// explained has, by endpoint, the ends for which a request was found that explains them; none
-	// where that one was kept away already, and was still on its way.
-	explained *memory
+	suspects *generationMap // by fingerprint: endpoints that terminated under it, oldest first
+	// attributed has, by endpoint, the endpoints that terminated under the request that caused this
+	// termination. The list is empty if that request was already quarantined, but still in flight.
+	attributed *generationMap
 }
 
-func (k *Counter) initLocked() {
-	if k.suspects == nil {
-		k.suspects = &memory{span: suspectFor, most: mostSuspects}
-		k.explained = &memory{span: suspectFor, most: mostExplained}
+func (c *Counter) initLocked() {
+	if c.suspects == nil {
+		c.suspects = &generationMap{lifetime: suspectTTL, maxKeys: maxSuspects}
+		c.attributed = &generationMap{lifetime: suspectTTL, maxKeys: maxAttributed}
 	}
 }
 
-// Note takes in that an endpoint ended while it ran the requests of these contents, as one box saw
-// it. It returns those that have to be kept from endpoints from now on. kept tells which ones are
-// already: what ended under one of them says nothing of the others that ran there.
-func (k *Counter) Note(endpoint string, contents []Content, kept func(Content) bool, now time.Time) []Content {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.initLocked()
-	if slices.ContainsFunc(contents, kept) {
-		k.explained.put(endpoint, nil, now)
+// RecordTermination records that an endpoint terminated while it ran these requests, as reported by
+// one box. It returns the requests to quarantine as a result. isQuarantined reports whether a request
+// is quarantined already: if one of those was running, the termination says nothing about the others.
+func (c *Counter) RecordTermination(endpoint string, requests []Fingerprint, isQuarantined func(Fingerprint) bool, now time.Time) []Fingerprint {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.initLocked()
+	if slices.ContainsFunc(requests, isQuarantined) {
+		c.attributed.put(endpoint, nil, now)
 	}
-	var found []Content
-	for _, c := range contents {
-		if !kept(c) && k.addLocked(c, endpoint, now) >= MostEnds {
-			found = append(found, c)
+	var found []Fingerprint
+	for _, f := range requests {
+		if !isQuarantined(f) && c.addTerminationLocked(f, endpoint, now) >= MaxTerminations {
+			found = append(found, f)
 		}
 	}
-	for _, c := range found {
-		k.explainLocked(c, now)
+	for _, f := range found {
+		c.attributeLocked(f, now)
 	}
 	return found
 }
 
-// addLocked adds an endpoint to those that ended under a content, and returns how many count.
-func (k *Counter) addLocked(c Content, endpoint string, now time.Time) int {
-	key := string(c[:])
-	ends, _ := k.suspects.get(key, now)
-	if !slices.Contains(ends, endpoint) {
-		ends = append(slices.Clone(ends), endpoint)
-		ends = ends[max(len(ends)-endsKept, 0):]
-		k.suspects.put(key, ends, now)
+// addTerminationLocked adds an endpoint to those that terminated under a request, and returns the number
+// of those that count.
+func (c *Counter) addTerminationLocked(f Fingerprint, endpoint string, now time.Time) int {
+	key := string(f[:])
+	endpoints, _ := c.suspects.get(key, now)
+	if !slices.Contains(endpoints, endpoint) {
+		endpoints = append(slices.Clone(endpoints), endpoint)
+		endpoints = endpoints[max(len(endpoints)-maxTerminationsKept, 0):]
+		c.suspects.put(key, endpoints, now)
 	}
 	count := 0
-	for _, e := range ends {
-		if !k.isExplainedLocked(e, ends, now) {
+	for _, e := range endpoints {
+		if !c.isAttributedLocked(e, endpoints, now) {
 			count++
 		}
 	}
 	return count
 }
 
-// isExplainedLocked tells whether the end of an endpoint is explained by another request than one
-// under which those of ends ended. A request that was there each time explains it as well: the one
-// that was found may have run beside it, and have been told first.
-func (k *Counter) isExplainedLocked(endpoint string, ends []string, now time.Time) bool {
-	by, ok := k.explained.get(endpoint, now)
+// isAttributedLocked reports whether the termination of an endpoint is attributed to another request than
+// the one with these terminations. It is not if this request ran on every endpoint that terminated under
+// the other one: the other may have run beside it by chance and have been reported first.
+func (c *Counter) isAttributedLocked(endpoint string, endpoints []string, now time.Time) bool {
+	cause, ok := c.attributed.get(endpoint, now)
 	if !ok {
 		return false
 	}
-	missing := func(e string) bool { return !slices.Contains(ends, e) }
-	return len(by) == 0 || slices.ContainsFunc(by, missing)
+	missing := func(e string) bool { return !slices.Contains(endpoints, e) }
+	return len(cause) == 0 || slices.ContainsFunc(cause, missing)
 }
 
-// explainLocked notes that a content explains the ends of all endpoints that ended under it.
-func (k *Counter) explainLocked(c Content, now time.Time) {
-	key := string(c[:])
-	ends, _ := k.suspects.get(key, now)
-	for _, e := range ends {
-		k.explained.put(e, ends, now)
+// attributeLocked attributes the terminations of all endpoints that terminated under a request to it.
+func (c *Counter) attributeLocked(f Fingerprint, now time.Time) {
+	key := string(f[:])
+	endpoints, _ := c.suspects.get(key, now)
+	for _, e := range endpoints {
+		c.attributed.put(e, endpoints, now)
 	}
-	k.suspects.drop(key)
+	c.suspects.remove(key)
 }
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -8,82 +8,83 @@
 )
 
 const (
-	// KeptFor is how long a request is kept from endpoints. Three endpoints an hour is what a request
-	// that a caller sends all day can end then; a shorter time ends more, each with some ten
-	// requests of others. A request that was repaired has other content, and an endpoint that was runs
-	// it an hour later.
-	KeptFor = time.Hour
-	// mostKept bounds the list; a new one takes the place of the one that ends first. A full one
-	// takes 0.4 MB of heap.
-	mostKept = 4096
+	// Duration is how long a request stays in quarantine. With it, a request that a caller keeps sending
+	// terminates at most three endpoints per hour. A shorter time would terminate more, each with some
+	// ten unrelated requests. A corrected request has another fingerprint, and an endpoint with the
+	// cause fixed runs the request an hour later.
+	Duration = time.Hour
+	// maxListed bounds the list. A new entry replaces the one that expires first. A full list takes
+	// 0.4 MB of heap.
+	maxListed = 4096
 )
 
-// List is the requests that no endpoint is to run. It is safe for concurrent use; the zero value is
-// empty. Its times are those of the day: boxes tell each other until when a request is kept away.
+// List holds the quarantined requests. It is safe for concurrent use; the zero value is empty. Times are
+// wall-clock times, since boxes send the expiry to each other.
 type List struct {
-	mu    sync.Mutex
-	until map[Content]time.Time
-	over  []Content // dropped since the last call of Expire
+	mu      sync.Mutex
+	until   map[Fingerprint]time.Time
+	dropped []Fingerprint // removed by Add since the last call of Expire
 }
 
-// Add keeps a request from endpoints until a time; it tells whether that is news.
-func (l *List) Add(c Content, until time.Time) bool {
+// Add quarantines a request until a time, and reports whether it was not listed before. An earlier
+// expiry does not replace a later one.
+func (l *List) Add(f Fingerprint, until time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.until == nil {
-		l.until = make(map[Content]time.Time)
+		l.until = make(map[Fingerprint]time.Time)
 	}
-	_, known := l.until[c]
-	if !known && len(l.until) >= mostKept {
-		l.dropFirstLocked()
+	_, listed := l.until[f]
+	if !listed && len(l.until) >= maxListed {
+		l.dropEarliestLocked()
 	}
-	if until.After(l.until[c]) {
-		l.until[c] = until
+	if until.After(l.until[f]) {
+		l.until[f] = until
 	}
-	return !known
+	return !listed
 }
 
-// dropFirstLocked drops the request whose time ends first.
-func (l *List) dropFirstLocked() {
-	var first Content
+// dropEarliestLocked removes the request that expires first.
+func (l *List) dropEarliestLocked() {
+	var first Fingerprint
 	var ends time.Time
-	for c, u := range l.until {
+	for f, u := range l.until {
 		if ends.IsZero() || u.Before(ends) {
-			first, ends = c, u
+			first, ends = f, u
 		}
 	}
 	delete(l.until, first)
-	l.over = append(l.over, first)
+	l.dropped = append(l.dropped, first)
 }
 
-// Left tells how much longer a request is kept from endpoints; false: it is not.
-func (l *List) Left(c Content, now time.Time) (time.Duration, bool) {
+// Remaining returns how much longer a request is quarantined; false if it is not.
+func (l *List) Remaining(f Fingerprint, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u, ok := l.until[c]
+	u, ok := l.until[f]
 	if !ok || !now.Before(u) {
 		return 0, false
 	}
-	return u.Sub(now.Round(0)), true // by the time of day, as u is
+	return u.Sub(now.Round(0)), true // without the monotonic clock, as u has none
 }
 
-// Expire drops the requests whose time is over, and returns them with those that others took the
-// place of since the last call.
-func (l *List) Expire(now time.Time) []Content {
+// Expire removes the expired requests. It returns them together with those that Add has removed since the
+// last call.
+func (l *List) Expire(now time.Time) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := l.over
-	l.over = nil
-	for c, u := range l.until {
+	removed := l.dropped
+	l.dropped = nil
+	for f, u := range l.until {
 		if !now.Before(u) {
-			over = append(over, c)
-			delete(l.until, c)
+			removed = append(removed, f)
+			delete(l.until, f)
 		}
 	}
-	return over
+	return removed
 }
 
-// Len returns how many requests are kept away.
+// Len returns the number of entries, including expired ones that Expire has not removed yet.
 func (l *List) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -57,17 +57,17 @@
 		return refusal(wire.Reason_REASON_LOAD_FAILED, f.retryAt.Sub(now), "")
 	}
 	verdict, retryAfter := policy.Admit(policy.Admission{
-		MayWait:   w.deadline.Sub(now),
-		Estimate:  s.estimatedWaitLocked(e, w, now),
-		Queue:     len(e.waiters),
-		QueueMost: s.MaxQueue,
-		Caller:    countWaiting(e.waiters, w.request.GetCaller()),
-		CallerMax: s.callerQueueLimit(w.request.GetCaller()),
+		MaxWait:         w.deadline.Sub(now),
+		EstimatedWait:   s.estimatedWaitLocked(e, w, now),
+		Queued:          len(e.waiters),
+		MaxQueued:       s.MaxQueue,
+		CallerQueued:    countWaiting(e.waiters, w.request.GetCaller()),
+		MaxCallerQueued: s.callerQueueLimit(w.request.GetCaller()),
 	})
-	if rateLimitWait := s.rateLimitWait(e, s.queuedAheadLocked(e, w), now); verdict == policy.Wait && rateLimitWait > e.loadTime {
+	if rateLimitWait := s.rateLimitWait(e, s.queuedAheadLocked(e, w), now); verdict == policy.Enqueue && rateLimitWait > e.loadTime {
 		verdict, retryAfter = policy.RefuseDeadline, rateLimitWait // by then another endpoint can have loaded the adapter
 	}
-	if verdict != policy.Wait && !s.adapterReadyLocked(e, adapter) {
+	if verdict != policy.Enqueue && !s.adapterReadyLocked(e, adapter) {
 		e.recordUnmetDemandLocked(adapter, now)
 		s.planLoadsLocked(e, now)
 		retryAfter = s.retryAfterLocked(e, retryAfter, now)
@@ -75,7 +75,7 @@
 	switch verdict {
 	case policy.RefuseNoWait:
 		return refusal(wire.Reason_REASON_NO_WAIT, retryAfter, "")
-	case policy.RefuseQueue:
+	case policy.RefuseQueueFull:
 		return refusal(wire.Reason_REASON_QUEUE_FULL, retryAfter, "")
 	case policy.RefuseDeadline:
 		return refusal(wire.Reason_REASON_DEADLINE, retryAfter, "")
@@ -107,7 +107,7 @@
 // adapter's load behind the loads queued before it.
 func (s *Scheduler) estimatedWaitLocked(e *endpoint, w *waiter, now time.Time) time.Duration {
 	ahead := s.queuedAheadLocked(e, w)
-	runWait := max(policy.WaitForPlace(e.running(), e.concurrencyLimitLocked(), ahead, e.serviceTime), s.rateLimitWait(e, ahead, now))
+	runWait := max(policy.EstimateBatchWait(e.running(), e.concurrencyLimitLocked(), ahead, e.serviceTime), s.rateLimitWait(e, ahead, now))
 	sl := e.slots[w.request.GetAdapter()]
 	if sl != nil && sl.state == ready {
 		return runWait
@@ -157,5 +157,5 @@
 		return 1
 	}
 	totalRate := popularity.Rate(now, s.Timing.PopularityHalfLife) * float64(max(1, req.GetWidth()))
-	return policy.Width(totalRate, e.serviceTime, max(e.maxConcurrencyLocked(), 1), s.HomeUtilisation)
+	return policy.HomeCount(totalRate, e.serviceTime, max(e.maxConcurrencyLocked(), 1), s.HomeUtilisation)
 }
--- a/scheduler/budget.go
+++ b/scheduler/budget.go
@@ -9,10 +9,10 @@
 	"cairnwick.example/policy"
 )
 
-// lockedBudget is a policy.Budget with its own lock.
+// lockedBudget is a policy.LoadBudget with its own lock.
 type lockedBudget struct {
 	mu     sync.Mutex
-	budget policy.Budget
+	budget policy.LoadBudget
 }
 
 // setShare sets the fair share of the store's rate by the share of endpoints owned here.
@@ -20,7 +20,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if total > 0 {
-		b.budget.SetShare(rate*float64(owned)/float64(total), rate)
+		b.budget.SetRates(rate*float64(owned)/float64(total), rate)
 	}
 }
 
@@ -39,11 +39,11 @@
 func (b *lockedBudget) recordRefusal() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Refused()
+	b.budget.RecordRefusal()
 }
 
 func (b *lockedBudget) recordLoad() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.budget.Loaded()
+	b.budget.RecordLoad()
 }
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -48,7 +48,7 @@
 	grants         map[uint64]*grant // not yet released; kept when the same owner claims again
 	inUse          map[string]int    // number of these grants by adapter@version; never zero
 	waiters        []*waiter         // in order of arrival
-	popularity     map[string]*policy.Popularity
+	popularity     map[string]*policy.DecayingCounter
 	concurrency    float64         // limit of running requests; adapts, up to the configured maximum
 	rateLimit      ratelimit.Limit // rate limit that the endpoint announced last
 	serviceTime    time.Duration   // moving average of the time a request takes at the engine
@@ -111,7 +111,7 @@
 		slots:        make(map[string]*slot),
 		grants:       make(map[uint64]*grant),
 		inUse:        make(map[string]int),
-		popularity:   make(map[string]*policy.Popularity),
+		popularity:   make(map[string]*policy.DecayingCounter),
 		concurrency:  float64(spec.Running()),
 		serviceTime:  initialServiceTime,
 		loadTime:     initialLoadTime,
@@ -176,7 +176,7 @@
 // endpoint with a rate limit this is the concurrency that results from requests at that rate, so
 // that its adapters get further homes and requests prefer endpoints with more spare capacity.
 func (e *endpoint) maxConcurrencyLocked() int {
-	if !e.rateLimit.Named() {
+	if !e.rateLimit.IsSet() {
 		return e.spec.Running()
 	}
 	return min(int(math.Ceil(e.rateLimit.Rate()*e.serviceTime.Seconds())), e.spec.Running())
@@ -184,14 +184,14 @@
 
 // popularityLocked returns the popularity of an adapter. When too many are tracked, it first evicts
 // those that were hardly requested.
-func (e *endpoint) popularityLocked(adapter string, now time.Time, halfLife time.Duration) *policy.Popularity {
+func (e *endpoint) popularityLocked(adapter string, now time.Time, halfLife time.Duration) *policy.DecayingCounter {
 	if p := e.popularity[adapter]; p != nil {
 		return p
 	}
 	if len(e.popularity) >= maxPopularityEntries {
 		e.evictPopularityLocked(now, halfLife)
 	}
-	p := new(policy.Popularity)
+	p := new(policy.DecayingCounter)
 	e.popularity[adapter] = p
 	return p
 }
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -117,7 +117,7 @@
 		ListedSchedulers: func() []string { return []string{"box/scheduler"} },
 		Ready:            func() bool { return true },
 		Dial:             func(string) engine.Endpoint { return f.engine },
-		Eviction:         must(policy.NewEviction(policy.EvictOldest)),
+		Eviction:         must(policy.NewEvictionPolicy(policy.EvictLeastRecentlyUsed)),
 		Timing:           Timing{SendWindow: 20 * time.Millisecond, VerifyInterval: 10 * time.Millisecond, OwnershipTTL: 200 * time.Millisecond, Backoff: 20 * time.Millisecond, PopularityHalfLife: time.Minute, LoadTimeout: time.Second},
 		StoreLimits:      StoreLimits{Rate: 1000, Concurrency: 8},
 		MaxQueue:         4,
@@ -131,7 +131,7 @@
 	return f
 }
 
-func must(e policy.Eviction, err error) policy.Eviction {
+func must(e policy.EvictionPolicy, err error) policy.EvictionPolicy {
 	if err != nil {
 		panic(err)
 	}
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -39,7 +39,7 @@
 		WaitedMicros: waited.Microseconds(),
 		LoadMicros:   w.loadWait(now, sl).Microseconds(),
 		Priority:     int32(w.class.Priority()),
-		Limited:      e.rateLimit.Named(),
+		Limited:      e.rateLimit.IsSet(),
 	}}
 }
 
@@ -137,7 +137,7 @@
 		return
 	}
 	for e.running() < e.concurrencyLimitLocked() {
-		i := policy.NextWaiter(s.queuedRequestsLocked(e, now))
+		i := policy.NextQueued(s.queuedRequestsLocked(e, now))
 		if i < 0 || !s.takeRateLimitLocked(e, now) {
 			break
 		}
@@ -155,20 +155,20 @@
 	return wire.Reason_REASON_AFTER_LOAD
 }
 
-func (s *Scheduler) queuedRequestsLocked(e *endpoint, now time.Time) []policy.WaitFacts {
+func (s *Scheduler) queuedRequestsLocked(e *endpoint, now time.Time) []policy.QueuedRequest {
 	callerRunning := make(map[string]int) // by caller
 	for _, g := range e.grants {
 		callerRunning[g.caller]++
 	}
-	list := make([]policy.WaitFacts, len(e.waiters))
+	list := make([]policy.QueuedRequest, len(e.waiters))
 	deferrable := s.countDeferrableLocked(e)
 	for i, w := range e.waiters {
-		list[i] = policy.WaitFacts{
-			Priority:   w.class.Priority(),
-			Waited:     now.Sub(w.arrived),
-			Left:       w.deadline.Sub(now),
-			CallerRuns: callerRunning[w.request.GetCaller()],
-			Ready:      s.adapterReadyLocked(e, w.request.GetAdapter()) && !s.shouldDeferLocked(e, w, deferrable, now),
+		list[i] = policy.QueuedRequest{
+			Priority:      w.class.Priority(),
+			Waited:        now.Sub(w.arrived),
+			Remaining:     w.deadline.Sub(now),
+			CallerRunning: callerRunning[w.request.GetCaller()],
+			Ready:         s.adapterReadyLocked(e, w.request.GetAdapter()) && !s.shouldDeferLocked(e, w, deferrable, now),
 		}
 	}
 	return list
@@ -178,7 +178,7 @@
 func (s *Scheduler) countDeferrableLocked(e *endpoint) int {
 	n := 0
 	for _, w := range e.waiters {
-		if policy.Patient(w.class.MayWait()) && s.adapterReadyLocked(e, w.request.GetAdapter()) {
+		if policy.IsDeferrable(w.class.MayWait()) && s.adapterReadyLocked(e, w.request.GetAdapter()) {
 			n++
 		}
 	}
@@ -187,12 +187,12 @@
 
 // shouldDeferLocked reports whether a request is deferred to fill a batch.
 func (s *Scheduler) shouldDeferLocked(e *endpoint, w *waiter, deferrable int, now time.Time) bool {
-	return s.BatchPolicy.Hold(policy.HoldFacts{
-		MayWait: w.class.MayWait(),
-		Waited:  now.Sub(w.arrived),
-		Running: e.running(),
-		Limit:   e.concurrencyLimitLocked(),
-		Patient: deferrable,
+	return s.BatchPolicy.ShouldDefer(policy.DeferralState{
+		MaxWait:    w.class.MayWait(),
+		Waited:     now.Sub(w.arrived),
+		Running:    e.running(),
+		Limit:      e.concurrencyLimitLocked(),
+		Deferrable: deferrable,
 	})
 }
 
--- a/scheduler/planning.go
+++ b/scheduler/planning.go
@@ -52,9 +52,9 @@
 
 // awaitedLoadsLocked lists the adapters that queued requests wait for, that are in no slot and may
 // be loaded now.
-func (s *Scheduler) awaitedLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+func (s *Scheduler) awaitedLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadCandidate) {
 	var names []string
-	var candidates []policy.LoadFacts
+	var candidates []policy.LoadCandidate
 	index := make(map[string]int)
 	for _, w := range e.waiters {
 		n := w.request.GetAdapter()
@@ -68,8 +68,8 @@
 			names = append(names, n)
 			candidates = append(candidates, s.loadCandidateLocked(e, n, now))
 		}
-		candidates[i].Waiting++
-		candidates[i].Waited = max(candidates[i].Waited, now.Sub(w.arrived))
+		candidates[i].Requests++
+		candidates[i].OldestWait = max(candidates[i].OldestWait, now.Sub(w.arrived))
 		candidates[i].Urgent = candidates[i].Urgent || w.deadline.Sub(now) < 2*e.loadTime
 	}
 	return names, candidates
@@ -77,16 +77,16 @@
 
 // unmetLoadsLocked lists the adapters for which requests were refused. They are loaded only while no
 // request at any endpoint waits for a load, and without the urgency that waiting requests give.
-func (s *Scheduler) unmetLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadFacts) {
+func (s *Scheduler) unmetLoadsLocked(e *endpoint, now time.Time) ([]string, []policy.LoadCandidate) {
 	if s.pendingLoads.Load() > 0 {
 		return nil, nil
 	}
 	var names []string
-	var candidates []policy.LoadFacts
+	var candidates []policy.LoadCandidate
 	for n, d := range e.unmetDemands {
 		if e.loadableLocked(n, now) {
 			candidate := s.loadCandidateLocked(e, n, now)
-			candidate.Waiting = d.count
+			candidate.Requests = d.count
 			names = append(names, n)
 			candidates = append(candidates, candidate)
 		}
@@ -99,8 +99,8 @@
 	return e.slots[adapter] == nil && !now.Before(e.loadFailures[adapter].retryAt)
 }
 
-func (s *Scheduler) loadCandidateLocked(e *endpoint, adapter string, now time.Time) policy.LoadFacts {
-	return policy.LoadFacts{
+func (s *Scheduler) loadCandidateLocked(e *endpoint, adapter string, now time.Time) policy.LoadCandidate {
+	return policy.LoadCandidate{
 		Rate:     e.popularityLocked(adapter, now, s.Timing.PopularityHalfLife).Rate(now, s.Timing.PopularityHalfLife),
 		Priority: s.adapterPriority(adapter),
 	}
@@ -116,7 +116,7 @@
 }
 
 // newLoadTaskLocked returns a task for one load, if a slot and the store's budget allow it.
-func (s *Scheduler) newLoadTaskLocked(e *endpoint, adapter string, candidate policy.LoadFacts, now time.Time) (loadTask, bool) {
+func (s *Scheduler) newLoadTaskLocked(e *endpoint, adapter string, candidate policy.LoadCandidate, now time.Time) (loadTask, bool) {
 	m, err := s.Catalog().Resolve(adapter)
 	if err != nil {
 		return loadTask{}, false // removed while a request waited; the wait ends at its deadline
@@ -135,19 +135,19 @@
 
 // chooseVictimLocked chooses the adapter to unload for another one. If none can be unloaded, it
 // schedules a report, which may show that a slot with unaccounted requests is unused.
-func (s *Scheduler) chooseVictimLocked(e *endpoint, candidate policy.LoadFacts, now time.Time) (string, bool) {
+func (s *Scheduler) chooseVictimLocked(e *endpoint, candidate policy.LoadCandidate, now time.Time) (string, bool) {
 	names := make([]string, 0, len(e.slots))
-	slots := make([]policy.SlotFacts, 0, len(e.slots))
+	slots := make([]policy.SlotState, 0, len(e.slots))
 	for n, sl := range e.slots {
 		names = append(names, n)
 		slots = append(slots, s.slotStateLocked(e, n, sl, now))
 	}
-	i := s.Eviction.Victim(slots, policy.WantedFacts{
-		Rate:     candidate.Rate,
-		Priority: candidate.Priority,
-		Waited:   candidate.Waited,
-		Waiting:  candidate.Waiting,
-		Patience: s.Timing.MaxDeferral,
+	i := s.Eviction.Victim(slots, policy.PendingAdapter{
+		Rate:        candidate.Rate,
+		Priority:    candidate.Priority,
+		OldestWait:  candidate.OldestWait,
+		Requests:    candidate.Requests,
+		MaxDeferral: s.Timing.MaxDeferral,
 	})
 	if i < 0 {
 		s.scheduleReportLocked(e, now)
@@ -156,8 +156,8 @@
 	return names[i], true
 }
 
-func (s *Scheduler) slotStateLocked(e *endpoint, adapter string, sl *slot, now time.Time) policy.SlotFacts {
-	return policy.SlotFacts{
+func (s *Scheduler) slotStateLocked(e *endpoint, adapter string, sl *slot, now time.Time) policy.SlotState {
+	return policy.SlotState{
 		Busy:     sl.state != ready || e.inUse[adapter] > 0 || !sl.unaccountedUntil.IsZero() || e.hasWaiterLocked(adapter),
 		LastUsed: sl.lastUsed,
 		LoadCost: e.loadTime,
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -12,25 +12,25 @@
 
 // updateRateLimit applies an endpoint's rate limit that a gateway received.
 func (s *Scheduler) updateRateLimit(e *endpoint, reported *wire.LimitWord, now time.Time) {
-	if reported == nil || !s.rateLimits.Hear(e.name, reported.Word(now), now) {
+	if reported == nil || !s.rateLimits.Observe(e.name, reported.Word(now), now) {
 		return
 	}
 	limit := s.rateLimits.Limit(e.name)
 	e.mu.Lock()
 	e.rateLimit = limit
 	e.mu.Unlock()
-	s.Log.Info("Endpoint's rate limit changed", "endpoint", e.name, "named", limit.Named(), "a_second", limit.Rate())
+	s.Log.Info("Endpoint's rate limit changed", "endpoint", e.name, "named", limit.IsSet(), "a_second", limit.Rate())
 }
 
 // takeRateLimitLocked takes one request from an endpoint's rate limit. Each grant is for one request
 // sent. If the limit allows none now, a timer serves the queue when it does.
 func (s *Scheduler) takeRateLimitLocked(e *endpoint, now time.Time) bool {
-	permit := s.rateLimits.Take(e.name, ratelimit.Ask{}, now) // the order of requests is decided in the queue here
+	permit := s.rateLimits.Take(e.name, ratelimit.Request{}, now) // the order of requests is decided in the queue here
 	if permit.OK {
 		return true
 	}
 	if e.rateLimitTimer == nil {
-		e.rateLimitTimer = time.AfterFunc(s.rateLimits.Room(e.name, now).Wait, func() { s.serveAfterRateLimit(e) })
+		e.rateLimitTimer = time.AfterFunc(s.rateLimits.Headroom(e.name, now).Wait, func() { s.serveAfterRateLimit(e) })
 	}
 	return false
 }
@@ -45,5 +45,5 @@
 
 // rateLimitWait returns how long a request behind so many others waits for the endpoint's rate limit.
 func (s *Scheduler) rateLimitWait(e *endpoint, ahead int, now time.Time) time.Duration {
-	return s.rateLimits.Room(e.name, now).Wait + s.rateLimits.Turns(e.name, ahead)
+	return s.rateLimits.Headroom(e.name, now).Wait + s.rateLimits.TimeFor(e.name, ahead)
 }
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	a, err := f.scheduler.Acquire(context.Background(), &wire.AcquireRequest{
 		Request: "r", Endpoint: "e1", Adapter: "a@1", Class: "counter", Caller: "till", WaitMicros: wait.Microseconds(),
-		Limit: wire.NewLimitWord("e1", ratelimit.Word{Limit: l, At: now}, now),
+		Limit: wire.NewLimitWord("e1", ratelimit.Observation{Limit: l, At: now}, now),
 	})
 	f.Assert(err, quicktest.IsNil)
 	return a
@@ -32,7 +32,7 @@
 	begun := time.Now()
 	granted := 0
 	for time.Since(begun) < time.Second {
-		a := f.acquireWithLimit(ratelimit.Of(perSecond), 0)
+		a := f.acquireWithLimit(ratelimit.PerSecond(perSecond), 0)
 		if a.GetGrant() != nil {
 			granted++
 			f.release(a, wire.Outcome_OUTCOME_COMPLETED)
@@ -50,7 +50,7 @@
 	f := newFixture(t, "a@1")
 	f.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	for range 4 {
-		a := f.acquireWithLimit(ratelimit.Of(20), time.Second)
+		a := f.acquireWithLimit(ratelimit.PerSecond(20), time.Second)
 		f.Assert(a.GetGrant(), quicktest.IsNotNil)
 		f.Assert(a.GetGrant().GetLimited(), quicktest.IsTrue)
 		f.release(a, wire.Outcome_OUTCOME_COMPLETED)
@@ -62,7 +62,7 @@
 	f := newFixture(t, "a@1")
 	f.own().verifiedAt = time.Now().Add(time.Minute) // so that no probe is needed
 	begun := time.Now()
-	a := f.acquireWithLimit(ratelimit.Of(0), 300*time.Millisecond)
+	a := f.acquireWithLimit(ratelimit.PerSecond(0), 300*time.Millisecond)
 	f.Assert(a.GetRefusal().GetReason(), quicktest.Equals, wire.Reason_REASON_DEADLINE)
 	f.Assert(time.Since(begun) < 200*time.Millisecond, quicktest.IsTrue)
 	f.Assert(f.acquireWithLimit(ratelimit.Limit{}, 0).GetGrant(), quicktest.IsNotNil) // the endpoint has lifted its limit
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -66,8 +66,8 @@
 	ListedSchedulers func() []string // schedulers of the data centre, as the platform lists them
 	Ready            func() bool     // whether the daemon has joined its data centre
 	Dial             func(address string) engine.Endpoint
-	Eviction         policy.Eviction
-	BatchPolicy      policy.Weights
+	Eviction         policy.EvictionPolicy
+	BatchPolicy      policy.BatchPolicy
 	Timing           Timing
 	StoreLimits      StoreLimits
 	MaxQueue         int     // queued requests per endpoint
@@ -85,7 +85,7 @@
 	probes       chan *endpoint // endpoints to probe
 	loadTasks    chan loadTask  // loads and unloads to execute
 	storeBudget  *lockedBudget
-	rateLimits   ratelimit.Counter // by endpoint; its lock is taken last, with no other after it
+	rateLimits   ratelimit.Limiter // by endpoint; its lock is taken last, with no other after it
 	pendingLoads atomic.Int64      // at all endpoints, not yet begun
 	stats        stats
 }
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -38,7 +38,7 @@
 
 // Options is the table of a scheduler's settings.
 var Options = daemon.Options(settings.Table{
-	{Name: optEviction, Kind: settings.Text, Default: policy.EvictReturn, Help: "expected_return or least_recently_used"},
+	{Name: optEviction, Kind: settings.Text, Default: policy.EvictExpectedReturn, Help: "expected_return or least_recently_used"},
 	{Name: optWeightBatch, Kind: settings.Number, Default: 0.0, Help: "priority of short load waits (0) or of full batches (1); above 0 requests that may wait long are deferred to fill batches"},
 	{Name: optSendWindow, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond, Help: "time within which a grant must be used"},
 	{Name: optVerifyInterval, Kind: settings.Duration, Default: 2 * time.Second, Least: time.Millisecond, Help: "time between probes of an endpoint's fence"},
@@ -62,7 +62,7 @@
 
 // Serve runs a scheduler with validated settings until ctx ends.
 func Serve(ctx context.Context, v settings.Values) error {
-	eviction, err := policy.NewEviction(v.Text(optEviction))
+	eviction, err := policy.NewEvictionPolicy(v.Text(optEviction))
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 		Ready:            n.Ready,
 		Dial:             func(address string) engine.Endpoint { return &engine.Client{Address: address, HTTP: client} },
 		Eviction:         eviction,
-		BatchPolicy:      policy.Weights{Batch: v.Number(optWeightBatch)},
+		BatchPolicy:      policy.BatchPolicy{Fullness: v.Number(optWeightBatch)},
 		Timing: Timing{
 			SendWindow:         v.Duration(optSendWindow),
 			VerifyInterval:     v.Duration(optVerifyInterval),
