--- a/catalog/build.go
+++ b/catalog/build.go
@@ -15,7 +15,7 @@
 // builder gathers a catalog and the problems found on the way.
 type builder struct {
 	catalog  *Catalog
-	old      *Catalog // nil when there is none
+	previous      *Catalog // nil when there is none
 	document string   // being read
 	problems []Problem
 }
@@ -25,21 +25,21 @@
 // *CheckError that names every problem. What is unchanged since old, which may
 // be nil, is not read again.
 func Build(h Head, shards map[string][]byte, old *Catalog) (*Catalog, error) {
-	b := &builder{catalog: empty(h), old: old}
+	b := &builder{catalog: newCatalog(h), previous: old}
 	for _, n := range h.Shards() {
 		b.document = n
-		b.addText(shards[n], h.ShardDigest(n))
+		b.addDocument(shards[n], h.ShardDigest(n))
 	}
-	b.checkLinks()
+	b.checkReferences()
 	if len(b.problems) > 0 {
-		return nil, &CheckError{Revision: h.revision, Problems: b.problems}
+		return nil, &ValidationError{Revision: h.revision, Problems: b.problems}
 	}
-	b.drainCentres()
-	b.indexBases()
+	b.drainDataCentres()
+	b.indexEndpoints()
 	return b.catalog, nil
 }
 
-func empty(h Head) *Catalog {
+func newCatalog(h Head) *Catalog {
 	return &Catalog{
 		revision:  h.revision,
 		digest:    h.digest,
@@ -49,78 +49,78 @@
 		endpoints: make(map[string]Endpoint),
 		services:  make(map[string]Service),
 		adapters:  make(map[string]Adapter),
-		centres:   make(map[string]CentreFormat),
-		byBase:    make(map[string][]string),
-		parts:     make(map[string][]Adapter),
+		dataCentres:   make(map[string]DataCentreSpec),
+		endpointsByBase:    make(map[string][]string),
+		adaptersByShard:     make(map[string][]Adapter),
 	}
 }
 
-func (b *builder) problem(field, value, mend string) {
-	b.problems = append(b.problems, Problem{Document: b.document, Field: field, Value: value, Mend: mend})
+func (b *builder) addProblem(field, value, fix string) {
+	b.problems = append(b.problems, Problem{Document: b.document, Field: field, Value: value, Fix: fix})
 }
 
-// fresh reports a name that is empty or taken, and tells whether it is neither.
-func (b *builder) fresh(list, name string, taken bool) bool {
+// checkName reports a name that is empty or taken, and tells whether it is neither.
+func (b *builder) checkName(list, name string, taken bool) bool {
 	if name == "" || strings.ContainsAny(name, Separator+" /") {
-		b.problem(list, fmt.Sprintf("%q", name), "give a name without spaces, '/' and '@'")
+		b.addProblem(list, fmt.Sprintf("%q", name), "give a name without spaces, '/' and '@'")
 		return false
 	}
 	if taken {
-		b.problem(list+"["+name+"]", "named twice", "keep one of them")
+		b.addProblem(list+"["+name+"]", "named twice", "keep one of them")
 		return false
 	}
 	return true
 }
 
-func (b *builder) addText(raw []byte, digest string) {
+func (b *builder) addDocument(raw []byte, digest string) {
 	if Digest(raw) != digest {
-		b.problem("digest", Digest(raw), "publish the shard whose digest the head names: "+digest)
+		b.addProblem("digest", Digest(raw), "publish the shard whose digest the head names: "+digest)
 		return
 	}
-	if b.reuse(digest) {
+	if b.reuseAdapters(digest) {
 		return
 	}
 	s, err := ParseShard(raw)
 	if err != nil {
-		b.problem("text", errors.Cause(err).Error(), err.Error())
+		b.addProblem("text", errors.Cause(err).Error(), err.Error())
 		return
 	}
 	found := len(b.problems)
 	b.addShard(s)
-	if s.adaptersOnly() && len(b.problems) == found {
-		b.keepPart(digest, s)
+	if s.hasOnlyAdapters() && len(b.problems) == found {
+		b.cacheAdapters(digest, s)
 	}
 }
 
-// reuse takes the adapters of an unchanged shard from the catalog before.
-func (b *builder) reuse(digest string) bool {
-	if b.old == nil || b.old.parts[digest] == nil {
+// reuseAdapters takes the adapters of an unchanged shard from the catalog before.
+func (b *builder) reuseAdapters(digest string) bool {
+	if b.previous == nil || b.previous.adaptersByShard[digest] == nil {
 		return false
 	}
-	list := b.old.parts[digest]
-	b.catalog.parts[digest] = list
+	list := b.previous.adaptersByShard[digest]
+	b.catalog.adaptersByShard[digest] = list
 	for _, a := range list {
 		_, taken := b.catalog.adapters[a.name]
-		if b.fresh("adapters", a.name, taken) {
+		if b.checkName("adapters", a.name, taken) {
 			b.catalog.adapters[a.name] = a
 		}
 	}
 	return true
 }
 
-// keepPart keeps the adapters of a shard for the next revision.
-func (b *builder) keepPart(digest string, s Shard) {
+// cacheAdapters keeps the adapters of a shard for the next revision.
+func (b *builder) cacheAdapters(digest string, s Shard) {
 	list := make([]Adapter, len(s.Adapters))
 	for i, f := range s.Adapters {
 		list[i] = b.catalog.adapters[f.Name]
 	}
-	b.catalog.parts[digest] = list
+	b.catalog.adaptersByShard[digest] = list
 }
 
 func (b *builder) addShard(s Shard) {
 	for _, f := range s.Bases {
 		_, taken := b.catalog.bases[f.Name]
-		if b.fresh("bases", f.Name, taken) {
+		if b.checkName("bases", f.Name, taken) {
 			b.catalog.bases[f.Name] = Base{name: f.Name}
 		}
 	}
@@ -131,7 +131,7 @@
 		b.addCaller(f)
 	}
 	for _, f := range s.DataCentres {
-		b.addCentre(f)
+		b.addDataCentre(f)
 	}
 	for _, f := range s.Endpoints {
 		b.addEndpoint(f)
@@ -144,56 +144,56 @@
 	}
 }
 
-func (b *builder) addClass(f ClassFormat) {
+func (b *builder) addClass(f ClassSpec) {
 	_, taken := b.catalog.classes[f.Name]
-	if !b.fresh("classes", f.Name, taken) {
+	if !b.checkName("classes", f.Name, taken) {
 		return
 	}
 	if f.Deadline <= 0 {
-		b.problem("classes["+f.Name+"].deadline", "missing", `give a duration above zero, such as "30s"`)
+		b.addProblem("classes["+f.Name+"].deadline", "missing", `give a duration above zero, such as "30s"`)
 	}
 	b.catalog.classes[f.Name] = Class{
 		name:     f.Name,
 		priority: f.Priority,
-		mayWait:  time.Duration(f.MayWait),
+		maxWait:  time.Duration(f.MayWait),
 		deadline: time.Duration(f.Deadline),
 	}
 	if f.Default {
-		b.addDefault(f.Name)
+		b.setDefaultClass(f.Name)
 	}
 }
 
-func (b *builder) addDefault(name string) {
-	if b.catalog.class != "" {
-		b.problem("classes["+name+"].default", "true", "only one class can be the default; "+b.catalog.class+" is it already")
+func (b *builder) setDefaultClass(name string) {
+	if b.catalog.defaultClass != "" {
+		b.addProblem("classes["+name+"].default", "true", "only one class can be the default; "+b.catalog.defaultClass+" is it already")
 	}
-	b.catalog.class = name
+	b.catalog.defaultClass = name
 }
 
-func (b *builder) addCaller(f CallerFormat) {
+func (b *builder) addCaller(f CallerSpec) {
 	_, taken := b.catalog.callers[f.Name]
-	if !b.fresh("callers", f.Name, taken) {
+	if !b.checkName("callers", f.Name, taken) {
 		return
 	}
-	b.atLeastOne("callers["+f.Name+"].queue", f.Queue)
-	b.catalog.callers[f.Name] = Caller{name: f.Name, queue: f.Queue}
+	b.requirePositive("callers["+f.Name+"].queue", f.Queue)
+	b.catalog.callers[f.Name] = Caller{name: f.Name, queueLimit: f.Queue}
 }
 
-func (b *builder) addCentre(f CentreFormat) {
-	_, taken := b.catalog.centres[f.Name]
-	if !b.fresh("data_centres", f.Name, taken) {
+func (b *builder) addDataCentre(f DataCentreSpec) {
+	_, taken := b.catalog.dataCentres[f.Name]
+	if !b.checkName("data_centres", f.Name, taken) {
 		return
 	}
 	if f.State == "" {
 		f.State = Serving
 	}
 	b.checkState("data_centres["+f.Name+"].state", f.State)
-	b.catalog.centres[f.Name] = f
+	b.catalog.dataCentres[f.Name] = f
 }
 
-func (b *builder) addEndpoint(f EndpointFormat) {
+func (b *builder) addEndpoint(f EndpointSpec) {
 	_, taken := b.catalog.endpoints[f.Name]
-	if !b.fresh("endpoints", f.Name, taken) {
+	if !b.checkName("endpoints", f.Name, taken) {
 		return
 	}
 	field := "endpoints[" + f.Name + "]."
@@ -201,32 +201,32 @@
 		f.State = Serving
 	}
 	if f.DataCentre == "" {
-		b.problem(field+"data_centre", "missing", "name the data centre where the endpoint stands")
+		b.addProblem(field+"data_centre", "missing", "name the data centre where the endpoint stands")
 	}
 	b.checkAddress(field+"address", f.Address)
 	b.checkState(field+"state", f.State)
-	b.atLeastOne(field+"slots", f.Slots)
-	b.atLeastOne(field+"running", f.Running)
+	b.requirePositive(field+"slots", f.Slots)
+	b.requirePositive(field+"running", f.Running)
 	b.catalog.endpoints[f.Name] = Endpoint{
 		name:         f.Name,
 		dataCentre:   f.DataCentre,
 		base:         f.Base,
 		address:      f.Address,
 		slots:        f.Slots,
-		running:      f.Running,
+		maxRunning:      f.Running,
 		checksFences: f.ChecksFences,
 		reportLag:    time.Duration(f.ReportLag),
 		state:        f.State,
 	}
 }
 
-func (b *builder) addService(f ServiceFormat) {
+func (b *builder) addService(f ServiceSpec) {
 	_, taken := b.catalog.services[f.Name]
-	if !b.fresh("services", f.Name, taken) {
+	if !b.checkName("services", f.Name, taken) {
 		return
 	}
 	if len(f.Addresses) == 0 {
-		b.problem("services["+f.Name+"].addresses", "empty", "give at least one IP:port")
+		b.addProblem("services["+f.Name+"].addresses", "empty", "give at least one IP:port")
 	}
 	for _, a := range f.Addresses {
 		b.checkAddress("services["+f.Name+"].addresses", a)
@@ -234,90 +234,90 @@
 	b.catalog.services[f.Name] = Service{name: f.Name, addresses: f.Addresses, notRepeatable: f.NotRepeatable}
 }
 
-func (b *builder) addAdapter(f AdapterFormat) {
+func (b *builder) addAdapter(f AdapterSpec) {
 	_, taken := b.catalog.adapters[f.Name]
-	if !b.fresh("adapters", f.Name, taken) {
+	if !b.checkName("adapters", f.Name, taken) {
 		return
 	}
 	field := "adapters[" + f.Name + "]."
 	if len(f.Versions) == 0 {
-		b.problem(field+"versions", "empty", "give at least one version with its path in the store")
+		b.addProblem(field+"versions", "empty", "give at least one version with its path in the store")
 	}
 	for v, p := range f.Versions {
 		if p == "" || v == "" {
-			b.problem(field+"versions["+v+"]", "empty", "give the version's path in the store")
+			b.addProblem(field+"versions["+v+"]", "empty", "give the version's path in the store")
 		}
 	}
 	for a, v := range f.Aliases {
 		if _, ok := f.Versions[v]; !ok {
-			b.problem(field+"aliases["+a+"]", v, "name one of the adapter's versions")
+			b.addProblem(field+"aliases["+a+"]", v, "name one of the adapter's versions")
 		}
 		if _, ok := f.Versions[a]; ok {
-			b.problem(field+"aliases["+a+"]", v, "choose an alias that is not itself a version")
+			b.addProblem(field+"aliases["+a+"]", v, "choose an alias that is not itself a version")
 		}
 	}
 	b.catalog.adapters[f.Name] = Adapter{
 		name:     f.Name,
 		base:     f.Base,
 		priority: f.Priority,
-		versions: entries(f.Versions),
-		aliases:  entries(f.Aliases),
+		versions: sortedPairs(f.Versions),
+		aliases:  sortedPairs(f.Aliases),
 	}
 }
 
-// checkLinks reports names that no document defines.
-func (b *builder) checkLinks() {
+// checkReferences reports names that no document defines.
+func (b *builder) checkReferences() {
 	b.document = "all shards"
 	for _, n := range b.catalog.Endpoints() {
-		b.checkBase("endpoints["+n+"].base", b.catalog.endpoints[n].base)
+		b.checkBaseExists("endpoints["+n+"].base", b.catalog.endpoints[n].base)
 	}
 	for _, n := range b.catalog.Adapters() {
-		b.checkBase("adapters["+n+"].base", b.catalog.adapters[n].base)
+		b.checkBaseExists("adapters["+n+"].base", b.catalog.adapters[n].base)
 	}
-	if b.catalog.class == "" {
-		b.problem("classes", "no default", `define one class with "default": true`)
+	if b.catalog.defaultClass == "" {
+		b.addProblem("classes", "no default", `define one class with "default": true`)
 	}
 }
 
-func (b *builder) checkBase(field, base string) {
+func (b *builder) checkBaseExists(field, base string) {
 	if _, ok := b.catalog.bases[base]; !ok {
-		b.problem(field, fmt.Sprintf("%q", base), "name a base that a shard defines")
+		b.addProblem(field, fmt.Sprintf("%q", base), "name a base that a shard defines")
 	}
 }
 
 func (b *builder) checkAddress(field, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		b.problem(field, fmt.Sprintf("%q", address), "write an IP number and a port")
+		b.addProblem(field, fmt.Sprintf("%q", address), "write an IP number and a port")
 	}
 }
 
 func (b *builder) checkState(field string, s State) {
 	if s != Serving && s != Draining {
-		b.problem(field, fmt.Sprintf("%q", s), `write "serving" or "draining"`)
+		b.addProblem(field, fmt.Sprintf("%q", s), `write "serving" or "draining"`)
 	}
 }
 
-func (b *builder) atLeastOne(field string, n int) {
+func (b *builder) requirePositive(field string, n int) {
 	if n < 1 {
-		b.problem(field, fmt.Sprint(n), "write a whole number above zero")
+		b.addProblem(field, fmt.Sprint(n), "write a whole number above zero")
 	}
 }
 
-// drainCentres drains the endpoints of draining data centres.
-func (b *builder) drainCentres() {
+// drainDataCentres drains the endpoints of draining data centres.
+func (b *builder) drainDataCentres() {
 	for n, e := range b.catalog.endpoints {
-		if b.catalog.centres[e.dataCentre].State == Draining {
+		if b.catalog.dataCentres[e.dataCentre].State == Draining {
 			e.state = Draining
 			b.catalog.endpoints[n] = e
 		}
 	}
 }
 
-func (b *builder) indexBases() {
+func (b *builder) indexEndpoints() {
 	for n, e := range b.catalog.endpoints {
-		b.catalog.byBase[e.base] = append(b.catalog.byBase[e.base], n)
+		b.catalog.endpointsByBase[e.base] = append(b.catalog.endpointsByBase[e.base], n)
 	}
-	for _, names := range b.catalog.byBase {
+	for _, names := range b.catalog.endpointsByBase {
 		slices.Sort(names)
 	}
 }
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -35,17 +35,17 @@
 	digest    string // of the head document
 	bases     map[string]Base
 	classes   map[string]Class
-	class     string // name of the default class
+	defaultClass     string // name of the default class
 	callers   map[string]Caller
 	endpoints map[string]Endpoint
 	services  map[string]Service
 	adapters  map[string]Adapter
-	centres   map[string]CentreFormat // only those that are named in the documents
-	byBase    map[string][]string     // sorted endpoint names of each base
+	dataCentres   map[string]DataCentreSpec // only those that are named in the documents
+	endpointsByBase    map[string][]string     // sorted endpoint names of each base
 
-	// parts holds the checked adapters of each shard that has nothing else, by
+	// adaptersByShard holds the checked adapters of each shard that has nothing else, by
 	// its digest, for the next revision to take over.
-	parts map[string][]Adapter
+	adaptersByShard map[string][]Adapter
 }
 
 // Base is a base model.
@@ -60,7 +60,7 @@
 type Class struct {
 	name     string
 	priority int           // smaller runs earlier, as the engines count it
-	mayWait  time.Duration // zero: refused at once when no place is free
+	maxWait  time.Duration // zero: refused at once when no place is free
 	deadline time.Duration // when the caller names none; positive
 }
 
@@ -70,8 +70,8 @@
 // Priority returns the engines' priority: smaller runs earlier.
 func (c Class) Priority() int { return c.priority }
 
-// MayWait returns the longest time that a request may queue.
-func (c Class) MayWait() time.Duration { return c.mayWait }
+// MaxWait returns the longest time that a request may queue.
+func (c Class) MaxWait() time.Duration { return c.maxWait }
 
 // Deadline returns the deadline of requests that name none.
 func (c Class) Deadline() time.Duration { return c.deadline }
@@ -79,14 +79,14 @@
 // Caller is a known caller and its limits.
 type Caller struct {
 	name  string
-	queue int // most requests waiting at one scheduler; positive
+	queueLimit int // most requests waiting at one scheduler; positive
 }
 
 // Name returns the caller's name.
 func (c Caller) Name() string { return c.name }
 
-// Queue returns how many requests of the caller may wait at one scheduler.
-func (c Caller) Queue() int { return c.queue }
+// QueueLimit returns how many requests of the caller may wait at one scheduler.
+func (c Caller) QueueLimit() int { return c.queueLimit }
 
 // Endpoint is one model server.
 type Endpoint struct {
@@ -95,7 +95,7 @@
 	base         string // names a base of the same catalog
 	address      string // IP:port
 	slots        int    // adapters it can hold; positive
-	running      int    // requests it can batch; positive
+	maxRunning      int    // requests it can batch; positive
 	checksFences bool
 	reportLag    time.Duration // how old its reports may be
 	state        State
@@ -116,8 +116,8 @@
 // Slots returns how many adapters the endpoint can hold.
 func (e Endpoint) Slots() int { return e.slots }
 
-// Running returns how many requests the endpoint can batch.
-func (e Endpoint) Running() int { return e.running }
+// MaxRunning returns how many requests the endpoint can batch.
+func (e Endpoint) MaxRunning() int { return e.maxRunning }
 
 // ChecksFences tells whether the endpoint refuses orders below its fence.
 func (e Endpoint) ChecksFences() bool { return e.checksFences }
@@ -157,18 +157,18 @@
 	name     string
 	base     string  // names a base of the same catalog
 	priority int     // larger is kept and loaded rather
-	versions []entry // store paths by version, sorted; slices, since there are thousands
-	aliases  []entry // versions by alias, sorted; versions has each
+	versions []pair // store paths by version, sorted; slices, since there are thousands
+	aliases  []pair // versions by alias, sorted; versions has each
 }
 
-// entry is one line of a small table.
-type entry struct {
+// pair is one line of a small table.
+type pair struct {
 	name  string
 	value string
 }
 
 // lookup finds a line of a small table.
-func lookup(table []entry, name string) (string, bool) {
+func lookup(table []pair, name string) (string, bool) {
 	for _, e := range table {
 		if e.name == name {
 			return e.value, true
@@ -177,11 +177,11 @@
 	return "", false
 }
 
-// entries returns a table sorted by name.
-func entries(m map[string]string) []entry {
-	list := make([]entry, 0, len(m))
+// sortedPairs returns a table sorted by name.
+func sortedPairs(m map[string]string) []pair {
+	list := make([]pair, 0, len(m))
 	for _, n := range slices.Sorted(maps.Keys(m)) {
-		list = append(list, entry{name: n, value: m[n]})
+		list = append(list, pair{name: n, value: m[n]})
 	}
 	return list
 }
@@ -242,7 +242,7 @@
 func (c *Catalog) Endpoints() []string { return slices.Sorted(maps.Keys(c.endpoints)) }
 
 // EndpointsOf returns the sorted names of a base's endpoints; do not change it.
-func (c *Catalog) EndpointsOf(base string) []string { return c.byBase[base] }
+func (c *Catalog) EndpointsOf(base string) []string { return c.endpointsByBase[base] }
 
 // Service returns a plain service by name.
 func (c *Catalog) Service(name string) (Service, bool) {
@@ -269,7 +269,7 @@
 }
 
 // Region returns the region of a data centre; all that name none are in one.
-func (c *Catalog) Region(dataCentre string) string { return c.centres[dataCentre].Region }
+func (c *Catalog) Region(dataCentre string) string { return c.dataCentres[dataCentre].Region }
 
 // Model is a resolved model name: an adapter at one version.
 type Model struct {
@@ -309,4 +309,4 @@
 }
 
 // DefaultClass returns the class of requests that name none.
-func (c *Catalog) DefaultClass() Class { return c.classes[c.class] }
+func (c *Catalog) DefaultClass() Class { return c.classes[c.defaultClass] }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -53,7 +53,7 @@
 	bad := strings.NewReplacer(`"base": "advice", "address": "127.0.0.1:1", "slots": 4`, `"base": "gone", "address": "x", "slots": 0`,
 		`"live": "2"`, `"live": "9"`).Replace(goodShard)
 	_, err := build(c, Head{}, bad)
-	var e *CheckError
+	var e *ValidationError
 	c.Assert(errors.As(err, &e), quicktest.IsTrue)
 	c.Assert(e.Problems, quicktest.HasLen, 4)
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*endpoints\[e1\]\.slots: 0: write a whole number above zero.*`)
@@ -88,9 +88,9 @@
 	second, _ := NewHead(first, shards)
 	rival, _ := NewHead(first, map[string][]byte{"other": []byte("{}")})
 	third, _ := NewHead(second, shards)
-	c.Assert(third.Follows(first), quicktest.IsTrue)
-	c.Assert(third.Follows(rival), quicktest.IsFalse)
-	c.Assert(first.Follows(second), quicktest.IsFalse)
+	c.Assert(third.DescendsFrom(first), quicktest.IsTrue)
+	c.Assert(third.DescendsFrom(rival), quicktest.IsFalse)
+	c.Assert(first.DescendsFrom(second), quicktest.IsFalse)
 }
 
 func TestElevenThousandAdaptersFitTheirShards(t *testing.T) {
@@ -99,7 +99,7 @@
 	shards := map[string][]byte{"all": []byte(goodShard)}
 	for i := range shardCount {
 		raw := adapterShard(i*each, each)
-		c.Assert(len(raw) < MaxValue, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(raw)))
+		c.Assert(len(raw) < MaxDocumentSize, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(raw)))
 		shards[fmt.Sprintf("adapters-%d", i)] = raw
 	}
 	h, err := NewHead(Head{}, shards)
--- a/catalog/errors.go
+++ b/catalog/errors.go
@@ -22,20 +22,20 @@
 	Document string // shard name, or "head"
 	Field    string // such as endpoints[kgl1-e1].base
 	Value    string
-	Mend     string
+	Fix     string
 }
 
-// CheckError says all that is wrong with a revision at once.
-type CheckError struct {
+// ValidationError says all that is wrong with a revision at once.
+type ValidationError struct {
 	Revision int64
 	Problems []Problem
 }
 
-func (e *CheckError) Error() string {
+func (e *ValidationError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "catalog: revision %d has %d problem(s)", e.Revision, len(e.Problems))
 	for _, p := range e.Problems {
-		fmt.Fprintf(&b, "\n  %s: %s: %s: %s", p.Document, p.Field, p.Value, p.Mend)
+		fmt.Fprintf(&b, "\n  %s: %s: %s: %s", p.Document, p.Field, p.Value, p.Fix)
 	}
 	return b.String()
 }
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -21,7 +21,7 @@
 			}
 			return
 		}
-		if h.Revision() <= 0 || h.Digest() != Digest(raw) || len(h.Shards()) == 0 || h.Follows(h) {
+		if h.Revision() <= 0 || h.Digest() != Digest(raw) || len(h.Shards()) == 0 || h.DescendsFrom(h) {
 			t.Errorf("%+v", h)
 		}
 	})
@@ -49,12 +49,12 @@
 		}
 		c, err := Build(h, map[string][]byte{"s": raw}, nil)
 		if err != nil {
-			var e *CheckError
+			var e *ValidationError
 			if !errors.As(err, &e) || len(e.Problems) == 0 {
 				t.Fatalf("%v", err)
 			}
 			for _, p := range e.Problems {
-				if p.Field == "" || p.Mend == "" {
+				if p.Field == "" || p.Fix == "" {
 					t.Errorf("a problem without its field or mend: %+v", p)
 				}
 			}
--- a/catalog/head.go
+++ b/catalog/head.go
@@ -17,8 +17,8 @@
 // MaxAncestors is how many digests of earlier heads a head document names.
 const MaxAncestors = 64
 
-// MaxValue is the largest document that the platform holds, in bytes.
-const MaxValue = 1 << 20
+// MaxDocumentSize is the largest document that the platform holds, in bytes.
+const MaxDocumentSize = 1 << 20
 
 // Head is the head document: a revision, the heads that it is based on and the
 // digests of its shards.
@@ -30,7 +30,7 @@
 	raw       []byte
 }
 
-type headFormat struct {
+type headDocument struct {
 	Revision  int64             `json:"revision"`
 	Ancestors []string          `json:"ancestors"`
 	Shards    map[string]string `json:"shards"`
@@ -44,7 +44,7 @@
 
 // ParseHead reads a head document.
 func ParseHead(raw []byte) (Head, error) {
-	var f headFormat
+	var f headDocument
 	if err := decode(raw, &f); err != nil {
 		return Head{}, errors.Wrap(err, "catalog: head")
 	}
@@ -63,7 +63,7 @@
 // NewHead writes the head document that follows base with the given shards. A
 // zero base makes the first revision.
 func NewHead(base Head, shards map[string][]byte) (Head, error) {
-	f := headFormat{Revision: base.revision + 1, Shards: make(map[string]string, len(shards))}
+	f := headDocument{Revision: base.revision + 1, Shards: make(map[string]string, len(shards))}
 	if base.digest != "" {
 		f.Ancestors = append([]string{base.digest}, base.ancestors...)
 		f.Ancestors = f.Ancestors[:min(len(f.Ancestors), MaxAncestors)]
@@ -93,10 +93,10 @@
 // ShardDigest returns the digest of a shard's text.
 func (h Head) ShardDigest(name string) string { return h.shards[name] }
 
-// Follows tells whether this head was made from old, directly or through heads
+// DescendsFrom tells whether this head was made from old, directly or through heads
 // in between. A head further back than MaxAncestors cannot be told apart from a
 // stranger; it counts as followed when its revision lies that far back.
-func (h Head) Follows(old Head) bool {
+func (h Head) DescendsFrom(old Head) bool {
 	if old.digest == "" {
 		return true
 	}
@@ -111,8 +111,8 @@
 
 // decode reads JSON with comments and refuses unknown fields.
 func decode(raw []byte, into any) error {
-	if len(raw) > MaxValue {
-		return errors.Errorf("%d bytes: split it, a document holds %d at most", len(raw), MaxValue)
+	if len(raw) > MaxDocumentSize {
+		return errors.Errorf("%d bytes: split it, a document holds %d at most", len(raw), MaxDocumentSize)
 	}
 	plain, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -13,44 +13,44 @@
 // document. Every list may be left out; docs/CONFIGURATION.md describes the
 // fields.
 type Shard struct {
-	Bases       []BaseFormat     `json:"bases,omitempty"`
-	Classes     []ClassFormat    `json:"classes,omitempty"`
-	Callers     []CallerFormat   `json:"callers,omitempty"`
-	DataCentres []CentreFormat   `json:"data_centres,omitempty"`
-	Endpoints   []EndpointFormat `json:"endpoints,omitempty"`
-	Services    []ServiceFormat  `json:"services,omitempty"`
-	Adapters    []AdapterFormat  `json:"adapters,omitempty"`
+	Bases       []BaseSpec     `json:"bases,omitempty"`
+	Classes     []ClassSpec    `json:"classes,omitempty"`
+	Callers     []CallerSpec   `json:"callers,omitempty"`
+	DataCentres []DataCentreSpec   `json:"data_centres,omitempty"`
+	Endpoints   []EndpointSpec `json:"endpoints,omitempty"`
+	Services    []ServiceSpec  `json:"services,omitempty"`
+	Adapters    []AdapterSpec  `json:"adapters,omitempty"`
 }
 
-// BaseFormat is a base model as published.
-type BaseFormat struct {
+// BaseSpec is a base model as published.
+type BaseSpec struct {
 	Name string `json:"name"`
 }
 
-// ClassFormat is a class as published.
-type ClassFormat struct {
+// ClassSpec is a class as published.
+type ClassSpec struct {
 	Name     string `json:"name"`
 	Priority int    `json:"priority,omitempty"`
-	MayWait  Span   `json:"may_wait,omitempty"`
-	Deadline Span   `json:"deadline"`
+	MayWait  Duration   `json:"may_wait,omitempty"`
+	Deadline Duration   `json:"deadline"`
 	Default  bool   `json:"default,omitempty"`
 }
 
-// CallerFormat is a caller as published.
-type CallerFormat struct {
+// CallerSpec is a caller as published.
+type CallerSpec struct {
 	Name  string `json:"name"`
 	Queue int    `json:"queue"`
 }
 
-// CentreFormat is a data centre's state as published.
-type CentreFormat struct {
+// DataCentreSpec is a data centre's state as published.
+type DataCentreSpec struct {
 	Name   string `json:"name"`
 	State  State  `json:"state,omitempty"`
 	Region string `json:"region,omitempty"`
 }
 
-// EndpointFormat is an endpoint as published.
-type EndpointFormat struct {
+// EndpointSpec is an endpoint as published.
+type EndpointSpec struct {
 	Name         string `json:"name"`
 	DataCentre   string `json:"data_centre"`
 	Base         string `json:"base"`
@@ -58,19 +58,19 @@
 	Slots        int    `json:"slots"`
 	Running      int    `json:"running"`
 	ChecksFences bool   `json:"checks_fences,omitempty"`
-	ReportLag    Span   `json:"report_lag,omitempty"`
+	ReportLag    Duration   `json:"report_lag,omitempty"`
 	State        State  `json:"state,omitempty"`
 }
 
-// ServiceFormat is a plain service as published.
-type ServiceFormat struct {
+// ServiceSpec is a plain service as published.
+type ServiceSpec struct {
 	Name          string   `json:"name"`
 	Addresses     []string `json:"addresses"`
 	NotRepeatable []string `json:"not_repeatable,omitempty"`
 }
 
-// AdapterFormat is an adapter as published.
-type AdapterFormat struct {
+// AdapterSpec is an adapter as published.
+type AdapterSpec struct {
 	Name     string            `json:"name"`
 	Base     string            `json:"base"`
 	Priority int               `json:"priority,omitempty"`
@@ -78,11 +78,11 @@
 	Aliases  map[string]string `json:"aliases,omitempty"`
 }
 
-// Span is a duration written as text, such as "250ms".
-type Span time.Duration
+// Duration is a duration written as text, such as "250ms".
+type Duration time.Duration
 
 // UnmarshalJSON reads the text form.
-func (s *Span) UnmarshalJSON(raw []byte) error {
+func (s *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return errors.Errorf(`%s: write a duration, such as "250ms"`, raw)
@@ -91,15 +91,15 @@
 	if err != nil || d < 0 {
 		return errors.Errorf(`%q: write a duration, such as "250ms"`, text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalJSON writes the text form.
-func (s Span) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
+func (s Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
 
-// adaptersOnly tells whether the shard holds adapters and nothing else.
-func (s Shard) adaptersOnly() bool {
+// hasOnlyAdapters tells whether the shard holds adapters and nothing else.
+func (s Shard) hasOnlyAdapters() bool {
 	others := len(s.Bases) + len(s.Classes) + len(s.Callers) + len(s.DataCentres) + len(s.Endpoints) + len(s.Services)
 	return others == 0 && len(s.Adapters) > 0
 }
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -66,8 +66,8 @@
 	s := f.Spec
 	shards := map[string]catalog.Shard{
 		"classes": {
-			Bases: []catalog.BaseFormat{{Name: BaseName}},
-			Classes: []catalog.ClassFormat{
+			Bases: []catalog.BaseSpec{{Name: BaseName}},
+			Classes: []catalog.ClassSpec{
 				{Name: CounterClass, Priority: 1, MayWait: seconds(5), Deadline: seconds(20), Default: true},
 				{Name: NightClass, Priority: 9, MayWait: seconds(600), Deadline: seconds(3600)},
 				{Name: UrgentClass, Priority: 0, Deadline: seconds(10)},
@@ -89,7 +89,7 @@
 	var shard catalog.Shard
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for e := 1; e <= f.Spec.Engines; e++ {
-			shard.Endpoints = append(shard.Endpoints, catalog.EndpointFormat{
+			shard.Endpoints = append(shard.Endpoints, catalog.EndpointSpec{
 				Name:         EndpointName(c, e),
 				DataCentre:   CentreName(c),
 				Base:         BaseName,
@@ -97,16 +97,16 @@
 				Slots:        f.Spec.Slots,
 				Running:      f.Spec.Batch,
 				ChecksFences: !f.Spec.NoFences,
-				ReportLag:    catalog.Span(reportLag),
+				ReportLag:    catalog.Duration(reportLag),
 			})
 		}
 	}
 	if f.Spec.Services > 0 {
-		s := catalog.ServiceFormat{Name: ServiceName, NotRepeatable: []string{"POST /bookings"}}
+		s := catalog.ServiceSpec{Name: ServiceName, NotRepeatable: []string{"POST /bookings"}}
 		for i := 1; i <= f.Spec.Services; i++ {
 			s.Addresses = append(s.Addresses, f.ServiceAddress(i))
 		}
-		shard.Services = []catalog.ServiceFormat{s}
+		shard.Services = []catalog.ServiceSpec{s}
 	}
 	return shard
 }
@@ -115,7 +115,7 @@
 	var shard catalog.Shard
 	for i := first; i < end; i++ {
 		n := AdapterName(i)
-		shard.Adapters = append(shard.Adapters, catalog.AdapterFormat{
+		shard.Adapters = append(shard.Adapters, catalog.AdapterSpec{
 			Name:     n,
 			Base:     BaseName,
 			Versions: map[string]string{"1": "adapters/" + n + "/1", "2": "adapters/" + n + "/2"},
@@ -125,4 +125,4 @@
 	return shard
 }
 
-func seconds(n int) catalog.Span { return catalog.Span(time.Duration(n) * time.Second) }
+func seconds(n int) catalog.Duration { return catalog.Duration(time.Duration(n) * time.Second) }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -229,5 +229,5 @@
 
 // mayWait is how long the request may still wait for its turn.
 func (q *request) mayWait() time.Duration {
-	return min(q.class.MayWait()-clock.Since(q.arrived), q.left())
+	return min(q.class.MaxWait()-clock.Since(q.arrived), q.left())
 }
--- a/keeper/document.go
+++ b/keeper/document.go
@@ -90,7 +90,7 @@
 		found = append(found, changedVersions(before, now)...)
 	}
 	if len(found) > 0 {
-		return &catalog.CheckError{Revision: next.Revision(), Problems: found}
+		return &catalog.ValidationError{Revision: next.Revision(), Problems: found}
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 				Document: "all shards",
 				Field:    "adapters[" + now.Name() + "].versions[" + v + "]",
 				Value:    path,
-				Mend:     "a published version never changes; publish a new version",
+				Fix:     "a published version never changes; publish a new version",
 			})
 		}
 	}
--- a/keeper/judge.go
+++ b/keeper/judge.go
@@ -45,11 +45,11 @@
 	switch {
 	case mine.Digest() == h.Digest():
 		return Known
-	case h.Follows(mine) && peerInForce:
+	case h.DescendsFrom(mine) && peerInForce:
 		return InForce
-	case h.Follows(mine):
+	case h.DescendsFrom(mine):
 		return k.candidateLocked(h)
-	case mine.Follows(h):
+	case mine.DescendsFrom(h):
 		return Older
 	case peerInForce && winsFork(h, mine):
 		return InForce
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -106,7 +106,7 @@
 func (k *Keeper) acceptLocked(d *document) {
 	k.inForce = d
 	for digest, c := range k.candidates {
-		if !c.head.Follows(d.head) {
+		if !c.head.DescendsFrom(d.head) {
 			delete(k.candidates, digest)
 			k.loseLocked(c.head, d.head)
 		}
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -78,7 +78,7 @@
 		silent = missing
 		behind = make(map[string]catalog.Head)
 		for a, h := range found {
-			if h.Digest() != head.Digest() && !h.Follows(head) {
+			if h.Digest() != head.Digest() && !h.DescendsFrom(head) {
 				behind[a] = h
 			}
 		}
--- a/plan/documents.go
+++ b/plan/documents.go
@@ -82,7 +82,7 @@
 }
 
 // adapter finds an adapter's shard and place.
-func (d *documents) adapter(name string) (shard string, at int, f catalog.AdapterFormat, ok bool) {
+func (d *documents) adapter(name string) (shard string, at int, f catalog.AdapterSpec, ok bool) {
 	for _, n := range d.names {
 		for i, f := range d.parsed[n].Adapters {
 			if f.Name == name {
@@ -90,11 +90,11 @@
 			}
 		}
 	}
-	return "", 0, catalog.AdapterFormat{}, false
+	return "", 0, catalog.AdapterSpec{}, false
 }
 
 // endpoint finds an endpoint's shard and place.
-func (d *documents) endpoint(name string) (shard string, at int, f catalog.EndpointFormat, ok bool) {
+func (d *documents) endpoint(name string) (shard string, at int, f catalog.EndpointSpec, ok bool) {
 	for _, n := range d.names {
 		for i, f := range d.parsed[n].Endpoints {
 			if f.Name == name {
@@ -102,11 +102,11 @@
 			}
 		}
 	}
-	return "", 0, catalog.EndpointFormat{}, false
+	return "", 0, catalog.EndpointSpec{}, false
 }
 
 // class finds a class's shard and place.
-func (d *documents) class(name string) (shard string, at int, f catalog.ClassFormat, ok bool) {
+func (d *documents) class(name string) (shard string, at int, f catalog.ClassSpec, ok bool) {
 	for _, n := range d.names {
 		for i, f := range d.parsed[n].Classes {
 			if f.Name == name {
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	return "", 0, catalog.ClassFormat{}, false
+	return "", 0, catalog.ClassSpec{}, false
 }
 
 // centre finds a data centre's published state.
--- a/plan/effects.go
+++ b/plan/effects.go
@@ -154,7 +154,7 @@
 	count := make(map[string]int)
 	for _, n := range c.Endpoints() {
 		if e, _ := c.Endpoint(n); e.State() == catalog.Serving {
-			count[e.Base()] += e.Running()
+			count[e.Base()] += e.MaxRunning()
 		}
 	}
 	return count
--- a/plan/intent.go
+++ b/plan/intent.go
@@ -75,7 +75,7 @@
 	}
 	for _, n := range d.names {
 		if len(d.parsed[n].Adapters) > 0 {
-			return d.patch(n, "add", catalog.AdapterFormat{Name: i.Adapter, Base: i.Base, Versions: map[string]string{i.Version: i.Path}}, "adapters", "-")
+			return d.patch(n, "add", catalog.AdapterSpec{Name: i.Adapter, Base: i.Base, Versions: map[string]string{i.Version: i.Path}}, "adapters", "-")
 		}
 	}
 	return refuse(i, "no shard holds adapters yet; publish one with an empty list first")
@@ -200,11 +200,11 @@
 			if i.Back {
 				return nil
 			}
-			entry := catalog.CentreFormat{Name: i.Name, State: i.state()}
+			entry := catalog.DataCentreSpec{Name: i.Name, State: i.state()}
 			if len(d.parsed[n].DataCentres) > 0 {
 				return d.patch(n, "add", entry, "data_centres", "-")
 			}
-			return d.patch(n, "add", []catalog.CentreFormat{entry}, "data_centres")
+			return d.patch(n, "add", []catalog.DataCentreSpec{entry}, "data_centres")
 		}
 	}
 	return refuse(i, "no endpoint or data centre is called %q", i.Name)
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -98,7 +98,7 @@
 // configuration does not name get half the queue.
 func (s *Scheduler) callerMost(caller string) int {
 	if k, ok := s.Catalog().Caller(caller); ok {
-		return k.Queue()
+		return k.QueueLimit()
 	}
 	return max(1, s.QueueMost/2)
 }
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -112,7 +112,7 @@
 		grants:   make(map[uint64]*grant),
 		inUse:    make(map[string]int),
 		rates:    make(map[string]*policy.Popularity),
-		limit:    float64(spec.Running()),
+		limit:    float64(spec.MaxRunning()),
 		service:  firstService,
 		loadTime: firstLoad,
 		failed:   make(map[string]failure),
@@ -176,9 +176,9 @@
 // choose those that are less full.
 func (e *endpoint) mostLocked() int {
 	if !e.takes.Named() {
-		return e.spec.Running()
+		return e.spec.MaxRunning()
 	}
-	return min(int(math.Ceil(e.takes.Rate()*e.service.Seconds())), e.spec.Running())
+	return min(int(math.Ceil(e.takes.Rate()*e.service.Seconds())), e.spec.MaxRunning())
 }
 
 // rateLocked returns the popularity of an adapter, forgetting the faintest when
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -122,7 +122,7 @@
 		return
 	}
 	if q.GetOutcome() == wire.Outcome_OUTCOME_COMPLETED {
-		e.limit = min(float64(e.spec.Running()), e.limit+1/max(1, e.limit))
+		e.limit = min(float64(e.spec.MaxRunning()), e.limit+1/max(1, e.limit))
 		e.service = movingMean(e.service, time.Duration(q.GetServiceMicros())*time.Microsecond)
 	}
 }
@@ -177,7 +177,7 @@
 func (s *Scheduler) patientLocked(e *endpoint) int {
 	n := 0
 	for _, w := range e.waiters {
-		if policy.Patient(w.class.MayWait()) && s.readyLocked(e, w.request.GetAdapter()) {
+		if policy.Patient(w.class.MaxWait()) && s.readyLocked(e, w.request.GetAdapter()) {
 			n++
 		}
 	}
@@ -187,7 +187,7 @@
 // heldBackLocked tells whether a request is held back to fill a batch.
 func (s *Scheduler) heldBackLocked(e *endpoint, w *waiter, patient int, now time.Time) bool {
 	return s.Weights.Hold(policy.HoldFacts{
-		MayWait: w.class.MayWait(),
+		MayWait: w.class.MaxWait(),
 		Waited:  now.Sub(w.arrived),
 		Running: e.running(),
 		Limit:   e.limitLocked(),
