--- a/catalog/build.go
+++ b/catalog/build.go
@@ -15,7 +15,7 @@
 // builder gathers a catalog and the problems found on the way.
 type builder struct {
 	catalog  *Catalog
-	previous      *Catalog // nil when there is none
+	previous *Catalog // nil when there is none
 	document string   // being read
 	problems []Problem
 }
@@ -41,17 +41,17 @@
 
 func newCatalog(h Head) *Catalog {
 	return &Catalog{
-		revision:  h.revision,
-		digest:    h.digest,
-		bases:     make(map[string]Base),
-		classes:   make(map[string]Class),
-		callers:   make(map[string]Caller),
-		endpoints: make(map[string]Endpoint),
-		services:  make(map[string]Service),
-		adapters:  make(map[string]Adapter),
-		dataCentres:   make(map[string]DataCentreSpec),
-		endpointsByBase:    make(map[string][]string),
-		adaptersByShard:     make(map[string][]Adapter),
+		revision:        h.revision,
+		digest:          h.digest,
+		bases:           make(map[string]Base),
+		classes:         make(map[string]Class),
+		callers:         make(map[string]Caller),
+		endpoints:       make(map[string]Endpoint),
+		services:        make(map[string]Service),
+		adapters:        make(map[string]Adapter),
+		dataCentres:     make(map[string]DataCentreSpec),
+		endpointsByBase: make(map[string][]string),
+		adaptersByShard: make(map[string][]Adapter),
 	}
 }
 
@@ -213,7 +213,7 @@
 		base:         f.Base,
 		address:      f.Address,
 		slots:        f.Slots,
-		maxRunning:      f.Running,
+		maxRunning:   f.Running,
 		checksFences: f.ChecksFences,
 		reportLag:    time.Duration(f.ReportLag),
 		state:        f.State,
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -31,17 +31,17 @@
 
 // Catalog is one revision of the published configuration.
 type Catalog struct {
-	revision  int64
-	digest    string // of the head document
-	bases     map[string]Base
-	classes   map[string]Class
-	defaultClass     string // name of the default class
-	callers   map[string]Caller
-	endpoints map[string]Endpoint
-	services  map[string]Service
-	adapters  map[string]Adapter
-	dataCentres   map[string]DataCentreSpec // only those that are named in the documents
-	endpointsByBase    map[string][]string     // sorted endpoint names of each base
+	revision        int64
+	digest          string // of the head document
+	bases           map[string]Base
+	classes         map[string]Class
+	defaultClass    string // name of the default class
+	callers         map[string]Caller
+	endpoints       map[string]Endpoint
+	services        map[string]Service
+	adapters        map[string]Adapter
+	dataCentres     map[string]DataCentreSpec // only those that are named in the documents
+	endpointsByBase map[string][]string       // sorted endpoint names of each base
 
 	// adaptersByShard holds the checked adapters of each shard that has nothing else, by
 	// its digest, for the next revision to take over.
@@ -78,7 +78,7 @@
 
 // Caller is a known caller and its limits.
 type Caller struct {
-	name  string
+	name       string
 	queueLimit int // most requests waiting at one scheduler; positive
 }
 
@@ -95,7 +95,7 @@
 	base         string // names a base of the same catalog
 	address      string // IP:port
 	slots        int    // adapters it can hold; positive
-	maxRunning      int    // requests it can batch; positive
+	maxRunning   int    // requests it can batch; positive
 	checksFences bool
 	reportLag    time.Duration // how old its reports may be
 	state        State
@@ -155,8 +155,8 @@
 // Adapter is a LoRA adapter with its versions.
 type Adapter struct {
 	name     string
-	base     string  // names a base of the same catalog
-	priority int     // larger is kept and loaded rather
+	base     string // names a base of the same catalog
+	priority int    // larger is kept and loaded rather
 	versions []pair // store paths by version, sorted; slices, since there are thousands
 	aliases  []pair // versions by alias, sorted; versions has each
 }
--- a/catalog/errors.go
+++ b/catalog/errors.go
@@ -22,7 +22,7 @@
 	Document string // shard name, or "head"
 	Field    string // such as endpoints[kgl1-e1].base
 	Value    string
-	Fix     string
+	Fix      string
 }
 
 // ValidationError says all that is wrong with a revision at once.
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -13,13 +13,13 @@
 // document. Every list may be left out; docs/CONFIGURATION.md describes the
 // fields.
 type Shard struct {
-	Bases       []BaseSpec     `json:"bases,omitempty"`
-	Classes     []ClassSpec    `json:"classes,omitempty"`
-	Callers     []CallerSpec   `json:"callers,omitempty"`
-	DataCentres []DataCentreSpec   `json:"data_centres,omitempty"`
-	Endpoints   []EndpointSpec `json:"endpoints,omitempty"`
-	Services    []ServiceSpec  `json:"services,omitempty"`
-	Adapters    []AdapterSpec  `json:"adapters,omitempty"`
+	Bases       []BaseSpec       `json:"bases,omitempty"`
+	Classes     []ClassSpec      `json:"classes,omitempty"`
+	Callers     []CallerSpec     `json:"callers,omitempty"`
+	DataCentres []DataCentreSpec `json:"data_centres,omitempty"`
+	Endpoints   []EndpointSpec   `json:"endpoints,omitempty"`
+	Services    []ServiceSpec    `json:"services,omitempty"`
+	Adapters    []AdapterSpec    `json:"adapters,omitempty"`
 }
 
 // BaseSpec is a base model as published.
@@ -29,11 +29,11 @@
 
 // ClassSpec is a class as published.
 type ClassSpec struct {
-	Name     string `json:"name"`
-	Priority int    `json:"priority,omitempty"`
-	MayWait  Duration   `json:"may_wait,omitempty"`
-	Deadline Duration   `json:"deadline"`
-	Default  bool   `json:"default,omitempty"`
+	Name     string   `json:"name"`
+	Priority int      `json:"priority,omitempty"`
+	MayWait  Duration `json:"may_wait,omitempty"`
+	Deadline Duration `json:"deadline"`
+	Default  bool     `json:"default,omitempty"`
 }
 
 // CallerSpec is a caller as published.
@@ -51,15 +51,15 @@
 
 // EndpointSpec is an endpoint as published.
 type EndpointSpec struct {
-	Name         string `json:"name"`
-	DataCentre   string `json:"data_centre"`
-	Base         string `json:"base"`
-	Address      string `json:"address"`
-	Slots        int    `json:"slots"`
-	Running      int    `json:"running"`
-	ChecksFences bool   `json:"checks_fences,omitempty"`
-	ReportLag    Duration   `json:"report_lag,omitempty"`
-	State        State  `json:"state,omitempty"`
+	Name         string   `json:"name"`
+	DataCentre   string   `json:"data_centre"`
+	Base         string   `json:"base"`
+	Address      string   `json:"address"`
+	Slots        int      `json:"slots"`
+	Running      int      `json:"running"`
+	ChecksFences bool     `json:"checks_fences,omitempty"`
+	ReportLag    Duration `json:"report_lag,omitempty"`
+	State        State    `json:"state,omitempty"`
 }
 
 // ServiceSpec is a plain service as published.
--- a/keeper/document.go
+++ b/keeper/document.go
@@ -106,7 +106,7 @@
 				Document: "all shards",
 				Field:    "adapters[" + now.Name() + "].versions[" + v + "]",
 				Value:    path,
-				Fix:     "a published version never changes; publish a new version",
+				Fix:      "a published version never changes; publish a new version",
 			})
 		}
 	}
