--- a/catalog/bench_test.go
+++ b/catalog/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkBuild checks a whole configuration of 11,000 adapters, and one in
-// which one shard has changed since the last.
+// BenchmarkBuild builds a catalog of 11,000 adapters from scratch, and one in which a
+// single shard has changed since the previous revision.
 func BenchmarkBuild(b *testing.B) {
 	h, shards := largeConfiguration(b)
 	old, err := Build(h, shards, nil)
--- a/catalog/build.go
+++ b/catalog/build.go
@@ -12,20 +12,20 @@
 	"github.com/pkg/errors"
 )
 
-// builder gathers a catalog and the problems found on the way.
+// builder builds a catalog and collects the problems of its documents.
 type builder struct {
 	catalog  *Catalog
 	previous *Catalog // nil when there is none
-	document string   // being read
+	document string   // the name of the current shard
 	problems []Problem
 }
 
-// Build checks the shards against the head and against each other, and returns
-// the catalog that they make. The shards are texts by name. It returns a
-// *CheckError that names every problem. What is unchanged since old, which may
-// be nil, is not read again.
-func Build(h Head, shards map[string][]byte, old *Catalog) (*Catalog, error) {
-	b := &builder{catalog: newCatalog(h), previous: old}
+// Build builds a catalog from a head and the texts of its shards by name. It checks
+// the shards against the head and against each other, and returns a *ValidationError
+// that lists every problem. The adapters of shards that are unchanged since previous,
+// which may be nil, are reused without being decoded again.
+func Build(h Head, shards map[string][]byte, previous *Catalog) (*Catalog, error) {
+	b := &builder{catalog: newCatalog(h), previous: previous}
 	for _, n := range h.Shards() {
 		b.document = n
 		b.addDocument(shards[n], h.ShardDigest(n))
@@ -59,14 +59,15 @@
 	b.problems = append(b.problems, Problem{Document: b.document, Field: field, Value: value, Fix: fix})
 }
 
-// checkName reports a name that is empty or taken, and tells whether it is neither.
+// checkName tells whether a name is valid and not taken, and reports a problem
+// otherwise.
 func (b *builder) checkName(list, name string, taken bool) bool {
 	if name == "" || strings.ContainsAny(name, Separator+" /") {
-		b.addProblem(list, fmt.Sprintf("%q", name), "give a name without spaces, '/' and '@'")
+		b.addProblem(list, fmt.Sprintf("%q", name), "use a name without spaces, '/' and '@'")
 		return false
 	}
 	if taken {
-		b.addProblem(list+"["+name+"]", "named twice", "keep one of them")
+		b.addProblem(list+"["+name+"]", "duplicate name", "keep only one of them")
 		return false
 	}
 	return true
@@ -74,7 +75,7 @@
 
 func (b *builder) addDocument(raw []byte, digest string) {
 	if Digest(raw) != digest {
-		b.addProblem("digest", Digest(raw), "publish the shard whose digest the head names: "+digest)
+		b.addProblem("digest", Digest(raw), "publish the shard with the digest in the head document: "+digest)
 		return
 	}
 	if b.reuseAdapters(digest) {
@@ -92,7 +93,8 @@
 	}
 }
 
-// reuseAdapters takes the adapters of an unchanged shard from the catalog before.
+// reuseAdapters copies the adapters of an unchanged shard from the previous catalog.
+// It returns false if that catalog has none for the digest.
 func (b *builder) reuseAdapters(digest string) bool {
 	if b.previous == nil || b.previous.adaptersByShard[digest] == nil {
 		return false
@@ -108,7 +110,8 @@
 	return true
 }
 
-// cacheAdapters keeps the adapters of a shard for the next revision.
+// cacheAdapters stores the adapters of a shard so that Build can reuse them for the
+// next revision.
 func (b *builder) cacheAdapters(digest string, s Shard) {
 	list := make([]Adapter, len(s.Adapters))
 	for i, f := range s.Adapters {
@@ -150,7 +153,7 @@
 		return
 	}
 	if f.Deadline <= 0 {
-		b.addProblem("classes["+f.Name+"].deadline", "missing", `give a duration above zero, such as "30s"`)
+		b.addProblem("classes["+f.Name+"].deadline", "missing", `set a positive duration, such as "30s"`)
 	}
 	b.catalog.classes[f.Name] = Class{
 		name:     f.Name,
@@ -165,7 +168,7 @@
 
 func (b *builder) setDefaultClass(name string) {
 	if b.catalog.defaultClass != "" {
-		b.addProblem("classes["+name+"].default", "true", "only one class can be the default; "+b.catalog.defaultClass+" is it already")
+		b.addProblem("classes["+name+"].default", "true", "only one class can be the default; "+b.catalog.defaultClass+" already is")
 	}
 	b.catalog.defaultClass = name
 }
@@ -201,7 +204,7 @@
 		f.State = Serving
 	}
 	if f.DataCentre == "" {
-		b.addProblem(field+"data_centre", "missing", "name the data centre where the endpoint stands")
+		b.addProblem(field+"data_centre", "missing", "set the name of the endpoint's data centre")
 	}
 	b.checkAddress(field+"address", f.Address)
 	b.checkState(field+"state", f.State)
@@ -226,7 +229,7 @@
 		return
 	}
 	if len(f.Addresses) == 0 {
-		b.addProblem("services["+f.Name+"].addresses", "empty", "give at least one IP:port")
+		b.addProblem("services["+f.Name+"].addresses", "empty", "list at least one address as IP:port")
 	}
 	for _, a := range f.Addresses {
 		b.checkAddress("services["+f.Name+"].addresses", a)
@@ -241,19 +244,19 @@
 	}
 	field := "adapters[" + f.Name + "]."
 	if len(f.Versions) == 0 {
-		b.addProblem(field+"versions", "empty", "give at least one version with its path in the store")
+		b.addProblem(field+"versions", "empty", "list at least one version with its path in the store")
 	}
 	for v, p := range f.Versions {
 		if p == "" || v == "" {
-			b.addProblem(field+"versions["+v+"]", "empty", "give the version's path in the store")
+			b.addProblem(field+"versions["+v+"]", "empty", "set the version's path in the store")
 		}
 	}
 	for a, v := range f.Aliases {
 		if _, ok := f.Versions[v]; !ok {
-			b.addProblem(field+"aliases["+a+"]", v, "name one of the adapter's versions")
+			b.addProblem(field+"aliases["+a+"]", v, "use one of the adapter's versions")
 		}
 		if _, ok := f.Versions[a]; ok {
-			b.addProblem(field+"aliases["+a+"]", v, "choose an alias that is not itself a version")
+			b.addProblem(field+"aliases["+a+"]", v, "use an alias that is not also a version")
 		}
 	}
 	b.catalog.adapters[f.Name] = Adapter{
@@ -265,7 +268,8 @@
 	}
 }
 
-// checkReferences reports names that no document defines.
+// checkReferences reports references to base models that no shard defines, and a
+// missing default class.
 func (b *builder) checkReferences() {
 	b.document = "all shards"
 	for _, n := range b.catalog.Endpoints() {
@@ -281,29 +285,29 @@
 
 func (b *builder) checkBaseExists(field, base string) {
 	if _, ok := b.catalog.bases[base]; !ok {
-		b.addProblem(field, fmt.Sprintf("%q", base), "name a base that a shard defines")
+		b.addProblem(field, fmt.Sprintf("%q", base), "use the name of a base that a shard defines")
 	}
 }
 
 func (b *builder) checkAddress(field, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		b.addProblem(field, fmt.Sprintf("%q", address), "write an IP number and a port")
+		b.addProblem(field, fmt.Sprintf("%q", address), "must be an IP address and a port, such as 10.0.0.1:80")
 	}
 }
 
 func (b *builder) checkState(field string, s State) {
 	if s != Serving && s != Draining {
-		b.addProblem(field, fmt.Sprintf("%q", s), `write "serving" or "draining"`)
+		b.addProblem(field, fmt.Sprintf("%q", s), `must be "serving" or "draining"`)
 	}
 }
 
 func (b *builder) requirePositive(field string, n int) {
 	if n < 1 {
-		b.addProblem(field, fmt.Sprint(n), "write a whole number above zero")
+		b.addProblem(field, fmt.Sprint(n), "must be a positive integer")
 	}
 }
 
-// drainDataCentres drains the endpoints of draining data centres.
+// drainDataCentres sets the endpoints in draining data centres to draining.
 func (b *builder) drainDataCentres() {
 	for n, e := range b.catalog.endpoints {
 		if b.catalog.dataCentres[e.dataCentre].State == Draining {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package catalog holds the configuration that the users publish: base models,
-// adapters and their versions, classes, callers, endpoints and plain services.
+// Package catalog holds the published configuration: base models, adapters and
+// their versions, request classes, callers, endpoints and plain services.
 //
-// A Catalog is built whole from a head document and its shards, is checked
-// whole, and never changes afterwards.
+// A Catalog is built from a head document and all of its shards, is validated as
+// a whole and is immutable.
 package catalog
 
 import (
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// LiveAlias is the alias meant when a caller names an adapter alone.
+// LiveAlias is the alias that applies when a model name has no version or alias.
 const LiveAlias = "live"
 
-// Separator stands between an adapter's name and its version or alias.
+// Separator separates an adapter's name from its version or alias.
 const Separator = "@"
 
-// State says whether an endpoint or a data centre takes new work.
+// State tells whether an endpoint or a data centre accepts new requests.
 type State string
 
 // The states of endpoints and data centres.
@@ -40,11 +40,11 @@
 	endpoints       map[string]Endpoint
 	services        map[string]Service
 	adapters        map[string]Adapter
-	dataCentres     map[string]DataCentreSpec // only those that are named in the documents
+	dataCentres     map[string]DataCentreSpec // only those that a document lists
 	endpointsByBase map[string][]string       // sorted endpoint names of each base
 
-	// adaptersByShard holds the checked adapters of each shard that has nothing else, by
-	// its digest, for the next revision to take over.
+	// adaptersByShard caches the validated adapters of each shard that contains nothing
+	// else, by the shard's digest. Build reuses them for the next revision.
 	adaptersByShard map[string][]Adapter
 }
 
@@ -56,36 +56,38 @@
 // Name returns the base model's name.
 func (b Base) Name() string { return b.name }
 
-// Class says how requests of one kind are treated.
+// Class sets the priority and the time limits of a class of requests.
 type Class struct {
 	name     string
-	priority int           // smaller runs earlier, as the engines count it
-	maxWait  time.Duration // zero: refused at once when no place is free
-	deadline time.Duration // when the caller names none; positive
+	priority int           // lower values run first, as in the engines
+	maxWait  time.Duration // in the queue; zero: rejected immediately when no slot is free
+	deadline time.Duration // of requests without one; positive
 }
 
-// Name returns the class's name.
+// Name returns the name of the class.
 func (c Class) Name() string { return c.name }
 
-// Priority returns the engines' priority: smaller runs earlier.
+// Priority returns the priority in the engines, where lower values run first.
 func (c Class) Priority() int { return c.priority }
 
-// MaxWait returns the longest time that a request may queue.
+// MaxWait returns the maximum time that a request may spend in the queue; zero
+// means that it is never queued.
 func (c Class) MaxWait() time.Duration { return c.maxWait }
 
-// Deadline returns the deadline of requests that name none.
+// Deadline returns the deadline of requests that do not set one.
 func (c Class) Deadline() time.Duration { return c.deadline }
 
 // Caller is a known caller and its limits.
 type Caller struct {
 	name       string
-	queueLimit int // most requests waiting at one scheduler; positive
+	queueLimit int // per scheduler; positive
 }
 
 // Name returns the caller's name.
 func (c Caller) Name() string { return c.name }
 
-// QueueLimit returns how many requests of the caller may wait at one scheduler.
+// QueueLimit returns the maximum number of the caller's requests that may be queued
+// at one scheduler.
 func (c Caller) QueueLimit() int { return c.queueLimit }
 
 // Endpoint is one model server.
@@ -95,54 +97,56 @@
 	base         string // names a base of the same catalog
 	address      string // IP:port
 	slots        int    // adapters it can hold; positive
-	maxRunning   int    // requests it can batch; positive
+	maxRunning   int    // requests in one batch; positive
 	checksFences bool
-	reportLag    time.Duration // how old its reports may be
+	reportLag    time.Duration // maximum age of its reports
 	state        State
 }
 
 // Name returns the endpoint's name.
 func (e Endpoint) Name() string { return e.name }
 
-// DataCentre returns where the endpoint stands.
+// DataCentre returns the name of the endpoint's data centre.
 func (e Endpoint) DataCentre() string { return e.dataCentre }
 
 // Base returns the base model that the endpoint serves.
 func (e Endpoint) Base() string { return e.base }
 
-// Address returns the endpoint's IP number and port.
+// Address returns the endpoint's address as IP:port.
 func (e Endpoint) Address() string { return e.address }
 
-// Slots returns how many adapters the endpoint can hold.
+// Slots returns the number of adapters that the endpoint can hold.
 func (e Endpoint) Slots() int { return e.slots }
 
-// MaxRunning returns how many requests the endpoint can batch.
+// MaxRunning returns the maximum number of requests in the endpoint's batch.
 func (e Endpoint) MaxRunning() int { return e.maxRunning }
 
-// ChecksFences tells whether the endpoint refuses orders below its fence.
+// ChecksFences tells whether the endpoint rejects orders whose fencing token is
+// lower than the highest that it has seen.
 func (e Endpoint) ChecksFences() bool { return e.checksFences }
 
-// ReportLag returns how old the endpoint's reports may be.
+// ReportLag returns the maximum age of the endpoint's reports.
 func (e Endpoint) ReportLag() time.Duration { return e.reportLag }
 
-// State tells whether the endpoint takes new work; a draining data centre
-// drains its endpoints.
+// State tells whether the endpoint accepts new requests. Endpoints in a draining
+// data centre are draining too.
 func (e Endpoint) State() State { return e.state }
 
-// Service is a plain service beside the model engines.
+// Service is a plain service, which runs no models.
 type Service struct {
 	name          string
 	addresses     []string // IP:port, at least one
-	notRepeatable []string // "METHOD /path", each call that may run once only
+	notRepeatable []string // "METHOD /path" of each call that must not be retried
 }
 
 // Name returns the service's name.
 func (s Service) Name() string { return s.name }
 
-// Addresses returns the service's IP numbers and ports; do not change it.
+// Addresses returns the service's addresses as IP:port. The caller must not modify
+// the slice.
 func (s Service) Addresses() []string { return s.addresses }
 
-// NotRepeatable tells whether the call may run once only.
+// NotRepeatable tells whether the call must not be retried.
 func (s Service) NotRepeatable(method, path string) bool {
 	for _, c := range s.notRepeatable {
 		if c == method+" "+path {
@@ -156,9 +160,9 @@
 type Adapter struct {
 	name     string
 	base     string // names a base of the same catalog
-	priority int    // larger is kept and loaded rather
-	versions []pair // store paths by version, sorted; slices, since there are thousands
-	aliases  []pair // versions by alias, sorted; versions has each
+	priority int    // higher values are loaded first and evicted last
+	versions []pair // store paths by version, sorted; there are thousands of adapters, so slices save memory
+	aliases  []pair // versions by alias, sorted; each version exists
 }
 
 // pair is one line of a small table.
@@ -167,7 +171,7 @@
 	value string
 }
 
-// lookup finds a line of a small table.
+// lookup returns the value of a name. It scans the list, which is short.
 func lookup(table []pair, name string) (string, bool) {
 	for _, e := range table {
 		if e.name == name {
@@ -177,7 +181,7 @@
 	return "", false
 }
 
-// sortedPairs returns a table sorted by name.
+// sortedPairs returns the pairs of m, sorted by name.
 func sortedPairs(m map[string]string) []pair {
 	list := make([]pair, 0, len(m))
 	for _, n := range slices.Sorted(maps.Keys(m)) {
@@ -192,15 +196,16 @@
 // Base returns the base model that the adapter was trained on.
 func (a Adapter) Base() string { return a.base }
 
-// Priority returns the adapter's weight in placement: larger is kept rather.
+// Priority returns the adapter's priority in placement: higher values are loaded
+// first and evicted last.
 func (a Adapter) Priority() int { return a.priority }
 
-// Path returns where the store keeps a version.
+// Path returns the path of a version in the adapter store.
 func (a Adapter) Path(version string) (string, bool) {
 	return lookup(a.versions, version)
 }
 
-// Version returns the version that an alias stands for.
+// Version returns the version that an alias refers to.
 func (a Adapter) Version(alias string) (string, bool) {
 	return lookup(a.aliases, alias)
 }
@@ -241,7 +246,8 @@
 // Endpoints returns the sorted names of all endpoints.
 func (c *Catalog) Endpoints() []string { return slices.Sorted(maps.Keys(c.endpoints)) }
 
-// EndpointsOf returns the sorted names of a base's endpoints; do not change it.
+// EndpointsOf returns the sorted names of the endpoints that serve a base model. The
+// caller must not modify the slice.
 func (c *Catalog) EndpointsOf(base string) []string { return c.endpointsByBase[base] }
 
 // Service returns a plain service by name.
@@ -259,7 +265,7 @@
 // Adapters returns the sorted names of all adapters.
 func (c *Catalog) Adapters() []string { return slices.Sorted(maps.Keys(c.adapters)) }
 
-// DataCentres returns the sorted names of the data centres with endpoints.
+// DataCentres returns the sorted names of the data centres that have endpoints.
 func (c *Catalog) DataCentres() []string {
 	seen := make(map[string]bool)
 	for _, e := range c.endpoints {
@@ -268,10 +274,11 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Region returns the region of a data centre; all that name none are in one.
+// Region returns the region of a data centre. All data centres without a region
+// count as one region, "".
 func (c *Catalog) Region(dataCentre string) string { return c.dataCentres[dataCentre].Region }
 
-// Model is a resolved model name: an adapter at one version.
+// Model is a resolved model name: one version of an adapter.
 type Model struct {
 	adapter Adapter
 	version string // one of the adapter's versions
@@ -283,12 +290,12 @@
 // Version returns the version.
 func (m Model) Version() string { return m.version }
 
-// String returns adapter@version, the name used at the endpoints.
+// String returns adapter@version, the name by which endpoints know the model.
 func (m Model) String() string { return m.adapter.name + Separator + m.version }
 
-// Resolve turns what a caller wrote as model (adapter, adapter@version or
-// adapter@alias) into one version under this revision. It returns an
-// *UnknownError when there is no such adapter or version.
+// Resolve resolves a model name (adapter, adapter@version or adapter@alias) to one
+// version of an adapter in this revision. It returns an *UnknownError if the adapter
+// or the version does not exist.
 func (c *Catalog) Resolve(model string) (Model, error) {
 	name, wanted, found := strings.Cut(model, Separator)
 	if !found {
@@ -308,5 +315,5 @@
 	return Model{adapter: a, version: v}, nil
 }
 
-// DefaultClass returns the class of requests that name none.
+// DefaultClass returns the class of requests that do not set one.
 func (c *Catalog) DefaultClass() Class { return c.classes[c.defaultClass] }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -13,7 +13,7 @@
 
 const goodShard = `{
   "bases": [{"name": "advice"}],
-  "classes": [{"name": "counter", "priority": 1, "deadline": "5s", "default": true}], // at the till
+  "classes": [{"name": "counter", "priority": 1, "deadline": "5s", "default": true}], // documents may contain comments
   "endpoints": [{"name": "e1", "data_centre": "d1", "base": "advice", "address": "127.0.0.1:1", "slots": 4, "running": 8}],
   "adapters": [{"name": "roses", "base": "advice", "versions": {"1": "p/1", "2": "p/2"}, "aliases": {"live": "2"}}],
 }`
@@ -56,7 +56,7 @@
 	var e *ValidationError
 	c.Assert(errors.As(err, &e), quicktest.IsTrue)
 	c.Assert(e.Problems, quicktest.HasLen, 4)
-	c.Assert(err, quicktest.ErrorMatches, `(?s).*endpoints\[e1\]\.slots: 0: write a whole number above zero.*`)
+	c.Assert(err, quicktest.ErrorMatches, `(?s).*endpoints\[e1\]\.slots: 0: must be a positive integer.*`)
 }
 
 func TestBuildRefusesUnknownFields(t *testing.T) {
@@ -70,7 +70,7 @@
 	h, err := NewHead(Head{}, map[string][]byte{"all": []byte(goodShard)})
 	c.Assert(err, quicktest.IsNil)
 	_, err = Build(h, map[string][]byte{"all": []byte("{}")}, nil)
-	c.Assert(err, quicktest.ErrorMatches, `(?s).*publish the shard whose digest the head names.*`)
+	c.Assert(err, quicktest.ErrorMatches, `(?s).*publish the shard with the digest in the head document.*`)
 }
 
 func TestADrainingDataCentreDrainsItsEndpoints(t *testing.T) {
@@ -121,7 +121,7 @@
 
 func TestALargeDocumentIsRefused(t *testing.T) {
 	_, err := ParseShard(adapterShard(0, 11000))
-	quicktest.Assert(t, err, quicktest.ErrorMatches, ".*split it, a document holds 1048576 at most.*")
+	quicktest.Assert(t, err, quicktest.ErrorMatches, ".*split the document, the maximum size is 1048576.*")
 }
 
 func TestAnUnchangedShardIsTakenOver(t *testing.T) {
@@ -135,7 +135,7 @@
 	h, err = NewHead(h, shards)
 	c.Assert(err, quicktest.IsNil)
 	_, err = Build(h, shards, old)
-	c.Assert(err, quicktest.ErrorMatches, `(?s).*adapters\[adapter-00002\]: named twice: keep one of them.*`)
+	c.Assert(err, quicktest.ErrorMatches, `(?s).*adapters\[adapter-00002\]: duplicate name: keep only one of them.*`)
 	shards["more"] = adapterShard(3, 3)
 	h, err = NewHead(h, shards)
 	c.Assert(err, quicktest.IsNil)
--- a/catalog/errors.go
+++ b/catalog/errors.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// UnknownError says that the catalog has no such thing.
+// UnknownError reports an adapter or a version that the catalog does not contain.
 type UnknownError struct {
 	Kind string // "adapter" or "version"
 	Name string
@@ -17,15 +17,15 @@
 	return fmt.Sprintf("catalog: no %s %q", e.Kind, e.Name)
 }
 
-// Problem is one fault of a published document.
+// Problem is one validation error in a published document.
 type Problem struct {
-	Document string // shard name, or "head"
+	Document string // name of a shard, or "all shards"
 	Field    string // such as endpoints[kgl1-e1].base
 	Value    string
 	Fix      string
 }
 
-// ValidationError says all that is wrong with a revision at once.
+// ValidationError lists all problems of a revision.
 type ValidationError struct {
 	Revision int64
 	Problems []Problem
--- a/catalog/fuzz_test.go
+++ b/catalog/fuzz_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// FuzzHead: a head that is accepted is its own text, and the next one follows it.
+// FuzzHead checks that an accepted head has a positive revision, the digest of its
+// text and at least one shard, and does not descend from itself.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte(`{"revision": 3, "ancestors": ["a"], "shards": {"s": "d"}}`))
 	f.Add([]byte(`{"revision": 9223372036854775807, "shards": {"": ""}} // end`))
@@ -17,7 +18,7 @@
 		h, err := ParseHead(raw)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "catalog: head: ") {
-				t.Fatalf("an error without its place: %v", err)
+				t.Fatalf("error without its location: %v", err)
 			}
 			return
 		}
@@ -27,7 +28,8 @@
 	})
 }
 
-// FuzzShard: a shard is taken in whole or refused with every problem named.
+// FuzzShard checks that a shard is either accepted with all of its adapters or
+// rejected with a field and a fix for each problem.
 func FuzzShard(f *testing.F) {
 	f.Add([]byte(`{"bases":[{"name":"b"}],"classes":[{"name":"c","deadline":"1s","default":true}],"adapters":[{"name":"a","base":"b","versions":{"1":"p"},"aliases":{"live":"1"}}]}`))
 	f.Add([]byte(`{"endpoints":[{"name":"e","data_centre":"d","base":"b","address":"1.2.3.4:5","slots":1,"running":1,"report_lag":"1h"}],"callers":[{"name":"x","queue":-1}]}`))
@@ -35,7 +37,7 @@
 		s, err := ParseShard(raw)
 		if err != nil {
 			if !strings.HasPrefix(err.Error(), "catalog: shard: ") {
-				t.Fatalf("an error without its place: %v", err)
+				t.Fatalf("error without its location: %v", err)
 			}
 			return
 		}
@@ -55,7 +57,7 @@
 			}
 			for _, p := range e.Problems {
 				if p.Field == "" || p.Fix == "" {
-					t.Errorf("a problem without its field or mend: %+v", p)
+					t.Errorf("problem without a field or a fix: %+v", p)
 				}
 			}
 			return
@@ -63,7 +65,7 @@
 		for _, a := range s.Adapters {
 			got, ok := c.Adapter(a.Name)
 			if !ok || len(got.Versions()) != len(a.Versions) {
-				t.Errorf("adapter %q is lost", a.Name)
+				t.Errorf("adapter %q is missing from the catalog", a.Name)
 			}
 		}
 	})
--- a/catalog/head.go
+++ b/catalog/head.go
@@ -14,18 +14,19 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxAncestors is how many digests of earlier heads a head document names.
+// MaxAncestors is the maximum number of ancestors that a head document lists.
 const MaxAncestors = 64
 
-// MaxDocumentSize is the largest document that the platform holds, in bytes.
+// MaxDocumentSize is the maximum size of a document in bytes. It is the platform's
+// limit for one value.
 const MaxDocumentSize = 1 << 20
 
-// Head is the head document: a revision, the heads that it is based on and the
-// digests of its shards.
+// Head is the head document: a revision number, the digests of the heads that it
+// descends from and the digests of its shards.
 type Head struct {
 	revision  int64
 	digest    string            // of the document's text
-	ancestors []string          // digests of earlier heads, the base first
+	ancestors []string          // digests of earlier heads, newest first
 	shards    map[string]string // digest by shard name
 	raw       []byte
 }
@@ -49,19 +50,19 @@
 		return Head{}, errors.Wrap(err, "catalog: head")
 	}
 	if f.Revision <= 0 {
-		return Head{}, errors.New("catalog: head: revision: write a whole number above zero")
+		return Head{}, errors.New("catalog: head: revision: must be a positive integer")
 	}
 	if len(f.Ancestors) > MaxAncestors {
-		return Head{}, errors.Errorf("catalog: head: ancestors: %d digests: keep the newest %d", len(f.Ancestors), MaxAncestors)
+		return Head{}, errors.Errorf("catalog: head: ancestors: %d digests: keep only the newest %d", len(f.Ancestors), MaxAncestors)
 	}
 	if len(f.Shards) == 0 {
-		return Head{}, errors.New("catalog: head: shards: name at least one")
+		return Head{}, errors.New("catalog: head: shards: must list at least one shard")
 	}
 	return Head{revision: f.Revision, digest: Digest(raw), ancestors: f.Ancestors, shards: f.Shards, raw: raw}, nil
 }
 
-// NewHead writes the head document that follows base with the given shards. A
-// zero base makes the first revision.
+// NewHead returns the head document of the revision after base, with the given
+// shards. A zero base gives the first revision.
 func NewHead(base Head, shards map[string][]byte) (Head, error) {
 	f := headDocument{Revision: base.revision + 1, Shards: make(map[string]string, len(shards))}
 	if base.digest != "" {
@@ -73,18 +74,18 @@
 	}
 	raw, err := json.MarshalIndent(f, "", "  ")
 	if err != nil {
-		return Head{}, errors.Wrap(err, "catalog: write head")
+		return Head{}, errors.Wrap(err, "catalog: encode head")
 	}
 	return ParseHead(raw)
 }
 
-// Revision returns the rising number of the document.
+// Revision returns the revision number, which increases with each published head.
 func (h Head) Revision() int64 { return h.revision }
 
 // Digest returns the digest of the document's text.
 func (h Head) Digest() string { return h.digest }
 
-// Raw returns the document's text; do not change it.
+// Raw returns the document's text. The caller must not modify the slice.
 func (h Head) Raw() []byte { return h.raw }
 
 // Shards returns the sorted names of the shards.
@@ -93,9 +94,10 @@
 // ShardDigest returns the digest of a shard's text.
 func (h Head) ShardDigest(name string) string { return h.shards[name] }
 
-// DescendsFrom tells whether this head was made from old, directly or through heads
-// in between. A head further back than MaxAncestors cannot be told apart from a
-// stranger; it counts as followed when its revision lies that far back.
+// DescendsFrom tells whether this head was derived from old, directly or through
+// other heads. The list of ancestors is truncated to MaxAncestors, so an older
+// ancestor cannot be told from an unrelated head: if old's revision is that far back,
+// it counts as an ancestor.
 func (h Head) DescendsFrom(old Head) bool {
 	if old.digest == "" {
 		return true
@@ -109,10 +111,10 @@
 	return len(h.ancestors) == MaxAncestors && h.revision-old.revision > MaxAncestors
 }
 
-// decode reads JSON with comments and refuses unknown fields.
+// decode decodes JSON with comments and rejects unknown fields.
 func decode(raw []byte, into any) error {
 	if len(raw) > MaxDocumentSize {
-		return errors.Errorf("%d bytes: split it, a document holds %d at most", len(raw), MaxDocumentSize)
+		return errors.Errorf("%d bytes: split the document, the maximum size is %d", len(raw), MaxDocumentSize)
 	}
 	plain, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
@@ -120,5 +122,5 @@
 	}
 	d := json.NewDecoder(bytes.NewReader(plain))
 	d.DisallowUnknownFields()
-	return errors.Wrap(d.Decode(into), "wrong shape")
+	return errors.Wrap(d.Decode(into), "unexpected structure")
 }
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -9,9 +9,8 @@
 	"github.com/pkg/errors"
 )
 
-// Shard is one part of the published configuration, as it stands in its
-// document. Every list may be left out; docs/CONFIGURATION.md describes the
-// fields.
+// Shard is the document of one part of the published configuration. All lists are
+// optional; docs/CONFIGURATION.md describes the fields.
 type Shard struct {
 	Bases       []BaseSpec       `json:"bases,omitempty"`
 	Classes     []ClassSpec      `json:"classes,omitempty"`
@@ -22,12 +21,12 @@
 	Adapters    []AdapterSpec    `json:"adapters,omitempty"`
 }
 
-// BaseSpec is a base model as published.
+// BaseSpec is the published form of a base model.
 type BaseSpec struct {
 	Name string `json:"name"`
 }
 
-// ClassSpec is a class as published.
+// ClassSpec is the published form of a request class.
 type ClassSpec struct {
 	Name     string   `json:"name"`
 	Priority int      `json:"priority,omitempty"`
@@ -36,20 +35,20 @@
 	Default  bool     `json:"default,omitempty"`
 }
 
-// CallerSpec is a caller as published.
+// CallerSpec is the published form of a caller.
 type CallerSpec struct {
 	Name  string `json:"name"`
 	Queue int    `json:"queue"`
 }
 
-// DataCentreSpec is a data centre's state as published.
+// DataCentreSpec is the published state and region of a data centre.
 type DataCentreSpec struct {
 	Name   string `json:"name"`
 	State  State  `json:"state,omitempty"`
 	Region string `json:"region,omitempty"`
 }
 
-// EndpointSpec is an endpoint as published.
+// EndpointSpec is the published form of an endpoint.
 type EndpointSpec struct {
 	Name         string   `json:"name"`
 	DataCentre   string   `json:"data_centre"`
@@ -62,14 +61,14 @@
 	State        State    `json:"state,omitempty"`
 }
 
-// ServiceSpec is a plain service as published.
+// ServiceSpec is the published form of a plain service.
 type ServiceSpec struct {
 	Name          string   `json:"name"`
 	Addresses     []string `json:"addresses"`
 	NotRepeatable []string `json:"not_repeatable,omitempty"`
 }
 
-// AdapterSpec is an adapter as published.
+// AdapterSpec is the published form of an adapter.
 type AdapterSpec struct {
 	Name     string            `json:"name"`
 	Base     string            `json:"base"`
@@ -78,33 +77,33 @@
 	Aliases  map[string]string `json:"aliases,omitempty"`
 }
 
-// Duration is a duration written as text, such as "250ms".
+// Duration is a duration that is encoded as a string, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalJSON reads the text form.
+// UnmarshalJSON implements json.Unmarshaler.
 func (s *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return errors.Errorf(`%s: write a duration, such as "250ms"`, raw)
+		return errors.Errorf(`%s: must be a duration, such as "250ms"`, raw)
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil || d < 0 {
-		return errors.Errorf(`%q: write a duration, such as "250ms"`, text)
+		return errors.Errorf(`%q: must be a duration, such as "250ms"`, text)
 	}
 	*s = Duration(d)
 	return nil
 }
 
-// MarshalJSON writes the text form.
+// MarshalJSON implements json.Marshaler.
 func (s Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
 
-// hasOnlyAdapters tells whether the shard holds adapters and nothing else.
+// hasOnlyAdapters tells whether the shard contains adapters and nothing else.
 func (s Shard) hasOnlyAdapters() bool {
 	others := len(s.Bases) + len(s.Classes) + len(s.Callers) + len(s.DataCentres) + len(s.Endpoints) + len(s.Services)
 	return others == 0 && len(s.Adapters) > 0
 }
 
-// ParseShard reads one shard's document.
+// ParseShard decodes the document of a shard. It does not validate the fields.
 func ParseShard(raw []byte) (Shard, error) {
 	var s Shard
 	err := decode(raw, &s)
