--- a/catalog/bench_test.go
+++ b/catalog/bench_test.go
@@ -25,7 +25,7 @@
 }
 
 func largeConfiguration(b *testing.B) (Head, map[string][]byte) {
-	shards := map[string][]byte{"all": []byte(goodShard)}
+	shards := map[string][]byte{"all": []byte(validShard)}
 	for i := range 55 {
 		shards[fmt.Sprintf("adapters-%02d", i)] = adapterShard(i*200, 200)
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-const goodShard = `{
+const validShard = `{
   "bases": [{"name": "advice"}],
   "classes": [{"name": "counter", "priority": 1, "deadline": "5s", "default": true}], // documents may contain comments
   "endpoints": [{"name": "e1", "data_centre": "d1", "base": "advice", "address": "127.0.0.1:1", "slots": 4, "running": 8}],
@@ -25,9 +25,9 @@
 	return Build(h, shards, nil)
 }
 
-func TestResolveTakesVersionsAndAliases(t *testing.T) {
+func TestResolveVersionsAndAliases(t *testing.T) {
 	c := quicktest.New(t)
-	k, err := build(c, Head{}, goodShard)
+	k, err := build(c, Head{}, validShard)
 	c.Assert(err, quicktest.IsNil)
 	for wanted, got := range map[string]string{"roses": "roses@2", "roses@live": "roses@2", "roses@1": "roses@1"} {
 		m, err := k.Resolve(wanted)
@@ -36,9 +36,9 @@
 	}
 }
 
-func TestResolveRefusesWhatIsUnknown(t *testing.T) {
+func TestResolveRejectsUnknownNames(t *testing.T) {
 	c := quicktest.New(t)
-	k, err := build(c, Head{}, goodShard)
+	k, err := build(c, Head{}, validShard)
 	c.Assert(err, quicktest.IsNil)
 	for wanted, kind := range map[string]string{"tulips": "adapter", "roses@9": "version"} {
 		_, err := k.Resolve(wanted)
@@ -48,55 +48,55 @@
 	}
 }
 
-func TestBuildReportsEveryProblemAtOnce(t *testing.T) {
+func TestBuildReportsAllProblems(t *testing.T) {
 	c := quicktest.New(t)
-	bad := strings.NewReplacer(`"base": "advice", "address": "127.0.0.1:1", "slots": 4`, `"base": "gone", "address": "x", "slots": 0`,
-		`"live": "2"`, `"live": "9"`).Replace(goodShard)
-	_, err := build(c, Head{}, bad)
+	invalid := strings.NewReplacer(`"base": "advice", "address": "127.0.0.1:1", "slots": 4`, `"base": "gone", "address": "x", "slots": 0`,
+		`"live": "2"`, `"live": "9"`).Replace(validShard)
+	_, err := build(c, Head{}, invalid)
 	var e *ValidationError
 	c.Assert(errors.As(err, &e), quicktest.IsTrue)
 	c.Assert(e.Problems, quicktest.HasLen, 4)
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*endpoints\[e1\]\.slots: 0: must be a positive integer.*`)
 }
 
-func TestBuildRefusesUnknownFields(t *testing.T) {
+func TestBuildRejectsUnknownFields(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := build(c, Head{}, `{"clases": []}`)
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*unknown field "clases".*`)
 }
 
-func TestBuildRefusesAShardThatTheHeadDoesNotName(t *testing.T) {
+func TestBuildRejectsShardWithWrongDigest(t *testing.T) {
 	c := quicktest.New(t)
-	h, err := NewHead(Head{}, map[string][]byte{"all": []byte(goodShard)})
+	h, err := NewHead(Head{}, map[string][]byte{"all": []byte(validShard)})
 	c.Assert(err, quicktest.IsNil)
 	_, err = Build(h, map[string][]byte{"all": []byte("{}")}, nil)
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*publish the shard with the digest in the head document.*`)
 }
 
-func TestADrainingDataCentreDrainsItsEndpoints(t *testing.T) {
+func TestDrainingDataCentreDrainsItsEndpoints(t *testing.T) {
 	c := quicktest.New(t)
-	k, err := build(c, Head{}, strings.Replace(goodShard, "{\n", `{"data_centres": [{"name": "d1", "state": "draining"}],`, 1))
+	k, err := build(c, Head{}, strings.Replace(validShard, "{\n", `{"data_centres": [{"name": "d1", "state": "draining"}],`, 1))
 	c.Assert(err, quicktest.IsNil)
 	e, _ := k.Endpoint("e1")
 	c.Assert(e.State(), quicktest.Equals, Draining)
 }
 
-func TestHeadsFollowTheirAncestors(t *testing.T) {
+func TestDescendsFrom(t *testing.T) {
 	c := quicktest.New(t)
-	shards := map[string][]byte{"all": []byte(goodShard)}
+	shards := map[string][]byte{"all": []byte(validShard)}
 	first, _ := NewHead(Head{}, shards)
 	second, _ := NewHead(first, shards)
-	rival, _ := NewHead(first, map[string][]byte{"other": []byte("{}")})
+	sibling, _ := NewHead(first, map[string][]byte{"other": []byte("{}")})
 	third, _ := NewHead(second, shards)
 	c.Assert(third.DescendsFrom(first), quicktest.IsTrue)
-	c.Assert(third.DescendsFrom(rival), quicktest.IsFalse)
+	c.Assert(third.DescendsFrom(sibling), quicktest.IsFalse)
 	c.Assert(first.DescendsFrom(second), quicktest.IsFalse)
 }
 
-func TestElevenThousandAdaptersFitTheirShards(t *testing.T) {
+func TestBuildWith11000Adapters(t *testing.T) {
 	c := quicktest.New(t)
 	const shardCount, each = 8, 1375
-	shards := map[string][]byte{"all": []byte(goodShard)}
+	shards := map[string][]byte{"all": []byte(validShard)}
 	for i := range shardCount {
 		raw := adapterShard(i*each, each)
 		c.Assert(len(raw) < MaxDocumentSize, quicktest.IsTrue, quicktest.Commentf("%d bytes", len(raw)))
@@ -119,14 +119,14 @@
 	return []byte(b.String())
 }
 
-func TestALargeDocumentIsRefused(t *testing.T) {
+func TestParseShardRejectsOversizedDocument(t *testing.T) {
 	_, err := ParseShard(adapterShard(0, 11000))
 	quicktest.Assert(t, err, quicktest.ErrorMatches, ".*split the document, the maximum size is 1048576.*")
 }
 
-func TestAnUnchangedShardIsTakenOver(t *testing.T) {
+func TestBuildReusesUnchangedShard(t *testing.T) {
 	c := quicktest.New(t)
-	shards := map[string][]byte{"all": []byte(goodShard), "adapters": adapterShard(0, 3)}
+	shards := map[string][]byte{"all": []byte(validShard), "adapters": adapterShard(0, 3)}
 	h, err := NewHead(Head{}, shards)
 	c.Assert(err, quicktest.IsNil)
 	old, err := Build(h, shards, nil)
