--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return sent{err: err}
 	}
-	platformtest.SetID(r.Header, id)
+	platformtest.SetAttemptID(r.Header, id)
 	for _, h := range headers {
 		name, value, _ := strings.Cut(h, ":")
 		r.Header.Set(name, value)
--- a/measure/blocked.go
+++ b/measure/blocked.go
@@ -166,7 +166,7 @@
 		return 0, err
 	}
 	r.Host = "h.example"
-	platformtest.SetID(r.Header, "0123456789abcdef")
+	platformtest.SetAttemptID(r.Header, "0123456789abcdef")
 	platformtest.SetModel(r.Header, fleet.BaseName+"/a1", 100, 4)
 	a, err := u.client.Do(r)
 	if err != nil {
