--- a/catalog/build.go
+++ b/catalog/build.go
@@ -285,7 +285,7 @@
 
 func (b *builder) checkBaseExists(field, base string) {
 	if _, ok := b.catalog.bases[base]; !ok {
-		b.addProblem(field, fmt.Sprintf("%q", base), "use the name of a base that a shard defines")
+		b.addProblem(field, fmt.Sprintf("%q", base), "name a base that a shard defines")
 	}
 }
 
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -165,7 +165,7 @@
 	aliases  []pair // versions by alias, sorted; each version exists
 }
 
-// pair is one line of a small table.
+// pair is a name and its value.
 type pair struct {
 	name  string
 	value string
