--- a/catalog/build.go
+++ b/catalog/build.go
@@ -158,7 +158,7 @@
 	b.catalog.classes[f.Name] = Class{
 		name:     f.Name,
 		priority: f.Priority,
-		maxWait:  time.Duration(f.MayWait),
+		maxWait:  time.Duration(f.MaxWait),
 		deadline: time.Duration(f.Deadline),
 	}
 	if f.Default {
@@ -178,8 +178,8 @@
 	if !b.checkName("callers", f.Name, taken) {
 		return
 	}
-	b.requirePositive("callers["+f.Name+"].queue", f.Queue)
-	b.catalog.callers[f.Name] = Caller{name: f.Name, queueLimit: f.Queue}
+	b.requirePositive("callers["+f.Name+"].queue", f.QueueLimit)
+	b.catalog.callers[f.Name] = Caller{name: f.Name, queueLimit: f.QueueLimit}
 }
 
 func (b *builder) addDataCentre(f DataCentreSpec) {
@@ -209,14 +209,14 @@
 	b.checkAddress(field+"address", f.Address)
 	b.checkState(field+"state", f.State)
 	b.requirePositive(field+"slots", f.Slots)
-	b.requirePositive(field+"running", f.Running)
+	b.requirePositive(field+"running", f.MaxRunning)
 	b.catalog.endpoints[f.Name] = Endpoint{
 		name:         f.Name,
 		dataCentre:   f.DataCentre,
 		base:         f.Base,
 		address:      f.Address,
 		slots:        f.Slots,
-		maxRunning:   f.Running,
+		maxRunning:   f.MaxRunning,
 		checksFences: f.ChecksFences,
 		reportLag:    time.Duration(f.ReportLag),
 		state:        f.State,
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -30,15 +30,15 @@
 type ClassSpec struct {
 	Name     string   `json:"name"`
 	Priority int      `json:"priority,omitempty"`
-	MayWait  Duration `json:"may_wait,omitempty"`
+	MaxWait  Duration `json:"may_wait,omitempty"`
 	Deadline Duration `json:"deadline"`
 	Default  bool     `json:"default,omitempty"`
 }
 
 // CallerSpec is the published form of a caller.
 type CallerSpec struct {
-	Name  string `json:"name"`
-	Queue int    `json:"queue"`
+	Name       string `json:"name"`
+	QueueLimit int    `json:"queue"`
 }
 
 // DataCentreSpec is the published state and region of a data centre.
@@ -55,7 +55,7 @@
 	Base         string   `json:"base"`
 	Address      string   `json:"address"`
 	Slots        int      `json:"slots"`
-	Running      int      `json:"running"`
+	MaxRunning   int      `json:"running"`
 	ChecksFences bool     `json:"checks_fences,omitempty"`
 	ReportLag    Duration `json:"report_lag,omitempty"`
 	State        State    `json:"state,omitempty"`
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -68,8 +68,8 @@
 		"classes": {
 			Bases: []catalog.BaseSpec{{Name: BaseName}},
 			Classes: []catalog.ClassSpec{
-				{Name: CounterClass, Priority: 1, MayWait: seconds(5), Deadline: seconds(20), Default: true},
-				{Name: NightClass, Priority: 9, MayWait: seconds(600), Deadline: seconds(3600)},
+				{Name: CounterClass, Priority: 1, MaxWait: seconds(5), Deadline: seconds(20), Default: true},
+				{Name: NightClass, Priority: 9, MaxWait: seconds(600), Deadline: seconds(3600)},
 				{Name: UrgentClass, Priority: 0, Deadline: seconds(10)},
 			},
 		},
@@ -95,7 +95,7 @@
 				Base:         BaseName,
 				Address:      f.reached(f.engineIP(c, e), standinPort),
 				Slots:        f.Spec.Slots,
-				Running:      f.Spec.Batch,
+				MaxRunning:   f.Spec.Batch,
 				ChecksFences: !f.Spec.NoFences,
 				ReportLag:    catalog.Duration(reportLag),
 			})
--- a/plan/intent.go
+++ b/plan/intent.go
@@ -150,7 +150,7 @@
 	if i.Wait < 0 || i.Wait > time.Duration(f.Deadline) {
 		return refuse(i, "it must be between nothing and the deadline, %s", time.Duration(f.Deadline))
 	}
-	if time.Duration(f.MayWait) == i.Wait {
+	if time.Duration(f.MaxWait) == i.Wait {
 		return nil
 	}
 	return d.patch(shard, "add", i.Wait.String(), "classes", at, "may_wait")
