--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -81,21 +81,21 @@
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (s *Duration) UnmarshalJSON(raw []byte) error {
+func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return errors.Errorf(`%s: must be a duration, such as "250ms"`, raw)
 	}
-	d, err := time.ParseDuration(text)
-	if err != nil || d < 0 {
+	parsed, err := time.ParseDuration(text)
+	if err != nil || parsed < 0 {
 		return errors.Errorf(`%q: must be a duration, such as "250ms"`, text)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
 
 // MarshalJSON implements json.Marshaler.
-func (s Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
+func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
 // hasOnlyAdapters tells whether the shard contains adapters and nothing else.
 func (s Shard) hasOnlyAdapters() bool {
