--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -9,68 +9,67 @@
 	"github.com/pkg/errors"
 )
 
-// Shard is one part of the published configuration, as it stands in its
-// document. Every list may be left out; docs/CONFIGURATION.md describes the
-// fields.
+// Shard is the document of one part of the published configuration. All lists are
+// optional; docs/CONFIGURATION.md describes the fields.
 type Shard struct {
-	Bases       []BaseFormat     `json:"bases,omitempty"`
-	Classes     []ClassFormat    `json:"classes,omitempty"`
-	Callers     []CallerFormat   `json:"callers,omitempty"`
-	DataCentres []CentreFormat   `json:"data_centres,omitempty"`
-	Endpoints   []EndpointFormat `json:"endpoints,omitempty"`
-	Services    []ServiceFormat  `json:"services,omitempty"`
-	Adapters    []AdapterFormat  `json:"adapters,omitempty"`
+	Bases       []BaseSpec       `json:"bases,omitempty"`
+	Classes     []ClassSpec      `json:"classes,omitempty"`
+	Callers     []CallerSpec     `json:"callers,omitempty"`
+	DataCentres []DataCentreSpec `json:"data_centres,omitempty"`
+	Endpoints   []EndpointSpec   `json:"endpoints,omitempty"`
+	Services    []ServiceSpec    `json:"services,omitempty"`
+	Adapters    []AdapterSpec    `json:"adapters,omitempty"`
 }
 
-// BaseFormat is a base model as published.
-type BaseFormat struct {
+// BaseSpec is the published form of a base model.
+type BaseSpec struct {
 	Name string `json:"name"`
 }
 
-// ClassFormat is a class as published.
-type ClassFormat struct {
-	Name     string `json:"name"`
-	Priority int    `json:"priority,omitempty"`
-	MayWait  Span   `json:"may_wait,omitempty"`
-	Deadline Span   `json:"deadline"`
-	Default  bool   `json:"default,omitempty"`
+// ClassSpec is the published form of a request class.
+type ClassSpec struct {
+	Name     string   `json:"name"`
+	Priority int      `json:"priority,omitempty"`
+	MaxWait  Duration `json:"may_wait,omitempty"`
+	Deadline Duration `json:"deadline"`
+	Default  bool     `json:"default,omitempty"`
 }
 
-// CallerFormat is a caller as published.
-type CallerFormat struct {
-	Name  string `json:"name"`
-	Queue int    `json:"queue"`
+// CallerSpec is the published form of a caller.
+type CallerSpec struct {
+	Name       string `json:"name"`
+	QueueLimit int    `json:"queue"`
 }
 
-// CentreFormat is a data centre's state as published.
-type CentreFormat struct {
+// DataCentreSpec is the published state and region of a data centre.
+type DataCentreSpec struct {
 	Name   string `json:"name"`
 	State  State  `json:"state,omitempty"`
 	Region string `json:"region,omitempty"`
 }
 
-// EndpointFormat is an endpoint as published.
-type EndpointFormat struct {
-	Name         string `json:"name"`
-	DataCentre   string `json:"data_centre"`
-	Base         string `json:"base"`
-	Address      string `json:"address"`
-	Slots        int    `json:"slots"`
-	Running      int    `json:"running"`
-	ChecksFences bool   `json:"checks_fences,omitempty"`
-	ReportLag    Span   `json:"report_lag,omitempty"`
-	State        State  `json:"state,omitempty"`
+// EndpointSpec is the published form of an endpoint.
+type EndpointSpec struct {
+	Name         string   `json:"name"`
+	DataCentre   string   `json:"data_centre"`
+	Base         string   `json:"base"`
+	Address      string   `json:"address"`
+	Slots        int      `json:"slots"`
+	MaxRunning   int      `json:"running"`
+	ChecksFences bool     `json:"checks_fences,omitempty"`
+	ReportLag    Duration `json:"report_lag,omitempty"`
+	State        State    `json:"state,omitempty"`
 }
 
-// ServiceFormat is a plain service as published.
-type ServiceFormat struct {
+// ServiceSpec is the published form of a plain service.
+type ServiceSpec struct {
 	Name          string   `json:"name"`
 	Addresses     []string `json:"addresses"`
 	NotRepeatable []string `json:"not_repeatable,omitempty"`
 }
 
-// AdapterFormat is an adapter as published.
-type AdapterFormat struct {
+// AdapterSpec is the published form of an adapter.
+type AdapterSpec struct {
 	Name     string            `json:"name"`
 	Base     string            `json:"base"`
 	Priority int               `json:"priority,omitempty"`
@@ -78,33 +77,33 @@
 	Aliases  map[string]string `json:"aliases,omitempty"`
 }
 
-// Span is a duration written as text, such as "250ms".
-type Span time.Duration
+// Duration is a duration that is encoded as a string, such as "250ms".
+type Duration time.Duration
 
-// UnmarshalJSON reads the text form.
-func (s *Span) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON implements json.Unmarshaler.
+func (d *Duration) UnmarshalJSON(raw []byte) error {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return errors.Errorf(`%s: write a duration, such as "250ms"`, raw)
+		return errors.Errorf(`%s: must be a duration, such as "250ms"`, raw)
 	}
-	d, err := time.ParseDuration(text)
-	if err != nil || d < 0 {
-		return errors.Errorf(`%q: write a duration, such as "250ms"`, text)
+	parsed, err := time.ParseDuration(text)
+	if err != nil || parsed < 0 {
+		return errors.Errorf(`%q: must be a duration, such as "250ms"`, text)
 	}
-	*s = Span(d)
+	*d = Duration(parsed)
 	return nil
 }
 
-// MarshalJSON writes the text form.
-func (s Span) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(s).String()) }
+// MarshalJSON implements json.Marshaler.
+func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// adaptersOnly tells whether the shard holds adapters and nothing else.
-func (s Shard) adaptersOnly() bool {
+// hasOnlyAdapters tells whether the shard contains adapters and nothing else.
+func (s Shard) hasOnlyAdapters() bool {
 	others := len(s.Bases) + len(s.Classes) + len(s.Callers) + len(s.DataCentres) + len(s.Endpoints) + len(s.Services)
 	return others == 0 && len(s.Adapters) > 0
 }
 
-// ParseShard reads one shard's document.
+// ParseShard decodes the document of a shard. It does not validate the fields.
 func ParseShard(raw []byte) (Shard, error) {
 	var s Shard
 	err := decode(raw, &s)
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -228,5 +228,5 @@
 
 // maxWait returns how long the request may still wait for a grant.
 func (q *request) maxWait() time.Duration {
-	return min(q.class.MayWait()-clock.Since(q.receivedAt), q.remaining())
+	return min(q.class.MaxWait()-clock.Since(q.receivedAt), q.remaining())
 }
--- a/scheduler/admit.go
+++ b/scheduler/admit.go
@@ -98,7 +98,7 @@
 // without a configuration entry get half the queue.
 func (s *Scheduler) callerQueueLimit(caller string) int {
 	if spec, ok := s.Catalog().Caller(caller); ok {
-		return spec.Queue()
+		return spec.QueueLimit()
 	}
 	return max(1, s.MaxQueue/2)
 }
--- a/scheduler/endpoint.go
+++ b/scheduler/endpoint.go
@@ -112,7 +112,7 @@
 		grants:       make(map[uint64]*grant),
 		inUse:        make(map[string]int),
 		popularity:   make(map[string]*policy.DecayingCounter),
-		concurrency:  float64(spec.Running()),
+		concurrency:  float64(spec.MaxRunning()),
 		serviceTime:  initialServiceTime,
 		loadTime:     initialLoadTime,
 		loadFailures: make(map[string]loadFailure),
@@ -177,9 +177,9 @@
 // that its adapters get further homes and requests prefer endpoints with more spare capacity.
 func (e *endpoint) maxConcurrencyLocked() int {
 	if !e.rateLimit.IsSet() {
-		return e.spec.Running()
+		return e.spec.MaxRunning()
 	}
-	return min(int(math.Ceil(e.rateLimit.Rate()*e.serviceTime.Seconds())), e.spec.Running())
+	return min(int(math.Ceil(e.rateLimit.Rate()*e.serviceTime.Seconds())), e.spec.MaxRunning())
 }
 
 // popularityLocked returns the popularity of an adapter. When too many are tracked, it first evicts
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -123,7 +123,7 @@
 		return
 	}
 	if req.GetOutcome() == wire.Outcome_OUTCOME_COMPLETED {
-		e.concurrency = min(float64(e.spec.Running()), e.concurrency+1/max(1, e.concurrency))
+		e.concurrency = min(float64(e.spec.MaxRunning()), e.concurrency+1/max(1, e.concurrency))
 		e.serviceTime = movingMean(e.serviceTime, time.Duration(req.GetServiceMicros())*time.Microsecond)
 	}
 }
@@ -178,7 +178,7 @@
 func (s *Scheduler) countDeferrableLocked(e *endpoint) int {
 	n := 0
 	for _, w := range e.waiters {
-		if policy.IsDeferrable(w.class.MayWait()) && s.adapterReadyLocked(e, w.request.GetAdapter()) {
+		if policy.IsDeferrable(w.class.MaxWait()) && s.adapterReadyLocked(e, w.request.GetAdapter()) {
 			n++
 		}
 	}
@@ -188,7 +188,7 @@
 // shouldDeferLocked reports whether a request is deferred to fill a batch.
 func (s *Scheduler) shouldDeferLocked(e *endpoint, w *waiter, deferrable int, now time.Time) bool {
 	return s.BatchPolicy.ShouldDefer(policy.DeferralState{
-		MaxWait:    w.class.MayWait(),
+		MaxWait:    w.class.MaxWait(),
 		Waited:     now.Sub(w.arrived),
 		Running:    e.running(),
 		Limit:      e.concurrencyLimitLocked(),
