--- a/engine/client.go
+++ b/engine/client.go
@@ -17,65 +17,65 @@
 
 // The headers that the protocol adds.
 const (
-	FenceHeader    = "Cairn-Fence"   // on orders: the order's; on answers: the highest seen
-	BootHeader     = "Cairn-Boot"    // on answers: changes when the endpoint restarts empty
-	RequestHeader  = "X-Request-Id"  // names the run, for cancel and resume
-	KeyHeader      = "Cairn-Key"     // of a request that is not repeatable
-	ReasonHeader   = "Cairn-Reason"  // on refusals: the Code
-	EventsHeader   = "Cairn-Events"  // on a resumed stream: the event it begins with
-	LeavingHeader  = "Cairn-Leaving" // on answers: 1 while the endpoint leaves
-	LimitHeader    = "Cairn-Limit"   // on answers to requests: how many a second the endpoint takes from all gateways together
-	maxOrderAnswer = 1 << 20         // bytes read of an order's answer
+	FenceHeader      = "Cairn-Fence"   // on orders: the order's; on answers: the highest seen
+	BootHeader       = "Cairn-Boot"    // on answers: changes when the endpoint restarts empty
+	RequestIDHeader  = "X-Request-Id"  // names the run, for cancel and resume
+	KeyHeader        = "Cairn-Key"     // of a request that is not repeatable
+	ReasonHeader     = "Cairn-Reason"  // on refusals: the Code
+	EventsHeader     = "Cairn-Events"  // on a resumed stream: the event it begins with
+	LeavingHeader    = "Cairn-Leaving" // on answers: 1 while the endpoint leaves
+	RateLimitHeader  = "Cairn-Limit"   // on answers to requests: how many a second the endpoint takes from all gateways together
+	maxResponseBytes = 1 << 20         // bytes read of an order's answer
 )
 
 // Endpoint is what the scheduler needs of one model server. Every method
 // returns a *RefusedError for the endpoint's own refusal and a *LostError when
 // there was no answer.
 type Endpoint interface {
-	// Look reads the highest fence and the boot; it is the cheapest call.
-	Look(ctx context.Context) (Sight, error)
+	// ReadState reads the highest fence and the boot; it is the cheapest call.
+	ReadState(ctx context.Context) (State, error)
 	// Claim raises the highest fence to f.
-	Claim(ctx context.Context, f Fence) (Sight, error)
+	Claim(ctx context.Context, f Fence) (State, error)
 	// Load puts an adapter into a slot, under the name that requests will use.
-	Load(ctx context.Context, a Authority, name, path string) error
+	Load(ctx context.Context, a Lease, name, path string) error
 	// Unload empties the adapter's slot.
-	Unload(ctx context.Context, a Authority, name string) error
+	Unload(ctx context.Context, a Lease, name string) error
 	// Models lists the adapters in the slots.
 	Models(ctx context.Context) ([]string, error)
 	// Report reads the endpoint's load, as old as its published lag.
 	Report(ctx context.Context) (Report, error)
 }
 
-// Authority is what an order is given under. An order that could not be written by
+// Lease is what an order is given under. An order that could not be written by
 // its end is not given: whoever gave it may not own the endpoint any more, and an
 // endpoint that checks no fences would carry it out.
-type Authority struct {
-	Fence Fence
-	Until time.Time // zero: for ever
+type Lease struct {
+	Fence     Fence
+	ExpiresAt time.Time // zero: for ever
 }
 
-// Sight is what every answer of an endpoint shows.
-type Sight struct {
-	fence Fence
-	boot  string
+// State is what every answer of an endpoint shows.
+type State struct {
+	fence  Fence
+	bootID string
 }
 
-// NewSight returns what an answer with this fence and boot shows.
-func NewSight(f Fence, boot string) Sight { return Sight{fence: f, boot: boot} }
+// NewState returns what an answer with this fence and boot shows.
+func NewState(f Fence, boot string) State { return State{fence: f, bootID: boot} }
 
 // Fence returns the highest fence that the endpoint has seen.
-func (s Sight) Fence() Fence { return s.fence }
+func (s State) Fence() Fence { return s.fence }
 
-// Boot returns what changes when the endpoint restarts empty.
-func (s Sight) Boot() string { return s.boot }
+// BootID returns what changes when the endpoint restarts empty.
+func (s State) BootID() string { return s.bootID }
 
-// SightOf reads the headers of an answer.
-func SightOf(h http.Header) Sight {
+// ParseState reads the headers of an answer.
+func ParseState(h http.Header) State {
 	f, err := ParseFence(h.Get(FenceHeader))
 	if err != nil {
 		f = Fence{} // a header we cannot read shows nothing
 	}
-	return Sight{fence: f, boot: h.Get(BootHeader)}
+	return State{fence: f, bootID: h.Get(BootHeader)}
 }
 
 // Client is an Endpoint over HTTP. Set the exported fields before use; it is
@@ -85,38 +85,38 @@
 	HTTP    *http.Client
 }
 
-// Look implements Endpoint.
-func (c *Client) Look(ctx context.Context) (Sight, error) {
-	a, _, err := c.call(ctx, http.MethodGet, "/cairn/fence", Authority{}, nil)
+// ReadState implements Endpoint.
+func (c *Client) ReadState(ctx context.Context) (State, error) {
+	a, _, err := c.call(ctx, http.MethodGet, "/cairn/fence", Lease{}, nil)
 	if err != nil {
-		return Sight{}, err
+		return State{}, err
 	}
-	return SightOf(a.Header), nil
+	return ParseState(a.Header), nil
 }
 
 // Claim implements Endpoint.
-func (c *Client) Claim(ctx context.Context, f Fence) (Sight, error) {
-	a, _, err := c.call(ctx, http.MethodPut, "/cairn/fence", Authority{Fence: f}, nil)
+func (c *Client) Claim(ctx context.Context, f Fence) (State, error) {
+	a, _, err := c.call(ctx, http.MethodPut, "/cairn/fence", Lease{Fence: f}, nil)
 	if err != nil {
-		return Sight{}, err
+		return State{}, err
 	}
-	return SightOf(a.Header), nil
+	return ParseState(a.Header), nil
 }
 
-type adapterOrder struct {
+type adapterRequest struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
 }
 
 // Load implements Endpoint.
-func (c *Client) Load(ctx context.Context, a Authority, name, path string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/load_lora_adapter", a, adapterOrder{Name: name, Path: path})
+func (c *Client) Load(ctx context.Context, a Lease, name, path string) error {
+	_, _, err := c.call(ctx, http.MethodPost, "/v1/load_lora_adapter", a, adapterRequest{Name: name, Path: path})
 	return err
 }
 
 // Unload implements Endpoint.
-func (c *Client) Unload(ctx context.Context, a Authority, name string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/unload_lora_adapter", a, adapterOrder{Name: name})
+func (c *Client) Unload(ctx context.Context, a Lease, name string) error {
+	_, _, err := c.call(ctx, http.MethodPost, "/v1/unload_lora_adapter", a, adapterRequest{Name: name})
 	return err
 }
 
@@ -129,13 +129,13 @@
 
 // Models implements Endpoint.
 func (c *Client) Models(ctx context.Context) ([]string, error) {
-	_, body, err := c.call(ctx, http.MethodGet, "/v1/models", Authority{}, nil)
+	_, body, err := c.call(ctx, http.MethodGet, "/v1/models", Lease{}, nil)
 	if err != nil {
 		return nil, err
 	}
 	var l modelList
 	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, &LostError{Sent: true, Cause: errors.Wrap(err, "list of models")}
+		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "list of models")}
 	}
 	var names []string
 	for _, m := range l.Data {
@@ -148,40 +148,40 @@
 
 // Report implements Endpoint.
 func (c *Client) Report(ctx context.Context) (Report, error) {
-	a, body, err := c.call(ctx, http.MethodGet, "/metrics", Authority{}, nil)
+	a, body, err := c.call(ctx, http.MethodGet, "/metrics", Lease{}, nil)
 	if err != nil {
 		return Report{}, err
 	}
 	r, err := parseReport(bytes.NewReader(body))
 	if err != nil {
-		return Report{}, &LostError{Sent: true, Cause: err}
+		return Report{}, &NoResponseError{Sent: true, Cause: err}
 	}
-	r.sight = SightOf(a.Header)
+	r.state = ParseState(a.Header)
 	return r, nil
 }
 
 // Cancel ends the run of a request, if it is still running.
 func (c *Client) Cancel(ctx context.Context, request string) error {
-	_, _, err := c.call(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Authority{}, nil)
+	_, _, err := c.call(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Lease{}, nil)
 	return err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, u Authority, body any) (*http.Response, []byte, error) {
+func (c *Client) call(ctx context.Context, method, path string, u Lease, body any) (*http.Response, []byte, error) {
 	r, err := c.request(ctx, method, path, u.Fence, body)
 	if err != nil {
-		return nil, nil, &LostError{Cause: err}
+		return nil, nil, &NoResponseError{Cause: err}
 	}
-	a, err := Send(c.HTTP, r, u.Until)
+	a, err := Send(c.HTTP, r, u.ExpiresAt)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxOrderAnswer))
+	text, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
 	if err != nil {
-		return nil, nil, &LostError{Sent: true, Cause: err}
+		return nil, nil, &NoResponseError{Sent: true, Cause: err}
 	}
 	if a.StatusCode >= http.StatusBadRequest {
-		return nil, nil, Refusal(a, text)
+		return nil, nil, ParseRefusal(a, text)
 	}
 	return a, text, nil
 }
@@ -209,31 +209,31 @@
 	return r, nil
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
 	} `json:"error"`
 }
 
-// Refusal reads an endpoint's answer of status 400 and above. An answer
+// ParseRefusal reads an endpoint's answer of status 400 and above. An answer
 // without a reason that we know counts as a failure that may have run.
-func Refusal(a *http.Response, text []byte) *RefusedError {
-	var e errorAnswer
+func ParseRefusal(a *http.Response, text []byte) *RefusedError {
+	var e errorResponse
 	if json.Unmarshal(text, &e) != nil {
 		e.Error.Message = a.Status
 	}
 	return &RefusedError{
-		Code:    codeOf(a, e.Error.Type),
-		Message: e.Error.Message,
-		Highest: SightOf(a.Header).fence,
-		Retry:   retryOf(a),
+		Code:         refusalCode(a, e.Error.Type),
+		Message:      e.Error.Message,
+		HighestFence: ParseState(a.Header).fence,
+		RetryAfter:   parseRetryAfter(a),
 	}
 }
 
-// codeOf takes the reason header, or what today's engines say by status and
+// refusalCode takes the reason header, or what today's engines say by status and
 // type.
-func codeOf(a *http.Response, kind string) Code {
+func refusalCode(a *http.Response, kind string) Code {
 	if c := a.Header.Get(ReasonHeader); c != "" {
 		return Code(c)
 	}
@@ -246,13 +246,13 @@
 	return CodeFailed
 }
 
-// mostRetry bounds the seconds after which an engine may ask to come back: nobody waits a day.
-const mostRetry = 24 * 60 * 60
+// maxRetryAfterSeconds bounds the seconds after which an engine may ask to come back: nobody waits a day.
+const maxRetryAfterSeconds = 24 * 60 * 60
 
-func retryOf(a *http.Response) time.Duration {
+func parseRetryAfter(a *http.Response) time.Duration {
 	n, err := strconv.Atoi(a.Header.Get("Retry-After"))
 	if err != nil {
 		return 0
 	}
-	return time.Duration(min(max(n, 0), mostRetry)) * time.Second
+	return time.Duration(min(max(n, 0), maxRetryAfterSeconds)) * time.Second
 }
--- a/engine/ended_test.go
+++ b/engine/ended_test.go
@@ -25,9 +25,9 @@
 func TestAnEndpointThatListensHasNotEnded(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
-	c.Assert(HasEnded(context.Background(), plainDial, l.Addr().String()), quicktest.IsFalse)
+	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsFalse)
 	c.Assert(l.Close(), quicktest.IsNil)
-	c.Assert(HasEnded(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
+	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
 }
 
 // Endpoints ended under one request, and one end in three did not count, so that a fourth followed:
@@ -36,8 +36,8 @@
 func TestAnEndpointThatEndsDuringTheLookHasEnded(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
-	time.AfterFunc(endsWithin/3, func() { _ = l.Close() }) // its connections that were not accepted are reset
-	c.Assert(HasEnded(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
+	time.AfterFunc(exitTimeout/3, func() { _ = l.Close() }) // its connections that were not accepted are reset
+	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
 }
 
 // A fourth endpoint ended under one request, now and then on a busy machine, and callers' requests with it.
@@ -67,7 +67,7 @@
 			tries++
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		}
-		c.Check(HasEnded(context.Background(), dial, "endpoint"), quicktest.Equals, x.want, quicktest.Commentf("%v", x.errs))
+		c.Check(HasExited(context.Background(), dial, "endpoint"), quicktest.Equals, x.want, quicktest.Commentf("%v", x.errs))
 	}
 }
 
@@ -86,7 +86,7 @@
 			_ = a.Close()
 		}
 	}()
-	c.Assert(HasEnded(context.Background(), plainDial, l.Addr().String()), quicktest.IsFalse)
+	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsFalse)
 	_ = l.Close()
 	<-done
 }
@@ -96,5 +96,5 @@
 	l := newListener(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	c.Assert(HasEnded(ctx, plainDial, l.Addr().String()), quicktest.IsFalse)
+	c.Assert(HasExited(ctx, plainDial, l.Addr().String()), quicktest.IsFalse)
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -54,16 +54,16 @@
 	}))
 	defer s.Close()
 	client := &Client{Address: s.Listener.Addr().String(), HTTP: s.Client()}
-	err := client.Load(context.Background(), Authority{Fence: NewFence(1, "a")}, "x@1", "p")
+	err := client.Load(context.Background(), Lease{Fence: NewFence(1, "a")}, "x@1", "p")
 	var refused *RefusedError
 	c.Assert(errors.As(err, &refused), quicktest.IsTrue)
 	c.Assert(refused.Code, quicktest.Equals, CodeStaleFence)
-	c.Assert(refused.Highest, quicktest.Equals, NewFence(9, "other"))
+	c.Assert(refused.HighestFence, quicktest.Equals, NewFence(9, "other"))
 }
 
 func TestUnknownFailuresMayHaveRun(t *testing.T) {
 	a := &http.Response{StatusCode: http.StatusInternalServerError, Header: http.Header{}}
-	quicktest.Assert(t, Refusal(a, nil).NotRun(), quicktest.IsFalse)
+	quicktest.Assert(t, ParseRefusal(a, nil).NotExecuted(), quicktest.IsFalse)
 }
 
 func TestAnOrderThatComesTooLateIsNotWritten(t *testing.T) {
@@ -72,8 +72,8 @@
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
 	defer s.Close()
 	client := &Client{Address: s.Listener.Addr().String(), HTTP: newClient()}
-	over := Authority{Fence: NewFence(1, "a"), Until: time.Now().Add(-time.Millisecond)}
-	c.Assert(sentOf(c, client.Unload(context.Background(), over, "x@1")), quicktest.IsFalse)
-	c.Assert(sentOf(c, client.Load(context.Background(), over, "x@1", "p")), quicktest.IsFalse)
+	over := Lease{Fence: NewFence(1, "a"), ExpiresAt: time.Now().Add(-time.Millisecond)}
+	c.Assert(wasSent(c, client.Unload(context.Background(), over, "x@1")), quicktest.IsFalse)
+	c.Assert(wasSent(c, client.Load(context.Background(), over, "x@1", "p")), quicktest.IsFalse)
 	c.Assert(asked.Load(), quicktest.Equals, int32(0))
 }
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -25,26 +25,26 @@
 
 // RefusedError is a refusal in the endpoint's own words.
 type RefusedError struct {
-	Code    Code
-	Message string
-	Highest Fence         // with CodeStaleFence: the fence that won
-	Retry   time.Duration // when to come back; zero when not said
+	Code         Code
+	Message      string
+	HighestFence Fence         // with CodeStaleFence: the fence that won
+	RetryAfter   time.Duration // when to come back; zero when not said
 }
 
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("engine: refused as %s: %s", e.Code, e.Message)
 }
 
-// NotRun tells whether the refusal proves that the request did not run.
-func (e *RefusedError) NotRun() bool { return e.Code != CodeFailed }
+// NotExecuted tells whether the refusal proves that the request did not run.
+func (e *RefusedError) NotExecuted() bool { return e.Code != CodeFailed }
 
-// LostError says that an endpoint gave no whole answer.
-type LostError struct {
+// NoResponseError says that an endpoint gave no whole answer.
+type NoResponseError struct {
 	Sent  bool // at least one byte may have left
 	Cause error
 }
 
-func (e *LostError) Error() string {
+func (e *NoResponseError) Error() string {
 	if e.Sent {
 		return "engine: answer lost: " + e.Cause.Error()
 	}
@@ -52,4 +52,4 @@
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *NoResponseError) Unwrap() error { return e.Cause }
--- a/engine/events.go
+++ b/engine/events.go
@@ -29,13 +29,13 @@
 // Events reads the cache events above a sequence number. Errors are those of the
 // Endpoint methods.
 func (c *Client) Events(ctx context.Context, after uint64) ([]CacheEvent, error) {
-	_, body, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/cairn/events?after=%d", after), Authority{}, nil)
+	_, body, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/cairn/events?after=%d", after), Lease{}, nil)
 	if err != nil {
 		return nil, err
 	}
 	var list []CacheEvent
 	if err := json.Unmarshal(body, &list); err != nil {
-		return nil, &LostError{Sent: true, Cause: errors.Wrap(err, "cache events")}
+		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "cache events")}
 	}
 	return list, nil
 }
--- a/engine/fence.go
+++ b/engine/fence.go
@@ -37,8 +37,8 @@
 	return Fence{term: n, box: box}, nil
 }
 
-// Above returns a fence of box that is higher than f.
-func (f Fence) Above(box string) Fence { return Fence{term: f.term + 1, box: box} }
+// Next returns a fence of box that is higher than f.
+func (f Fence) Next(box string) Fence { return Fence{term: f.term + 1, box: box} }
 
 // Less tells whether f is below g.
 func (f Fence) Less(g Fence) bool {
--- a/engine/fuzz_test.go
+++ b/engine/fuzz_test.go
@@ -16,7 +16,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		h := http.Header{}
 		h.Set("Retry-After", s)
-		if d := retryOf(&http.Response{Header: h}); d < 0 || d%time.Second != 0 {
+		if d := parseRetryAfter(&http.Response{Header: h}); d < 0 || d%time.Second != 0 {
 			t.Errorf("%q is %v", s, d)
 		}
 	})
--- a/engine/report.go
+++ b/engine/report.go
@@ -27,11 +27,11 @@
 	running int
 	waiting int
 	inUse   []string // adapters with running or waiting requests
-	sight   Sight
+	state   State
 }
 
 // NewReport returns a report in which the adapters are in use.
-func NewReport(s Sight, inUse []string) Report { return Report{inUse: inUse, sight: s} }
+func NewReport(s State, inUse []string) Report { return Report{inUse: inUse, state: s} }
 
 // Running returns how many requests the engine had in its batch.
 func (r Report) Running() int { return r.running }
@@ -42,8 +42,8 @@
 // InUse tells whether the adapter had running or waiting requests.
 func (r Report) InUse(name string) bool { return slices.Contains(r.inUse, name) }
 
-// Sight returns what the answer's headers showed; unlike the rest it is fresh.
-func (r Report) Sight() Sight { return r.sight }
+// State returns what the answer's headers showed; unlike the rest it is fresh.
+func (r Report) State() State { return r.state }
 
 func parseReport(text io.Reader) (Report, error) {
 	p := expfmt.NewTextParser(model.UTF8Validation)
--- a/engine/suspend_test.go
+++ b/engine/suspend_test.go
@@ -17,7 +17,7 @@
 
 // A grant ends while the machine is suspended, between the call for it and the write: nothing may
 // be written under it, though the steady clock says that it is in time.
-func TestAGrantThatEndedInASuspensionSendsNothing(t *testing.T) {
+func TestSendAfterExpiryDuringSuspendWritesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -22,30 +22,30 @@
 type guardedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	sendBy time.Time // of the request under way; zero: none
-	sent   bool      // a write of it was begun
+	mu         sync.Mutex
+	sendBy     time.Time // of the request under way; zero: none
+	writeBegun bool      // a write of it was begun
 }
 
-func (c *guardedConn) arm(sendBy time.Time) {
+func (c *guardedConn) startRequest(sendBy time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sendBy = sendBy
-	c.sent = false
+	c.writeBegun = false
 }
 
-func (c *guardedConn) wasSent() bool {
+func (c *guardedConn) requestSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sent
+	return c.writeBegun
 }
 
 // Write checks the time just before the system call.
 func (c *guardedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	late := !c.sent && !c.sendBy.IsZero() && clock.Now().After(c.sendBy)
+	late := !c.writeBegun && !c.sendBy.IsZero() && clock.Now().After(c.sendBy)
 	if !late {
-		c.sent = true
+		c.writeBegun = true
 	}
 	c.mu.Unlock()
 	if late {
@@ -89,7 +89,7 @@
 		if !ok {
 			return
 		}
-		g.arm(sendBy)
+		g.startRequest(sendBy)
 		mu.Lock()
 		conn = g
 		mu.Unlock()
@@ -100,5 +100,5 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return nil, &LostError{Sent: conn != nil && conn.wasSent(), Cause: err}
+	return nil, &NoResponseError{Sent: conn != nil && conn.requestSent(), Cause: err}
 }
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 )
 
-// listen accepts connections and hands each to serve, which ends it.
-func listen(c *quicktest.C, serve func(net.Conn)) string {
+// acceptConns accepts connections and hands each to serve, which ends it.
+func acceptConns(c *quicktest.C, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	c.Cleanup(func() { l.Close() })
@@ -50,10 +50,10 @@
 	return &http.Client{Transport: NewTransport((&net.Dialer{}).DialContext, 4)}
 }
 
-func inTime() time.Time { return time.Now().Add(time.Minute) }
+func inOneMinute() time.Time { return time.Now().Add(time.Minute) }
 
-func sentOf(c *quicktest.C, err error) bool {
-	var lost *LostError
+func wasSent(c *quicktest.C, err error) bool {
+	var lost *NoResponseError
 	c.Assert(errors.As(err, &lost), quicktest.IsTrue, quicktest.Commentf("%v", err))
 	return lost.Sent
 }
@@ -63,36 +63,36 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	l.Close()
-	c.Assert(sentOf(c, send(newClient(), l.Addr().String(), inTime())), quicktest.IsFalse)
+	c.Assert(wasSent(c, send(newClient(), l.Addr().String(), inOneMinute())), quicktest.IsFalse)
 }
 
 func TestAnExpiredGrantSendsNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var bytes atomic.Int64
-	address := listen(c, func(conn net.Conn) {
+	address := acceptConns(c, func(conn net.Conn) {
 		n, _ := conn.Read(make([]byte, 10))
 		bytes.Add(int64(n))
 		conn.Close()
 	})
 	err := send(newClient(), address, time.Now().Add(-time.Millisecond))
 	c.Assert(errors.Is(err, ErrExpired), quicktest.IsTrue)
-	c.Assert(sentOf(c, err), quicktest.IsFalse)
+	c.Assert(wasSent(c, err), quicktest.IsFalse)
 	c.Assert(bytes.Load(), quicktest.Equals, int64(0))
 }
 
 func TestACutAfterTheWriteMayHaveRun(t *testing.T) {
 	c := quicktest.New(t)
-	address := listen(c, func(conn net.Conn) {
+	address := acceptConns(c, func(conn net.Conn) {
 		_, _ = bufio.NewReader(conn).ReadString('\n')
 		conn.Close()
 	})
-	c.Assert(sentOf(c, send(newClient(), address, inTime())), quicktest.IsTrue)
+	c.Assert(wasSent(c, send(newClient(), address, inOneMinute())), quicktest.IsTrue)
 }
 
 func TestARequestIsNeverSentAgainOnAReusedConnection(t *testing.T) {
 	c := quicktest.New(t)
 	var requests atomic.Int64
-	address := listen(c, func(conn net.Conn) {
+	address := acceptConns(c, func(conn net.Conn) {
 		defer conn.Close()
 		in := bufio.NewReader(conn)
 		for {
@@ -108,7 +108,7 @@
 		}
 	})
 	client := newClient()
-	c.Assert(send(client, address, inTime()), quicktest.IsNil)
-	c.Assert(sentOf(c, send(client, address, inTime())), quicktest.IsTrue)
+	c.Assert(send(client, address, inOneMinute()), quicktest.IsNil)
+	c.Assert(wasSent(c, send(client, address, inOneMinute())), quicktest.IsTrue)
 	c.Assert(requests.Load(), quicktest.Equals, int64(2))
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -128,7 +128,7 @@
 
 // recordLost records an attempt without a response.
 func (g *Gateway) recordLost(ctx context.Context, q *request, u *upstream, err error) *Refusal {
-	var lost *engine.LostError
+	var lost *engine.NoResponseError
 	sent := !errors.As(err, &lost) || lost.Sent
 	if ctx.Err() == nil {
 		u.recordOutcome(true)
--- a/forward/termination.go
+++ b/forward/termination.go
@@ -15,7 +15,7 @@
 func (g *Gateway) newWatch() *quarantine.Watch {
 	return &quarantine.Watch{
 		HasEnded: func(ctx context.Context, address string) bool {
-			return engine.HasEnded(ctx, newDialer().DialContext, address)
+			return engine.HasExited(ctx, newDialer().DialContext, address)
 		},
 		Ended: g.endpointEnded,
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	e.Header.Set("Content-Type", "application/json")
-	e.Header.Set(engine.RequestHeader, run)
+	e.Header.Set(engine.RequestIDHeader, run)
 	if q.key != "" {
 		e.Header.Set(engine.KeyHeader, q.key)
 	}
@@ -123,7 +123,7 @@
 
 // lost answers for an attempt that got no answer.
 func (g *Gateway) lost(ctx context.Context, h heldGrant, run string, r *wire.ReleaseRequest, err error) *Failure {
-	var l *engine.LostError
+	var l *engine.NoResponseError
 	if errors.As(err, &l) && !l.Sent {
 		r.Outcome = wire.Outcome_OUTCOME_NOT_SENT
 		code := CodeLost
@@ -158,25 +158,25 @@
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
 		return &Failure{Code: CodeLost, Ran: Unknown, Message: "the endpoint's refusal broke off"}
 	}
-	e := engine.Refusal(a, text)
-	if !e.NotRun() {
+	e := engine.ParseRefusal(a, text)
+	if !e.NotExecuted() {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeLost, Ran: Unknown, Message: e.Message, Retry: e.Retry}
+		return &Failure{Code: CodeLost, Ran: Unknown, Message: e.Message, Retry: e.RetryAfter}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_REFUSED
 	r.NotLoaded = e.Code == engine.CodeNotLoaded
 	r.Busy = e.Code == engine.CodeBusy
 	r.Leaving = r.Leaving || e.Code == engine.CodeLeaving
 	if e.Code == engine.CodeBusy {
-		g.hearBackoff(h.endpoint, e.Retry)
+		g.hearBackoff(h.endpoint, e.RetryAfter)
 	}
 	switch e.Code {
 	case engine.CodeBadRequest:
 		return badRequest("%s", e.Message)
 	case engine.CodeLeaving:
-		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: e.Message, Retry: max(e.Retry, time.Second)}
+		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: e.Message, Retry: max(e.RetryAfter, time.Second)}
 	}
-	return &Failure{Code: CodeRefused, Ran: NotRun, Message: e.Message, Retry: max(e.Retry, time.Second)}
+	return &Failure{Code: CodeRefused, Ran: NotRun, Message: e.Message, Retry: max(e.RetryAfter, time.Second)}
 }
 
 // recordAttempt keeps how an attempt went.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -51,7 +51,7 @@
 
 // hearLimit takes in what the head of an answer says, which a grant brought.
 func (g *Gateway) hearLimit(held heldGrant, h http.Header, sent, now time.Time) {
-	l, err := ratelimit.Parse(h.Values(engine.LimitHeader))
+	l, err := ratelimit.Parse(h.Values(engine.RateLimitHeader))
 	if err != nil {
 		g.Log.V(1).Info("Endpoint's limit can't be read; what was known before stays", "endpoint", held.endpoint, "err", err.Error())
 		return
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -31,7 +31,7 @@
 		HasEnded: func(ctx context.Context, address string) bool {
 			ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 			defer cancel()
-			return engine.HasEnded(ctx, g.Dial, address)
+			return engine.HasExited(ctx, g.Dial, address)
 		},
 		Ended: g.endpointEnded,
 	}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -111,7 +111,7 @@
 		return badRequest("call: %v", err)
 	}
 	copyHeader(e.Header, c.header)
-	e.Header.Set(engine.RequestHeader, c.id)
+	e.Header.Set(engine.RequestIDHeader, c.id)
 	if c.key != "" {
 		e.Header.Set(engine.KeyHeader, c.key)
 	}
@@ -142,7 +142,7 @@
 
 func (g *Gateway) lostCall(ctx context.Context, c *call, address string, err error) *Failure {
 	ran := Unknown
-	var l *engine.LostError
+	var l *engine.NoResponseError
 	if errors.As(err, &l) && !l.Sent {
 		ran = NotRun
 	} else {
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -29,17 +29,17 @@
 	orders []string // load and unload, in order
 }
 
-func (f *fakeEngine) sight() engine.Sight { return engine.NewSight(f.fence, f.boot) }
+func (f *fakeEngine) sight() engine.State { return engine.NewState(f.fence, f.boot) }
 
-// Look implements engine.Endpoint.
-func (f *fakeEngine) Look(context.Context) (engine.Sight, error) {
+// ReadState implements engine.Endpoint.
+func (f *fakeEngine) ReadState(context.Context) (engine.State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sight(), nil
 }
 
 // Claim implements engine.Endpoint.
-func (f *fakeEngine) Claim(_ context.Context, x engine.Fence) (engine.Sight, error) {
+func (f *fakeEngine) Claim(_ context.Context, x engine.Fence) (engine.State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fence = x
@@ -47,12 +47,12 @@
 }
 
 // Load implements engine.Endpoint.
-func (f *fakeEngine) Load(_ context.Context, u engine.Authority, name, _ string) error {
+func (f *fakeEngine) Load(_ context.Context, u engine.Lease, name, _ string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, "load "+name)
 	if u.Fence.Less(f.fence) {
-		return &engine.RefusedError{Code: engine.CodeStaleFence, Highest: f.fence}
+		return &engine.RefusedError{Code: engine.CodeStaleFence, HighestFence: f.fence}
 	}
 	if f.refuse == nil {
 		f.slots[name] = true
@@ -61,7 +61,7 @@
 }
 
 // Unload implements engine.Endpoint.
-func (f *fakeEngine) Unload(_ context.Context, _ engine.Authority, name string) error {
+func (f *fakeEngine) Unload(_ context.Context, _ engine.Lease, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.orders = append(f.orders, "unload "+name)
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -215,7 +215,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.phase != owned || r.Sight().Boot() != e.boot {
+	if e.phase != owned || r.State().BootID() != e.boot {
 		return nil
 	}
 	e.reportWanted = false
--- a/scheduler/orders.go
+++ b/scheduler/orders.go
@@ -49,11 +49,11 @@
 
 // authority checks that the order still holds: this scheduler is the owner it was when
 // it planned, and has seen so lately. What it returns is checked once more in the write.
-func (s *Scheduler) authority(o order) (u engine.Authority, ok bool) {
+func (s *Scheduler) authority(o order) (u engine.Lease, ok bool) {
 	e := o.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	u = engine.Authority{Fence: o.fence, Until: e.seen.Add(s.Spans.Trust)}
+	u = engine.Lease{Fence: o.fence, ExpiresAt: e.seen.Add(s.Spans.Trust)}
 	return u, o.currentLocked() && e.trustedLocked(clock.Now(), s.Spans.Trust)
 }
 
@@ -142,10 +142,10 @@
 	}
 	switch refused.Code {
 	case engine.CodeStaleFence:
-		s.loseLocked(e, refused.Highest, now)
+		s.loseLocked(e, refused.HighestFence, now)
 	case engine.CodeStoreBusy:
 		s.budget.refused()
-		e.failed[o.load] = failure{until: now.Add(max(refused.Retry, e.loadTime) / 2)}
+		e.failed[o.load] = failure{until: now.Add(max(refused.RetryAfter, e.loadTime) / 2)}
 	case engine.CodeNoSlot, engine.CodeBadRequest:
 		s.unclearLocked(e, now)
 	default:
--- a/scheduler/own.go
+++ b/scheduler/own.go
@@ -58,12 +58,12 @@
 	if !checks && !s.trustBeforeOver(e, begun) {
 		return nil
 	}
-	sight, err := e.client.Look(ctx)
+	sight, err := e.client.ReadState(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: look")
 	}
 	before := sight.Fence()
-	fence := before.Above(s.Box)
+	fence := before.Next(s.Box)
 	if checks {
 		if sight, err = e.client.Claim(ctx, fence); err != nil {
 			return errors.Wrap(err, "scheduler: claim")
@@ -82,7 +82,7 @@
 	e.fence = fence
 	e.seen = begun
 	e.claimed, e.taken = begun, time.Time{}
-	s.setSlotsLocked(e, sight.Boot(), models, clock.Now().Add(s.grantsOutlive(before)))
+	s.setSlotsLocked(e, sight.BootID(), models, clock.Now().Add(s.grantsOutlive(before)))
 	s.Log.Info("Endpoint is owned", "endpoint", e.name, "fence", fence.String(), "adapters", len(models))
 	s.serveWaitersLocked(e, clock.Now())
 	return nil
@@ -112,7 +112,7 @@
 
 // verify sees whether the endpoint still has this scheduler's fence and boot.
 func (s *Scheduler) verify(ctx context.Context, e *endpoint, fence engine.Fence, begun time.Time) error {
-	sight, err := e.client.Look(ctx)
+	sight, err := e.client.ReadState(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: look")
 	}
@@ -121,12 +121,12 @@
 		e.mu.Unlock()
 		return nil
 	}
-	if e.spec.ChecksFences() && sight.Boot() == e.boot && fence.Less(sight.Fence()) {
+	if e.spec.ChecksFences() && sight.BootID() == e.boot && fence.Less(sight.Fence()) {
 		s.loseLocked(e, sight.Fence(), clock.Now())
 		e.mu.Unlock()
 		return nil
 	}
-	if sight.Boot() != e.boot {
+	if sight.BootID() != e.boot {
 		s.restartedLocked(e, clock.Now())
 		e.mu.Unlock()
 		return nil
--- a/standin/complete.go
+++ b/standin/complete.go
@@ -47,7 +47,7 @@
 
 func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
 	for _, l := range e.Limit() {
-		w.Header().Add(engine.LimitHeader, l)
+		w.Header().Add(engine.RateLimitHeader, l)
 	}
 	var body completion
 	if err := json.NewDecoder(io.LimitReader(q.Body, 8<<20)).Decode(&body); err != nil {
@@ -90,7 +90,7 @@
 	if len(e.waiting) >= e.QueueLimit {
 		return nil, engine.CodeBusy
 	}
-	request := q.Header.Get(engine.RequestHeader)
+	request := q.Header.Get(engine.RequestIDHeader)
 	if request == "" || e.runs[request] != nil {
 		request = uuid.NewString()
 	}
@@ -109,7 +109,7 @@
 // witnessLocked counts the run and every breach that it shows.
 func (e *Engine) witnessLocked(q *http.Request, body completion, s *slot) {
 	e.counts.Runs++
-	e.ran = append(e.ran, q.Header.Get(engine.RequestHeader))
+	e.ran = append(e.ran, q.Header.Get(engine.RequestIDHeader))
 	if want := body.expected(); want != "" && want != s.content {
 		e.counts.WrongVersion++
 	}
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -52,7 +52,7 @@
 
 func (b *bench) load(names ...string) {
 	for _, n := range names {
-		b.Assert(b.client.Load(context.Background(), engine.Authority{Fence: fence}, n, "adapters/"+strings.Replace(n, "@", "/", 1)), quicktest.IsNil)
+		b.Assert(b.client.Load(context.Background(), engine.Lease{Fence: fence}, n, "adapters/"+strings.Replace(n, "@", "/", 1)), quicktest.IsNil)
 	}
 }
 
@@ -80,7 +80,7 @@
 func TestACompletionStreamsItsTokensAndItsEnd(t *testing.T) {
 	b := newBench(t, nil)
 	b.load("roses@1")
-	text := b.run("roses@1", "x", engine.RequestHeader, "r1")
+	text := b.run("roses@1", "x", engine.RequestIDHeader, "r1")
 	b.Assert(strings.Count(text, "roses@1/r1/"), quicktest.Equals, 3)
 	b.Assert(strings.HasSuffix(text, "data: [DONE]\n\n"), quicktest.IsTrue)
 }
@@ -90,7 +90,7 @@
 	b.load("roses@1")
 	a := b.begin("roses@1", "x", 100)
 	defer a.Body.Close()
-	b.Assert(b.client.Unload(context.Background(), engine.Authority{Fence: fence}, "roses@1"), quicktest.IsNil)
+	b.Assert(b.client.Unload(context.Background(), engine.Lease{Fence: fence}, "roses@1"), quicktest.IsNil)
 	b.Assert(b.engine.Counts().UnloadRunning, quicktest.Equals, 1)
 }
 
@@ -98,7 +98,7 @@
 	b := newBench(t, nil)
 	b.load("roses@1")
 	b.run("roses@1", "x")
-	b.Assert(b.client.Unload(context.Background(), engine.Authority{Fence: fence}, "roses@1"), quicktest.IsNil)
+	b.Assert(b.client.Unload(context.Background(), engine.Lease{Fence: fence}, "roses@1"), quicktest.IsNil)
 	b.Assert(b.engine.Counts().UnloadRunning, quicktest.Equals, 0)
 }
 
@@ -136,41 +136,41 @@
 	b := newBench(t, nil)
 	_, err := b.client.Claim(context.Background(), engine.NewFence(5, "new"))
 	b.Assert(err, quicktest.IsNil)
-	err = b.client.Load(context.Background(), engine.Authority{Fence: fence}, "roses@1", "adapters/roses/1")
+	err = b.client.Load(context.Background(), engine.Lease{Fence: fence}, "roses@1", "adapters/roses/1")
 	var refused *engine.RefusedError
 	b.Assert(errors.As(err, &refused), quicktest.IsTrue)
 	b.Assert(refused.Code, quicktest.Equals, engine.CodeStaleFence)
-	b.Assert(refused.Highest, quicktest.Equals, engine.NewFence(5, "new"))
+	b.Assert(refused.HighestFence, quicktest.Equals, engine.NewFence(5, "new"))
 }
 
 func TestAnEngineWithoutFencesTakesEveryOrder(t *testing.T) {
 	b := newBench(t, func(e *Engine) { e.ChecksFences = false })
-	b.Assert(b.client.Load(context.Background(), engine.Authority{}, "roses@1", "adapters/roses/1"), quicktest.IsNil)
+	b.Assert(b.client.Load(context.Background(), engine.Lease{}, "roses@1", "adapters/roses/1"), quicktest.IsNil)
 }
 
 func TestSlotsAreFew(t *testing.T) {
 	b := newBench(t, nil)
 	b.load("a@1", "b@1")
-	err := b.client.Load(context.Background(), engine.Authority{Fence: fence}, "c@1", "adapters/c/1")
+	err := b.client.Load(context.Background(), engine.Lease{Fence: fence}, "c@1", "adapters/c/1")
 	b.Assert(err, quicktest.ErrorMatches, ".*no_slot.*")
 }
 
 func TestLoadsFailOnCommand(t *testing.T) {
 	b := newBench(t, func(e *Engine) { e.failLoads = 1 })
-	b.Assert(b.client.Load(context.Background(), engine.Authority{Fence: fence}, "a@1", "adapters/a/1"), quicktest.ErrorMatches, ".*load_failed.*")
+	b.Assert(b.client.Load(context.Background(), engine.Lease{Fence: fence}, "a@1", "adapters/a/1"), quicktest.ErrorMatches, ".*load_failed.*")
 	b.load("a@1")
 }
 
 func TestARestartEmptiesTheEngine(t *testing.T) {
 	b := newBench(t, nil)
 	b.load("a@1")
-	before, err := b.client.Look(context.Background())
+	before, err := b.client.ReadState(context.Background())
 	b.Assert(err, quicktest.IsNil)
 	_, err = http.Post(b.url+"/control/restart", "", nil)
 	b.Assert(err, quicktest.IsNil)
-	after, err := b.client.Look(context.Background())
+	after, err := b.client.ReadState(context.Background())
 	b.Assert(err, quicktest.IsNil)
-	b.Assert(before.Boot() == after.Boot(), quicktest.IsFalse)
+	b.Assert(before.BootID() == after.BootID(), quicktest.IsFalse)
 	models, err := b.client.Models(context.Background())
 	b.Assert(err, quicktest.IsNil)
 	b.Assert(models, quicktest.HasLen, 0)
@@ -179,7 +179,7 @@
 func TestAStreamIsResumedAfterTheLastEvent(t *testing.T) {
 	b := newBench(t, nil)
 	b.load("a@1")
-	a := b.begin("a@1", "x", 20, engine.RequestHeader, "r1")
+	a := b.begin("a@1", "x", 20, engine.RequestIDHeader, "r1")
 	a.Body.Close()
 	r, err := http.Get(b.url + "/cairn/streams/r1?from=5")
 	b.Assert(err, quicktest.IsNil)
@@ -264,7 +264,7 @@
 	b := newBench(t, func(e *Engine) { e.Prefixes = 2 })
 	b.load("a@1")
 	b.run("a@1", "x")
-	b.Assert(b.client.Unload(context.Background(), engine.Authority{Fence: fence}, "a@1"), quicktest.IsNil)
+	b.Assert(b.client.Unload(context.Background(), engine.Lease{Fence: fence}, "a@1"), quicktest.IsNil)
 	list, err := b.client.Events(context.Background(), 0)
 	b.Assert(err, quicktest.IsNil)
 	b.Assert(list, quicktest.HasLen, 2)
