--- a/engine/client.go
+++ b/engine/client.go
@@ -37,9 +37,9 @@
 	// Claim raises the highest fence to f.
 	Claim(ctx context.Context, f Fence) (State, error)
 	// Load puts an adapter into a slot, under the name that requests will use.
-	Load(ctx context.Context, a Lease, name, path string) error
+	Load(ctx context.Context, lease Lease, name, path string) error
 	// Unload empties the adapter's slot.
-	Unload(ctx context.Context, a Lease, name string) error
+	Unload(ctx context.Context, lease Lease, name string) error
 	// Models lists the adapters in the slots.
 	Models(ctx context.Context) ([]string, error)
 	// Report reads the endpoint's load, as old as its published lag.
@@ -87,20 +87,20 @@
 
 // ReadState implements Endpoint.
 func (c *Client) ReadState(ctx context.Context) (State, error) {
-	a, _, err := c.call(ctx, http.MethodGet, "/cairn/fence", Lease{}, nil)
+	resp, _, err := c.do(ctx, http.MethodGet, "/cairn/fence", Lease{}, nil)
 	if err != nil {
 		return State{}, err
 	}
-	return ParseState(a.Header), nil
+	return ParseState(resp.Header), nil
 }
 
 // Claim implements Endpoint.
 func (c *Client) Claim(ctx context.Context, f Fence) (State, error) {
-	a, _, err := c.call(ctx, http.MethodPut, "/cairn/fence", Lease{Fence: f}, nil)
+	resp, _, err := c.do(ctx, http.MethodPut, "/cairn/fence", Lease{Fence: f}, nil)
 	if err != nil {
 		return State{}, err
 	}
-	return ParseState(a.Header), nil
+	return ParseState(resp.Header), nil
 }
 
 type adapterRequest struct {
@@ -109,14 +109,14 @@
 }
 
 // Load implements Endpoint.
-func (c *Client) Load(ctx context.Context, a Lease, name, path string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/load_lora_adapter", a, adapterRequest{Name: name, Path: path})
+func (c *Client) Load(ctx context.Context, lease Lease, name, path string) error {
+	_, _, err := c.do(ctx, http.MethodPost, "/v1/load_lora_adapter", lease, adapterRequest{Name: name, Path: path})
 	return err
 }
 
 // Unload implements Endpoint.
-func (c *Client) Unload(ctx context.Context, a Lease, name string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/unload_lora_adapter", a, adapterRequest{Name: name})
+func (c *Client) Unload(ctx context.Context, lease Lease, name string) error {
+	_, _, err := c.do(ctx, http.MethodPost, "/v1/unload_lora_adapter", lease, adapterRequest{Name: name})
 	return err
 }
 
@@ -129,7 +129,7 @@
 
 // Models implements Endpoint.
 func (c *Client) Models(ctx context.Context) ([]string, error) {
-	_, body, err := c.call(ctx, http.MethodGet, "/v1/models", Lease{}, nil)
+	_, body, err := c.do(ctx, http.MethodGet, "/v1/models", Lease{}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 
 // Report implements Endpoint.
 func (c *Client) Report(ctx context.Context) (Report, error) {
-	a, body, err := c.call(ctx, http.MethodGet, "/metrics", Lease{}, nil)
+	resp, body, err := c.do(ctx, http.MethodGet, "/metrics", Lease{}, nil)
 	if err != nil {
 		return Report{}, err
 	}
@@ -156,37 +156,37 @@
 	if err != nil {
 		return Report{}, &NoResponseError{Sent: true, Cause: err}
 	}
-	r.state = ParseState(a.Header)
+	r.state = ParseState(resp.Header)
 	return r, nil
 }
 
 // Cancel ends the run of a request, if it is still running.
 func (c *Client) Cancel(ctx context.Context, request string) error {
-	_, _, err := c.call(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Lease{}, nil)
+	_, _, err := c.do(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Lease{}, nil)
 	return err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, u Lease, body any) (*http.Response, []byte, error) {
-	r, err := c.request(ctx, method, path, u.Fence, body)
+func (c *Client) do(ctx context.Context, method, path string, lease Lease, body any) (*http.Response, []byte, error) {
+	r, err := c.newRequest(ctx, method, path, lease.Fence, body)
 	if err != nil {
 		return nil, nil, &NoResponseError{Cause: err}
 	}
-	a, err := Send(c.HTTP, r, u.ExpiresAt)
+	resp, err := Send(c.HTTP, r, lease.ExpiresAt)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxResponseBytes))
+	defer resp.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, nil, &NoResponseError{Sent: true, Cause: err}
 	}
-	if a.StatusCode >= http.StatusBadRequest {
-		return nil, nil, ParseRefusal(a, text)
+	if resp.StatusCode >= http.StatusBadRequest {
+		return nil, nil, ParseRefusal(resp, content)
 	}
-	return a, text, nil
+	return resp, content, nil
 }
 
-func (c *Client) request(ctx context.Context, method, path string, f Fence, body any) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, path string, f Fence, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -195,18 +195,18 @@
 		}
 		reader = bytes.NewReader(raw)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, reader)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, reader)
 	if err != nil {
 		return nil, err
 	}
-	r.Header["User-Agent"] = nil // saves bytes on every look
+	req.Header["User-Agent"] = nil // saves bytes on every look
 	if body != nil {
-		r.Header.Set("Content-Type", "application/json")
+		req.Header.Set("Content-Type", "application/json")
 	}
 	if s := f.String(); s != "" {
-		r.Header.Set(FenceHeader, s)
+		req.Header.Set(FenceHeader, s)
 	}
-	return r, nil
+	return req, nil
 }
 
 type errorResponse struct {
@@ -218,29 +218,29 @@
 
 // ParseRefusal reads an endpoint's answer of status 400 and above. An answer
 // without a reason that we know counts as a failure that may have run.
-func ParseRefusal(a *http.Response, text []byte) *RefusedError {
+func ParseRefusal(resp *http.Response, body []byte) *RefusedError {
 	var e errorResponse
-	if json.Unmarshal(text, &e) != nil {
-		e.Error.Message = a.Status
+	if json.Unmarshal(body, &e) != nil {
+		e.Error.Message = resp.Status
 	}
 	return &RefusedError{
-		Code:         refusalCode(a, e.Error.Type),
+		Code:         refusalCode(resp, e.Error.Type),
 		Message:      e.Error.Message,
-		HighestFence: ParseState(a.Header).fence,
-		RetryAfter:   parseRetryAfter(a),
+		HighestFence: ParseState(resp.Header).fence,
+		RetryAfter:   parseRetryAfter(resp),
 	}
 }
 
 // refusalCode takes the reason header, or what today's engines say by status and
 // type.
-func refusalCode(a *http.Response, kind string) Code {
-	if c := a.Header.Get(ReasonHeader); c != "" {
+func refusalCode(resp *http.Response, errorType string) Code {
+	if c := resp.Header.Get(ReasonHeader); c != "" {
 		return Code(c)
 	}
-	if a.StatusCode == http.StatusNotFound && kind == "NotFoundError" {
+	if resp.StatusCode == http.StatusNotFound && errorType == "NotFoundError" {
 		return CodeNotLoaded
 	}
-	if a.StatusCode == http.StatusBadRequest || a.StatusCode == http.StatusUnprocessableEntity {
+	if resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusUnprocessableEntity {
 		return CodeBadRequest
 	}
 	return CodeFailed
@@ -249,10 +249,10 @@
 // maxRetryAfterSeconds bounds the seconds after which an engine may ask to come back: nobody waits a day.
 const maxRetryAfterSeconds = 24 * 60 * 60
 
-func parseRetryAfter(a *http.Response) time.Duration {
-	n, err := strconv.Atoi(a.Header.Get("Retry-After"))
+func parseRetryAfter(resp *http.Response) time.Duration {
+	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
 		return 0
 	}
-	return time.Duration(min(max(n, 0), maxRetryAfterSeconds)) * time.Second
+	return time.Duration(min(max(seconds, 0), maxRetryAfterSeconds)) * time.Second
 }
--- a/engine/engine_test.go
+++ b/engine/engine_test.go
@@ -40,12 +40,12 @@
 	c.Assert(r.InUse("c@1"), quicktest.IsFalse)
 }
 
-func TestReportWithoutAdaptersIsAnError(t *testing.T) {
+func TestReportWithoutAdapterMetricIsError(t *testing.T) {
 	_, err := parseReport(strings.NewReader("# TYPE x gauge\nx 1\n"))
 	quicktest.Assert(t, err, quicktest.ErrorMatches, "engine: metrics lack .*")
 }
 
-func TestRefusalsAreTyped(t *testing.T) {
+func TestRefusalIsTypedError(t *testing.T) {
 	c := quicktest.New(t)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(FenceHeader, "9.other")
@@ -61,19 +61,19 @@
 	c.Assert(refused.HighestFence, quicktest.Equals, NewFence(9, "other"))
 }
 
-func TestUnknownFailuresMayHaveRun(t *testing.T) {
+func TestUnknownFailureMayHaveExecuted(t *testing.T) {
 	a := &http.Response{StatusCode: http.StatusInternalServerError, Header: http.Header{}}
 	quicktest.Assert(t, ParseRefusal(a, nil).NotExecuted(), quicktest.IsFalse)
 }
 
-func TestAnOrderThatComesTooLateIsNotWritten(t *testing.T) {
+func TestOrderAfterLeaseExpiryIsNotSent(t *testing.T) {
 	c := quicktest.New(t)
-	var asked atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
+	var requests atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
 	defer s.Close()
 	client := &Client{Address: s.Listener.Addr().String(), HTTP: newClient()}
-	over := Lease{Fence: NewFence(1, "a"), ExpiresAt: time.Now().Add(-time.Millisecond)}
-	c.Assert(wasSent(c, client.Unload(context.Background(), over, "x@1")), quicktest.IsFalse)
-	c.Assert(wasSent(c, client.Load(context.Background(), over, "x@1", "p")), quicktest.IsFalse)
-	c.Assert(asked.Load(), quicktest.Equals, int32(0))
+	expired := Lease{Fence: NewFence(1, "a"), ExpiresAt: time.Now().Add(-time.Millisecond)}
+	c.Assert(wasSent(c, client.Unload(context.Background(), expired, "x@1")), quicktest.IsFalse)
+	c.Assert(wasSent(c, client.Load(context.Background(), expired, "x@1", "p")), quicktest.IsFalse)
+	c.Assert(requests.Load(), quicktest.Equals, int32(0))
 }
--- a/engine/events.go
+++ b/engine/events.go
@@ -29,7 +29,7 @@
 // Events reads the cache events above a sequence number. Errors are those of the
 // Endpoint methods.
 func (c *Client) Events(ctx context.Context, after uint64) ([]CacheEvent, error) {
-	_, body, err := c.call(ctx, http.MethodGet, fmt.Sprintf("/cairn/events?after=%d", after), Lease{}, nil)
+	_, body, err := c.do(ctx, http.MethodGet, fmt.Sprintf("/cairn/events?after=%d", after), Lease{}, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/engine/ended_test.go
+++ b/engine/exited_test.go
@@ -22,7 +22,7 @@
 
 var plainDial = (&net.Dialer{}).DialContext
 
-func TestAnEndpointThatListensHasNotEnded(t *testing.T) {
+func TestListeningEndpointHasNotExited(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
 	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsFalse)
@@ -33,7 +33,7 @@
 // Endpoints ended under one request, and one end in three did not count, so that a fourth followed:
 // an exiting process closes its connections and its listener in an order of the system's, and the
 // look came in between. The evidence: the gateway counted the end as an answer that broke off.
-func TestAnEndpointThatEndsDuringTheLookHasEnded(t *testing.T) {
+func TestEndpointExitingDuringCheckHasExited(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
 	time.AfterFunc(exitTimeout/3, func() { _ = l.Close() }) // its connections that were not accepted are reset
@@ -50,7 +50,7 @@
 //
 // The evidence: of some 30 runs two saw no end at all; the one with lines for each step says "connect: connection
 // reset by peer", half a millisecond after it began.
-func TestAnEndpointThatResetsTheLookAndThenRefusesHasEnded(t *testing.T) {
+func TestEndpointThatResetsThenRefusesHasExited(t *testing.T) {
 	c := quicktest.New(t)
 	for _, x := range []struct {
 		errs []error // of one connection after the other
@@ -61,10 +61,10 @@
 		{errs: []error{syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNRESET, syscall.ECONNREFUSED}},
 		{errs: []error{syscall.ETIMEDOUT, syscall.ECONNREFUSED}},
 	} {
-		tries := 0
+		dials := 0
 		dial := func(context.Context, string, string) (net.Conn, error) {
-			err := x.errs[tries]
-			tries++
+			err := x.errs[dials]
+			dials++
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", err)}
 		}
 		c.Check(HasExited(context.Background(), dial, "endpoint"), quicktest.Equals, x.want, quicktest.Commentf("%v", x.errs))
@@ -72,7 +72,7 @@
 }
 
 // An endpoint that has all the connections it takes closes a further one, and lives.
-func TestAnEndpointThatClosesTheConnectionAndListensHasNotEnded(t *testing.T) {
+func TestEndpointAtConnectionLimitHasNotExited(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
 	done := make(chan struct{})
@@ -91,7 +91,7 @@
 	<-done
 }
 
-func TestALookEndsWithItsContext(t *testing.T) {
+func TestCheckStopsWithContext(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/engine/fuzz_test.go
+++ b/engine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// FuzzRetry: the time after which to come back is none below zero, and whole seconds.
-func FuzzRetry(f *testing.F) {
+// FuzzParseRetryAfter: the time after which to come back is none below zero, and whole seconds.
+func FuzzParseRetryAfter(f *testing.F) {
 	f.Add("2")
 	f.Add("18446744074")
 	f.Add("Wed, 21 Oct 2015 07:28:00 GMT")
--- a/engine/report.go
+++ b/engine/report.go
@@ -45,9 +45,9 @@
 // State returns what the answer's headers showed; unlike the rest it is fresh.
 func (r Report) State() State { return r.state }
 
-func parseReport(text io.Reader) (Report, error) {
+func parseReport(r io.Reader) (Report, error) {
 	p := expfmt.NewTextParser(model.UTF8Validation)
-	families, err := p.TextToMetricFamilies(text)
+	families, err := p.TextToMetricFamilies(r)
 	if err != nil {
 		return Report{}, errors.Wrap(err, "engine: metrics")
 	}
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -80,23 +80,23 @@
 // second time: net/http is kept from sending it again by itself. Without an
 // answer it returns a *LostError, which says whether a byte may have left. An
 // answer of any status is returned as it is; the caller closes its body.
-func Send(client *http.Client, r *http.Request, sendBy time.Time) (*http.Response, error) {
-	r.GetBody = nil // without it net/http cannot send again
+func Send(client *http.Client, req *http.Request, sendBy time.Time) (*http.Response, error) {
+	req.GetBody = nil // without it net/http cannot send again
 	var mu sync.Mutex
 	var conn *guardedConn
-	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		g, ok := i.Conn.(*guardedConn)
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+		guarded, ok := info.Conn.(*guardedConn)
 		if !ok {
 			return
 		}
-		g.startRequest(sendBy)
+		guarded.startRequest(sendBy)
 		mu.Lock()
-		conn = g
+		conn = guarded
 		mu.Unlock()
 	}}
-	a, err := client.Do(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
+	resp, err := client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	if err == nil {
-		return a, nil
+		return resp, nil
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -34,14 +34,14 @@
 }
 
 func send(client *http.Client, address string, sendBy time.Time) error {
-	r, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address, strings.NewReader("{}"))
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+address, strings.NewReader("{}"))
 	if err != nil {
 		return err
 	}
-	r.Header.Set("Idempotency-Key", "k") // which lets net/http send again, if it could
-	a, err := Send(client, r, sendBy)
+	req.Header.Set("Idempotency-Key", "k") // which lets net/http send again, if it could
+	resp, err := Send(client, req, sendBy)
 	if err == nil {
-		a.Body.Close()
+		resp.Body.Close()
 	}
 	return err
 }
@@ -58,7 +58,7 @@
 	return lost.Sent
 }
 
-func TestARefusedConnectionSendsNothing(t *testing.T) {
+func TestRefusedConnectionSendsNothing(t *testing.T) {
 	c := quicktest.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -66,7 +66,7 @@
 	c.Assert(wasSent(c, send(newClient(), l.Addr().String(), inOneMinute())), quicktest.IsFalse)
 }
 
-func TestAnExpiredGrantSendsNothing(t *testing.T) {
+func TestSendAfterExpiryWritesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var bytes atomic.Int64
 	address := acceptConns(c, func(conn net.Conn) {
@@ -80,7 +80,7 @@
 	c.Assert(bytes.Load(), quicktest.Equals, int64(0))
 }
 
-func TestACutAfterTheWriteMayHaveRun(t *testing.T) {
+func TestConnectionClosedAfterWriteMayHaveExecuted(t *testing.T) {
 	c := quicktest.New(t)
 	address := acceptConns(c, func(conn net.Conn) {
 		_, _ = bufio.NewReader(conn).ReadString('\n')
@@ -89,7 +89,7 @@
 	c.Assert(wasSent(c, send(newClient(), address, inOneMinute())), quicktest.IsTrue)
 }
 
-func TestARequestIsNeverSentAgainOnAReusedConnection(t *testing.T) {
+func TestRequestIsNotResentOnReusedConnection(t *testing.T) {
 	c := quicktest.New(t)
 	var requests atomic.Int64
 	address := acceptConns(c, func(conn net.Conn) {
