--- a/engine/client.go
+++ b/engine/client.go
@@ -15,65 +15,66 @@
 	"github.com/pkg/errors"
 )
 
-// The headers that the protocol adds.
+// The headers that the protocol adds to those of the engines.
 const (
-	FenceHeader      = "Cairn-Fence"   // on orders: the order's; on answers: the highest seen
-	BootHeader       = "Cairn-Boot"    // on answers: changes when the endpoint restarts empty
-	RequestIDHeader  = "X-Request-Id"  // names the run, for cancel and resume
-	KeyHeader        = "Cairn-Key"     // of a request that is not repeatable
-	ReasonHeader     = "Cairn-Reason"  // on refusals: the Code
-	EventsHeader     = "Cairn-Events"  // on a resumed stream: the event it begins with
-	LeavingHeader    = "Cairn-Leaving" // on answers: 1 while the endpoint leaves
-	RateLimitHeader  = "Cairn-Limit"   // on answers to requests: how many a second the endpoint takes from all gateways together
-	maxResponseBytes = 1 << 20         // bytes read of an order's answer
+	FenceHeader      = "Cairn-Fence"   // on orders: the fence of the order; on responses: the highest fence seen
+	BootHeader       = "Cairn-Boot"    // on responses: changes when the endpoint restarts without adapters
+	RequestIDHeader  = "X-Request-Id"  // identifies the execution, to cancel or resume it
+	KeyHeader        = "Cairn-Key"     // idempotency key of a request that must not be executed twice
+	ReasonHeader     = "Cairn-Reason"  // on error responses: the Code
+	EventsHeader     = "Cairn-Events"  // on a resumed stream: the number of its first event
+	LeavingHeader    = "Cairn-Leaving" // on responses: 1 while the endpoint drains
+	RateLimitHeader  = "Cairn-Limit"   // on responses to requests: requests per second that the endpoint accepts from all gateways together
+	maxResponseBytes = 1 << 20         // of a response to any call except a completion
 )
 
 // Endpoint is what the scheduler needs of one model server. Every method
 // returns a *RefusedError for the endpoint's own refusal and a *LostError when
 // there was no answer.
 type Endpoint interface {
-	// ReadState reads the highest fence and the boot; it is the cheapest call.
+	// ReadState reads the highest fence and the boot ID; it is the cheapest call.
 	ReadState(ctx context.Context) (State, error)
 	// Claim raises the highest fence to f.
 	Claim(ctx context.Context, f Fence) (State, error)
-	// Load puts an adapter into a slot, under the name that requests will use.
+	// Load loads the adapter at path into a slot, under the name that requests use.
 	Load(ctx context.Context, lease Lease, name, path string) error
-	// Unload empties the adapter's slot.
+	// Unload frees the adapter's slot.
 	Unload(ctx context.Context, lease Lease, name string) error
-	// Models lists the adapters in the slots.
+	// Models lists the loaded adapters.
 	Models(ctx context.Context) ([]string, error)
-	// Report reads the endpoint's load, as old as its published lag.
+	// Report reads the endpoint's load metrics, which are as old as the endpoint's
+	// published reporting lag.
 	Report(ctx context.Context) (Report, error)
 }
 
-// Lease is what an order is given under. An order that could not be written by
-// its end is not given: whoever gave it may not own the endpoint any more, and an
-// endpoint that checks no fences would carry it out.
+// Lease is the right to give orders to an endpoint. An order that could not be
+// written before the lease expires is not sent: its sender may not own the endpoint
+// any more, and an endpoint that does not check fences would carry the order out.
 type Lease struct {
 	Fence     Fence
-	ExpiresAt time.Time // zero: for ever
+	ExpiresAt time.Time // zero: never
 }
 
-// State is what every answer of an endpoint shows.
+// State is what the headers of every response say about the endpoint.
 type State struct {
-	fence  Fence
+	fence  Fence // the highest seen
 	bootID string
 }
 
-// NewState returns what an answer with this fence and boot shows.
+// NewState returns the state with a highest fence and a boot ID.
 func NewState(f Fence, boot string) State { return State{fence: f, bootID: boot} }
 
 // Fence returns the highest fence that the endpoint has seen.
 func (s State) Fence() Fence { return s.fence }
 
-// BootID returns what changes when the endpoint restarts empty.
+// BootID returns an identifier that changes when the endpoint restarts without adapters.
 func (s State) BootID() string { return s.bootID }
 
-// ParseState reads the headers of an answer.
+// ParseState reads the headers of a response.
 func ParseState(h http.Header) State {
 	f, err := ParseFence(h.Get(FenceHeader))
 	if err != nil {
-		f = Fence{} // a header we cannot read shows nothing
+		f = Fence{} // an invalid header counts as a missing one
 	}
 	return State{fence: f, bootID: h.Get(BootHeader)}
 }
@@ -135,7 +136,7 @@
 	}
 	var l modelList
 	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "list of models")}
+		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "parse the list of models")}
 	}
 	var names []string
 	for _, m := range l.Data {
@@ -160,7 +161,7 @@
 	return r, nil
 }
 
-// Cancel ends the run of a request, if it is still running.
+// Cancel cancels the execution of a request if it is still running.
 func (c *Client) Cancel(ctx context.Context, request string) error {
 	_, _, err := c.do(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Lease{}, nil)
 	return err
@@ -199,7 +200,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header["User-Agent"] = nil // saves bytes on every look
+	req.Header["User-Agent"] = nil // saves bytes on calls that are made all the time
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
@@ -216,8 +217,9 @@
 	} `json:"error"`
 }
 
-// ParseRefusal reads an endpoint's answer of status 400 and above. An answer
-// without a reason that we know counts as a failure that may have run.
+// ParseRefusal reads an endpoint's response of status 400 or above. A response
+// without a known reason counts as a failure after which the request may have been
+// executed.
 func ParseRefusal(resp *http.Response, body []byte) *RefusedError {
 	var e errorResponse
 	if json.Unmarshal(body, &e) != nil {
@@ -231,8 +233,8 @@
 	}
 }
 
-// refusalCode takes the reason header, or what today's engines say by status and
-// type.
+// refusalCode returns the code in the reason header. For engines that do not send
+// the header it derives the code from the status and the error type.
 func refusalCode(resp *http.Response, errorType string) Code {
 	if c := resp.Header.Get(ReasonHeader); c != "" {
 		return Code(c)
@@ -246,7 +248,7 @@
 	return CodeFailed
 }
 
-// maxRetryAfterSeconds bounds the seconds after which an engine may ask to come back: nobody waits a day.
+// maxRetryAfterSeconds limits an engine's Retry-After to one day; no caller waits longer.
 const maxRetryAfterSeconds = 24 * 60 * 60
 
 func parseRetryAfter(resp *http.Response) time.Duration {
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -7,49 +7,49 @@
 	"time"
 )
 
-// Code names why an endpoint refused.
+// Code is the reason for which an endpoint refused a call.
 type Code string
 
-// The refusals that endpoints give before anything ran.
+// The reasons for a refusal. All except CodeFailed prove that nothing was executed.
 const (
-	CodeStaleFence Code = "stale_fence" // the order's fence is below the highest
-	CodeNotLoaded  Code = "not_loaded"  // the adapter is in no slot
-	CodeNoSlot     Code = "no_slot"     // every slot is taken
-	CodeLoadFailed Code = "load_failed" // the store did not give the adapter
-	CodeStoreBusy  Code = "store_busy"  // the store's rate is used up
-	CodeLeaving    Code = "leaving"     // the endpoint takes no new work
+	CodeStaleFence Code = "stale_fence" // the order's fence is lower than the highest seen
+	CodeNotLoaded  Code = "not_loaded"  // the adapter is not loaded
+	CodeNoSlot     Code = "no_slot"     // all slots are in use
+	CodeLoadFailed Code = "load_failed" // the adapter store did not deliver the adapter
+	CodeStoreBusy  Code = "store_busy"  // the adapter store's rate limit is reached
+	CodeLeaving    Code = "leaving"     // the endpoint drains and accepts no new work
 	CodeBusy       Code = "busy"        // the endpoint's own queue is full
-	CodeBadRequest Code = "bad_request" // the request cannot be run anywhere
-	CodeFailed     Code = "failed"      // it failed inside; it may have run
+	CodeBadRequest Code = "bad_request" // the request is invalid at every endpoint
+	CodeFailed     Code = "failed"      // internal failure; the request may have been executed
 )
 
-// RefusedError is a refusal in the endpoint's own words.
+// RefusedError is an error response of an endpoint.
 type RefusedError struct {
 	Code         Code
 	Message      string
-	HighestFence Fence         // with CodeStaleFence: the fence that won
-	RetryAfter   time.Duration // when to come back; zero when not said
+	HighestFence Fence         // with CodeStaleFence: the fence that superseded the order's
+	RetryAfter   time.Duration // zero if the endpoint named none
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("engine: refused as %s: %s", e.Code, e.Message)
+	return fmt.Sprintf("engine: endpoint refused the call: %s: %s", e.Code, e.Message)
 }
 
-// NotExecuted tells whether the refusal proves that the request did not run.
+// NotExecuted reports whether the refusal proves that the request was not executed.
 func (e *RefusedError) NotExecuted() bool { return e.Code != CodeFailed }
 
-// NoResponseError says that an endpoint gave no whole answer.
+// NoResponseError means that an endpoint sent no complete response.
 type NoResponseError struct {
-	Sent  bool // at least one byte may have left
+	Sent  bool // at least one byte of the request may have been sent
 	Cause error
 }
 
 func (e *NoResponseError) Error() string {
 	if e.Sent {
-		return "engine: answer lost: " + e.Cause.Error()
+		return "engine: no complete response: " + e.Cause.Error()
 	}
-	return "engine: not reached: " + e.Cause.Error()
+	return "engine: request not sent: " + e.Cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap implements the interface that the errors package uses.
 func (e *NoResponseError) Unwrap() error { return e.Cause }
--- a/engine/events.go
+++ b/engine/events.go
@@ -17,17 +17,18 @@
 	CacheRemoved = "removed"
 )
 
-// CacheEvent says that an endpoint's prefix cache took a prefix in, or threw it
-// out. Events come late and with gaps, which Sequence shows: they are a hint.
+// CacheEvent reports that an endpoint's prefix cache stored or evicted a prefix.
+// Events are delayed and some are missing, as gaps in Sequence show, so they are
+// only a hint.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Kind     string `json:"kind"`
 	Adapter  string `json:"adapter"`
-	Prefix   uint64 `json:"prefix"` // hash of the prompt's beginning
+	Prefix   uint64 `json:"prefix"` // hash of the prompt prefix
 }
 
-// Events reads the cache events above a sequence number. Errors are those of the
-// Endpoint methods.
+// Events reads the cache events after a sequence number. It returns the same errors
+// as the methods of Endpoint.
 func (c *Client) Events(ctx context.Context, after uint64) ([]CacheEvent, error) {
 	_, body, err := c.do(ctx, http.MethodGet, fmt.Sprintf("/cairn/events?after=%d", after), Lease{}, nil)
 	if err != nil {
@@ -35,7 +36,7 @@
 	}
 	var list []CacheEvent
 	if err := json.Unmarshal(body, &list); err != nil {
-		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "cache events")}
+		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "parse cache events")}
 	}
 	return list, nil
 }
--- a/engine/exited.go
+++ b/engine/exited.go
@@ -12,24 +12,24 @@
 	"github.com/pkg/errors"
 )
 
-// exitTimeout is how long a process that ends may take from breaking off its answers to closing its
-// listener: the system closes both as it exits, in an order of its own, some milliseconds apart.
+// exitTimeout is the longest time that an exiting process may take from the end of its responses to the end
+// of its listener. The operating system closes the sockets in no defined order, some milliseconds apart.
 const exitTimeout = 300 * time.Millisecond
 
-// maxConnects is how often an address is asked that closes or resets connections: a process that ends does so
-// to one that waited to be accepted, and refuses the next.
+// maxConnects limits the connections to an address that closes or resets them. An exiting process resets those
+// that wait to be accepted, and refuses the next one.
 const maxConnects = 3
 
-// HasExited tells whether nothing listens at an endpoint's address any more: a connection that is
-// refused is proof, one that gets no answer is none. One that is opened is watched for a while, and
-// where it is closed, or was reset as it was opened, the address is asked again.
+// HasExited reports whether nothing listens at an endpoint's address any more. A refused connection
+// proves it; a connection that times out does not. A connection that succeeds is watched for
+// exitTimeout, and if it is closed, or was reset while it was opened, HasExited connects again.
 func HasExited(ctx context.Context, dial DialFunc, address string) bool {
 	for range maxConnects {
 		c, err := dial(ctx, "tcp", address)
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return true
-		case errors.Is(err, syscall.ECONNRESET): // it waited for a listener that was closed
+		case errors.Is(err, syscall.ECONNRESET): // the listener closed before it accepted the connection
 		case err != nil || !closedByPeer(ctx, c):
 			return false
 		}
@@ -43,7 +43,7 @@
 	defer stop()
 	defer c.Close()
 	if err := c.SetReadDeadline(time.Now().Add(exitTimeout)); err != nil {
-		return true // it is closed already
+		return true // the connection is closed already
 	}
 	_, err := c.Read(make([]byte, 1))
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
--- a/engine/exited_test.go
+++ b/engine/exited_test.go
@@ -30,30 +30,24 @@
 	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
 }
 
-// Endpoints ended under one request, and one end in three did not count, so that a fourth followed:
-// an exiting process closes its connections and its listener in an order of the system's, and the
-// look came in between. The evidence: the gateway counted the end as an answer that broke off.
+// An exiting process closes its connections and its listener in no defined order. A check between the two
+// found the listener open, so the exit was counted as an interrupted response, and one request that makes
+// endpoints exit took down a fourth endpoint where three are the limit.
 func TestEndpointExitingDuringCheckHasExited(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
-	time.AfterFunc(exitTimeout/3, func() { _ = l.Close() }) // its connections that were not accepted are reset
+	time.AfterFunc(exitTimeout/3, func() { _ = l.Close() }) // resets the connections that were not accepted
 	c.Assert(HasExited(context.Background(), plainDial, l.Addr().String()), quicktest.IsTrue)
 }
 
-// A fourth endpoint ended under one request, now and then on a busy machine, and callers' requests with it.
-//
-// The order of events: an endpoint ends under the request. The look at it opens a connection, which waits to be
-// accepted as the exiting process closes its listener, and is reset. The endpoint was taken for alive, so that one
-// more had to end before the request was kept from the rest.
-//
-// The cause: only a connection that is refused counted as proof, and one that is reset as it is opened as none.
-//
-// The evidence: of some 30 runs two saw no end at all; the one with lines for each step says "connect: connection
-// reset by peer", half a millisecond after it began.
+// On a busy machine, one request that makes endpoints exit sometimes took down four instead of three, with the
+// other requests that ran there. The check's connection was waiting to be accepted when the exiting process closed
+// its listener, and failed with "connect: connection reset by peer". Only a refused connection counted as proof of
+// the exit, so the endpoint was taken for alive. 2 of about 30 runs failed this way.
 func TestEndpointThatResetsThenRefusesHasExited(t *testing.T) {
 	c := quicktest.New(t)
 	for _, x := range []struct {
-		errs []error // of one connection after the other
+		errs []error // of successive connections
 		want bool
 	}{
 		{errs: []error{syscall.ECONNRESET, syscall.ECONNREFUSED}, want: true},
@@ -71,7 +65,7 @@
 	}
 }
 
-// An endpoint that has all the connections it takes closes a further one, and lives.
+// An endpoint at its connection limit closes further connections but is still running.
 func TestEndpointAtConnectionLimitHasNotExited(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
--- a/engine/fence.go
+++ b/engine/fence.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is the client of the model endpoints: completions, orders
-// under a fence, and reports.
+// Package engine is the client for the model endpoints: completions, orders
+// protected by a fencing token, and load reports.
 //
-// The HTTP style is that of today's LoRA-serving engines; docs/ENGINES.md
-// lists the paths and what the fence and the boot add in headers.
+// The HTTP interface is that of common engines that serve LoRA adapters;
+// docs/ENGINES.md lists the paths and the headers for fences and boot IDs.
 package engine
 
 import (
@@ -14,17 +14,17 @@
 	"github.com/pkg/errors"
 )
 
-// Fence orders the owners of an endpoint: a higher fence wins. The zero Fence
-// is below every other.
+// Fence is the fencing token of an endpoint's owner. An endpoint refuses orders with
+// a fence lower than the highest it has seen. The zero Fence is lower than any other.
 type Fence struct {
 	term uint64
 	box  string // breaks ties between equal terms
 }
 
-// NewFence returns the fence of box at term.
+// NewFence returns the fence of a box in a term.
 func NewFence(term uint64, box string) Fence { return Fence{term: term, box: box} }
 
-// ParseFence reads the text form, term and box with a dot between.
+// ParseFence parses the text form, "TERM.BOX". An empty text is the zero Fence.
 func ParseFence(s string) (Fence, error) {
 	if s == "" {
 		return Fence{}, nil
@@ -37,10 +37,10 @@
 	return Fence{term: n, box: box}, nil
 }
 
-// Next returns a fence of box that is higher than f.
+// Next returns the fence of a box in the term after that of f.
 func (f Fence) Next(box string) Fence { return Fence{term: f.term + 1, box: box} }
 
-// Less tells whether f is below g.
+// Less reports whether f is lower than g.
 func (f Fence) Less(g Fence) bool {
 	if f.term != g.term {
 		return f.term < g.term
@@ -51,7 +51,7 @@
 // Box returns the box that claimed the fence.
 func (f Fence) Box() string { return f.box }
 
-// String returns the text form; it is empty for the zero Fence.
+// String returns the text form that ParseFence reads, empty for the zero Fence.
 func (f Fence) String() string {
 	if f.term == 0 {
 		return ""
--- a/engine/fuzz_test.go
+++ b/engine/fuzz_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// FuzzParseRetryAfter: the time after which to come back is none below zero, and whole seconds.
+// FuzzParseRetryAfter checks that a Retry-After of any content gives a whole number of seconds, never negative.
 func FuzzParseRetryAfter(f *testing.F) {
 	f.Add("2")
 	f.Add("18446744074")
@@ -17,7 +17,7 @@
 		h := http.Header{}
 		h.Set("Retry-After", s)
 		if d := parseRetryAfter(&http.Response{Header: h}); d < 0 || d%time.Second != 0 {
-			t.Errorf("%q is %v", s, d)
+			t.Errorf("Retry-After %q parsed as %v", s, d)
 		}
 	})
 }
--- a/engine/report.go
+++ b/engine/report.go
@@ -13,7 +13,7 @@
 	"github.com/prometheus/common/model"
 )
 
-// The metrics that endpoints publish, as today's engines name them.
+// The metrics that endpoints export, under the names that common engines use.
 const (
 	RunningMetric  = "vllm:num_requests_running"
 	WaitingMetric  = "vllm:num_requests_waiting"
@@ -22,7 +22,7 @@
 	waitingLabel   = "waiting_lora_adapters"
 )
 
-// Report is an endpoint's load, as old as its published lag.
+// Report is an endpoint's load. It is as old as the endpoint's published reporting lag.
 type Report struct {
 	running int
 	waiting int
@@ -30,26 +30,26 @@
 	state   State
 }
 
-// NewReport returns a report in which the adapters are in use.
+// NewReport returns a report in which the given adapters are in use.
 func NewReport(s State, inUse []string) Report { return Report{inUse: inUse, state: s} }
 
-// Running returns how many requests the engine had in its batch.
+// Running returns the number of requests in the engine's batch.
 func (r Report) Running() int { return r.running }
 
-// Waiting returns how many requests the engine held back.
+// Waiting returns the number of requests in the engine's queue.
 func (r Report) Waiting() int { return r.waiting }
 
-// InUse tells whether the adapter had running or waiting requests.
+// InUse reports whether the adapter had running or waiting requests.
 func (r Report) InUse(name string) bool { return slices.Contains(r.inUse, name) }
 
-// State returns what the answer's headers showed; unlike the rest it is fresh.
+// State returns the state in the response's headers; unlike the metrics it is current.
 func (r Report) State() State { return r.state }
 
 func parseReport(r io.Reader) (Report, error) {
 	p := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := p.TextToMetricFamilies(r)
 	if err != nil {
-		return Report{}, errors.Wrap(err, "engine: metrics")
+		return Report{}, errors.Wrap(err, "engine: parse metrics")
 	}
 	if families[RunningMetric] == nil || families[AdaptersMetric] == nil {
 		return Report{}, errors.Errorf("engine: metrics lack %s or %s", RunningMetric, AdaptersMetric)
@@ -61,6 +61,7 @@
 	}, nil
 }
 
+// gauge returns the sum of a gauge over all label values; f may be nil.
 func gauge(f *dto.MetricFamily) float64 {
 	var sum float64
 	for _, m := range f.GetMetric() {
--- a/engine/suspend_test.go
+++ b/engine/suspend_test.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// A grant ends while the machine is suspended, between the call for it and the write: nothing may
-// be written under it, though the steady clock says that it is in time.
+// A grant expires while the machine is suspended, between the call and the write. Nothing may be
+// written, although the monotonic clock, which stops during a suspension, says that the grant is valid.
 func TestSendAfterExpiryDuringSuspendWritesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	l := newListener(c)
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -14,19 +14,21 @@
 	"github.com/pkg/errors"
 )
 
-// ErrExpired says that a grant was not used in time; nothing was sent.
-var ErrExpired = errors.New("engine: grant expired before the write")
+// ErrExpired means that a grant or lease expired before the request was written;
+// nothing was sent.
+var ErrExpired = errors.New("engine: grant or lease expired before the request was written")
 
-// guardedConn refuses the first write of a request that comes too late, and
-// remembers whether any byte of it was handed to the system.
+// guardedConn fails the first write of a request if its time has passed, and records
+// whether any byte of the request was passed to the operating system.
 type guardedConn struct {
 	net.Conn
 
 	mu         sync.Mutex
-	sendBy     time.Time // of the request under way; zero: none
-	writeBegun bool      // a write of it was begun
+	sendBy     time.Time // limit for the current request's first write; zero: none
+	writeBegun bool      // some of the current request may have been sent
 }
 
+// startRequest prepares the connection for the next request.
 func (c *guardedConn) startRequest(sendBy time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,7 +42,7 @@
 	return c.writeBegun
 }
 
-// Write checks the time just before the system call.
+// Write implements net.Conn. It checks the time immediately before the system call.
 func (c *guardedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	late := !c.writeBegun && !c.sendBy.IsZero() && clock.Now().After(c.sendBy)
@@ -57,8 +59,8 @@
 // DialFunc opens connections.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns the connections to endpoints: opened by dial, kept open,
-// without compression, each write guarded.
+// NewTransport returns a transport for endpoints. It opens connections with dial, keeps
+// them alive, uses no compression and supports the time limit of Send.
 func NewTransport(dial DialFunc, idlePerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -81,7 +83,7 @@
 // answer it returns a *LostError, which says whether a byte may have left. An
 // answer of any status is returned as it is; the caller closes its body.
 func Send(client *http.Client, req *http.Request, sendBy time.Time) (*http.Response, error) {
-	req.GetBody = nil // without it net/http cannot send again
+	req.GetBody = nil // net/http cannot retry without it
 	var mu sync.Mutex
 	var conn *guardedConn
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
--- a/engine/transport_test.go
+++ b/engine/transport_test.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// acceptConns accepts connections and hands each to serve, which ends it.
+// acceptConns listens and calls serve for each connection; serve must close it.
 func acceptConns(c *quicktest.C, serve func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Idempotency-Key", "k") // which lets net/http send again, if it could
+	req.Header.Set("Idempotency-Key", "k") // allows net/http to retry
 	resp, err := Send(client, req, sendBy)
 	if err == nil {
 		resp.Body.Close()
@@ -102,7 +102,7 @@
 			}
 			_, _ = in.Discard(int(r.ContentLength))
 			if requests.Add(1) > 1 {
-				return // cut after the write, on a connection used before
+				return // closes a reused connection after the request was written
 			}
 			_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
