--- a/engine/client.go
+++ b/engine/client.go
@@ -28,9 +28,9 @@
 	maxResponseBytes = 1 << 20         // of a response to any call except a completion
 )
 
-// Endpoint is what the scheduler needs of one model server. Every method
-// returns a *RefusedError for the endpoint's own refusal and a *LostError when
-// there was no answer.
+// Endpoint is the scheduler's interface to one model server. Every method
+// returns a *RefusedError when the endpoint refused the call, and a
+// *NoResponseError when there was no complete response.
 type Endpoint interface {
 	// ReadState reads the highest fence and the boot ID; it is the cheapest call.
 	ReadState(ctx context.Context) (State, error)
--- a/engine/exited.go
+++ b/engine/exited.go
@@ -37,7 +37,8 @@
 	return false
 }
 
-// closedByPeer tells whether the other side closes a connection within endsWithin, and closes it.
+// closedByPeer reports whether the other side closes the connection within exitTimeout. It closes the
+// connection in any case.
 func closedByPeer(ctx context.Context, c net.Conn) bool {
 	stop := context.AfterFunc(ctx, func() { _ = c.SetReadDeadline(time.Now()) })
 	defer stop()
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -78,10 +78,10 @@
 	}
 }
 
-// Send gives one request to an endpoint, by sendBy or not at all, and never a
-// second time: net/http is kept from sending it again by itself. Without an
-// answer it returns a *LostError, which says whether a byte may have left. An
-// answer of any status is returned as it is; the caller closes its body.
+// Send sends one request to an endpoint, by sendBy or not at all, and at most once:
+// automatic retries of net/http are disabled. Without a response it returns a
+// *NoResponseError, which says whether any byte may have been sent. A response of any
+// status is returned unchanged; the caller must close its body.
 func Send(client *http.Client, req *http.Request, sendBy time.Time) (*http.Response, error) {
 	req.GetBody = nil // net/http cannot retry without it
 	var mu sync.Mutex
