--- a/daemon/join.go
+++ b/daemon/join.go
@@ -74,7 +74,7 @@
 		if n.Keeper.Catalog() != nil {
 			return
 		}
-		if err := n.relay.Ask(ctx, a); err != nil {
+		if err := n.relay.FetchFrom(ctx, a); err != nil {
 			n.Log.V(1).Info("Peer gave no configuration", "address", a, "err", err.Error())
 		}
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -52,7 +52,7 @@
 	box     string
 	centre  string
 	loop    *member.Loop
-	relay   *keeper.Relay
+	relay   *keeper.Syncer
 	traffic *Traffic
 	tasks   []Task
 	ready   atomic.Bool
@@ -133,16 +133,16 @@
 // Add makes Run run the task.
 func (n *Node) Add(t Task) { n.tasks = append(n.tasks, t) }
 
-func (n *Node) newRelay(client *kvstore.Client) *keeper.Relay {
-	r := &keeper.Relay{
-		Keeper:   n.Keeper,
-		Platform: client,
-		Peers:    n.Dialer.Source,
-		Nudge:    func() { n.loop.Nudge() },
-		Watches:  n.watches,
-		Log:      n.Log,
-		Wait:     watchWait,
-		Pause:    watchPause,
+func (n *Node) newRelay(client *kvstore.Client) *keeper.Syncer {
+	r := &keeper.Syncer{
+		Keeper:           n.Keeper,
+		Platform:         client,
+		Peers:            n.Dialer.Source,
+		TriggerHeartbeat: func() { n.loop.Nudge() },
+		IsWatcher:        n.watches,
+		Log:              n.Log,
+		WatchTimeout:     watchWait,
+		RetryInterval:    watchPause,
 	}
 	r.Init()
 	return r
--- a/keeper/document.go
+++ b/keeper/document.go
@@ -22,14 +22,14 @@
 
 // document is a head with all its shards, checked.
 type document struct {
-	head    catalog.Head
-	shards  map[string][]byte // by name
-	catalog *catalog.Catalog
-	until   time.Time // of a candidate: when it may come into force
+	head      catalog.Head
+	shards    map[string][]byte // by name
+	catalog   *catalog.Catalog
+	settlesAt time.Time // of a candidate: when it may come into force
 }
 
-// fetch gathers the shards that a head names.
-func (k *Keeper) fetch(ctx context.Context, h catalog.Head, from Source) (map[string][]byte, error) {
+// fetchShards gathers the shards that a head names.
+func (k *Keeper) fetchShards(ctx context.Context, h catalog.Head, from Source) (map[string][]byte, error) {
 	shards := make(map[string][]byte)
 	for _, n := range h.Shards() {
 		digest := h.ShardDigest(n)
@@ -82,12 +82,12 @@
 	}
 	var found []catalog.Problem
 	for _, n := range next.Adapters() {
-		now, _ := next.Adapter(n)
-		before, known := old.Adapter(n)
+		newAdapter, _ := next.Adapter(n)
+		oldAdapter, known := old.Adapter(n)
 		if !known {
 			continue
 		}
-		found = append(found, changedVersions(before, now)...)
+		found = append(found, changedVersions(oldAdapter, newAdapter)...)
 	}
 	if len(found) > 0 {
 		return &catalog.CheckError{Revision: next.Revision(), Problems: found}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -29,7 +29,7 @@
 	mu         sync.Mutex
 	inForce    *document            // nil until the first is accepted
 	candidates map[string]*document // by digest; each follows inForce
-	refused    map[string]Verdict   // heads that were Rival or Invalid, by digest; bounded
+	rejected   map[string]Verdict   // heads that were Rival or Invalid, by digest; bounded
 	changed    chan struct{}        // closed when another head comes into force
 }
 
@@ -39,7 +39,7 @@
 		Settle:     settle,
 		Log:        log,
 		candidates: make(map[string]*document),
-		refused:    make(map[string]Verdict),
+		rejected:   make(map[string]Verdict),
 		changed:    make(chan struct{}),
 	}
 }
@@ -69,10 +69,10 @@
 	if err != nil {
 		return Invalid, err
 	}
-	if v := k.judge(h, peerInForce); v != Candidate && v != InForce {
+	if v := k.evaluate(h, peerInForce); v != Candidate && v != InForce {
 		return v, nil
 	}
-	shards, err := k.fetch(ctx, h, from)
+	shards, err := k.fetchShards(ctx, h, from)
 	if err != nil {
 		return 0, err
 	}
@@ -81,34 +81,34 @@
 		err = k.checkVersions(c)
 	}
 	if err != nil {
-		k.refuse(h, Invalid)
+		k.reject(h, Invalid)
 		return Invalid, err
 	}
-	return k.take(&document{head: h, shards: shards, catalog: c}, peerInForce), nil
+	return k.admit(&document{head: h, shards: shards, catalog: c}, peerInForce), nil
 }
 
-// take makes a checked document a candidate or puts it in force.
-func (k *Keeper) take(d *document, peerInForce bool) Verdict {
+// admit makes a checked document a candidate or puts it in force.
+func (k *Keeper) admit(d *document, peerInForce bool) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.judgeLocked(d.head, peerInForce)
+	v := k.evaluateLocked(d.head, peerInForce)
 	switch v {
 	case InForce:
-		k.acceptLocked(d)
+		k.activateLocked(d)
 	case Candidate:
-		d.until = time.Now().Add(k.Settle)
+		d.settlesAt = time.Now().Add(k.Settle)
 		k.candidates[d.head.Digest()] = d
 	}
 	return v
 }
 
-// acceptLocked puts a document in force and drops the candidates that cannot follow it.
-func (k *Keeper) acceptLocked(d *document) {
+// activateLocked puts a document in force and drops the candidates that cannot follow it.
+func (k *Keeper) activateLocked(d *document) {
 	k.inForce = d
 	for digest, c := range k.candidates {
 		if !c.head.Follows(d.head) {
 			delete(k.candidates, digest)
-			k.loseLocked(c.head, d.head)
+			k.rejectLoserLocked(c.head, d.head)
 		}
 	}
 	close(k.changed)
@@ -117,12 +117,12 @@
 	k.Log.Info("Configuration is in force", "revision", d.head.Revision(), "digest", d.head.Digest())
 }
 
-// loseLocked refuses a candidate that another was preferred to.
-func (k *Keeper) loseLocked(lost, won catalog.Head) {
+// rejectLoserLocked refuses a candidate that another was preferred to.
+func (k *Keeper) rejectLoserLocked(lost, won catalog.Head) {
 	if lost.Digest() == won.Digest() {
 		return
 	}
-	k.refuseLocked(lost, Rival)
+	k.rejectLocked(lost, Rival)
 	k.Log.Info("Published head lost to another on the same base; publish it again on the winner",
 		"revision", lost.Revision(), "lost", lost.Digest(), "won", won.Digest())
 }
@@ -132,14 +132,14 @@
 func (k *Keeper) Tick(now time.Time) time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	first, winner := k.winnerLocked()
+	settlesAt, winner := k.winnerLocked()
 	if winner == nil {
 		return time.Time{}
 	}
-	if now.Before(first) {
-		return first
+	if now.Before(settlesAt) {
+		return settlesAt
 	}
-	k.acceptLocked(winner)
+	k.activateLocked(winner)
 	next, _ := k.winnerLocked()
 	return next
 }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -14,14 +14,14 @@
 	"github.com/pkg/errors"
 )
 
-// shelf is a Source of documents held in memory.
-type shelf map[string][]byte // shards by digest
+// memorySource is a Source of documents held in memory.
+type memorySource map[string][]byte // shards by digest
 
-func (s shelf) Head(context.Context, []byte) ([]byte, bool, error) {
+func (s memorySource) Head(context.Context, []byte) ([]byte, bool, error) {
 	return nil, false, errors.New("no head")
 }
 
-func (s shelf) Shard(_ context.Context, digest string) ([]byte, error) {
+func (s memorySource) Shard(_ context.Context, digest string) ([]byte, error) {
 	raw, ok := s[digest]
 	if !ok {
 		return nil, errors.New("no such shard")
@@ -30,7 +30,7 @@
 }
 
 // publish makes a head on base whose class is called name.
-func publish(s shelf, base catalog.Head, name string) catalog.Head {
+func publish(s memorySource, base catalog.Head, name string) catalog.Head {
 	raw := []byte(`{"classes": [{"name": "` + name + `", "deadline": "1s", "default": true}], "bases": [{"name": "b"}],
 		"adapters": [{"name": "roses", "base": "b", "versions": {"1": "p1"}}]}`)
 	s[catalog.Digest(raw)] = raw
@@ -43,7 +43,7 @@
 
 func newKeeper() *Keeper { return New(time.Second, logr.Discard()) }
 
-func offer(c *quicktest.C, k *Keeper, s shelf, h catalog.Head, inForce bool) Verdict {
+func offer(c *quicktest.C, k *Keeper, s memorySource, h catalog.Head, inForce bool) Verdict {
 	v, err := k.Offer(context.Background(), h.Raw(), inForce, s)
 	c.Assert(err, quicktest.IsNil)
 	return v
@@ -54,9 +54,9 @@
 
 func inForce(k *Keeper) string { return k.Catalog().Digest() }
 
-func TestAHeadComesIntoForceAfterSettling(t *testing.T) {
+func TestHeadComesIntoForceAfterSettling(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	h := publish(s, catalog.Head{}, "a")
 	c.Assert(offer(c, k, s, h, false), quicktest.Equals, Candidate)
 	c.Assert(k.Catalog(), quicktest.IsNil)
@@ -64,9 +64,9 @@
 	c.Assert(inForce(k), quicktest.Equals, h.Digest())
 }
 
-func TestAStalePlatformCannotLowerTheRevision(t *testing.T) {
+func TestStalePlatformCannotLowerRevision(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	first := publish(s, catalog.Head{}, "a")
 	second := publish(s, first, "b")
 	offer(c, k, s, second, true)
@@ -76,9 +76,9 @@
 	c.Assert(inForce(k), quicktest.Equals, second.Digest())
 }
 
-func TestOfTwoHeadsOnOneBaseTheSameWinsInEveryOrder(t *testing.T) {
+func TestWinnerOfTwoHeadsDoesNotDependOnOrder(t *testing.T) {
 	c := quicktest.New(t)
-	s := shelf{}
+	s := memorySource{}
 	base := publish(s, catalog.Head{}, "base")
 	one, two := publish(s, base, "one"), publish(s, base, "two")
 	winners := make(map[string]bool)
@@ -95,9 +95,9 @@
 	c.Assert(winners, quicktest.HasLen, 1)
 }
 
-func TestTheLoserOfARaceStaysRefused(t *testing.T) {
+func TestLosingHeadStaysRejected(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	base := publish(s, catalog.Head{}, "base")
 	one, two := publish(s, base, "one"), publish(s, base, "two")
 	offer(c, k, s, base, true)
@@ -109,9 +109,9 @@
 	c.Assert(inForce(k), quicktest.Equals, one.Digest())
 }
 
-func TestAWatcherThatMissedAValueTakesTheNext(t *testing.T) {
+func TestWatcherMayMissRevision(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	first := publish(s, catalog.Head{}, "a")
 	third := publish(s, publish(s, first, "b"), "c")
 	offer(c, k, s, first, true)
@@ -120,9 +120,9 @@
 	c.Assert(inForce(k), quicktest.Equals, third.Digest())
 }
 
-func TestBothSidesOfACutEndWithTheSameHead(t *testing.T) {
+func TestPartitionedSidesConverge(t *testing.T) {
 	c := quicktest.New(t)
-	s := shelf{}
+	s := memorySource{}
 	base := publish(s, catalog.Head{}, "base")
 	one, two := publish(s, base, "one"), publish(s, base, "two")
 	left, right := newKeeper(), newKeeper()
@@ -133,9 +133,9 @@
 	c.Assert(inForce(left), quicktest.Equals, inForce(right))
 }
 
-func TestAPublishedVersionNeverChanges(t *testing.T) {
+func TestChangedPublishedVersionIsInvalid(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	first := publish(s, catalog.Head{}, "a")
 	offer(c, k, s, first, true)
 	raw := []byte(strings.Replace(string(s[first.ShardDigest("all")]), "p1", "p9", 1))
@@ -147,11 +147,11 @@
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*a published version never changes.*`)
 }
 
-func TestAHeadWithoutItsShardsIsOfferedAgainLater(t *testing.T) {
+func TestHeadWithMissingShardsMayBeOfferedAgain(t *testing.T) {
 	c := quicktest.New(t)
-	k, s := newKeeper(), shelf{}
+	k, s := newKeeper(), memorySource{}
 	h := publish(s, catalog.Head{}, "a")
-	_, err := k.Offer(context.Background(), h.Raw(), false, shelf{})
+	_, err := k.Offer(context.Background(), h.Raw(), false, memorySource{})
 	c.Assert(err, quicktest.ErrorMatches, "keeper: shard all of revision 1: no such shard")
 	c.Assert(offer(c, k, s, h, false), quicktest.Equals, Candidate)
 }
--- a/keeper/judge.go
+++ b/keeper/verdict.go
@@ -26,90 +26,90 @@
 	return [...]string{"none", "known", "older", "candidate", "in force", "rival", "invalid"}[v]
 }
 
-// judge tells what a head would become now.
-func (k *Keeper) judge(h catalog.Head, peerInForce bool) Verdict {
+// evaluate tells what a head would become now.
+func (k *Keeper) evaluate(h catalog.Head, peerInForce bool) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.judgeLocked(h, peerInForce)
+	return k.evaluateLocked(h, peerInForce)
 }
 
-// judgeLocked needs no shards: the digests and the revisions of both heads decide.
-func (k *Keeper) judgeLocked(h catalog.Head, peerInForce bool) Verdict {
+// evaluateLocked needs no shards: the digests and the revisions of both heads decide.
+func (k *Keeper) evaluateLocked(h catalog.Head, peerInForce bool) Verdict {
 	if k.inForce == nil {
 		if peerInForce {
 			return InForce
 		}
-		return k.candidateLocked(h)
+		return k.evaluateSuccessorLocked(h)
 	}
-	mine := k.inForce.head
+	current := k.inForce.head
 	switch {
-	case mine.Digest() == h.Digest():
+	case current.Digest() == h.Digest():
 		return Known
-	case h.Follows(mine) && peerInForce:
+	case h.Follows(current) && peerInForce:
 		return InForce
-	case h.Follows(mine):
-		return k.candidateLocked(h)
-	case mine.Follows(h):
+	case h.Follows(current):
+		return k.evaluateSuccessorLocked(h)
+	case current.Follows(h):
 		return Older
-	case peerInForce && winsFork(h, mine):
+	case peerInForce && winsSplitBrain(h, current):
 		return InForce
-	case h.Revision() < mine.Revision():
+	case h.Revision() < current.Revision():
 		return Older
 	}
 	return Rival
 }
 
-// candidateLocked tells what a head is that may follow the one in force.
-func (k *Keeper) candidateLocked(h catalog.Head) Verdict {
+// evaluateSuccessorLocked tells what a head is that may follow the one in force.
+func (k *Keeper) evaluateSuccessorLocked(h catalog.Head) Verdict {
 	if k.candidates[h.Digest()] != nil {
 		return Known
 	}
-	if v, ok := k.refused[h.Digest()]; ok {
+	if v, ok := k.rejected[h.Digest()]; ok {
 		return v
 	}
 	return Candidate
 }
 
-// winsFork decides between two heads that came into force on two sides of a
+// winsSplitBrain decides between two heads that came into force on two sides of a
 // cut: the higher revision wins, then the lower digest, on both sides alike.
-func winsFork(h, mine catalog.Head) bool {
-	if h.Revision() != mine.Revision() {
-		return h.Revision() > mine.Revision()
+func winsSplitBrain(h, current catalog.Head) bool {
+	if h.Revision() != current.Revision() {
+		return h.Revision() > current.Revision()
 	}
-	return h.Digest() < mine.Digest()
+	return h.Digest() < current.Digest()
 }
 
-const maxRefused = 64 // verdicts remembered
+const maxRejected = 64 // verdicts remembered
 
-// refuse remembers a verdict, so that the head is not read again with every offer.
-func (k *Keeper) refuse(h catalog.Head, v Verdict) {
+// reject remembers a verdict, so that the head is not read again with every offer.
+func (k *Keeper) reject(h catalog.Head, v Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.refuseLocked(h, v)
+	k.rejectLocked(h, v)
 }
 
-func (k *Keeper) refuseLocked(h catalog.Head, v Verdict) {
-	if len(k.refused) >= maxRefused {
-		clear(k.refused)
+func (k *Keeper) rejectLocked(h catalog.Head, v Verdict) {
+	if len(k.rejected) >= maxRejected {
+		clear(k.rejected)
 	}
-	k.refused[h.Digest()] = v
+	k.rejected[h.Digest()] = v
 }
 
 // winnerLocked returns when the first candidate has settled and which one wins
 // then: among those made from the head in force the lowest digest. A candidate
 // that only follows another candidate waits for it.
 func (k *Keeper) winnerLocked() (time.Time, *document) {
-	var first time.Time
+	var settlesAt time.Time
 	var winner *document
 	for _, d := range k.candidates {
-		if first.IsZero() || d.until.Before(first) {
-			first = d.until
+		if settlesAt.IsZero() || d.settlesAt.Before(settlesAt) {
+			settlesAt = d.settlesAt
 		}
 		if winner == nil || precedes(d.head, winner.head) {
 			winner = d
 		}
 	}
-	return first, winner
+	return settlesAt, winner
 }
 
 // precedes orders candidates: a lower revision first, then the lower digest.
--- a/kvstore/kvstore.go
+++ b/kvstore/kvstore.go
@@ -26,11 +26,11 @@
 	BoxesKey    = "cairnwick/boxes"
 )
 
-// maxAnswer bounds what is read of one answer, in bytes.
-const maxAnswer = 2 << 20
+// maxResponseBytes bounds what is read of one answer, in bytes.
+const maxResponseBytes = 2 << 20
 
-// ErrMissing says that the platform answered and has no such key.
-var ErrMissing = errors.New("kvstore: no such key")
+// ErrNotFound says that the platform answered and has no such key.
+var ErrNotFound = errors.New("kvstore: no such key")
 
 // Value is one value with the index at which it was last changed.
 type Value struct {
@@ -64,42 +64,42 @@
 // Watch returns the value of key once it has changed since index, or
 // unchanged after wait.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Value, error) {
-	q := url.Values{}
-	q.Set("index", strconv.FormatUint(index, 10))
-	q.Set("wait", wait.String())
-	return c.get(ctx, key, q, wait+c.Timeout)
+	query := url.Values{}
+	query.Set("index", strconv.FormatUint(index, 10))
+	query.Set("wait", wait.String())
+	return c.get(ctx, key, query, wait+c.Timeout)
 }
 
-func (c *Client) get(ctx context.Context, key string, q url.Values, timeout time.Duration) (Value, error) {
+func (c *Client) get(ctx context.Context, key string, query url.Values, timeout time.Duration) (Value, error) {
 	c.calls.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	q.Set("raw", "true")
-	address := fmt.Sprintf("%s/v1/kv/%s?%s", c.Address, key, q.Encode())
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+	query.Set("raw", "true")
+	address := fmt.Sprintf("%s/v1/kv/%s?%s", c.Address, key, query.Encode())
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
 		return Value{}, errors.Wrap(err, "kvstore: make request")
 	}
-	a, err := c.HTTP.Do(r)
+	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		return Value{}, errors.Wrap(err, "kvstore: no answer")
 	}
-	defer a.Body.Close()
-	return readValue(a)
+	defer resp.Body.Close()
+	return readValue(resp)
 }
 
-func readValue(a *http.Response) (Value, error) {
-	if a.StatusCode == http.StatusNotFound {
-		return Value{}, ErrMissing
+func readValue(resp *http.Response) (Value, error) {
+	if resp.StatusCode == http.StatusNotFound {
+		return Value{}, ErrNotFound
 	}
-	if a.StatusCode != http.StatusOK {
-		return Value{}, errors.Errorf("kvstore: status %d", a.StatusCode)
+	if resp.StatusCode != http.StatusOK {
+		return Value{}, errors.Errorf("kvstore: status %d", resp.StatusCode)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return Value{}, errors.Wrap(err, "kvstore: read answer")
 	}
-	index, err := strconv.ParseUint(a.Header.Get("X-Consul-Index"), 10, 64)
+	index, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		return Value{}, errors.Wrap(err, "kvstore: index of answer")
 	}
--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -27,14 +27,14 @@
 	return &kvstore.Client{Address: s.URL, Timeout: time.Second, HTTP: http.DefaultClient}, put
 }
 
-func TestAMissingKeyIsSaidSo(t *testing.T) {
+func TestMissingKeyIsNotFound(t *testing.T) {
 	c := quicktest.New(t)
 	p, _ := newClient(c)
 	_, err := p.Read(context.Background(), "none")
-	c.Assert(err, quicktest.Equals, kvstore.ErrMissing)
+	c.Assert(err, quicktest.Equals, kvstore.ErrNotFound)
 }
 
-func TestAWatchReturnsAtTheChange(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	c := quicktest.New(t)
 	p, put := newClient(c)
 	put("k", "one")
@@ -49,7 +49,7 @@
 	c.Assert(string((<-seen).Body()), quicktest.Equals, "two")
 }
 
-func TestAWatchWithoutAChangeEnds(t *testing.T) {
+func TestWatchWithoutChangeTimesOut(t *testing.T) {
 	c := quicktest.New(t)
 	p, put := newClient(c)
 	put("k", "one")
@@ -61,7 +61,7 @@
 	c.Assert(p.Calls(), quicktest.Equals, int64(2))
 }
 
-func TestABrokenListOfBoxesIsAnError(t *testing.T) {
+func TestInvalidListOfBoxesIsError(t *testing.T) {
 	_, err := kvstore.ParseBoxes([]byte("{"))
 	quicktest.Assert(t, err, quicktest.ErrorMatches, "kvstore: list of boxes.*")
 }
