--- a/keeper/document.go
+++ b/keeper/document.go
@@ -10,25 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// Source gives documents: the platform or a peer.
+// Source is the platform or a peer, from which documents are read.
 type Source interface {
-	// Head returns a head document, and whether it is in force at the source.
-	// An empty prefix asks for the newest, another for the head whose digest
-	// begins with it.
+	// Head returns a head document, and whether it is in force at the source: the
+	// head whose digest begins with prefix, or the newest one if prefix is empty.
 	Head(ctx context.Context, prefix []byte) (raw []byte, inForce bool, err error)
-	// Shard returns the shard of a digest.
+	// Shard returns the shard with the given digest.
 	Shard(ctx context.Context, digest string) ([]byte, error)
 }
 
-// document is a head with all its shards, checked.
+// document is a validated head with all its shards.
 type document struct {
 	head      catalog.Head
 	shards    map[string][]byte // by name
 	catalog   *catalog.Catalog
-	settlesAt time.Time // of a candidate: when it may come into force
+	settlesAt time.Time // of a candidate: the end of its settling time
 }
 
-// fetchShards gathers the shards that a head names.
+// fetchShards returns the shards that a head names, by name. It reads those that are
+// not held yet from the source.
 func (k *Keeper) fetchShards(ctx context.Context, h catalog.Head, from Source) (map[string][]byte, error) {
 	shards := make(map[string][]byte)
 	for _, n := range h.Shards() {
@@ -39,14 +39,14 @@
 		}
 		raw, err := from.Shard(ctx, digest)
 		if err != nil {
-			return nil, errors.Wrapf(err, "keeper: shard %s of revision %d", n, h.Revision())
+			return nil, errors.Wrapf(err, "keeper: fetch shard %s of revision %d", n, h.Revision())
 		}
 		shards[n] = raw
 	}
 	return shards, nil
 }
 
-// Shard returns a shard's text by digest, when it is held.
+// Shard returns the shard with the given digest, if it is held.
 func (k *Keeper) Shard(digest string) ([]byte, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,7 +61,7 @@
 	return nil, false
 }
 
-// shard returns the text of a digest; d may be nil.
+// shard returns the shard with the given digest; d may be nil.
 func (d *document) shard(digest string) ([]byte, bool) {
 	if d == nil {
 		return nil, false
@@ -74,7 +74,7 @@
 	return nil, false
 }
 
-// checkVersions refuses a catalog that changes what a published version is.
+// checkVersions returns an error for a catalog that changes a published version.
 func (k *Keeper) checkVersions(next *catalog.Catalog) error {
 	old := k.Catalog()
 	if old == nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// changedVersions finds the versions of an adapter whose path or base is another now.
+// changedVersions returns a problem for each version of an adapter whose path or base changed.
 func changedVersions(before, now catalog.Adapter) []catalog.Problem {
 	var found []catalog.Problem
 	for _, v := range now.Versions() {
--- a/keeper/heartbeat.go
+++ b/keeper/heartbeat.go
@@ -10,19 +10,20 @@
 	"cairnwick.example/wire"
 )
 
-const digestPrefixBytes = 6 // of a digest, told in every heartbeat
+// digestPrefixBytes is how many bytes of a digest each heartbeat carries.
+const digestPrefixBytes = 6
 
 // digestPrefix returns the first bytes of a head's digest.
 func digestPrefix(h catalog.Head) []byte {
 	raw, err := hex.DecodeString(h.Digest()[:2*digestPrefixBytes])
 	if err != nil {
-		return nil // a digest is hexadecimal
+		return nil // impossible: a digest is hexadecimal
 	}
 	return raw
 }
 
-// Find returns the head whose digest begins with the given bytes, or the one in
-// force when there are none given.
+// Find returns the head whose digest begins with prefix, or the head in force if
+// prefix is empty.
 func (k *Keeper) Find(prefix []byte) (raw []byte, inForce, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -37,7 +38,7 @@
 	return nil, false, false
 }
 
-// Fill adds the heads held here to a heartbeat.
+// Fill adds the digest prefixes of the heads held here to a heartbeat.
 func (k *Keeper) Fill(h *wire.Heartbeat) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -49,8 +50,8 @@
 	}
 }
 
-// unknownHeads returns those heads told by a peer that are not held here. The flag
-// of each says whether the peer has it in force.
+// unknownHeads returns the digest prefixes in a peer's heartbeat that need to be fetched,
+// each with whether the peer has the head in force.
 func (k *Keeper) unknownHeads(h *wire.Heartbeat) map[string]bool {
 	unknown := make(map[string]bool)
 	if len(h.GetHead()) > 0 {
@@ -66,7 +67,7 @@
 	}
 	for _, d := range k.candidates {
 		prefix := string(digestPrefix(d.head))
-		if !unknown[prefix] { // one that came into force there is news
+		if !unknown[prefix] { // a candidate here that is in force at the peer is fetched
 			delete(unknown, prefix)
 		}
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package keeper holds the configuration in force on one daemon and decides
-// what may follow it.
+// Package keeper holds the configuration in force on one daemon and decides which
+// configuration may replace it.
 //
-// A head read from the platform is first a candidate: it is told to the peers,
-// and after the settling time the candidate of the lowest digest among those
-// made from the head in force wins. So two operators who publish on the same
-// base end with one in force everywhere, also where watchers missed one of the
-// two. A head that a peer has in force is taken over at once when it follows
-// the own one. What is in force is never given up for an older head.
+// A configuration is a head document, which names shards by digest, and the shards. A
+// head read from the platform is a candidate at first and is announced to the peers. After
+// the settling time the candidate with the lowest digest, among those based on the head in
+// force, comes into force. So if two operators publish on the same base, the same one of
+// the two comes into force everywhere, even where watchers missed the other. A head that a
+// peer has in force comes into force at once if it follows the own one. The head in force
+// is never replaced by an older one.
 package keeper
 
 import (
@@ -21,19 +22,20 @@
 	"github.com/go-logr/logr"
 )
 
-// Keeper is safe for concurrent use. Set the exported fields before use.
+// Keeper holds the configuration in force and the candidates to replace it. It is safe
+// for concurrent use. Set the exported fields before use.
 type Keeper struct {
-	Settle time.Duration
+	Settle time.Duration // settling time of a candidate
 	Log    logr.Logger
 
 	mu         sync.Mutex
-	inForce    *document            // nil until the first is accepted
+	inForce    *document            // nil until there is one
 	candidates map[string]*document // by digest; each follows inForce
-	rejected   map[string]Verdict   // heads that were Rival or Invalid, by digest; bounded
+	rejected   map[string]Verdict   // Rival and Invalid heads, by digest; at most maxRejected
 	changed    chan struct{}        // closed when another head comes into force
 }
 
-// New returns a keeper that holds nothing.
+// New returns a keeper without a configuration.
 func New(settle time.Duration, log logr.Logger) *Keeper {
 	return &Keeper{
 		Settle:     settle,
@@ -44,7 +46,7 @@
 	}
 }
 
-// Catalog returns the configuration in force, or nil when there is none yet.
+// Catalog returns the configuration in force, or nil if there is none yet.
 func (k *Keeper) Catalog() *catalog.Catalog {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,9 +63,10 @@
 	return k.changed
 }
 
-// Offer takes in a head document read from a source. Its shards are fetched
-// there unless they are held already. An error says why a head is Invalid, or
-// that its shards could not be fetched; the verdict is then zero.
+// Offer evaluates a head document read from a source, and makes it a candidate or puts
+// it in force if it qualifies. Shards that are not held yet are fetched from the source.
+// An error says why a head is Invalid, or that its shards could not be fetched; the
+// verdict is zero in the latter case.
 func (k *Keeper) Offer(ctx context.Context, raw []byte, peerInForce bool, from Source) (Verdict, error) {
 	h, err := catalog.ParseHead(raw)
 	if err != nil {
@@ -87,7 +90,8 @@
 	return k.admit(&document{head: h, shards: shards, catalog: c}, peerInForce), nil
 }
 
-// admit makes a checked document a candidate or puts it in force.
+// admit makes a validated document a candidate or puts it in force, as its head's
+// verdict says.
 func (k *Keeper) admit(d *document, peerInForce bool) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -102,7 +106,7 @@
 	return v
 }
 
-// activateLocked puts a document in force and drops the candidates that cannot follow it.
+// activateLocked puts a document in force and rejects the candidates that are not based on it.
 func (k *Keeper) activateLocked(d *document) {
 	k.inForce = d
 	for digest, c := range k.candidates {
@@ -113,22 +117,23 @@
 	}
 	close(k.changed)
 	k.changed = make(chan struct{})
-	debug.FreeOSMemory() // reading it left much behind, and it happens seldom
+	debug.FreeOSMemory() // parsing a configuration leaves much garbage, and activations are rare
 	k.Log.Info("Configuration is in force", "revision", d.head.Revision(), "digest", d.head.Digest())
 }
 
-// rejectLoserLocked refuses a candidate that another was preferred to.
+// rejectLoserLocked rejects a candidate over which another one was preferred.
 func (k *Keeper) rejectLoserLocked(lost, won catalog.Head) {
 	if lost.Digest() == won.Digest() {
 		return
 	}
 	k.rejectLocked(lost, Rival)
-	k.Log.Info("Published head lost to another on the same base; publish it again on the winner",
+	k.Log.Info("Published head lost to another one on the same base; publish it again on the winner",
 		"revision", lost.Revision(), "lost", lost.Digest(), "won", won.Digest())
 }
 
-// Tick puts the winning candidate in force once the first has settled, and
-// returns when to call again; the zero time says that nothing waits.
+// Tick puts the winning candidate in force once the first candidate's settling time
+// has ended, and returns when to call it again, or the zero time if there are no
+// candidates.
 func (k *Keeper) Tick(now time.Time) time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// memorySource is a Source of documents held in memory.
+// memorySource is an in-memory Source.
 type memorySource map[string][]byte // shards by digest
 
 func (s memorySource) Head(context.Context, []byte) ([]byte, bool, error) {
@@ -29,7 +29,7 @@
 	return raw, nil
 }
 
-// publish makes a head on base whose class is called name.
+// publish makes a head based on base, whose only class is called name.
 func publish(s memorySource, base catalog.Head, name string) catalog.Head {
 	raw := []byte(`{"classes": [{"name": "` + name + `", "deadline": "1s", "default": true}], "bases": [{"name": "b"}],
 		"adapters": [{"name": "roses", "base": "b", "versions": {"1": "p1"}}]}`)
@@ -49,7 +49,7 @@
 	return v
 }
 
-// settle lets every candidate come into force that can.
+// settle ends the settling time of the candidates.
 func settle(k *Keeper) { k.Tick(time.Now().Add(time.Minute)) }
 
 func inForce(k *Keeper) string { return k.Catalog().Digest() }
@@ -82,7 +82,7 @@
 	base := publish(s, catalog.Head{}, "base")
 	one, two := publish(s, base, "one"), publish(s, base, "two")
 	winners := make(map[string]bool)
-	for range 20 { // the order of a map is another each time
+	for range 20 { // the iteration order of the candidates, a map, is random
 		for _, order := range [][]catalog.Head{{one, two}, {two, one}} {
 			k := newKeeper()
 			offer(c, k, s, base, true)
@@ -152,6 +152,6 @@
 	k, s := newKeeper(), memorySource{}
 	h := publish(s, catalog.Head{}, "a")
 	_, err := k.Offer(context.Background(), h.Raw(), false, memorySource{})
-	c.Assert(err, quicktest.ErrorMatches, "keeper: shard all of revision 1: no such shard")
+	c.Assert(err, quicktest.ErrorMatches, "keeper: fetch shard all of revision 1: no such shard")
 	c.Assert(offer(c, k, s, h, false), quicktest.Equals, Candidate)
 }
--- a/keeper/syncer.go
+++ b/keeper/syncer.go
@@ -13,48 +13,48 @@
 	"github.com/pkg/errors"
 )
 
-// PeerSource makes the source for the peer at an address.
+// PeerSource returns the source for the peer at an address.
 type PeerSource func(address string) Source
 
-// Syncer keeps a Keeper current: from peers by their heartbeats, and from
-// the platform where this daemon is one of the watchers. Set every field before
-// Run.
+// Syncer keeps a Keeper up to date. It fetches heads that peers announce in their
+// heartbeats, and watches the platform if this daemon is one of the watchers. Set every
+// exported field before Run.
 type Syncer struct {
 	Keeper           *Keeper
 	Platform         *kvstore.Client
 	Peers            PeerSource
-	TriggerHeartbeat func()      // sends heartbeats now, since there is news
-	IsWatcher        func() bool // whether this daemon watches the platform now
+	TriggerHeartbeat func()      // sends heartbeats at once, to announce a head
+	IsWatcher        func() bool // whether this daemon should watch the platform
 	Log              logr.Logger
-	WatchTimeout     time.Duration // of one watch
-	RetryInterval    time.Duration // before a failed read is tried again
+	WatchTimeout     time.Duration // longest wait of one watch for a change
+	RetryInterval    time.Duration // between a failed read and the next
 
 	announcements chan announcement
 }
 
-// announcement says that a peer holds a head that may be news.
+// announcement is the digest prefix of a head that a peer announced and that may be new.
 type announcement struct {
-	address string
+	address string // of the peer
 	prefix  []byte
 }
 
-// Init makes the relay ready for heartbeats; call it before Run.
+// Init prepares the syncer for heartbeats; call it before Run.
 func (s *Syncer) Init() { s.announcements = make(chan announcement, 64) }
 
 // Fill implements member.Extras.
 func (s *Syncer) Fill(h *wire.Heartbeat) { s.Keeper.Fill(h) }
 
-// Heard implements member.Extras: what is not held is fetched by Run.
+// Heard implements member.Extras. It queues unknown heads for Run to fetch.
 func (s *Syncer) Heard(h *wire.Heartbeat, address string) {
 	for prefix := range s.Keeper.unknownHeads(h) {
 		select {
 		case s.announcements <- announcement{address: address, prefix: []byte(prefix)}:
-		default: // the next heartbeat has it again
+		default: // the queue is full; the next heartbeat announces the head again
 		}
 	}
 }
 
-// Run follows peers and platform until ctx ends.
+// Run fetches announced heads and watches the platform until ctx ends.
 func (s *Syncer) Run(ctx context.Context) error {
 	watchDone := make(chan error, 1)
 	go func() { watchDone <- s.watchPlatform(ctx) }()
@@ -66,7 +66,7 @@
 			timer.Reset(time.Until(next))
 		}
 		select {
-		case <-changed: // a candidate has settled
+		case <-changed: // Tick put a candidate in force
 			s.TriggerHeartbeat()
 		default:
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-// fetchHead fetches a head that a peer holds.
+// fetchHead fetches a head that a peer announced, unless it is in force here.
 func (s *Syncer) fetchHead(ctx context.Context, a announcement) {
 	if _, inForce, held := s.Keeper.Find(a.prefix); held && inForce {
 		return
@@ -89,33 +89,33 @@
 	source := s.Peers(a.address)
 	raw, inForce, err := source.Head(ctx, a.prefix)
 	if err != nil {
-		s.Log.V(1).Info("Peer gave no head", "address", a.address, "err", err.Error())
+		s.Log.V(1).Info("Failed to fetch head from peer", "address", a.address, "err", err.Error())
 		return
 	}
 	s.offer(ctx, raw, inForce, source, "peer "+a.address)
 }
 
-// FetchFrom takes over what the peer at the address has in force.
+// FetchFrom fetches the configuration that is in force at the peer with the address.
 func (s *Syncer) FetchFrom(ctx context.Context, address string) error {
 	source := s.Peers(address)
 	raw, inForce, err := source.Head(ctx, nil)
 	if err != nil {
-		return errors.Wrap(err, "keeper: ask peer")
+		return errors.Wrap(err, "keeper: fetch head from peer")
 	}
 	s.offer(ctx, raw, inForce, source, "peer "+address)
 	return nil
 }
 
-// offer hands a head to the keeper and reports whether it was judged; one whose
-// shards could not be fetched has to be offered again.
+// offer offers a head to the keeper and reports whether there was a verdict. If not,
+// because its shards could not be fetched, the head has to be offered again.
 func (s *Syncer) offer(ctx context.Context, raw []byte, inForce bool, from Source, name string) bool {
 	v, err := s.Keeper.Offer(ctx, raw, inForce, from)
 	if err != nil {
-		s.Log.Error(err, "Configuration is not taken", "from", name, "verdict", v.String())
+		s.Log.Error(err, "Configuration was not accepted", "from", name, "verdict", v.String())
 		return v != 0
 	}
 	if v == Rival {
-		s.Log.Info("Published head is refused, another was published on the same base; publish it again on the winner",
+		s.Log.Info("Published head was rejected because another one was published on the same base; publish it again on the winner",
 			"from", name, "lost", catalog.Digest(raw), "won", s.Keeper.Catalog().Digest())
 		return true
 	}
@@ -126,7 +126,7 @@
 	return true
 }
 
-// watchPlatform follows the platform's head while this daemon is a watcher.
+// watchPlatform offers each new head of the platform while this daemon is a watcher.
 func (s *Syncer) watchPlatform(ctx context.Context) error {
 	source := platformSource{client: s.Platform}
 	var index uint64
@@ -138,8 +138,8 @@
 		}
 		v, err := s.Platform.Watch(ctx, kvstore.HeadKey, index, s.WatchTimeout)
 		if err != nil {
-			s.Log.V(1).Info("Platform gave no head", "err", err.Error())
-			index = 0 // it may come back from an older copy, which gives the index out again
+			s.Log.V(1).Info("Failed to read head from platform", "err", err.Error())
+			index = 0 // the platform may be restored from an older copy, which reuses indexes
 			sleep(ctx, s.RetryInterval)
 			continue
 		}
@@ -162,7 +162,7 @@
 // platformSource reads documents from the platform.
 type platformSource struct{ client *kvstore.Client }
 
-// Head implements Source; the platform has no candidates.
+// Head implements Source. The platform has only one head, which counts as a candidate.
 func (s platformSource) Head(ctx context.Context, _ []byte) ([]byte, bool, error) {
 	v, err := s.client.Read(ctx, kvstore.HeadKey)
 	return v.Body(), false, err
--- a/keeper/verdict.go
+++ b/keeper/verdict.go
@@ -8,32 +8,33 @@
 	"cairnwick.example/catalog"
 )
 
-// Verdict says what became of an offered head.
+// Verdict is the result of offering a head.
 type Verdict int
 
 // The verdicts.
 const (
-	Known     Verdict = iota + 1 // in force already, or a candidate already
-	Older                        // the head in force follows it
-	Candidate                    // waits for the settling time
-	InForce                      // accepted
-	Rival                        // made from another head than the one in force
-	Invalid                      // it does not hold
+	Known     Verdict = iota + 1 // already in force or a candidate
+	Older                        // precedes the head in force
+	Candidate                    // waits for the end of its settling time
+	InForce                      // put in force
+	Rival                        // not based on the head in force
+	Invalid                      // failed validation
 )
 
-// String names the verdict.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	return [...]string{"none", "known", "older", "candidate", "in force", "rival", "invalid"}[v]
 }
 
-// evaluate tells what a head would become now.
+// evaluate returns the verdict on a head, provided that it is valid.
 func (k *Keeper) evaluate(h catalog.Head, peerInForce bool) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.evaluateLocked(h, peerInForce)
 }
 
-// evaluateLocked needs no shards: the digests and the revisions of both heads decide.
+// evaluateLocked compares the digests and revisions of the offered head and the head in
+// force, so it needs no shards.
 func (k *Keeper) evaluateLocked(h catalog.Head, peerInForce bool) Verdict {
 	if k.inForce == nil {
 		if peerInForce {
@@ -59,7 +60,7 @@
 	return Rival
 }
 
-// evaluateSuccessorLocked tells what a head is that may follow the one in force.
+// evaluateSuccessorLocked returns the verdict on a head that may replace the one in force.
 func (k *Keeper) evaluateSuccessorLocked(h catalog.Head) Verdict {
 	if k.candidates[h.Digest()] != nil {
 		return Known
@@ -70,8 +71,9 @@
 	return Candidate
 }
 
-// winsSplitBrain decides between two heads that came into force on two sides of a
-// cut: the higher revision wins, then the lower digest, on both sides alike.
+// winsSplitBrain decides between two heads that came into force on the two sides of a
+// network partition. The higher revision wins, then the lower digest, so that both sides
+// choose the same head.
 func winsSplitBrain(h, current catalog.Head) bool {
 	if h.Revision() != current.Revision() {
 		return h.Revision() > current.Revision()
@@ -79,9 +81,11 @@
 	return h.Digest() < current.Digest()
 }
 
-const maxRejected = 64 // verdicts remembered
+// maxRejected limits the remembered verdicts.
+const maxRejected = 64
 
-// reject remembers a verdict, so that the head is not read again with every offer.
+// reject remembers the verdict on a head, so that its shards are not fetched and
+// validated again on every offer.
 func (k *Keeper) reject(h catalog.Head, v Verdict) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,9 +99,9 @@
 	k.rejected[h.Digest()] = v
 }
 
-// winnerLocked returns when the first candidate has settled and which one wins
-// then: among those made from the head in force the lowest digest. A candidate
-// that only follows another candidate waits for it.
+// winnerLocked returns when the first candidate's settling time ends, and the candidate
+// that comes into force then: the one with the lowest digest among those based on the head
+// in force. A candidate based on another candidate waits until that one is in force.
 func (k *Keeper) winnerLocked() (time.Time, *document) {
 	var settlesAt time.Time
 	var winner *document
@@ -112,7 +116,7 @@
 	return settlesAt, winner
 }
 
-// precedes orders candidates: a lower revision first, then the lower digest.
+// precedes orders candidates by revision, then by digest.
 func precedes(a, b catalog.Head) bool {
 	if a.Revision() != b.Revision() {
 		return a.Revision() < b.Revision()
--- a/kvstore/kvstore.go
+++ b/kvstore/kvstore.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package kvstore reads the platform's services: published configuration and
-// the list of boxes, from a key-value service in Consul's HTTP style with
-// blocking reads. Nothing here writes.
+// Package kvstore is a read-only client for the platform's key-value service, which
+// holds the published configuration and the list of boxes. The service has Consul's
+// HTTP API with blocking queries.
 package kvstore
 
 import (
@@ -19,50 +19,50 @@
 	"github.com/pkg/errors"
 )
 
-// The keys that the users publish.
+// The keys that the daemons read.
 const (
 	HeadKey     = "cairnwick/head"
-	ShardPrefix = "cairnwick/shard/" // and the shard's digest
+	ShardPrefix = "cairnwick/shard/" // followed by the shard's digest
 	BoxesKey    = "cairnwick/boxes"
 )
 
-// maxResponseBytes bounds what is read of one answer, in bytes.
+// maxResponseBytes limits how much of a response is read.
 const maxResponseBytes = 2 << 20
 
-// ErrNotFound says that the platform answered and has no such key.
+// ErrNotFound means that the platform has no such key.
 var ErrNotFound = errors.New("kvstore: no such key")
 
-// Value is one value with the index at which it was last changed.
+// Value is a value with the index of its last change.
 type Value struct {
 	body  []byte
 	index uint64
 }
 
-// Body returns the text; do not change it.
+// Body returns the content, which must not be modified.
 func (v Value) Body() []byte { return v.body }
 
-// Index returns where a watch for the next change begins.
+// Index returns the index from which Watch waits for the next change.
 func (v Value) Index() uint64 { return v.index }
 
-// Client reads keys. Set Address before use; it is safe for concurrent use.
+// Client reads keys. Set the exported fields before use; it is safe for concurrent use.
 type Client struct {
 	Address string        // URL of the service
-	Timeout time.Duration // of a read that does not wait
+	Timeout time.Duration // of a Read; Watch adds it to its wait
 	HTTP    *http.Client
 
-	calls atomic.Int64 // reads begun
+	calls atomic.Int64 // reads and watches started
 }
 
-// Calls returns how many reads were begun, a watch counting as one.
+// Calls returns the number of reads and watches started.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Read returns the value of key now.
+// Read returns the current value of key.
 func (c *Client) Read(ctx context.Context, key string) (Value, error) {
 	return c.get(ctx, key, url.Values{}, c.Timeout)
 }
 
-// Watch returns the value of key once it has changed since index, or
-// unchanged after wait.
+// Watch waits until the value of key has changed since index and returns it. After
+// wait without a change it returns the unchanged value.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Value, error) {
 	query := url.Values{}
 	query.Set("index", strconv.FormatUint(index, 10))
@@ -78,11 +78,11 @@
 	address := fmt.Sprintf("%s/v1/kv/%s?%s", c.Address, key, query.Encode())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return Value{}, errors.Wrap(err, "kvstore: make request")
+		return Value{}, errors.Wrap(err, "kvstore: build request")
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return Value{}, errors.Wrap(err, "kvstore: no answer")
+		return Value{}, errors.Wrap(err, "kvstore: send request")
 	}
 	defer resp.Body.Close()
 	return readValue(resp)
@@ -93,33 +93,33 @@
 		return Value{}, ErrNotFound
 	}
 	if resp.StatusCode != http.StatusOK {
-		return Value{}, errors.Errorf("kvstore: status %d", resp.StatusCode)
+		return Value{}, errors.Errorf("kvstore: unexpected status %d", resp.StatusCode)
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return Value{}, errors.Wrap(err, "kvstore: read answer")
+		return Value{}, errors.Wrap(err, "kvstore: read response")
 	}
 	index, err := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
-		return Value{}, errors.Wrap(err, "kvstore: index of answer")
+		return Value{}, errors.Wrap(err, "kvstore: parse X-Consul-Index of response")
 	}
 	return Value{body: body, index: index}, nil
 }
 
-// Daemon is one daemon in the platform's list of boxes, which lags.
+// Daemon is an entry of the platform's list of boxes, which may be out of date.
 type Daemon struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
 	Role       string `json:"role"`
-	Address    string `json:"address"` // of its peers' port
+	Address    string `json:"address"` // for other daemons
 	Leaving    bool   `json:"leaving,omitempty"`
 }
 
-// ParseBoxes reads the list of boxes.
+// ParseBoxes parses the list of boxes.
 func ParseBoxes(raw []byte) ([]Daemon, error) {
 	var list []Daemon
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return nil, errors.Wrap(err, "kvstore: list of boxes")
+		return nil, errors.Wrap(err, "kvstore: parse list of boxes")
 	}
 	return list, nil
 }
--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -63,5 +63,5 @@
 
 func TestInvalidListOfBoxesIsError(t *testing.T) {
 	_, err := kvstore.ParseBoxes([]byte("{"))
-	quicktest.Assert(t, err, quicktest.ErrorMatches, "kvstore: list of boxes.*")
+	quicktest.Assert(t, err, quicktest.ErrorMatches, "kvstore: parse list of boxes.*")
 }
