--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -65,7 +65,7 @@
 		log.Error(err, "Box failed")
 		return daemon.ExitFailed
 	}
-	return daemon.ExitDone
+	return daemon.ExitOK
 }
 
 // write writes the log until the function that it returns is called, which writes
--- a/daemon/boxes.go
+++ b/daemon/boxes.go
@@ -11,44 +11,44 @@
 	"cairnwick.example/member"
 )
 
-// Boxes keeps the platform's list of boxes, which lags. It serves to find the
+// BoxList keeps the platform's list of boxes, which lags. It serves to find the
 // first peer, and the daemons of other data centres. Nobody who asks waits for the
 // platform. Set the fields before Run.
-type Boxes struct {
-	Client *kvstore.Client
-	Life   func() time.Duration // how long a list is used before it is read again
+type BoxList struct {
+	Client          *kvstore.Client
+	RefreshInterval func() time.Duration // how long a list is used before it is read again
 
 	mu   sync.Mutex
 	list []kvstore.Daemon // as last read; empty before
 }
 
 const (
-	firstRead = 500 * time.Millisecond // longest wait for the list at the start
-	readAgain = time.Second            // after a read that failed
+	initialReadTimeout = 500 * time.Millisecond // longest wait for the list at the start
+	readRetryInterval  = time.Second            // after a read that failed
 )
 
 // Run reads the list again and again until ctx ends.
-func (b *Boxes) Run(ctx context.Context) error {
+func (b *BoxList) Run(ctx context.Context) error {
 	for {
-		pause := b.Life()
+		delay := b.RefreshInterval()
 		if !b.Refresh(ctx) {
-			pause = readAgain
+			delay = readRetryInterval
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
 // Refresh reads the list once and tells whether the platform gave one.
-func (b *Boxes) Refresh(ctx context.Context) bool {
-	v, err := b.Client.Read(ctx, kvstore.BoxesKey)
+func (b *BoxList) Refresh(ctx context.Context) bool {
+	value, err := b.Client.Read(ctx, kvstore.BoxesKey)
 	if err != nil {
 		return false
 	}
-	list, err := kvstore.ParseBoxes(v.Body())
+	list, err := kvstore.ParseBoxes(value.Body())
 	if err != nil {
 		return false
 	}
@@ -59,26 +59,26 @@
 }
 
 // List returns the list as last read; do not change it.
-func (b *Boxes) List() []kvstore.Daemon {
+func (b *BoxList) List() []kvstore.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.list
 }
 
 // Schedulers implements gateway.Remote.
-func (b *Boxes) Schedulers(dataCentre string) []member.Member {
+func (b *BoxList) Schedulers(dataCentre string) []member.Member {
 	var list []member.Member
-	for _, x := range b.List() {
-		if x.DataCentre == dataCentre && x.Role == member.Scheduler && !x.Leaving {
-			list = append(list, member.New(x.Name, x.Address, x.Role, x.DataCentre, 0))
+	for _, entry := range b.List() {
+		if entry.DataCentre == dataCentre && entry.Role == member.Scheduler && !entry.Leaving {
+			list = append(list, member.New(entry.Name, entry.Address, entry.Role, entry.DataCentre, 0))
 		}
 	}
 	return list
 }
 
-// Listed returns the names of the schedulers that the platform lists as staying
+// SchedulerNames returns the names of the schedulers that the platform lists as staying
 // in a data centre.
-func (b *Boxes) Listed(dataCentre string) []string {
+func (b *BoxList) SchedulerNames(dataCentre string) []string {
 	var names []string
 	for _, m := range b.Schedulers(dataCentre) {
 		names = append(names, m.Name())
--- a/daemon/command.go
+++ b/daemon/command.go
@@ -21,18 +21,18 @@
 
 // The exit codes of the daemons.
 const (
-	ExitDone     = 0
+	ExitOK       = 0
 	ExitFailed   = 1
 	ExitSettings = 2 // the command line or the settings do not hold
 )
 
 // Command is the command line that every daemon has.
 type Command struct {
-	Settings string   `arg:"--settings" help:"file with the settings, JSON with comments" placeholder:"FILE"`
-	Set      []string `arg:"--set,separate" help:"one setting that wins over the file" placeholder:"NAME=VALUE"`
-	Check    bool     `arg:"--check" help:"check the settings and end"`
-	Print    bool     `arg:"--print" help:"print the effective settings and end"`
-	Table    bool     `arg:"--reference" help:"print every setting with its default in Markdown and end"`
+	Settings  string   `arg:"--settings" help:"file with the settings, JSON with comments" placeholder:"FILE"`
+	Set       []string `arg:"--set,separate" help:"one setting that wins over the file" placeholder:"NAME=VALUE"`
+	Check     bool     `arg:"--check" help:"check the settings and end"`
+	Print     bool     `arg:"--print" help:"print the effective settings and end"`
+	Reference bool     `arg:"--reference" help:"print every setting with its default in Markdown and end"`
 
 	name  string
 	about string
@@ -50,24 +50,24 @@
 	c := &Command{name: name, about: about}
 	p, err := arg.NewParser(arg.Config{Program: name}, c)
 	if err != nil {
-		return complain(err, ExitFailed)
+		return printError(err, ExitFailed)
 	}
 	switch err := p.Parse(args); {
 	case err == arg.ErrHelp:
 		p.WriteHelp(os.Stdout)
-		return ExitDone
+		return ExitOK
 	case err == arg.ErrVersion:
 		fmt.Println(c.Version())
-		return ExitDone
+		return ExitOK
 	case err != nil:
 		p.WriteUsage(os.Stderr)
-		return complain(err, ExitSettings)
-	case c.Table:
+		return printError(err, ExitSettings)
+	case c.Reference:
 		settings.Reference(os.Stdout, t)
-		return ExitDone
+		return ExitOK
 	case c.Settings == "":
 		p.WriteUsage(os.Stderr)
-		return complain(errNoSettings, ExitSettings)
+		return printError(errNoSettings, ExitSettings)
 	}
 	return c.start(t, run)
 }
@@ -76,39 +76,39 @@
 func (c *Command) start(t settings.Table, run func(context.Context, settings.Values) error) int {
 	overrides, err := c.overrides()
 	if err != nil {
-		return complain(err, ExitSettings)
+		return printError(err, ExitSettings)
 	}
 	v, err := settings.ReadFile(c.Settings, t, overrides)
 	if err != nil {
-		return complain(err, ExitSettings)
+		return printError(err, ExitSettings)
 	}
 	if c.Check || c.Print {
-		return c.show(os.Stdout, t, v)
+		return c.printSettings(os.Stdout, t, v)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := run(ctx, v); err != nil {
-		return complain(err, ExitFailed)
+		return printError(err, ExitFailed)
 	}
-	return ExitDone
+	return ExitOK
 }
 
 var errNoSettings = errors.New("--settings: name the file with the settings")
 
-func complain(err error, code int) int {
+func printError(err error, code int) int {
 	fmt.Fprintln(os.Stderr, err)
 	return code
 }
 
-func (c *Command) show(w io.Writer, t settings.Table, v settings.Values) int {
+func (c *Command) printSettings(w io.Writer, t settings.Table, v settings.Values) int {
 	if !c.Print {
 		fmt.Fprintln(w, "settings hold")
-		return ExitDone
+		return ExitOK
 	}
 	if err := settings.Print(w, t, v); err != nil {
-		return complain(err, ExitFailed)
+		return printError(err, ExitFailed)
 	}
-	return ExitDone
+	return ExitOK
 }
 
 // overrides reads the --set flags.
--- a/daemon/dialer.go
+++ b/daemon/dialer.go
@@ -23,21 +23,21 @@
 type Dialer struct {
 	Credentials credentials.TransportCredentials
 	Dial        engine.DialFunc // opens the connections
-	// SilentFor is how long calls may wait without a byte from the other side until their
+	// SilenceTimeout is how long calls may wait without a byte from the other side until their
 	// connection is replaced; zero: for ever.
-	SilentFor time.Duration
-	Messages  *Messages // counts what passes; nil: nothing is counted
+	SilenceTimeout time.Duration
+	Messages       *MessageCounter // counts what passes; nil: nothing is counted
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn // by address
 }
 
 const (
-	connBuffer   = 4 << 10 // bytes; the messages are small
-	window       = 1 << 20 // bytes in flight; fixed, so that gRPC sends no pings to estimate it
-	firstBackoff = 50 * time.Millisecond
-	mostBackoff  = 500 * time.Millisecond
-	dialTimeout  = 500 * time.Millisecond // a peer some ms away that takes longer is dark; the next try may meet it
+	connBuffer        = 4 << 10 // bytes; the messages are small
+	flowControlWindow = 1 << 20 // bytes in flight; fixed, so that gRPC sends no pings to estimate it
+	initialBackoff    = 50 * time.Millisecond
+	maxBackoff        = 500 * time.Millisecond
+	dialTimeout       = 500 * time.Millisecond // a peer some ms away that takes longer is dark; the next try may meet it
 )
 
 // Conn returns the connection to an address, made when it is first used.
@@ -47,23 +47,23 @@
 	if c := d.conns[address]; c != nil {
 		return c
 	}
-	w := &silence{dial: d.Dial, most: d.SilentFor}
+	monitor := &silenceMonitor{dial: d.Dial, timeout: d.SilenceTimeout}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(d.Credentials),
-		grpc.WithContextDialer(w.connect),
-		grpc.WithUnaryInterceptor(w.unary),
-		grpc.WithStreamInterceptor(w.stream),
-		grpc.WithStaticStreamWindowSize(window),
-		grpc.WithStaticConnWindowSize(window),
+		grpc.WithContextDialer(monitor.dialContext),
+		grpc.WithUnaryInterceptor(monitor.unary),
+		grpc.WithStreamInterceptor(monitor.stream),
+		grpc.WithStaticStreamWindowSize(flowControlWindow),
+		grpc.WithStaticConnWindowSize(flowControlWindow),
 		grpc.WithReadBufferSize(connBuffer),
 		grpc.WithWriteBufferSize(connBuffer),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: mostBackoff},
+			Backoff:           backoff.Config{BaseDelay: initialBackoff, Multiplier: 1.6, Jitter: 0.2, MaxDelay: maxBackoff},
 			MinConnectTimeout: dialTimeout,
 		}),
 	}
 	if d.Messages != nil {
-		options = append(options, grpc.WithStatsHandler(d.Messages.forPeer(address)))
+		options = append(options, grpc.WithStatsHandler(d.Messages.newConnStats(address)))
 	}
 	c, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
@@ -76,20 +76,20 @@
 	return c
 }
 
-// Keep closes the connections to addresses that are not in use any more.
-func (d *Dialer) Keep(used map[string]bool) {
+// CloseUnused closes the connections to addresses that are not in use any more.
+func (d *Dialer) CloseUnused(used map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for a, c := range d.conns {
-		if !used[a] {
+	for address, c := range d.conns {
+		if !used[address] {
 			_ = c.Close() // nothing is lost with it
-			delete(d.conns, a)
+			delete(d.conns, address)
 		}
 	}
 }
 
 // Close closes every connection.
-func (d *Dialer) Close() { d.Keep(nil) }
+func (d *Dialer) Close() { d.CloseUnused(nil) }
 
 // Scheduler implements gateway.Schedulers.
 func (d *Dialer) Scheduler(address string) wire.SchedulerClient {
@@ -98,7 +98,7 @@
 
 // Peer returns the client for heartbeats.
 func (d *Dialer) Peer(address string) member.Peer {
-	return peer{client: wire.NewPeerClient(d.Conn(address))}
+	return peerClient{client: wire.NewPeerClient(d.Conn(address))}
 }
 
 // TellEnded implements gateway.Peers.
@@ -109,31 +109,31 @@
 
 // Source returns the client for configuration.
 func (d *Dialer) Source(address string) keeper.Source {
-	return peer{client: wire.NewPeerClient(d.Conn(address))}
+	return peerClient{client: wire.NewPeerClient(d.Conn(address))}
 }
 
-// peer is one other daemon, for heartbeats and for configuration.
-type peer struct{ client wire.PeerClient }
+// peerClient is one other daemon, for heartbeats and for configuration.
+type peerClient struct{ client wire.PeerClient }
 
 // Exchange implements member.Peer.
-func (p peer) Exchange(ctx context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
+func (p peerClient) Exchange(ctx context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
 	return p.client.Exchange(ctx, h)
 }
 
 // Head implements keeper.Source.
-func (p peer) Head(ctx context.Context, prefix []byte) ([]byte, bool, error) {
+func (p peerClient) Head(ctx context.Context, prefix []byte) ([]byte, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	d, err := p.client.FetchHead(ctx, &wire.FetchHeadRequest{Head: prefix}, compressed)
-	return d.GetBody(), d.GetInForce(), err
+	doc, err := p.client.FetchHead(ctx, &wire.FetchHeadRequest{Head: prefix}, compressed)
+	return doc.GetBody(), doc.GetInForce(), err
 }
 
 // Shard implements keeper.Source.
-func (p peer) Shard(ctx context.Context, digest string) ([]byte, error) {
+func (p peerClient) Shard(ctx context.Context, digest string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	d, err := p.client.FetchShard(ctx, &wire.FetchShardRequest{Digest: digest}, compressed)
-	return d.GetBody(), err
+	doc, err := p.client.FetchShard(ctx, &wire.FetchShardRequest{Digest: digest}, compressed)
+	return doc.GetBody(), err
 }
 
 const fetchTimeout = 3 * time.Second
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -15,28 +15,28 @@
 	"github.com/pkg/errors"
 )
 
-// operatorsTask serves health and metrics by HTTP.
-func (n *Node) operatorsTask(l net.Listener) Task {
-	m := http.NewServeMux()
-	m.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	m.HandleFunc("GET /readyz", n.showReady)
-	m.Handle("GET /debug/vars", expvar.Handler())
-	m.HandleFunc("GET /debug/pprof/", pprof.Index)
-	m.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
-	m.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
-	n.publish()
-	return func(ctx context.Context) error { return ServeHTTP(ctx, l, m) }
+// operatorTask serves health and metrics by HTTP.
+func (n *Node) operatorTask(l net.Listener) Task {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
+	mux.HandleFunc("GET /readyz", n.handleReady)
+	mux.Handle("GET /debug/vars", expvar.Handler())
+	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
+	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
+	mux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
+	n.publishMetrics()
+	return func(ctx context.Context) error { return ServeHTTP(ctx, l, mux) }
 }
 
-func (n *Node) showReady(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	fmt.Fprintln(w, n.state())
 }
 
-// publish exports the figures that every daemon has.
-func (n *Node) publish() {
+// publishMetrics exports the figures that every daemon has.
+func (n *Node) publishMetrics() {
 	expvar.Publish("cairn_revision", expvar.Func(func() any {
 		if c := n.Keeper.Catalog(); c != nil {
 			return c.Revision()
@@ -58,7 +58,7 @@
 	}))
 	n.traffic.publish()
 	expvar.Publish("cairn_goroutines", expvar.Func(func() any { return runtime.NumGoroutine() }))
-	expvar.Publish("cairn_platform_calls", expvar.Func(func() any { return n.Boxes.Client.Calls() }))
+	expvar.Publish("cairn_platform_calls", expvar.Func(func() any { return n.BoxList.Client.Calls() }))
 }
 
 const (
@@ -77,9 +77,9 @@
 		return errors.Wrap(err, "daemon: serve HTTP")
 	case <-ctx.Done():
 	}
-	end, cancel := context.WithTimeout(context.Background(), closeTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	if err := s.Shutdown(end); err != nil {
+	if err := s.Shutdown(shutdownCtx); err != nil {
 		_ = s.Close() // what is left after the drain has had its time
 	}
 	<-served
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -26,10 +26,10 @@
 	Key         string // path
 	Authority   string // path
 
-	mu      sync.Mutex
-	changed time.Time // newest of the three files when they were read
-	pair    *tls.Certificate
-	pool    *x509.CertPool
+	mu       sync.Mutex
+	modified time.Time // newest of the three files when they were read
+	pair     *tls.Certificate
+	pool     *x509.CertPool
 }
 
 // Credentials returns what both sides of a connection use: TLS with mutual
@@ -38,7 +38,7 @@
 	if i.Certificate == "" && i.Key == "" && i.Authority == "" {
 		return insecure.NewCredentials(), nil
 	}
-	if _, _, err := i.read(); err != nil {
+	if _, _, err := i.latest(); err != nil {
 		return nil, err
 	}
 	return credentials.NewTLS(&tls.Config{
@@ -47,48 +47,48 @@
 		InsecureSkipVerify:     true, // verify does it, with the authority as it is now
 		ClientAuth:             tls.RequireAnyClientCert,
 		VerifyConnection:       i.verify,
-		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.current() },
-		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.current() },
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.certificate() },
+		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.certificate() },
 		SessionTicketsDisabled: true, // a resumed session would skip a changed authority
 	}), nil
 }
 
-func (i *Identity) current() (*tls.Certificate, error) {
-	pair, _, err := i.read()
+func (i *Identity) certificate() (*tls.Certificate, error) {
+	pair, _, err := i.latest()
 	return pair, err
 }
 
 // verify checks the other side's certificate against the authority and the name
 // that all carry.
 func (i *Identity) verify(s tls.ConnectionState) error {
-	_, pool, err := i.read()
+	_, pool, err := i.latest()
 	if err != nil {
 		return err
 	}
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("daemon: peer without a certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err = s.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots:         pool,
-		Intermediates: between,
+		Intermediates: intermediates,
 		DNSName:       PeerName,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
 	return errors.Wrap(err, "daemon: peer's certificate")
 }
 
-// read returns what the files hold. Files that became unreadable leave what was
-// read before in use.
-func (i *Identity) read() (*tls.Certificate, *x509.CertPool, error) {
+// latest returns what the files hold. Files that became unreadable leave what was
+// latest before in use.
+func (i *Identity) latest() (*tls.Certificate, *x509.CertPool, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	newest, err := i.newest()
-	if err == nil && (i.pair == nil || newest.After(i.changed)) {
-		err = i.loadLocked(newest)
+	modified, err := i.lastModified()
+	if err == nil && (i.pair == nil || modified.After(i.modified)) {
+		err = i.loadLocked(modified)
 	}
 	if i.pair == nil {
 		return nil, nil, err
@@ -96,7 +96,7 @@
 	return i.pair, i.pool, nil
 }
 
-func (i *Identity) newest() (time.Time, error) {
+func (i *Identity) lastModified() (time.Time, error) {
 	var newest time.Time
 	for _, path := range []string{i.Certificate, i.Key, i.Authority} {
 		s, err := os.Stat(path)
@@ -110,7 +110,7 @@
 	return newest, nil
 }
 
-func (i *Identity) loadLocked(newest time.Time) error {
+func (i *Identity) loadLocked(modified time.Time) error {
 	pair, err := tls.LoadX509KeyPair(i.Certificate, i.Key)
 	if err != nil {
 		return errors.Wrap(err, "daemon: certificate and key")
@@ -123,6 +123,6 @@
 	if !pool.AppendCertsFromPEM(raw) {
 		return errors.Errorf("daemon: authority: %s holds no certificate", i.Authority)
 	}
-	i.pair, i.pool, i.changed = &pair, pool, newest
+	i.pair, i.pool, i.modified = &pair, pool, modified
 	return nil
 }
--- a/daemon/identity_test.go
+++ b/daemon/identity_test.go
@@ -16,8 +16,8 @@
 	"google.golang.org/grpc"
 )
 
-// write makes the files of a daemon in dir.
-func write(c *quicktest.C, a *fleet.Authority, dir, name string) *daemon.Identity {
+// writeIdentity makes the files of a daemon in dir.
+func writeIdentity(c *quicktest.C, a *fleet.Authority, dir, name string) *daemon.Identity {
 	i, err := a.Write(dir, name)
 	c.Assert(err, quicktest.IsNil)
 	return &daemon.Identity{Certificate: i.Certificate, Key: i.Key, Authority: i.Authority}
@@ -62,36 +62,36 @@
 	return err
 }
 
-func TestDaemonsOfOneAuthoritySpeak(t *testing.T) {
+func TestDaemonsOfSameAuthorityConnect(t *testing.T) {
 	c := quicktest.New(t)
 	a := newAuthority(c)
-	address := serve(c, write(c, a, t.TempDir(), daemon.PeerName))
-	c.Assert(exchange(c, write(c, a, t.TempDir(), daemon.PeerName), address), quicktest.IsNil)
+	address := serve(c, writeIdentity(c, a, t.TempDir(), daemon.PeerName))
+	c.Assert(exchange(c, writeIdentity(c, a, t.TempDir(), daemon.PeerName), address), quicktest.IsNil)
 }
 
-func TestAStrangerGivesNoOrders(t *testing.T) {
+func TestUntrustedClientIsRejected(t *testing.T) {
 	c := quicktest.New(t)
 	a := newAuthority(c)
-	address := serve(c, write(c, a, t.TempDir(), daemon.PeerName))
-	c.Assert(exchange(c, write(c, newAuthority(c), t.TempDir(), daemon.PeerName), address), quicktest.IsNotNil)
-	c.Assert(exchange(c, write(c, a, t.TempDir(), "somebody"), address), quicktest.IsNotNil)
+	address := serve(c, writeIdentity(c, a, t.TempDir(), daemon.PeerName))
+	c.Assert(exchange(c, writeIdentity(c, newAuthority(c), t.TempDir(), daemon.PeerName), address), quicktest.IsNotNil)
+	c.Assert(exchange(c, writeIdentity(c, a, t.TempDir(), "somebody"), address), quicktest.IsNotNil)
 	c.Assert(exchange(c, &daemon.Identity{}, address), quicktest.IsNotNil)
 }
 
-func TestChangedFilesAreReadAgain(t *testing.T) {
+func TestChangedIdentityFilesAreReloaded(t *testing.T) {
 	c := quicktest.New(t)
 	old, next := newAuthority(c), newAuthority(c)
 	dir := t.TempDir()
-	address := serve(c, write(c, old, dir, daemon.PeerName))
-	client := write(c, next, t.TempDir(), daemon.PeerName)
+	address := serve(c, writeIdentity(c, old, dir, daemon.PeerName))
+	client := writeIdentity(c, next, t.TempDir(), daemon.PeerName)
 	c.Assert(exchange(c, client, address), quicktest.IsNotNil)
-	changed := write(c, next, dir, daemon.PeerName)
+	changed := writeIdentity(c, next, dir, daemon.PeerName)
 	later := time.Now().Add(time.Second)
 	c.Assert(os.Chtimes(changed.Certificate, later, later), quicktest.IsNil)
 	c.Assert(exchange(c, client, address), quicktest.IsNil)
 }
 
-func TestABrokenIdentityIsAnErrorAtStart(t *testing.T) {
+func TestMissingIdentityFilesAreError(t *testing.T) {
 	_, err := (&daemon.Identity{Certificate: "none", Key: "none", Authority: "none"}).Credentials()
 	quicktest.Assert(t, err, quicktest.ErrorMatches, "daemon: identity: .*")
 }
--- a/daemon/join.go
+++ b/daemon/join.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// joinBeats bounds the wait for a view that is still, in heartbeats: a view that
+	// maxJoinHeartbeats bounds the wait for a view that is still, in heartbeats: a view that
 	// changes all the time must not keep a daemon from serving.
-	joinBeats = 4
-	// stillPart of a heartbeat more than one is how long a still view has no change, so
+	maxJoinHeartbeats = 4
+	// stableMarginDivisor of a heartbeat more than one is how long a still view has no change, so
 	// that the news of the last beat is in it.
-	stillPart = 4
+	stableMarginDivisor = 4
 )
 
 // join makes the node ready once it has a configuration: what peers
 // have in force when any answers, else what the platform gives.
 func (n *Node) join(ctx context.Context) error {
 	for ctx.Err() == nil && n.Keeper.Catalog() == nil {
-		n.askPeers(ctx)
+		n.fetchFromPeers(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -29,7 +29,7 @@
 		case <-time.After(n.values.Duration(Heartbeat)):
 		}
 	}
-	n.awaitView(ctx)
+	n.awaitStableView(ctx)
 	if ctx.Err() == nil {
 		n.ready.Store(true)
 		n.Log.Info("Daemon is ready", "revision", n.Keeper.Catalog().Revision())
@@ -38,34 +38,34 @@
 	return nil
 }
 
-// awaitView waits until the view of the members was still for one heartbeat, so
+// awaitStableView waits until the view of the members was still for one heartbeat, so
 // that this daemon does not act on a part of its data centre; after a bounded
 // time it goes on with what it has.
-func (n *Node) awaitView(ctx context.Context) {
-	beat := n.values.Duration(Heartbeat)
-	limit := time.After(joinBeats * beat)
+func (n *Node) awaitStableView(ctx context.Context) {
+	interval := n.values.Duration(Heartbeat)
+	timeout := time.After(maxJoinHeartbeats * interval)
 	for {
 		changed := n.Table.Changed()
-		still := time.After(beat + beat/stillPart)
+		stable := time.After(interval + interval/stableMarginDivisor)
 		if len(n.Table.All()) == 1 {
-			still = nil // nobody answered yet
+			stable = nil // nobody answered yet
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			return
-		case <-still:
+		case <-stable:
 			return
 		case <-changed:
 		}
 	}
 }
 
-// askPeers takes over what any known daemon has in force, of every data centre.
-func (n *Node) askPeers(ctx context.Context) {
-	list := n.namedPeers()
-	for _, b := range n.Boxes.List() {
+// fetchFromPeers takes over what any known daemon has in force, of every data centre.
+func (n *Node) fetchFromPeers(ctx context.Context) {
+	list := n.configuredPeers()
+	for _, b := range n.BoxList.List() {
 		if b.Name != n.Name() {
 			list = append(list, b.Address)
 		}
@@ -74,17 +74,17 @@
 		if n.Keeper.Catalog() != nil {
 			return
 		}
-		if err := n.relay.FetchFrom(ctx, a); err != nil {
+		if err := n.syncer.FetchFrom(ctx, a); err != nil {
 			n.Log.V(1).Info("Peer gave no configuration", "address", a, "err", err.Error())
 		}
 	}
 }
 
-// readBoxes gives the first heartbeat its seeds, when the platform answers soon.
-func (n *Node) readBoxes(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, firstRead)
+// readBoxList gives the first heartbeat its seeds, when the platform answers soon.
+func (n *Node) readBoxList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
-	if !n.Boxes.Refresh(ctx) {
+	if !n.BoxList.Refresh(ctx) {
 		n.Log.Info("Platform gave no list of boxes at the start")
 	}
 }
@@ -92,30 +92,30 @@
 // seeds lists daemons of the own data centre.
 func (n *Node) seeds() []string {
 	var list []string
-	for _, b := range n.Boxes.List() {
-		if b.DataCentre == n.centre && b.Name != n.Name() {
+	for _, b := range n.BoxList.List() {
+		if b.DataCentre == n.dataCentre && b.Name != n.Name() {
 			list = append(list, b.Address)
 		}
 	}
-	return append(list, n.namedPeers()...)
+	return append(list, n.configuredPeers()...)
 }
 
 // remotes lists daemons of the other data centres.
 func (n *Node) remotes() []string {
 	var list []string
-	for _, b := range n.Boxes.List() {
-		if b.DataCentre != n.centre {
+	for _, b := range n.BoxList.List() {
+		if b.DataCentre != n.dataCentre {
 			list = append(list, b.Address)
 		}
 	}
 	return list
 }
 
-// namedPeers lists the addresses that the settings name.
-func (n *Node) namedPeers() []string {
+// configuredPeers lists the addresses that the settings name.
+func (n *Node) configuredPeers() []string {
 	var list []string
 	for _, a := range strings.Split(n.values.Text(Peers), ",") {
-		if a = strings.TrimSpace(a); a != "" && a != n.advertised() {
+		if a = strings.TrimSpace(a); a != "" && a != n.advertisedAddress() {
 			list = append(list, a)
 		}
 	}
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -12,9 +12,9 @@
 	"google.golang.org/grpc/stats"
 )
 
-// Messages counts the messages between this daemon and the others. Set the exported fields
+// MessageCounter counts the messages between this daemon and the others. Set the exported fields
 // before the first connection. It is safe for concurrent use.
-type Messages struct {
+type MessageCounter struct {
 	// Kind names what a message of a method is for; at most some dozen kinds.
 	Kind func(method string, message any) string
 	// Near tells whether the daemon at an IP number is of the own data centre; known is
@@ -46,7 +46,7 @@
 	receivedFar  = "received_far"
 )
 
-func (k messageKey) way() string {
+func (k messageKey) direction() string {
 	switch {
 	case k.sent && k.far:
 		return sentFar
@@ -58,7 +58,7 @@
 	return receivedNear
 }
 
-func (m *Messages) count(k messageKey, bytes int) {
+func (m *MessageCounter) count(k messageKey, bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.counts == nil {
@@ -72,21 +72,21 @@
 
 // Counts returns what was counted so far, by kind and then by way: near is the own data
 // centre, far any other.
-func (m *Messages) Counts() map[string]map[string]MessageCount {
+func (m *MessageCounter) Counts() map[string]map[string]MessageCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	all := make(map[string]map[string]MessageCount)
+	counts := make(map[string]map[string]MessageCount)
 	for k, c := range m.counts {
-		if all[k.kind] == nil {
-			all[k.kind] = make(map[string]MessageCount)
+		if counts[k.kind] == nil {
+			counts[k.kind] = make(map[string]MessageCount)
 		}
-		all[k.kind][k.way()] = c
+		counts[k.kind][k.direction()] = c
 	}
-	return all
+	return counts
 }
 
 // String is the JSON form that expvar publishes.
-func (m *Messages) String() string {
+func (m *MessageCounter) String() string {
 	raw, err := json.Marshal(m.Counts())
 	if err != nil {
 		return "{}" // it holds texts and numbers alone
@@ -94,86 +94,86 @@
 	return string(raw)
 }
 
-// peerMessages counts the messages of one connection. It implements stats.Handler.
-type peerMessages struct {
-	messages *Messages
-	ip       string // of the other daemon
+// connStats counts the messages of one connection. It implements stats.Handler.
+type connStats struct {
+	counter *MessageCounter
+	ip      string // of the other daemon
 
 	mu    sync.Mutex
 	known bool
 	near  bool
 }
 
-// forPeer returns what counts the messages with the daemon at an address, IP:port.
-func (m *Messages) forPeer(address string) *peerMessages {
+// newConnStats returns what counts the messages with the daemon at an address, IP:port.
+func (m *MessageCounter) newConnStats(address string) *connStats {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
 		ip = address
 	}
-	return &peerMessages{messages: m, ip: ip}
+	return &connStats{counter: m, ip: ip}
 }
 
-func (p *peerMessages) isNear() bool {
+func (p *connStats) isNear() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.known {
-		p.near, p.known = p.messages.Near(p.ip)
+		p.near, p.known = p.counter.Near(p.ip)
 	}
 	return p.near
 }
 
 // TagRPC implements stats.Handler.
-func (*peerMessages) TagRPC(ctx context.Context, t *stats.RPCTagInfo) context.Context {
+func (*connStats) TagRPC(ctx context.Context, t *stats.RPCTagInfo) context.Context {
 	return context.WithValue(ctx, methodKey{}, path.Base(t.FullMethodName))
 }
 
 // HandleRPC implements stats.Handler.
-func (p *peerMessages) HandleRPC(ctx context.Context, s stats.RPCStats) {
+func (p *connStats) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	method, _ := ctx.Value(methodKey{}).(string)
 	switch s := s.(type) {
 	case *stats.InPayload:
-		p.messages.count(messageKey{kind: p.messages.Kind(method, s.Payload), far: !p.isNear()}, s.WireLength)
+		p.counter.count(messageKey{kind: p.counter.Kind(method, s.Payload), far: !p.isNear()}, s.WireLength)
 	case *stats.OutPayload:
-		p.messages.count(messageKey{kind: p.messages.Kind(method, s.Payload), sent: true, far: !p.isNear()}, s.WireLength)
+		p.counter.count(messageKey{kind: p.counter.Kind(method, s.Payload), sent: true, far: !p.isNear()}, s.WireLength)
 	}
 }
 
 // TagConn implements stats.Handler.
-func (*peerMessages) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (*connStats) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
 // HandleConn implements stats.Handler.
-func (*peerMessages) HandleConn(context.Context, stats.ConnStats) {}
+func (*connStats) HandleConn(context.Context, stats.ConnStats) {}
 
 type (
-	methodKey struct{} // of the method's name in a call's context
-	peerKey   struct{} // of the connection's *peerMessages in a call's context
+	methodKey    struct{} // of the method's name in a call's context
+	connStatsKey struct{} // of the connection's *peerMessages in a call's context
 )
 
-// servedMessages counts the messages of all connections that a server takes. It implements
+// serverStats counts the messages of all connections that a server takes. It implements
 // stats.Handler.
-type servedMessages struct{ messages *Messages }
+type serverStats struct{ counter *MessageCounter }
 
 // TagConn implements stats.Handler.
-func (s servedMessages) TagConn(ctx context.Context, t *stats.ConnTagInfo) context.Context {
-	return context.WithValue(ctx, peerKey{}, s.messages.forPeer(t.RemoteAddr.String()))
+func (s serverStats) TagConn(ctx context.Context, t *stats.ConnTagInfo) context.Context {
+	return context.WithValue(ctx, connStatsKey{}, s.counter.newConnStats(t.RemoteAddr.String()))
 }
 
 // HandleConn implements stats.Handler.
-func (servedMessages) HandleConn(context.Context, stats.ConnStats) {}
+func (serverStats) HandleConn(context.Context, stats.ConnStats) {}
 
 // TagRPC implements stats.Handler.
-func (servedMessages) TagRPC(ctx context.Context, t *stats.RPCTagInfo) context.Context {
-	return (*peerMessages)(nil).TagRPC(ctx, t)
+func (serverStats) TagRPC(ctx context.Context, t *stats.RPCTagInfo) context.Context {
+	return (*connStats)(nil).TagRPC(ctx, t)
 }
 
 // HandleRPC implements stats.Handler.
-func (servedMessages) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	if p, ok := ctx.Value(peerKey{}).(*peerMessages); ok {
+func (serverStats) HandleRPC(ctx context.Context, s stats.RPCStats) {
+	if p, ok := ctx.Value(connStatsKey{}).(*connStats); ok {
 		p.HandleRPC(ctx, s)
 	}
 }
 
 var (
-	_ stats.Handler = (*peerMessages)(nil)
-	_ stats.Handler = servedMessages{}
+	_ stats.Handler = (*connStats)(nil)
+	_ stats.Handler = serverStats{}
 )
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -25,17 +25,17 @@
 	return h, nil
 }
 
-// newMessages counts by type; the daemon at ip is of the own data centre.
-func newMessages(ip string) *Messages {
-	return &Messages{
+// newCounter counts by type; the daemon at ip is of the own data centre.
+func newCounter(ip string) *MessageCounter {
+	return &MessageCounter{
 		Kind: func(method string, m any) string { return fmt.Sprintf("%s %T", method, m) },
 		Near: func(other string) (bool, bool) { return other == ip, true },
 	}
 }
 
-func TestBothSidesCountTheMessagesOfACall(t *testing.T) {
+func TestBothSidesCountMessages(t *testing.T) {
 	c := quicktest.New(t)
-	served, called := newMessages("10.0.0.9"), newMessages("127.0.0.1")
+	served, called := newCounter("10.0.0.9"), newCounter("127.0.0.1")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
 	s := NewServer(insecure.NewCredentials(), served)
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -31,64 +31,64 @@
 // and answers operators. New makes it; the role adds its own services and tasks
 // before Run.
 type Node struct {
-	Role      string
-	Log       logr.Logger
-	Keeper    *keeper.Keeper
-	Table     *member.Table
-	Dialer    *Dialer
-	Record    *decision.Record
-	Boxes     *Boxes
-	Server    *grpc.Server // for the peers' port; register before Run
-	Endpoints func() []*wire.EndpointStatus
-	OnPause   func(gap time.Duration)
-	OnEnded   func(q *wire.EndedRequest) // hears under which requests endpoints ended; nil: nobody does
-
-	// Leave begins the role's orderly end; Idle tells whether nothing is held
+	Role             string
+	Log              logr.Logger
+	Keeper           *keeper.Keeper
+	Table            *member.Table
+	Dialer           *Dialer
+	Record           *decision.Record
+	BoxList          *BoxList
+	Server           *grpc.Server // for the peers' port; register before Run
+	Endpoints        func() []*wire.EndpointStatus
+	OnPause          func(gap time.Duration)
+	OnEndpointsEnded func(q *wire.EndedRequest) // hears under which requests endpoints ended; nil: nobody does
+
+	// Drain begins the role's orderly end; Idle tells whether nothing is held
 	// any more. Both are called at a planned stop.
-	Leave func()
-	Idle  func() bool
-
-	values  settings.Values
-	box     string
-	centre  string
-	loop    *member.Loop
-	relay   *keeper.Syncer
-	traffic *Traffic
-	tasks   []Task
-	ready   atomic.Bool
-	leaving atomic.Bool
+	Drain   func()
+	Drained func() bool
+
+	values     settings.Values
+	box        string
+	dataCentre string
+	loop       *member.Loop
+	syncer     *keeper.Syncer
+	traffic    *Traffic
+	tasks      []Task
+	ready      atomic.Bool
+	leaving    atomic.Bool
 }
 
 // New makes the node that the settings describe. It returns an error when the
 // identity's files do not hold.
 func New(role string, v settings.Values) (*Node, error) {
-	identity := &Identity{Certificate: v.Text(TLSCert), Key: v.Text(TLSKey), Authority: v.Text(TLSRoot)}
+	identity := &Identity{Certificate: v.Text(TLSCertificate), Key: v.Text(TLSKey), Authority: v.Text(TLSAuthority)}
 	creds, err := identity.Credentials()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Role: role, values: v, box: v.Text(Box), centre: v.Text(DataCentre)}
-	n.Log = logging.New(os.Stdout, n.box, n.centre, role, v.Switch(Debug))
+	n := &Node{Role: role, values: v, box: v.Text(Box), dataCentre: v.Text(DataCentre)}
+	n.Log = logging.New(os.Stdout, n.box, n.dataCentre, role, v.Switch(Debug))
 	n.Record = decision.NewRecord(v.Count(Decisions))
 	n.traffic = &Traffic{}
-	n.Dialer = &Dialer{Credentials: creds, Dial: counted(&n.traffic.Peers, dialTimeout, v.Text(Source))}
+	n.Dialer = &Dialer{Credentials: creds, Dial: countingDialer(&n.traffic.Peers, dialTimeout, v.Text(Source))}
 	client := &kvstore.Client{
 		Address: v.Text(Platform),
 		Timeout: platformTimeout,
 		HTTP: &http.Client{Transport: &http.Transport{
-			DialContext:         counted(&n.traffic.Platform, dialTimeout, v.Text(Source)),
-			MaxIdleConnsPerHost: platformIdle,
+			DialContext:         countingDialer(&n.traffic.Platform, dialTimeout, v.Text(Source)),
+			MaxIdleConnsPerHost: platformIdleConns,
 		}},
 	}
-	n.Boxes = &Boxes{Client: client, Life: n.boxesLife}
-	self := member.New(n.Name(), n.advertised(), role, n.centre, uint64(time.Now().UnixMicro()))
+	n.BoxList = &BoxList{Client: client, RefreshInterval: n.boxListInterval}
+	self := member.New(n.Name(), n.advertisedAddress(), role, n.dataCentre, uint64(time.Now().UnixMicro()))
 	n.Table = member.NewTable(self, member.Limits{
 		SuspectFor: v.Duration(SuspectFor),
 		ForgetDead: forgetDead,
 		Fresh:      v.Duration(FreshFor),
 	})
 	n.Keeper = keeper.New(v.Duration(Settle), n.Log)
-	n.relay = n.newRelay(client)
+	n.syncer = n.newSyncer(client)
 	n.loop = n.newLoop()
 	n.Server = NewServer(creds, nil)
 	wire.RegisterPeerServer(n.Server, peerServer{node: n})
@@ -96,8 +96,8 @@
 	return n, nil
 }
 
-// advertised returns the address that the other daemons reach this one by.
-func (n *Node) advertised() string {
+// advertisedAddress returns the address that the other daemons reach this one by.
+func (n *Node) advertisedAddress() string {
 	if a := n.values.Text(Advertise); a != "" {
 		return a
 	}
@@ -105,20 +105,20 @@
 }
 
 const (
-	forgetDead      = 10 * time.Minute // so long no late news can bring a dead member back
-	listLife        = 5 * time.Minute  // of the list of boxes
-	watchLife       = 30 * time.Second // of it, at the few that watch the platform
-	watchWait       = 30 * time.Second // longest wait of the platform for a new head
-	watchPause      = time.Second      // before it is asked again after it gave none
-	platformTimeout = 2 * time.Second  // of a read
-	platformIdle    = 2                // connections kept: for the watch of the head and for reads
+	forgetDead            = 10 * time.Minute // so long no late news can bring a dead member back
+	boxListRefresh        = 5 * time.Minute  // of the list of boxes
+	watcherBoxListRefresh = 30 * time.Second // of it, at the few that watch the platform
+	headWatchTimeout      = 30 * time.Second // longest wait of the platform for a new head
+	headRetryInterval     = time.Second      // before it is asked again after it gave none
+	platformTimeout       = 2 * time.Second  // of a read
+	platformIdleConns     = 2                // connections kept: for the watch of the head and for reads
 )
 
 // Name returns the node's name as a member.
 func (n *Node) Name() string { return n.box + "/" + n.Role }
 
-// Centre returns the node's data centre.
-func (n *Node) Centre() string { return n.centre }
+// DataCentre returns the node's data centre.
+func (n *Node) DataCentre() string { return n.dataCentre }
 
 // Box returns the node's box.
 func (n *Node) Box() string { return n.box }
@@ -133,31 +133,31 @@
 // Add makes Run run the task.
 func (n *Node) Add(t Task) { n.tasks = append(n.tasks, t) }
 
-func (n *Node) newRelay(client *kvstore.Client) *keeper.Syncer {
+func (n *Node) newSyncer(client *kvstore.Client) *keeper.Syncer {
 	r := &keeper.Syncer{
 		Keeper:           n.Keeper,
 		Platform:         client,
 		Peers:            n.Dialer.Source,
 		TriggerHeartbeat: func() { n.loop.Nudge() },
-		IsWatcher:        n.watches,
+		IsWatcher:        n.isWatcher,
 		Log:              n.Log,
-		WatchTimeout:     watchWait,
-		RetryInterval:    watchPause,
+		WatchTimeout:     headWatchTimeout,
+		RetryInterval:    headRetryInterval,
 	}
 	r.Init()
 	return r
 }
 
-// watches tells whether this daemon is one of the few of its data centre that
+// isWatcher tells whether this daemon is one of the few of its data centre that
 // read the platform regularly.
-func (n *Node) watches() bool { return n.Table.Rank() < n.values.Count(Watchers) }
+func (n *Node) isWatcher() bool { return n.Table.Rank() < n.values.Count(Watchers) }
 
-// boxesLife keeps the reads of the list few: only the watchers read it often.
-func (n *Node) boxesLife() time.Duration {
-	if n.watches() {
-		return watchLife
+// boxListInterval keeps the reads of the list few: only the watchers read it often.
+func (n *Node) boxListInterval() time.Duration {
+	if n.isWatcher() {
+		return watcherBoxListRefresh
 	}
-	return listLife
+	return boxListRefresh
 }
 
 func (n *Node) newLoop() *member.Loop {
@@ -167,8 +167,8 @@
 		Dial:       n.Dialer.Peer,
 		Seeds:      n.seeds,
 		Remote:     n.remotes,
-		Bridges:    func() bool { return !n.ready.Load() || n.watches() },
-		Extras:     n.relay,
+		Bridges:    func() bool { return !n.ready.Load() || n.isWatcher() },
+		Extras:     n.syncer,
 		Log:        n.Log,
 		Interval:   v.Duration(Heartbeat),
 		Timeout:    v.Duration(HeartbeatTimeout),
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -18,23 +18,23 @@
 // Status implements the Operator service.
 func (s operatorServer) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	n := s.node
-	a := &wire.StatusReply{
+	reply := &wire.StatusReply{
 		Box:        n.box,
-		DataCentre: n.centre,
+		DataCentre: n.dataCentre,
 		Role:       n.Role,
 		State:      n.state(),
 		Version:    Version,
 	}
 	if c := n.Keeper.Catalog(); c != nil {
-		a.Revision = c.Revision()
+		reply.Revision = c.Revision()
 	}
 	for _, m := range n.Table.All() {
-		a.Members = append(a.Members, m.Wire())
+		reply.Members = append(reply.Members, m.Wire())
 	}
 	if n.Endpoints != nil {
-		a.Endpoints = n.Endpoints()
+		reply.Endpoints = n.Endpoints()
 	}
-	return a, nil
+	return reply, nil
 }
 
 // Explain implements the Operator service.
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -16,9 +16,9 @@
 	PeersListen      = "peers_listen"
 	Advertise        = "advertise"
 	Source           = "source"
-	TLSCert          = "tls_certificate"
+	TLSCertificate   = "tls_certificate"
 	TLSKey           = "tls_key"
-	TLSRoot          = "tls_authority"
+	TLSAuthority     = "tls_authority"
 	OperatorsListen  = "operators_listen"
 	Platform         = "platform"
 	Peers            = "peers"
@@ -40,23 +40,23 @@
 // Options returns the whole table of a daemon: what every daemon has, its own options,
 // and last the wait for endpoints.
 func Options(own settings.Table) settings.Table {
-	return slices.Concat(common, own, settings.Table{endpointDial})
+	return slices.Concat(commonOptions, own, settings.Table{endpointDialOption})
 }
 
-var endpointDial = settings.Option{
+var endpointDialOption = settings.Option{
 	Name: EndpointDial, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond,
 	Help: "longest wait for a connection to an endpoint",
 }
 
-var common = settings.Table{
+var commonOptions = settings.Table{
 	{Name: Box, Kind: settings.Text, Required: true, Help: "name of the box, unique in the system"},
 	{Name: DataCentre, Kind: settings.Text, Required: true, Help: "data centre where the box stands"},
 	{Name: PeersListen, Kind: settings.Address, Required: true, Help: "address for the other daemons"},
 	{Name: Advertise, Kind: settings.Text, Default: "", Help: "address that the other daemons reach it by, when it is not peers_listen"},
 	{Name: Source, Kind: settings.Text, Default: "", Help: "IP number that connections are made from; empty: any"},
-	{Name: TLSCert, Kind: settings.Text, Default: "", Help: "file with the certificate, PEM; empty: no TLS between daemons"},
+	{Name: TLSCertificate, Kind: settings.Text, Default: "", Help: "file with the certificate, PEM; empty: no TLS between daemons"},
 	{Name: TLSKey, Kind: settings.Text, Default: "", Help: "file with the certificate's key, PEM"},
-	{Name: TLSRoot, Kind: settings.Text, Default: "", Help: "file with the authority of the other daemons' certificates, PEM"},
+	{Name: TLSAuthority, Kind: settings.Text, Default: "", Help: "file with the authority of the other daemons' certificates, PEM"},
 	{Name: OperatorsListen, Kind: settings.Address, Required: true, Help: "address for health, metrics and operators"},
 	{Name: Platform, Kind: settings.URL, Required: true, Help: "the platform's key-value service"},
 	{Name: Peers, Kind: settings.Text, Default: "", Help: "addresses of some other daemons, with commas, asked when the platform is down"},
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -29,12 +29,12 @@
 		n.Log.Info("Suspensions of the machine are not counted", "err", err.Error())
 	}
 	n.Log.Info("Daemon starts", "peers", peers.Addr().String(), "operators", operators.Addr().String(), "version", Version)
-	inner, end := context.WithCancel(context.Background())
-	defer end()
-	n.readBoxes(ctx)
-	tasks := append([]Task{n.loop.Run, n.relay.Run, n.Boxes.Run, n.join}, n.tasks...)
-	tasks = append(tasks, n.operatorsTask(operators), n.peersTask(peers))
-	err = n.runTasks(ctx, inner, end, tasks)
+	taskCtx, cancelTasks := context.WithCancel(context.Background())
+	defer cancelTasks()
+	n.readBoxList(ctx)
+	tasks := append([]Task{n.loop.Run, n.syncer.Run, n.BoxList.Run, n.join}, n.tasks...)
+	tasks = append(tasks, n.operatorTask(operators), n.peerTask(peers))
+	err = n.runTasks(ctx, taskCtx, cancelTasks, tasks)
 	n.Dialer.Close()
 	n.Log.Info("Daemon ends")
 	return err
@@ -62,46 +62,46 @@
 
 // runTasks runs the tasks under inner until one of them ends, or ctx does and the node
 // has left; then it ends inner and returns the first error when all have ended.
-func (n *Node) runTasks(ctx, inner context.Context, end context.CancelFunc, tasks []Task) error {
+func (n *Node) runTasks(ctx, taskCtx context.Context, cancelTasks context.CancelFunc, tasks []Task) error {
 	ended := make(chan error, len(tasks))
 	for _, t := range tasks {
-		go func() { ended <- t(inner) }()
+		go func() { ended <- t(taskCtx) }()
 	}
 	running := len(tasks)
 	var err error
 	select {
 	case <-ctx.Done():
-		n.leave(inner)
+		n.shutdown(taskCtx)
 	case err = <-ended:
 		running--
 	}
-	end()
+	cancelTasks()
 	if e := firstError(ended, running); err == nil {
 		err = e
 	}
 	return err
 }
 
-// leave ends the role's work in order.
-func (n *Node) leave(ctx context.Context) {
+// shutdown ends the role's work in order.
+func (n *Node) shutdown(ctx context.Context) {
 	n.Log.Info("Daemon leaves")
 	n.leaving.Store(true)
 	n.ready.Store(false)
-	n.Leave()
+	n.Drain()
 	n.Table.Leave() // only now: whoever hears it may rely on the role's having left
-	limit := time.After(n.values.Duration(DrainLimit))
-	settled := time.Now().Add(2 * n.values.Duration(Heartbeat)) // so that the peers have heard
+	drainTimeout := time.After(n.values.Duration(DrainLimit))
+	notified := time.Now().Add(2 * n.values.Duration(Heartbeat)) // so that the peers have heard
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
-		case <-limit:
+		case <-drainTimeout:
 			n.Log.Info("Drain limit passed with requests still held")
 			return
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			if now.After(settled) && n.Idle() {
+			if now.After(notified) && n.Drained() {
 				return
 			}
 		}
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -26,9 +26,9 @@
 	expvar.Publish("cairn_traffic_platform", &t.Platform)
 }
 
-// counted returns a dial function that counts what passes. Connections are made
+// countingDialer returns a dial function that counts what passes. Connections are made
 // from the source, an IP number, unless it is empty.
-func counted(t *metrics.Traffic, timeout time.Duration, source string) engine.DialFunc {
+func countingDialer(t *metrics.Traffic, timeout time.Duration, source string) engine.DialFunc {
 	d := &net.Dialer{Timeout: timeout}
 	if ip := net.ParseIP(source); ip != nil {
 		d.LocalAddr = &net.TCPAddr{IP: ip}
@@ -50,5 +50,5 @@
 
 // EndpointDial returns what opens connections to endpoints.
 func (n *Node) EndpointDial() engine.DialFunc {
-	return counted(&n.traffic.Endpoints, n.values.Duration(EndpointDial), n.values.Text(Source))
+	return countingDialer(&n.traffic.Endpoints, n.values.Duration(EndpointDial), n.values.Text(Source))
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -40,7 +40,7 @@
 	state      *state
 	peers      *peers
 	shared     *share.Server
-	messages   *daemon.Messages
+	messages   *daemon.MessageCounter
 	gateway    *forward.Gateway
 	loader     *placement.Loader
 	usage      *usage
@@ -79,7 +79,7 @@
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.items.Same, n.items.Outlives = n.isSame, n.outlives
 	n.items.OnIgnored = n.countIgnored
-	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
+	n.messages = &daemon.MessageCounter{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
 	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
 	n.usage = newUsage(n)
@@ -141,7 +141,7 @@
 	p := &peers{
 		box:          s.Box,
 		centre:       s.DataCentre,
-		dialer:       &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilentFor: connSilenceLimit, Messages: n.messages},
+		dialer:       &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilenceTimeout: connSilenceLimit, Messages: n.messages},
 		items:        n.items,
 		log:          n.Log,
 		started:      clock.Now(),
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -67,13 +67,13 @@
 	}
 	g := &Gateway{
 		Name:       n.Name(),
-		Centre:     n.Centre(),
+		Centre:     n.DataCentre(),
 		Catalog:    n.Keeper.Catalog,
 		Members:    n.Table,
 		Probe:      n.Probe,
 		Schedulers: n.Dialer,
 		Peers:      n.Dialer,
-		Remote:     n.Boxes,
+		Remote:     n.BoxList,
 		Engines:    n.EndpointClient(idlePerEndpoint),
 		Dial:       n.EndpointDial(),
 		Placement:  place,
@@ -98,9 +98,9 @@
 	if err != nil {
 		return errors.Wrap(err, "gateway: callers' port")
 	}
-	n.Leave = g.Leave
-	n.OnEnded = g.Ended
-	n.Idle = func() bool { return g.InFlight() == 0 }
+	n.Drain = g.Leave
+	n.OnEndpointsEnded = g.Ended
+	n.Drained = func() bool { return g.InFlight() == 0 }
 	n.Add(g.Run)
 	n.Add(func(ctx context.Context) error { return daemon.ServeHTTP(ctx, l, g.Handler()) })
 	return n.Run(ctx)
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -74,11 +74,11 @@
 	s := &Scheduler{
 		Name:     n.Name(),
 		Box:      n.Box(),
-		Centre:   n.Centre(),
+		Centre:   n.DataCentre(),
 		Catalog:  n.Keeper.Catalog,
 		Changed:  n.Keeper.Changed,
 		Members:  n.Table,
-		Listed:   func() []string { return n.Boxes.Listed(n.Centre()) },
+		Listed:   func() []string { return n.BoxList.SchedulerNames(n.DataCentre()) },
 		Ready:    n.Ready,
 		Dial:     func(address string) engine.Endpoint { return &engine.Client{Address: address, HTTP: client} },
 		Eviction: evict,
@@ -105,8 +105,8 @@
 	wire.RegisterSchedulerServer(n.Server, s)
 	n.Endpoints = s.Status
 	n.OnPause = func(time.Duration) { s.Keys.NewTenure(time.Now()) }
-	n.Leave = s.Leave
-	n.Idle = func() bool { return true } // grants stay good without their scheduler
+	n.Drain = s.Leave
+	n.Drained = func() bool { return true } // grants stay good without their scheduler
 	n.Add(s.Run)
 	return n.Run(ctx)
 }
