--- a/daemon/boxes.go
+++ b/daemon/boxes.go
@@ -11,23 +11,23 @@
 	"cairnwick.example/member"
 )
 
-// BoxList keeps the platform's list of boxes, which lags. It serves to find the
-// first peer, and the daemons of other data centres. Nobody who asks waits for the
-// platform. Set the fields before Run.
+// BoxList caches the platform's list of boxes, which may be out of date. It is used to
+// find the first peers and the daemons of other data centres. Reading the cached list
+// never waits for the platform. Set the exported fields before Run.
 type BoxList struct {
 	Client          *kvstore.Client
-	RefreshInterval func() time.Duration // how long a list is used before it is read again
+	RefreshInterval func() time.Duration // time between two reads of the list
 
 	mu   sync.Mutex
-	list []kvstore.Daemon // as last read; empty before
+	list []kvstore.Daemon // as last read; empty before the first read
 }
 
 const (
-	initialReadTimeout = 500 * time.Millisecond // longest wait for the list at the start
-	readRetryInterval  = time.Second            // after a read that failed
+	initialReadTimeout = 500 * time.Millisecond // limits the wait for the list at start-up
+	readRetryInterval  = time.Second            // after a failed read
 )
 
-// Run reads the list again and again until ctx ends.
+// Run refreshes the list periodically until ctx ends.
 func (b *BoxList) Run(ctx context.Context) error {
 	for {
 		delay := b.RefreshInterval()
@@ -42,7 +42,8 @@
 	}
 }
 
-// Refresh reads the list once and tells whether the platform gave one.
+// Refresh reads the list from the platform and reports whether that succeeded. After a
+// failure the previous list stays.
 func (b *BoxList) Refresh(ctx context.Context) bool {
 	value, err := b.Client.Read(ctx, kvstore.BoxesKey)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return true
 }
 
-// List returns the list as last read; do not change it.
+// List returns the list as last read, which must not be modified.
 func (b *BoxList) List() []kvstore.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,8 +77,8 @@
 	return list
 }
 
-// SchedulerNames returns the names of the schedulers that the platform lists as staying
-// in a data centre.
+// SchedulerNames returns the names of the schedulers of a data centre that the platform
+// lists and that are not leaving.
 func (b *BoxList) SchedulerNames(dataCentre string) []string {
 	var names []string
 	for _, m := range b.Schedulers(dataCentre) {
--- a/daemon/command.go
+++ b/daemon/command.go
@@ -23,10 +23,10 @@
 const (
 	ExitOK       = 0
 	ExitFailed   = 1
-	ExitSettings = 2 // the command line or the settings do not hold
+	ExitSettings = 2 // the command line or the settings are invalid
 )
 
-// Command is the command line that every daemon has.
+// Command is the command line of every daemon.
 type Command struct {
 	Settings  string   `arg:"--settings" help:"file with the settings, JSON with comments" placeholder:"FILE"`
 	Set       []string `arg:"--set,separate" help:"one setting that wins over the file" placeholder:"NAME=VALUE"`
@@ -44,8 +44,8 @@
 // Version implements go-arg.
 func (c *Command) Version() string { return c.name + " " + Version }
 
-// Main parses the command line of a daemon and runs it until SIGTERM or SIGINT;
-// it returns the exit code.
+// Main parses the command line of a daemon, runs the daemon until SIGTERM or SIGINT, and
+// returns the exit code.
 func Main(name, about string, t settings.Table, args []string, run func(context.Context, settings.Values) error) int {
 	c := &Command{name: name, about: about}
 	p, err := arg.NewParser(arg.Config{Program: name}, c)
@@ -72,7 +72,7 @@
 	return c.start(t, run)
 }
 
-// start checks the settings and runs the daemon under them.
+// start validates the settings and runs the daemon with them.
 func (c *Command) start(t settings.Table, run func(context.Context, settings.Values) error) int {
 	overrides, err := c.overrides()
 	if err != nil {
@@ -93,16 +93,18 @@
 	return ExitOK
 }
 
-var errNoSettings = errors.New("--settings: name the file with the settings")
+var errNoSettings = errors.New("--settings: missing; name the settings file")
 
+// printError prints an error to the standard error output and returns the exit code.
 func printError(err error, code int) int {
 	fmt.Fprintln(os.Stderr, err)
 	return code
 }
 
+// printSettings carries out --print and --check.
 func (c *Command) printSettings(w io.Writer, t settings.Table, v settings.Values) int {
 	if !c.Print {
-		fmt.Fprintln(w, "settings hold")
+		fmt.Fprintln(w, "settings are valid")
 		return ExitOK
 	}
 	if err := settings.Print(w, t, v); err != nil {
@@ -111,13 +113,13 @@
 	return ExitOK
 }
 
-// overrides reads the --set flags.
+// overrides parses the --set flags.
 func (c *Command) overrides() (map[string]string, error) {
 	m := make(map[string]string)
 	for _, s := range c.Set {
 		name, value, found := strings.Cut(s, "=")
 		if !found {
-			return nil, fmt.Errorf("--set %s: write NAME=VALUE", s)
+			return nil, fmt.Errorf("--set %s: expected NAME=VALUE", s)
 		}
 		m[name] = value
 	}
--- a/daemon/dialer.go
+++ b/daemon/dialer.go
@@ -18,15 +18,15 @@
 	"google.golang.org/grpc/encoding/gzip"
 )
 
-// Dialer keeps one connection to each daemon that is spoken to. It is safe for
-// concurrent use.
+// Dialer keeps one gRPC connection to each daemon that is called. Set the exported fields
+// before use; it is safe for concurrent use.
 type Dialer struct {
 	Credentials credentials.TransportCredentials
 	Dial        engine.DialFunc // opens the connections
-	// SilenceTimeout is how long calls may wait without a byte from the other side until their
-	// connection is replaced; zero: for ever.
+	// SilenceTimeout is how long calls may wait while nothing is received before their
+	// connection is replaced; zero: no limit.
 	SilenceTimeout time.Duration
-	Messages       *MessageCounter // counts what passes; nil: nothing is counted
+	Messages       *MessageCounter // counts the messages; may be nil
 
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn // by address
@@ -34,13 +34,13 @@
 
 const (
 	connBuffer        = 4 << 10 // bytes; the messages are small
-	flowControlWindow = 1 << 20 // bytes in flight; fixed, so that gRPC sends no pings to estimate it
+	flowControlWindow = 1 << 20 // bytes in flight; a fixed window, since gRPC would send pings to estimate one
 	initialBackoff    = 50 * time.Millisecond
 	maxBackoff        = 500 * time.Millisecond
-	dialTimeout       = 500 * time.Millisecond // a peer some ms away that takes longer is dark; the next try may meet it
+	dialTimeout       = 500 * time.Millisecond // peers are some ms away, so one that takes longer is unreachable for now; gRPC retries
 )
 
-// Conn returns the connection to an address, made when it is first used.
+// Conn returns the connection to an address. It is opened when it is first used.
 func (d *Dialer) Conn(address string) *grpc.ClientConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 	c, err := grpc.NewClient("passthrough:///"+address, options...)
 	if err != nil {
-		panic(errors.Wrap(err, "daemon: options of a connection")) // a fault of this program, not of the address
+		panic(errors.Wrap(err, "daemon: connection options")) // a programming error; the address is not checked here
 	}
 	if d.conns == nil {
 		d.conns = make(map[string]*grpc.ClientConn)
@@ -76,13 +76,13 @@
 	return c
 }
 
-// CloseUnused closes the connections to addresses that are not in use any more.
+// CloseUnused closes the connections to all addresses but those in used.
 func (d *Dialer) CloseUnused(used map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for address, c := range d.conns {
 		if !used[address] {
-			_ = c.Close() // nothing is lost with it
+			_ = c.Close() // an error does not matter, since the connection is not used any more
 			delete(d.conns, address)
 		}
 	}
@@ -96,7 +96,7 @@
 	return wire.NewSchedulerClient(d.Conn(address))
 }
 
-// Peer returns the client for heartbeats.
+// Peer returns the client for heartbeats to the daemon at an address.
 func (d *Dialer) Peer(address string) member.Peer {
 	return peerClient{client: wire.NewPeerClient(d.Conn(address))}
 }
@@ -104,10 +104,10 @@
 // TellEnded implements gateway.Peers.
 func (d *Dialer) TellEnded(ctx context.Context, address string, q *wire.EndedRequest) error {
 	_, err := wire.NewPeerClient(d.Conn(address)).Ended(ctx, q)
-	return errors.Wrap(err, "daemon: tell of ended endpoints")
+	return errors.Wrap(err, "daemon: report ended endpoints")
 }
 
-// Source returns the client for configuration.
+// Source returns the client that fetches configuration from the daemon at an address.
 func (d *Dialer) Source(address string) keeper.Source {
 	return peerClient{client: wire.NewPeerClient(d.Conn(address))}
 }
@@ -138,5 +138,5 @@
 
 const fetchTimeout = 3 * time.Second
 
-// compressed makes documents, which are JSON, an eighth as long on the way.
+// compressed enables compression of documents. They are JSON, and shrink to an eighth.
 var compressed = grpc.UseCompressor(gzip.Name)
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// operatorTask serves health and metrics by HTTP.
+// operatorTask serves health checks, metrics and profiles over HTTP.
 func (n *Node) operatorTask(l net.Listener) Task {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
@@ -66,8 +66,8 @@
 	closeTimeout  = 5 * time.Second
 )
 
-// ServeHTTP serves h on l until ctx ends; answers under way are then given a
-// short time.
+// ServeHTTP serves h on l until ctx ends. Requests in flight then have closeTimeout to
+// finish.
 func ServeHTTP(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	served := make(chan error, 1)
@@ -80,7 +80,7 @@
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	if err := s.Shutdown(shutdownCtx); err != nil {
-		_ = s.Close() // what is left after the drain has had its time
+		_ = s.Close() // closes the connections that are still in use after closeTimeout
 	}
 	<-served
 	return nil
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -14,26 +14,25 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// PeerName is the DNS name that every daemon's and operator's certificate
-// carries.
+// PeerName is the DNS name in the certificates of all daemons and operators.
 const PeerName = "cairnwick"
 
-// Identity is a certificate with its key and the authority that signed those of
-// the others, in files that are read again when they change. It is safe for
-// concurrent use.
+// Identity is a certificate with its private key, and the authority that signs the
+// certificates of the other daemons. The files are read again when they change. It is
+// safe for concurrent use.
 type Identity struct {
 	Certificate string // path
 	Key         string // path
 	Authority   string // path
 
 	mu       sync.Mutex
-	modified time.Time // newest of the three files when they were read
+	modified time.Time // latest modification time of the three files when they were read
 	pair     *tls.Certificate
 	pool     *x509.CertPool
 }
 
-// Credentials returns what both sides of a connection use: TLS with mutual
-// authentication, or none when no certificate is named.
+// Credentials returns the credentials for both the client and the server side: TLS with
+// mutual authentication, or no security if no files are named.
 func (i *Identity) Credentials() (credentials.TransportCredentials, error) {
 	if i.Certificate == "" && i.Key == "" && i.Authority == "" {
 		return insecure.NewCredentials(), nil
@@ -44,12 +43,12 @@
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		ServerName:             PeerName,
-		InsecureSkipVerify:     true, // verify does it, with the authority as it is now
+		InsecureSkipVerify:     true, // verify checks the certificate instead, with the current authority
 		ClientAuth:             tls.RequireAnyClientCert,
 		VerifyConnection:       i.verify,
 		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return i.certificate() },
 		GetClientCertificate:   func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return i.certificate() },
-		SessionTicketsDisabled: true, // a resumed session would skip a changed authority
+		SessionTicketsDisabled: true, // a resumed session would not be checked against a changed authority
 	}), nil
 }
 
@@ -58,15 +57,14 @@
 	return pair, err
 }
 
-// verify checks the other side's certificate against the authority and the name
-// that all carry.
+// verify checks the peer's certificate against the current authority and PeerName.
 func (i *Identity) verify(s tls.ConnectionState) error {
 	_, pool, err := i.latest()
 	if err != nil {
 		return err
 	}
 	if len(s.PeerCertificates) == 0 {
-		return errors.New("daemon: peer without a certificate")
+		return errors.New("daemon: peer sent no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range s.PeerCertificates[1:] {
@@ -78,7 +76,7 @@
 		DNSName:       PeerName,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errors.Wrap(err, "daemon: peer's certificate")
+	return errors.Wrap(err, "daemon: verify peer certificate")
 }
 
 // latest returns what the files hold. Files that became unreadable leave what was
@@ -113,15 +111,15 @@
 func (i *Identity) loadLocked(modified time.Time) error {
 	pair, err := tls.LoadX509KeyPair(i.Certificate, i.Key)
 	if err != nil {
-		return errors.Wrap(err, "daemon: certificate and key")
+		return errors.Wrap(err, "daemon: load certificate and key")
 	}
 	raw, err := os.ReadFile(i.Authority)
 	if err != nil {
-		return errors.Wrap(err, "daemon: authority")
+		return errors.Wrap(err, "daemon: read authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return errors.Errorf("daemon: authority: %s holds no certificate", i.Authority)
+		return errors.Errorf("daemon: authority: %s contains no certificate", i.Authority)
 	}
 	i.pair, i.pool, i.modified = &pair, pool, modified
 	return nil
--- a/daemon/identity_test.go
+++ b/daemon/identity_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc"
 )
 
-// writeIdentity makes the files of a daemon in dir.
+// writeIdentity creates a certificate for the DNS name and writes the identity files to dir.
 func writeIdentity(c *quicktest.C, a *fleet.Authority, dir, name string) *daemon.Identity {
 	i, err := a.Write(dir, name)
 	c.Assert(err, quicktest.IsNil)
@@ -29,7 +29,7 @@
 	return a
 }
 
-// serve answers heartbeats under an identity and returns the address.
+// serve starts a server with an identity that echoes heartbeats, and returns its address.
 func serve(c *quicktest.C, i *daemon.Identity) string {
 	creds, err := i.Credentials()
 	c.Assert(err, quicktest.IsNil)
--- a/daemon/join.go
+++ b/daemon/join.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// maxJoinHeartbeats bounds the wait for a view that is still, in heartbeats: a view that
-	// changes all the time must not keep a daemon from serving.
+	// maxJoinHeartbeats limits the wait for a stable view of the members, in heartbeat
+	// intervals: constant changes must not keep a daemon from serving.
 	maxJoinHeartbeats = 4
-	// stableMarginDivisor of a heartbeat more than one is how long a still view has no change, so
-	// that the news of the last beat is in it.
+	// stableMarginDivisor sets the margin of the stable period: the view must not change for
+	// one heartbeat interval and this fraction of another, so that it includes what the last
+	// heartbeat brought.
 	stableMarginDivisor = 4
 )
 
-// join makes the node ready once it has a configuration: what peers
-// have in force when any answers, else what the platform gives.
+// join waits for a configuration, the one in force at a peer or else the platform's, and
+// for a stable view of the members. It then marks the node as ready.
 func (n *Node) join(ctx context.Context) error {
 	for ctx.Err() == nil && n.Keeper.Catalog() == nil {
 		n.fetchFromPeers(ctx)
@@ -38,9 +39,9 @@
 	return nil
 }
 
-// awaitStableView waits until the view of the members was still for one heartbeat, so
-// that this daemon does not act on a part of its data centre; after a bounded
-// time it goes on with what it has.
+// awaitStableView waits until the view of the members has not changed for a heartbeat
+// interval, so that this daemon does not act on an incomplete view of its data centre. It
+// gives up after maxJoinHeartbeats.
 func (n *Node) awaitStableView(ctx context.Context) {
 	interval := n.values.Duration(Heartbeat)
 	timeout := time.After(maxJoinHeartbeats * interval)
@@ -48,7 +49,7 @@
 		changed := n.Table.Changed()
 		stable := time.After(interval + interval/stableMarginDivisor)
 		if len(n.Table.All()) == 1 {
-			stable = nil // nobody answered yet
+			stable = nil // no peer has answered yet
 		}
 		select {
 		case <-ctx.Done():
@@ -62,7 +63,8 @@
 	}
 }
 
-// fetchFromPeers takes over what any known daemon has in force, of every data centre.
+// fetchFromPeers asks the known daemons of all data centres for the configuration in force
+// until one of them supplies it.
 func (n *Node) fetchFromPeers(ctx context.Context) {
 	list := n.configuredPeers()
 	for _, b := range n.BoxList.List() {
@@ -75,21 +77,23 @@
 			return
 		}
 		if err := n.syncer.FetchFrom(ctx, a); err != nil {
-			n.Log.V(1).Info("Peer gave no configuration", "address", a, "err", err.Error())
+			n.Log.V(1).Info("Failed to fetch configuration from peer", "address", a, "err", err.Error())
 		}
 	}
 }
 
-// readBoxList gives the first heartbeat its seeds, when the platform answers soon.
+// readBoxList reads the list of boxes, so that the first heartbeat has seeds. It waits for
+// the platform no longer than initialReadTimeout.
 func (n *Node) readBoxList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
 	if !n.BoxList.Refresh(ctx) {
-		n.Log.Info("Platform gave no list of boxes at the start")
+		n.Log.Info("Failed to read list of boxes from platform at start-up")
 	}
 }
 
-// seeds lists daemons of the own data centre.
+// seeds returns the addresses of the other daemons of the own data centre and of the peers in
+// the settings.
 func (n *Node) seeds() []string {
 	var list []string
 	for _, b := range n.BoxList.List() {
@@ -100,7 +104,7 @@
 	return append(list, n.configuredPeers()...)
 }
 
-// remotes lists daemons of the other data centres.
+// remotes returns the addresses of the daemons of other data centres.
 func (n *Node) remotes() []string {
 	var list []string
 	for _, b := range n.BoxList.List() {
@@ -111,7 +115,7 @@
 	return list
 }
 
-// configuredPeers lists the addresses that the settings name.
+// configuredPeers returns the addresses of the peers in the settings.
 func (n *Node) configuredPeers() []string {
 	var list []string
 	for _, a := range strings.Split(n.values.Text(Peers), ",") {
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -12,33 +12,33 @@
 	"google.golang.org/grpc/stats"
 )
 
-// MessageCounter counts the messages between this daemon and the others. Set the exported fields
-// before the first connection. It is safe for concurrent use.
+// MessageCounter counts the gRPC messages between this daemon and the others. Set the exported
+// fields before the first connection. It is safe for concurrent use.
 type MessageCounter struct {
-	// Kind names what a message of a method is for; at most some dozen kinds.
+	// Kind classifies a message of a method. There should be no more than a few dozen kinds.
 	Kind func(method string, message any) string
-	// Near tells whether the daemon at an IP number is of the own data centre; known is
-	// false for one that has not been heard of.
+	// Near reports whether the daemon at an IP address is in the own data centre; known is
+	// false if there is no known daemon at the address.
 	Near func(ip string) (near, known bool)
 
 	mu     sync.Mutex
 	counts map[messageKey]MessageCount
 }
 
-// messageKey says which messages are counted together.
+// messageKey identifies a counter.
 type messageKey struct {
 	kind string
-	sent bool // else received
+	sent bool // false: received
 	far  bool // to or from another data centre
 }
 
-// MessageCount is how many messages of a kind passed one way.
+// MessageCount is the number and size of the messages of one kind and direction.
 type MessageCount struct {
 	Messages int64 `json:"messages"`
-	Bytes    int64 `json:"bytes"` // as they were encoded, without headers
+	Bytes    int64 `json:"bytes"` // encoded, without headers
 }
 
-// Where messages went, or came from.
+// The directions: near is the own data centre, far any other.
 const (
 	sentNear     = "sent_near"
 	sentFar      = "sent_far"
@@ -70,8 +70,7 @@
 	m.counts[k] = c
 }
 
-// Counts returns what was counted so far, by kind and then by way: near is the own data
-// centre, far any other.
+// Counts returns the counts so far, by kind and then by direction.
 func (m *MessageCounter) Counts() map[string]map[string]MessageCount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,11 +84,11 @@
 	return counts
 }
 
-// String is the JSON form that expvar publishes.
+// String returns the counts as JSON, for expvar.
 func (m *MessageCounter) String() string {
 	raw, err := json.Marshal(m.Counts())
 	if err != nil {
-		return "{}" // it holds texts and numbers alone
+		return "{}" // impossible: the counts are strings and numbers
 	}
 	return string(raw)
 }
@@ -104,7 +103,7 @@
 	near  bool
 }
 
-// newConnStats returns what counts the messages with the daemon at an address, IP:port.
+// newConnStats returns the handler for the connection to the daemon at an address, IP:port.
 func (m *MessageCounter) newConnStats(address string) *connStats {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -113,6 +112,8 @@
 	return &connStats{counter: m, ip: ip}
 }
 
+// isNear reports whether the other daemon is in the own data centre. It remembers the result
+// once the daemon is known.
 func (p *connStats) isNear() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,11 +147,10 @@
 
 type (
 	methodKey    struct{} // of the method's name in a call's context
-	connStatsKey struct{} // of the connection's *peerMessages in a call's context
+	connStatsKey struct{} // of the connection's *connStats in a call's context
 )
 
-// serverStats counts the messages of all connections that a server takes. It implements
-// stats.Handler.
+// serverStats counts the messages of all connections to a server. It implements stats.Handler.
 type serverStats struct{ counter *MessageCounter }
 
 // TagConn implements stats.Handler.
--- a/daemon/messages_test.go
+++ b/daemon/messages_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// echoServer answers each heartbeat with itself.
+// echoServer echoes heartbeats.
 type echoServer struct {
 	wire.UnimplementedPeerServer
 }
@@ -25,7 +25,7 @@
 	return h, nil
 }
 
-// newCounter counts by type; the daemon at ip is of the own data centre.
+// newCounter counts by method and type; only the daemon at ip is in the own data centre.
 func newCounter(ip string) *MessageCounter {
 	return &MessageCounter{
 		Kind: func(method string, m any) string { return fmt.Sprintf("%s %T", method, m) },
@@ -54,7 +54,7 @@
 	c.Assert(<-ended, quicktest.IsNil)
 	const kind = "Exchange *wire.Heartbeat"
 	c.Assert(called.Counts()[kind][sentNear].Messages, quicktest.Equals, int64(3))
-	c.Assert(called.Counts()[kind][receivedNear], quicktest.Equals, called.Counts()[kind][sentNear]) // each is its echo
+	c.Assert(called.Counts()[kind][receivedNear], quicktest.Equals, called.Counts()[kind][sentNear]) // the server echoes each message
 	c.Assert(served.Counts()[kind][receivedFar], quicktest.Equals, called.Counts()[kind][sentNear])
 	c.Assert(json.Valid([]byte(called.String())), quicktest.IsTrue)
 }
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package daemon is what the gateway and the scheduler have in common: the
-// command line, settings, membership, the configuration's relay, the operators'
-// port and the orderly end.
+// Package daemon is what the gateway and the scheduler have in common: the command
+// line, settings, membership, distribution of the configuration, the operators' port
+// and graceful shutdown.
 //
-// Main reads the command line and the settings; New makes the Node that they
-// describe, to which the role adds what it serves; Node.Run joins the data centre,
-// serves and leaves it. Peers, which are other daemons, are called through a Dialer
-// and answered by the Node's gRPC server.
+// Main reads the command line and the settings. New creates a Node from the settings,
+// and the role adds its own services to it. Node.Run joins the data centre, serves, and
+// leaves the data centre. Peers, which are other daemons, are called through a Dialer
+// and call the Node's gRPC server.
 package daemon
 
 import (
@@ -27,9 +27,9 @@
 	"google.golang.org/grpc"
 )
 
-// Node is one daemon: a member of its data centre that keeps the configuration
-// and answers operators. New makes it; the role adds its own services and tasks
-// before Run.
+// Node is one daemon: a member of its data centre that holds the configuration and
+// serves operators. New creates it, and the role adds its own services and tasks before
+// Run.
 type Node struct {
 	Role             string
 	Log              logr.Logger
@@ -38,13 +38,13 @@
 	Dialer           *Dialer
 	Record           *decision.Record
 	BoxList          *BoxList
-	Server           *grpc.Server // for the peers' port; register before Run
+	Server           *grpc.Server // for the peers' port; register services before Run
 	Endpoints        func() []*wire.EndpointStatus
 	OnPause          func(gap time.Duration)
-	OnEndpointsEnded func(q *wire.EndedRequest) // hears under which requests endpoints ended; nil: nobody does
+	OnEndpointsEnded func(q *wire.EndedRequest) // called with the requests under which endpoints ended; may be nil
 
-	// Drain begins the role's orderly end; Idle tells whether nothing is held
-	// any more. Both are called at a planned stop.
+	// Drain starts the role's graceful shutdown, and Drained reports whether no requests
+	// are in flight any more. Both are called at a planned stop.
 	Drain   func()
 	Drained func() bool
 
@@ -59,8 +59,8 @@
 	leaving    atomic.Bool
 }
 
-// New makes the node that the settings describe. It returns an error when the
-// identity's files do not hold.
+// New creates the node that the settings describe. It returns an error if the files
+// with the certificates are invalid.
 func New(role string, v settings.Values) (*Node, error) {
 	identity := &Identity{Certificate: v.Text(TLSCertificate), Key: v.Text(TLSKey), Authority: v.Text(TLSAuthority)}
 	creds, err := identity.Credentials()
@@ -96,7 +96,7 @@
 	return n, nil
 }
 
-// advertisedAddress returns the address that the other daemons reach this one by.
+// advertisedAddress returns the address at which other daemons reach this one.
 func (n *Node) advertisedAddress() string {
 	if a := n.values.Text(Advertise); a != "" {
 		return a
@@ -105,16 +105,16 @@
 }
 
 const (
-	forgetDead            = 10 * time.Minute // so long no late news can bring a dead member back
-	boxListRefresh        = 5 * time.Minute  // of the list of boxes
-	watcherBoxListRefresh = 30 * time.Second // of it, at the few that watch the platform
-	headWatchTimeout      = 30 * time.Second // longest wait of the platform for a new head
-	headRetryInterval     = time.Second      // before it is asked again after it gave none
-	platformTimeout       = 2 * time.Second  // of a read
-	platformIdleConns     = 2                // connections kept: for the watch of the head and for reads
+	forgetDead            = 10 * time.Minute // until then, delayed news cannot bring a dead member back
+	boxListRefresh        = 5 * time.Minute  // of the list of boxes by a daemon that is not a watcher
+	watcherBoxListRefresh = 30 * time.Second // of the list of boxes by a watcher
+	headWatchTimeout      = 30 * time.Second // longest blocking query for a new head
+	headRetryInterval     = time.Second      // after a failed read of the head
+	platformTimeout       = 2 * time.Second  // of a read without waiting for a change
+	platformIdleConns     = 2                // one for the watch of the head and one for reads
 )
 
-// Name returns the node's name as a member.
+// Name returns the node's member name, "BOX/ROLE".
 func (n *Node) Name() string { return n.box + "/" + n.Role }
 
 // DataCentre returns the node's data centre.
@@ -123,14 +123,13 @@
 // Box returns the node's box.
 func (n *Node) Box() string { return n.box }
 
-// Ready tells whether the node has joined its data centre and has a
-// configuration.
+// Ready reports whether the node has joined its data centre and has a configuration.
 func (n *Node) Ready() bool { return n.ready.Load() }
 
-// Probe asks a member for a heartbeat now.
+// Probe sends a heartbeat to a member at once.
 func (n *Node) Probe(name string) { n.loop.Probe(name) }
 
-// Add makes Run run the task.
+// Add adds a task for Run.
 func (n *Node) Add(t Task) { n.tasks = append(n.tasks, t) }
 
 func (n *Node) newSyncer(client *kvstore.Client) *keeper.Syncer {
@@ -148,11 +147,12 @@
 	return r
 }
 
-// isWatcher tells whether this daemon is one of the few of its data centre that
-// read the platform regularly.
+// isWatcher reports whether this daemon is one of the few in its data centre that watch
+// the platform.
 func (n *Node) isWatcher() bool { return n.Table.Rank() < n.values.Count(Watchers) }
 
-// boxListInterval keeps the reads of the list few: only the watchers read it often.
+// boxListInterval returns the time between reads of the list of boxes. To limit the load
+// on the platform, only the watchers read it often.
 func (n *Node) boxListInterval() time.Duration {
 	if n.isWatcher() {
 		return watcherBoxListRefresh
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -8,14 +8,14 @@
 	"cairnwick.example/wire"
 )
 
-// operatorServer answers operators.
+// operatorServer implements the Operator service.
 type operatorServer struct {
 	wire.UnimplementedOperatorServer
 
 	node *Node
 }
 
-// Status implements the Operator service.
+// Status returns the state of the node, its members and its endpoints.
 func (s operatorServer) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	n := s.node
 	reply := &wire.StatusReply{
@@ -37,12 +37,12 @@
 	return reply, nil
 }
 
-// Explain implements the Operator service.
+// Explain returns the decisions about a request.
 func (s operatorServer) Explain(_ context.Context, q *wire.ExplainRequest) (*wire.ExplainReply, error) {
 	return &wire.ExplainReply{Decisions: s.node.Record.Of(q.GetRequest())}, nil
 }
 
-// Watch implements the Operator service.
+// Watch streams decisions as they are made.
 func (s operatorServer) Watch(q *wire.WatchRequest, out wire.Operator_WatchServer) error {
 	return s.node.Record.Watch(out.Context(), q, out.Send)
 }
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -9,7 +9,7 @@
 	"cairnwick.example/settings"
 )
 
-// The options that every daemon has.
+// The names of the options of every daemon.
 const (
 	Box              = "box"
 	DataCentre       = "data_centre"
@@ -37,8 +37,8 @@
 	EndpointDial = "endpoint_dial_timeout"
 )
 
-// Options returns the whole table of a daemon: what every daemon has, its own options,
-// and last the wait for endpoints.
+// Options returns the complete option table of a daemon: the common options, its own
+// ones, and the dial timeout for endpoints.
 func Options(own settings.Table) settings.Table {
 	return slices.Concat(commonOptions, own, settings.Table{endpointDialOption})
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -16,17 +16,17 @@
 	"google.golang.org/grpc/status"
 )
 
-var errDocumentNotFound = status.Error(codes.NotFound, "daemon: no such document here")
+var errDocumentNotFound = status.Error(codes.NotFound, "daemon: document not found")
 
-// How the server's side of a connection ends whose other side has gone without a word; the
-// other side finds a silent connection by its calls, see silence.go.
+// Server-side keepalive, which closes connections whose client is gone without a FIN or a
+// reset. The client detects a silent connection by its calls, see silence.go.
 const (
-	keepaliveInterval = 10 * time.Second // after so long without a byte: a ping is 17 bytes, and nobody waits for what it frees
-	keepaliveTimeout  = 3 * time.Second  // for the answer, and for what was written to be acknowledged: streams to the other side hold up to a window each
+	keepaliveInterval = 10 * time.Second // without received data; long, to save traffic (a ping is 17 bytes), since no call waits for the clean-up
+	keepaliveTimeout  = 3 * time.Second  // for the ping's answer, and for TCP to acknowledge written data: each stream may hold up to a window of it
 )
 
-// NewServer returns the gRPC server for other daemons, with buffers as small as those
-// of their connections. Messages counts what passes; nil: nothing is counted.
+// NewServer returns the gRPC server for other daemons, with the same small buffers as
+// the Dialer's connections. m counts the messages and may be nil.
 func NewServer(creds credentials.TransportCredentials, m *MessageCounter) *grpc.Server {
 	options := []grpc.ServerOption{
 		grpc.Creds(creds),
@@ -42,7 +42,7 @@
 	return grpc.NewServer(options...)
 }
 
-// peerServer answers other daemons.
+// peerServer implements the Peer service for other daemons.
 type peerServer struct {
 	wire.UnimplementedPeerServer
 
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -14,21 +14,21 @@
 // Task is something that runs until its context ends.
 type Task func(context.Context) error
 
-// Run serves until ctx ends, then leaves in order: readiness goes false, the
-// peers are told, what is held ends, and then the process.
+// Run serves until ctx ends, then shuts down gracefully: the node becomes unready, the
+// peers are notified, requests in flight finish, and the tasks stop.
 func (n *Node) Run(ctx context.Context) error {
 	peers, err := net.Listen("tcp", n.values.Text(PeersListen))
 	if err != nil {
-		return errors.Wrap(err, "daemon: peers' port")
+		return errors.Wrap(err, "daemon: listen on peers' port")
 	}
 	operators, err := net.Listen("tcp", n.values.Text(OperatorsListen))
 	if err != nil {
-		return errors.Wrap(err, "daemon: operators' port")
+		return errors.Wrap(err, "daemon: listen on operators' port")
 	}
 	if err := clock.Check(); err != nil {
-		n.Log.Info("Suspensions of the machine are not counted", "err", err.Error())
+		n.Log.Info("Machine suspensions cannot be detected", "err", err.Error())
 	}
-	n.Log.Info("Daemon starts", "peers", peers.Addr().String(), "operators", operators.Addr().String(), "version", Version)
+	n.Log.Info("Starting daemon", "peers", peers.Addr().String(), "operators", operators.Addr().String(), "version", Version)
 	taskCtx, cancelTasks := context.WithCancel(context.Background())
 	defer cancelTasks()
 	n.readBoxList(ctx)
@@ -36,7 +36,7 @@
 	tasks = append(tasks, n.operatorTask(operators), n.peerTask(peers))
 	err = n.runTasks(ctx, taskCtx, cancelTasks, tasks)
 	n.Dialer.Close()
-	n.Log.Info("Daemon ends")
+	n.Log.Info("Daemon stopped")
 	return err
 }
 
@@ -49,7 +49,7 @@
 	return firstError(ended, len(tasks))
 }
 
-// firstError waits for the ends of so many tasks.
+// firstError waits until the running tasks have ended and returns the first error.
 func firstError(ended <-chan error, running int) error {
 	var first error
 	for range running {
@@ -60,8 +60,9 @@
 	return first
 }
 
-// runTasks runs the tasks under inner until one of them ends, or ctx does and the node
-// has left; then it ends inner and returns the first error when all have ended.
+// runTasks runs the tasks under taskCtx until one of them ends, or until ctx ends and the
+// node has shut down. It then cancels taskCtx, waits for all tasks and returns the first
+// error.
 func (n *Node) runTasks(ctx, taskCtx context.Context, cancelTasks context.CancelFunc, tasks []Task) error {
 	ended := make(chan error, len(tasks))
 	for _, t := range tasks {
@@ -82,21 +83,22 @@
 	return err
 }
 
-// shutdown ends the role's work in order.
+// shutdown drains the role, and waits until the peers are notified and no requests are in
+// flight, or until the drain limit is reached.
 func (n *Node) shutdown(ctx context.Context) {
-	n.Log.Info("Daemon leaves")
+	n.Log.Info("Shutting down")
 	n.leaving.Store(true)
 	n.ready.Store(false)
 	n.Drain()
-	n.Table.Leave() // only now: whoever hears it may rely on the role's having left
+	n.Table.Leave() // after Drain, since peers that learn of it rely on the role having been drained
 	drainTimeout := time.After(n.values.Duration(DrainLimit))
-	notified := time.Now().Add(2 * n.values.Duration(Heartbeat)) // so that the peers have heard
+	notified := time.Now().Add(2 * n.values.Duration(Heartbeat)) // the peers know by then
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-drainTimeout:
-			n.Log.Info("Drain limit passed with requests still held")
+			n.Log.Info("Drain limit reached with requests in flight")
 			return
 		case <-ctx.Done():
 			return
@@ -108,7 +110,7 @@
 	}
 }
 
-// state names how far the node is, for operators.
+// state returns the node's lifecycle state for operators.
 func (n *Node) state() string {
 	switch {
 	case n.leaving.Load():
--- a/daemon/silence.go
+++ b/daemon/silence.go
@@ -14,19 +14,19 @@
 	"google.golang.org/grpc/status"
 )
 
-// silenceMonitor watches the connection to one peer, and closes it when it is silent, so that the
-// next call opens another. Calls that are on it then fail at once.
+// silenceMonitor closes the connection to a peer when nothing is received on it although
+// calls are waiting. The next call opens another connection; the waiting calls fail at once.
 type silenceMonitor struct {
 	dial    engine.DialFunc
-	timeout time.Duration // without a byte while calls wait; zero: for ever
+	timeout time.Duration // without received data while calls wait; zero: no limit
 
 	mu           sync.Mutex
-	conn         *monitoredConn // the latest one; nil before the first
-	waiting      int            // calls and streams that wait for something from the other side
-	waitingSince time.Time      // since then nothing was read on conn, though calls wait; zero: none does, or something was
+	conn         *monitoredConn // the current one; nil before the first
+	waiting      int            // calls and streams that wait for the peer
+	waitingSince time.Time      // when calls began to wait without anything read on conn; zero: no such wait
 }
 
-// monitoredConn tells when something is read.
+// monitoredConn reports received data to its monitor.
 type monitoredConn struct {
 	net.Conn
 
@@ -55,6 +55,7 @@
 	return monitored, nil
 }
 
+// received records that data was read on c.
 func (s *silenceMonitor) received(c *monitoredConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +64,8 @@
 	}
 }
 
-// callStarted notes a call, or a stream that waits for a message, which the other side should
-// answer soon.
+// callStarted records the start of a call, or of a stream's wait for a message, that the peer
+// should answer soon.
 func (s *silenceMonitor) callStarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,10 +75,10 @@
 	}
 }
 
-// callEnded notes how a call or a wait callEnded. Without an answer, the connection is closed if
-// nothing was read for long while calls waited: one may wait long for good reason. A call
-// that its caller gave up says nothing of a connection on which no other waits; one that
-// timed out does.
+// callEnded records the end of a call or wait. If it ended without an answer, and nothing was
+// received for the timeout while calls were waiting, the connection is closed. One call alone may
+// wait longer for good reason, as long as others are answered. A call that its caller cancelled is
+// no sign of a silent connection if no other call is waiting; one that timed out is.
 func (s *silenceMonitor) callEnded(c codes.Code) {
 	s.mu.Lock()
 	s.waiting--
@@ -89,10 +90,11 @@
 	conn := s.conn
 	s.mu.Unlock()
 	if silent && conn != nil {
-		_ = conn.Close() // gRPC sees it and tells those who wait
+		_ = conn.Close() // gRPC notices and fails the waiting calls
 	}
 }
 
+// unary is a grpc.UnaryClientInterceptor.
 func (s *silenceMonitor) unary(ctx context.Context, method string, request, reply any, c *grpc.ClientConn, invoke grpc.UnaryInvoker, o ...grpc.CallOption) error {
 	s.callStarted()
 	err := invoke(ctx, method, request, reply, c, o...)
@@ -100,6 +102,7 @@
 	return err
 }
 
+// stream is a grpc.StreamClientInterceptor.
 func (s *silenceMonitor) stream(ctx context.Context, d *grpc.StreamDesc, c *grpc.ClientConn, method string, open grpc.Streamer, o ...grpc.CallOption) (grpc.ClientStream, error) {
 	s.callStarted()
 	stream, err := open(ctx, d, c, method, o...)
@@ -110,15 +113,15 @@
 	return &monitoredStream{ClientStream: stream, silence: s}, nil
 }
 
-// monitoredStream watches the messages of a stream.
+// monitoredStream reports a stream's waits for messages to its monitor.
 type monitoredStream struct {
 	grpc.ClientStream
 
 	silence *silenceMonitor
 }
 
-// RecvMsg implements grpc.ClientStream. A stream whose messages come too late is cancelled
-// by who reads it.
+// RecvMsg implements grpc.ClientStream. The reader of a stream cancels it when messages are
+// overdue, which counts as a call without an answer.
 func (s *monitoredStream) RecvMsg(m any) error {
 	s.silence.callStarted()
 	err := s.ClientStream.RecvMsg(m)
--- a/daemon/silence_test.go
+++ b/daemon/silence_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// echoPeer answers heartbeats, and says one word on each stream.
+// echoPeer answers heartbeats, and sends one message on each stream.
 type echoPeer struct {
 	wire.UnimplementedPeerServer
 	wire.UnimplementedShareServer
@@ -36,7 +36,8 @@
 	return s.Context().Err()
 }
 
-// startPeerBehindProxy starts a peer behind a proxy and returns a dialer to it.
+// startPeerBehindProxy starts a peer behind a proxy that can be silenced, and returns the proxy,
+// a dialer and the proxy's address.
 func startPeerBehindProxy(t *testing.T, silentFor time.Duration) (*standin.SilentProxy, *Dialer, string) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,9 +75,9 @@
 	return err
 }
 
-// A connection between two boxes fell silent for good, without a reset, while new ones
-// worked. Heartbeats on it timed out, the other box was believed dead, and each later one
-// took the same connection.
+// A connection between two boxes became silent for good, without a reset, while new connections
+// worked. Heartbeats on it timed out and the peer was taken for dead, since every later heartbeat
+// used the same connection.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	c := quicktest.New(t)
 	proxy, d, address := startPeerBehindProxy(t, heartbeatTimeout+heartbeatTimeout/2)
@@ -91,8 +92,8 @@
 	c.Assert(proxy.Taken(), quicktest.Equals, 2)
 }
 
-// The same for a box that is only followed: its stream is cancelled by who reads it, and the
-// next one took the same connection.
+// The same failure on a stream of updates: the reader cancelled the overdue stream, and the next
+// one used the same silent connection.
 func TestSilentConnectionOfStreamIsReplaced(t *testing.T) {
 	c := quicktest.New(t)
 	proxy, d, address := startPeerBehindProxy(t, heartbeatTimeout)
@@ -113,14 +114,14 @@
 	}
 	c.Assert(status.Code(follow()), quicktest.Equals, codes.Canceled)
 	err := sendHeartbeat(d, address, 5*time.Second)
-	if status.Code(err) == codes.Unavailable { // it began before gRPC saw that the connection was closed
+	if status.Code(err) == codes.Unavailable { // the call started before gRPC noticed that the connection was closed
 		err = sendHeartbeat(d, address, 5*time.Second)
 	}
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(proxy.Taken(), quicktest.Equals, 2)
 }
 
-// A call that waits long on a connection that others are answered on ends alone.
+// A call that waits long on a connection on which others are answered does not close it.
 func TestRespondingConnectionIsKept(t *testing.T) {
 	c := quicktest.New(t)
 	proxy, d, address := startPeerBehindProxy(t, 2*heartbeatTimeout)
@@ -140,9 +141,9 @@
 	c.Assert(proxy.Taken(), quicktest.Equals, 1)
 }
 
-// A stream was given up by its reader on a connection in order, and nothing came on it for a
-// while; the next call that timed out closed the connection, though it had waited for less
-// than makes one silent.
+// The reader of a stream cancelled it on a working connection, on which nothing was received for a
+// while after that. The next call that timed out closed the connection, although that call had
+// waited for less than the silence timeout.
 func TestCancelledCallDoesNotCountAsSilence(t *testing.T) {
 	c := quicktest.New(t)
 	proxy, d, address := startPeerBehindProxy(t, heartbeatTimeout)
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -13,7 +13,7 @@
 	"cairnwick.example/metrics"
 )
 
-// Traffic counts what a daemon exchanges, by the other side.
+// Traffic counts a daemon's network traffic with its peers, the endpoints and the platform.
 type Traffic struct {
 	Peers     metrics.Traffic
 	Endpoints metrics.Traffic
@@ -26,8 +26,8 @@
 	expvar.Publish("cairn_traffic_platform", &t.Platform)
 }
 
-// countingDialer returns a dial function that counts what passes. Connections are made
-// from the source, an IP number, unless it is empty.
+// countingDialer returns a dial function whose connections are counted in t. They are
+// opened from the IP address source, or from any if source is empty.
 func countingDialer(t *metrics.Traffic, timeout time.Duration, source string) engine.DialFunc {
 	d := &net.Dialer{Timeout: timeout}
 	if ip := net.ParseIP(source); ip != nil {
@@ -42,13 +42,13 @@
 	}
 }
 
-// EndpointClient returns the client that reaches endpoints and keeps so many idle
+// EndpointClient returns an HTTP client for endpoints that keeps up to idle unused
 // connections to each.
 func (n *Node) EndpointClient(idle int) *http.Client {
 	return &http.Client{Transport: engine.NewTransport(n.EndpointDial(), idle)}
 }
 
-// EndpointDial returns what opens connections to endpoints.
+// EndpointDial returns the function that opens connections to endpoints.
 func (n *Node) EndpointDial() engine.DialFunc {
 	return countingDialer(&n.traffic.Endpoints, n.values.Duration(EndpointDial), n.values.Text(Source))
 }
