--- a/daemon/dialer.go
+++ b/daemon/dialer.go
@@ -112,7 +112,7 @@
 	return peerClient{client: wire.NewPeerClient(d.Conn(address))}
 }
 
-// peerClient is one other daemon, for heartbeats and for configuration.
+// peerClient calls one other daemon. It implements member.Peer and keeper.Source.
 type peerClient struct{ client wire.PeerClient }
 
 // Exchange implements member.Peer.
--- a/daemon/health.go
+++ b/daemon/health.go
@@ -35,7 +35,7 @@
 	fmt.Fprintln(w, n.state())
 }
 
-// publishMetrics exports the figures that every daemon has.
+// publishMetrics exports the metrics of every daemon.
 func (n *Node) publishMetrics() {
 	expvar.Publish("cairn_revision", expvar.Func(func() any {
 		if c := n.Keeper.Catalog(); c != nil {
--- a/daemon/identity.go
+++ b/daemon/identity.go
@@ -79,8 +79,8 @@
 	return errors.Wrap(err, "daemon: verify peer certificate")
 }
 
-// latest returns what the files hold. Files that became unreadable leave what was
-// latest before in use.
+// latest returns the contents of the files, which it reads again if they have changed. If they
+// cannot be read, what was read before stays in use.
 func (i *Identity) latest() (*tls.Certificate, *x509.CertPool, error) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/daemon/messages.go
+++ b/daemon/messages.go
@@ -15,7 +15,7 @@
 // MessageCounter counts the gRPC messages between this daemon and the others. Set the exported
 // fields before the first connection. It is safe for concurrent use.
 type MessageCounter struct {
-	// Kind classifies a message of a method. There should be no more than a few dozen kinds.
+	// Kind classifies a message of a method. There should be no more than a dozen or so kinds.
 	Kind func(method string, message any) string
 	// Near reports whether the daemon at an IP address is in the own data centre; known is
 	// false if there is no known daemon at the address.
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Task is something that runs until its context ends.
+// Task is a function that runs until its context ends.
 type Task func(context.Context) error
 
 // Run serves until ctx ends, then shuts down gracefully: the node becomes unready, the
@@ -40,7 +40,7 @@
 	return err
 }
 
-// RunAll runs tasks until all have ended, and returns the first error.
+// RunAll runs the tasks concurrently, waits until all have ended, and returns the first error.
 func RunAll(ctx context.Context, tasks ...Task) error {
 	ended := make(chan error, len(tasks))
 	for _, t := range tasks {
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -51,5 +51,5 @@
 	return "engine: request not sent: " + e.Cause.Error()
 }
 
-// Unwrap implements the interface that the errors package uses.
+// Unwrap lets errors.Is and errors.As inspect the cause.
 func (e *NoResponseError) Unwrap() error { return e.Cause }
--- a/engine/exited_test.go
+++ b/engine/exited_test.go
@@ -43,7 +43,7 @@
 // On a busy machine, one request that makes endpoints exit sometimes took down four instead of three, with the
 // other requests that ran there. The check's connection was waiting to be accepted when the exiting process closed
 // its listener, and failed with "connect: connection reset by peer". Only a refused connection counted as proof of
-// the exit, so the endpoint was taken for alive. 2 of about 30 runs failed this way.
+// the exit, so the endpoint was taken for alive. It happened in 2 of about 30 runs; the trace of one shows the reset.
 func TestEndpointThatResetsThenRefusesHasExited(t *testing.T) {
 	c := quicktest.New(t)
 	for _, x := range []struct {
