--- a/daemon/boxes.go
+++ b/daemon/boxes.go
@@ -11,44 +11,45 @@
 	"cairnwick.example/member"
 )
 
-// Boxes keeps the platform's list of boxes, which lags. It serves to find the
-// first peer, and the daemons of other data centres. Nobody who asks waits for the
-// platform. Set the fields before Run.
-type Boxes struct {
-	Client *kvstore.Client
-	Life   func() time.Duration // how long a list is used before it is read again
+// BoxList caches the platform's list of boxes, which may be out of date. It is used to
+// find the first peers and the daemons of other data centres. Reading the cached list
+// never waits for the platform. Set the exported fields before Run.
+type BoxList struct {
+	Client          *kvstore.Client
+	RefreshInterval func() time.Duration // time between two reads of the list
 
 	mu   sync.Mutex
-	list []kvstore.Daemon // as last read; empty before
+	list []kvstore.Daemon // as last read; empty before the first read
 }
 
 const (
-	firstRead = 500 * time.Millisecond // longest wait for the list at the start
-	readAgain = time.Second            // after a read that failed
+	initialReadTimeout = 500 * time.Millisecond // limits the wait for the list at start-up
+	readRetryInterval  = time.Second            // after a failed read
 )
 
-// Run reads the list again and again until ctx ends.
-func (b *Boxes) Run(ctx context.Context) error {
+// Run refreshes the list periodically until ctx ends.
+func (b *BoxList) Run(ctx context.Context) error {
 	for {
-		pause := b.Life()
+		delay := b.RefreshInterval()
 		if !b.Refresh(ctx) {
-			pause = readAgain
+			delay = readRetryInterval
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// Refresh reads the list once and tells whether the platform gave one.
-func (b *Boxes) Refresh(ctx context.Context) bool {
-	v, err := b.Client.Read(ctx, kvstore.BoxesKey)
+// Refresh reads the list from the platform and reports whether that succeeded. After a
+// failure the previous list stays.
+func (b *BoxList) Refresh(ctx context.Context) bool {
+	value, err := b.Client.Read(ctx, kvstore.BoxesKey)
 	if err != nil {
 		return false
 	}
-	list, err := kvstore.ParseBoxes(v.Body())
+	list, err := kvstore.ParseBoxes(value.Body())
 	if err != nil {
 		return false
 	}
@@ -58,27 +59,27 @@
 	return true
 }
 
-// List returns the list as last read; do not change it.
-func (b *Boxes) List() []kvstore.Daemon {
+// List returns the list as last read, which must not be modified.
+func (b *BoxList) List() []kvstore.Daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.list
 }
 
 // Schedulers implements gateway.Directory.
-func (b *Boxes) Schedulers(dataCentre string) []member.Member {
+func (b *BoxList) Schedulers(dataCentre string) []member.Member {
 	var list []member.Member
-	for _, x := range b.List() {
-		if x.DataCentre == dataCentre && x.Role == member.Scheduler && !x.Leaving {
-			list = append(list, member.New(x.Name, x.Address, x.Role, x.DataCentre, 0))
+	for _, entry := range b.List() {
+		if entry.DataCentre == dataCentre && entry.Role == member.Scheduler && !entry.Leaving {
+			list = append(list, member.New(entry.Name, entry.Address, entry.Role, entry.DataCentre, 0))
 		}
 	}
 	return list
 }
 
-// Listed returns the names of the schedulers that the platform lists as staying
-// in a data centre.
-func (b *Boxes) Listed(dataCentre string) []string {
+// SchedulerNames returns the names of the schedulers of a data centre that the platform
+// lists and that are not leaving.
+func (b *BoxList) SchedulerNames(dataCentre string) []string {
 	var names []string
 	for _, m := range b.Schedulers(dataCentre) {
 		names = append(names, m.Name())
--- a/daemon/join.go
+++ b/daemon/join.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// joinBeats bounds the wait for a view that is still, in heartbeats: a view that
-	// changes all the time must not keep a daemon from serving.
-	joinBeats = 4
-	// stillPart of a heartbeat more than one is how long a still view has no change, so
-	// that the news of the last beat is in it.
-	stillPart = 4
+	// maxJoinHeartbeats limits the wait for a stable view of the members, in heartbeat
+	// intervals: constant changes must not keep a daemon from serving.
+	maxJoinHeartbeats = 4
+	// stableMarginDivisor sets the margin of the stable period: the view must not change for
+	// one heartbeat interval and this fraction of another, so that it includes what the last
+	// heartbeat brought.
+	stableMarginDivisor = 4
 )
 
-// join makes the node ready once it has a configuration: what peers
-// have in force when any answers, else what the platform gives.
+// join waits for a configuration, the one in force at a peer or else the platform's, and
+// for a stable view of the members. It then marks the node as ready.
 func (n *Node) join(ctx context.Context) error {
 	for ctx.Err() == nil && n.Keeper.Catalog() == nil {
-		n.askPeers(ctx)
+		n.fetchFromPeers(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -29,7 +30,7 @@
 		case <-time.After(n.values.Duration(Heartbeat)):
 		}
 	}
-	n.awaitView(ctx)
+	n.awaitStableView(ctx)
 	if ctx.Err() == nil {
 		n.ready.Store(true)
 		n.Log.Info("Daemon is ready", "revision", n.Keeper.Catalog().Revision())
@@ -38,34 +39,35 @@
 	return nil
 }
 
-// awaitView waits until the view of the members was still for one heartbeat, so
-// that this daemon does not act on a part of its data centre; after a bounded
-// time it goes on with what it has.
-func (n *Node) awaitView(ctx context.Context) {
-	beat := n.values.Duration(Heartbeat)
-	limit := time.After(joinBeats * beat)
+// awaitStableView waits until the view of the members has not changed for a heartbeat
+// interval, so that this daemon does not act on an incomplete view of its data centre. It
+// gives up after maxJoinHeartbeats.
+func (n *Node) awaitStableView(ctx context.Context) {
+	interval := n.values.Duration(Heartbeat)
+	timeout := time.After(maxJoinHeartbeats * interval)
 	for {
 		changed := n.Table.Changed()
-		still := time.After(beat + beat/stillPart)
+		stable := time.After(interval + interval/stableMarginDivisor)
 		if len(n.Table.Members()) == 1 {
-			still = nil // nobody answered yet
+			stable = nil // no peer has answered yet
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-limit:
+		case <-timeout:
 			return
-		case <-still:
+		case <-stable:
 			return
 		case <-changed:
 		}
 	}
 }
 
-// askPeers takes over what any known daemon has in force, of every data centre.
-func (n *Node) askPeers(ctx context.Context) {
-	list := n.namedPeers()
-	for _, b := range n.Boxes.List() {
+// fetchFromPeers asks the known daemons of all data centres for the configuration in force
+// until one of them supplies it.
+func (n *Node) fetchFromPeers(ctx context.Context) {
+	list := n.configuredPeers()
+	for _, b := range n.BoxList.List() {
 		if b.Name != n.Name() {
 			list = append(list, b.Address)
 		}
@@ -74,48 +76,50 @@
 		if n.Keeper.Catalog() != nil {
 			return
 		}
-		if err := n.relay.Ask(ctx, a); err != nil {
-			n.Log.V(1).Info("Peer gave no configuration", "address", a, "err", err.Error())
+		if err := n.syncer.FetchFrom(ctx, a); err != nil {
+			n.Log.V(1).Info("Failed to fetch configuration from peer", "address", a, "err", err.Error())
 		}
 	}
 }
 
-// readBoxes gives the first heartbeat its seeds, when the platform answers soon.
-func (n *Node) readBoxes(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, firstRead)
+// readBoxList reads the list of boxes, so that the first heartbeat has seeds. It waits for
+// the platform no longer than initialReadTimeout.
+func (n *Node) readBoxList(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, initialReadTimeout)
 	defer cancel()
-	if !n.Boxes.Refresh(ctx) {
-		n.Log.Info("Platform gave no list of boxes at the start")
+	if !n.BoxList.Refresh(ctx) {
+		n.Log.Info("Failed to read list of boxes from platform at start-up")
 	}
 }
 
-// seeds lists daemons of the own data centre.
+// seeds returns the addresses of the other daemons of the own data centre and of the peers in
+// the settings.
 func (n *Node) seeds() []string {
 	var list []string
-	for _, b := range n.Boxes.List() {
-		if b.DataCentre == n.centre && b.Name != n.Name() {
+	for _, b := range n.BoxList.List() {
+		if b.DataCentre == n.dataCentre && b.Name != n.Name() {
 			list = append(list, b.Address)
 		}
 	}
-	return append(list, n.namedPeers()...)
+	return append(list, n.configuredPeers()...)
 }
 
-// remotes lists daemons of the other data centres.
+// remotes returns the addresses of the daemons of other data centres.
 func (n *Node) remotes() []string {
 	var list []string
-	for _, b := range n.Boxes.List() {
-		if b.DataCentre != n.centre {
+	for _, b := range n.BoxList.List() {
+		if b.DataCentre != n.dataCentre {
 			list = append(list, b.Address)
 		}
 	}
 	return list
 }
 
-// namedPeers lists the addresses that the settings name.
-func (n *Node) namedPeers() []string {
+// configuredPeers returns the addresses of the peers in the settings.
+func (n *Node) configuredPeers() []string {
 	var list []string
 	for _, a := range strings.Split(n.values.Text(Peers), ",") {
-		if a = strings.TrimSpace(a); a != "" && a != n.advertised() {
+		if a = strings.TrimSpace(a); a != "" && a != n.advertisedAddress() {
 			list = append(list, a)
 		}
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package daemon is what the gateway and the scheduler have in common: the
-// command line, settings, membership, the configuration's relay, the operators'
-// port and the orderly end.
+// Package daemon is what the gateway and the scheduler have in common: the command
+// line, settings, membership, distribution of the configuration, the operators' port
+// and graceful shutdown.
 //
-// Main reads the command line and the settings; New makes the Node that they
-// describe, to which the role adds what it serves; Node.Run joins the data centre,
-// serves and leaves it. Peers, which are other daemons, are called through a Dialer
-// and answered by the Node's gRPC server.
+// Main reads the command line and the settings. New creates a Node from the settings,
+// and the role adds its own services to it. Node.Run joins the data centre, serves, and
+// leaves the data centre. Peers, which are other daemons, are called through a Dialer
+// and call the Node's gRPC server.
 package daemon
 
 import (
@@ -27,68 +27,68 @@
 	"google.golang.org/grpc"
 )
 
-// Node is one daemon: a member of its data centre that keeps the configuration
-// and answers operators. New makes it; the role adds its own services and tasks
-// before Run.
+// Node is one daemon: a member of its data centre that holds the configuration and
+// serves operators. New creates it, and the role adds its own services and tasks before
+// Run.
 type Node struct {
-	Role      string
-	Log       logr.Logger
-	Keeper    *keeper.Keeper
-	Table     *member.Table
-	Dialer    *Dialer
-	Record    *decision.Record
-	Boxes     *Boxes
-	Server    *grpc.Server // for the peers' port; register before Run
-	Endpoints func() []*wire.EndpointStatus
-	OnPause   func(gap time.Duration)
-	OnEnded   func(q *wire.EndedRequest) // hears under which requests endpoints ended; nil: nobody does
-
-	// Leave begins the role's orderly end; Idle tells whether nothing is held
-	// any more. Both are called at a planned stop.
-	Leave func()
-	Idle  func() bool
-
-	values  settings.Values
-	box     string
-	centre  string
-	loop    *member.HeartbeatLoop
-	relay   *keeper.Relay
-	traffic *Traffic
-	tasks   []Task
-	ready   atomic.Bool
-	leaving atomic.Bool
+	Role             string
+	Log              logr.Logger
+	Keeper           *keeper.Keeper
+	Table            *member.Table
+	Dialer           *Dialer
+	Record           *decision.Record
+	BoxList          *BoxList
+	Server           *grpc.Server // for the peers' port; register services before Run
+	Endpoints        func() []*wire.EndpointStatus
+	OnPause          func(gap time.Duration)
+	OnEndpointsEnded func(q *wire.EndedRequest) // called with the requests under which endpoints ended; may be nil
+
+	// Drain starts the role's graceful shutdown, and Drained reports whether no requests
+	// are in flight any more. Both are called at a planned stop.
+	Drain   func()
+	Drained func() bool
+
+	values     settings.Values
+	box        string
+	dataCentre string
+	loop       *member.HeartbeatLoop
+	syncer     *keeper.Syncer
+	traffic    *Traffic
+	tasks      []Task
+	ready      atomic.Bool
+	leaving    atomic.Bool
 }
 
-// New makes the node that the settings describe. It returns an error when the
-// identity's files do not hold.
+// New creates the node that the settings describe. It returns an error if the files
+// with the certificates are invalid.
 func New(role string, v settings.Values) (*Node, error) {
-	identity := &Identity{Certificate: v.Text(TLSCert), Key: v.Text(TLSKey), Authority: v.Text(TLSRoot)}
+	identity := &Identity{Certificate: v.Text(TLSCertificate), Key: v.Text(TLSKey), Authority: v.Text(TLSAuthority)}
 	creds, err := identity.Credentials()
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Role: role, values: v, box: v.Text(Box), centre: v.Text(DataCentre)}
-	n.Log = logging.New(os.Stdout, n.box, n.centre, role, v.Switch(Debug))
+	n := &Node{Role: role, values: v, box: v.Text(Box), dataCentre: v.Text(DataCentre)}
+	n.Log = logging.New(os.Stdout, n.box, n.dataCentre, role, v.Switch(Debug))
 	n.Record = decision.NewRecord(v.Count(Decisions))
 	n.traffic = &Traffic{}
-	n.Dialer = &Dialer{Credentials: creds, Dial: counted(&n.traffic.Peers, dialTimeout, v.Text(Source))}
+	n.Dialer = &Dialer{Credentials: creds, Dial: countingDialer(&n.traffic.Peers, dialTimeout, v.Text(Source))}
 	client := &kvstore.Client{
 		Address: v.Text(Platform),
 		Timeout: platformTimeout,
 		HTTP: &http.Client{Transport: &http.Transport{
-			DialContext:         counted(&n.traffic.Platform, dialTimeout, v.Text(Source)),
-			MaxIdleConnsPerHost: platformIdle,
+			DialContext:         countingDialer(&n.traffic.Platform, dialTimeout, v.Text(Source)),
+			MaxIdleConnsPerHost: platformIdleConns,
 		}},
 	}
-	n.Boxes = &Boxes{Client: client, Life: n.boxesLife}
-	self := member.New(n.Name(), n.advertised(), role, n.centre, uint64(time.Now().UnixMicro()))
+	n.BoxList = &BoxList{Client: client, RefreshInterval: n.boxListInterval}
+	self := member.New(n.Name(), n.advertisedAddress(), role, n.dataCentre, uint64(time.Now().UnixMicro()))
 	n.Table = member.NewTable(self, member.TableOptions{
 		SuspectTimeout: v.Duration(SuspectFor),
 		DeadRetention:  forgetDead,
 		FreshFor:       v.Duration(FreshFor),
 	})
 	n.Keeper = keeper.New(v.Duration(Settle), n.Log)
-	n.relay = n.newRelay(client)
+	n.syncer = n.newSyncer(client)
 	n.loop = n.newLoop()
 	n.Server = NewServer(creds, nil)
 	wire.RegisterPeerServer(n.Server, peerServer{node: n})
@@ -96,8 +96,8 @@
 	return n, nil
 }
 
-// advertised returns the address that the other daemons reach this one by.
-func (n *Node) advertised() string {
+// advertisedAddress returns the address at which other daemons reach this one.
+func (n *Node) advertisedAddress() string {
 	if a := n.values.Text(Advertise); a != "" {
 		return a
 	}
@@ -105,59 +105,59 @@
 }
 
 const (
-	forgetDead      = 10 * time.Minute // so long no late news can bring a dead member back
-	listLife        = 5 * time.Minute  // of the list of boxes
-	watchLife       = 30 * time.Second // of it, at the few that watch the platform
-	watchWait       = 30 * time.Second // longest wait of the platform for a new head
-	watchPause      = time.Second      // before it is asked again after it gave none
-	platformTimeout = 2 * time.Second  // of a read
-	platformIdle    = 2                // connections kept: for the watch of the head and for reads
+	forgetDead            = 10 * time.Minute // until then, delayed news cannot bring a dead member back
+	boxListRefresh        = 5 * time.Minute  // of the list of boxes by a daemon that is not a watcher
+	watcherBoxListRefresh = 30 * time.Second // of the list of boxes by a watcher
+	headWatchTimeout      = 30 * time.Second // longest blocking query for a new head
+	headRetryInterval     = time.Second      // after a failed read of the head
+	platformTimeout       = 2 * time.Second  // of a read without waiting for a change
+	platformIdleConns     = 2                // one for the watch of the head and one for reads
 )
 
-// Name returns the node's name as a member.
+// Name returns the node's member name, "BOX/ROLE".
 func (n *Node) Name() string { return n.box + "/" + n.Role }
 
-// Centre returns the node's data centre.
-func (n *Node) Centre() string { return n.centre }
+// DataCentre returns the node's data centre.
+func (n *Node) DataCentre() string { return n.dataCentre }
 
 // Box returns the node's box.
 func (n *Node) Box() string { return n.box }
 
-// Ready tells whether the node has joined its data centre and has a
-// configuration.
+// Ready reports whether the node has joined its data centre and has a configuration.
 func (n *Node) Ready() bool { return n.ready.Load() }
 
-// Probe asks a member for a heartbeat now.
+// Probe sends a heartbeat to a member at once.
 func (n *Node) Probe(name string) { n.loop.Probe(name) }
 
-// Add makes Run run the task.
+// Add adds a task for Run.
 func (n *Node) Add(t Task) { n.tasks = append(n.tasks, t) }
 
-func (n *Node) newRelay(client *kvstore.Client) *keeper.Relay {
-	r := &keeper.Relay{
-		Keeper:   n.Keeper,
-		Platform: client,
-		Peers:    n.Dialer.Source,
-		Nudge:    func() { n.loop.NotifyNeighbours() },
-		Watches:  n.watches,
-		Log:      n.Log,
-		Wait:     watchWait,
-		Pause:    watchPause,
+func (n *Node) newSyncer(client *kvstore.Client) *keeper.Syncer {
+	r := &keeper.Syncer{
+		Keeper:           n.Keeper,
+		Platform:         client,
+		Peers:            n.Dialer.Source,
+		TriggerHeartbeat: func() { n.loop.NotifyNeighbours() },
+		IsWatcher:        n.isWatcher,
+		Log:              n.Log,
+		WatchTimeout:     headWatchTimeout,
+		RetryInterval:    headRetryInterval,
 	}
 	r.Init()
 	return r
 }
 
-// watches tells whether this daemon is one of the few of its data centre that
-// read the platform regularly.
-func (n *Node) watches() bool { return n.Table.Rank() < n.values.Count(Watchers) }
+// isWatcher reports whether this daemon is one of the few in its data centre that watch
+// the platform.
+func (n *Node) isWatcher() bool { return n.Table.Rank() < n.values.Count(Watchers) }
 
-// boxesLife keeps the reads of the list few: only the watchers read it often.
-func (n *Node) boxesLife() time.Duration {
-	if n.watches() {
-		return watchLife
+// boxListInterval returns the time between reads of the list of boxes. To limit the load
+// on the platform, only the watchers read it often.
+func (n *Node) boxListInterval() time.Duration {
+	if n.isWatcher() {
+		return watcherBoxListRefresh
 	}
-	return listLife
+	return boxListRefresh
 }
 
 func (n *Node) newLoop() *member.HeartbeatLoop {
@@ -167,8 +167,8 @@
 		Dial:           n.Dialer.Peer,
 		Seeds:          n.seeds,
 		RemotePeers:    n.remotes,
-		IsBridge:       func() bool { return !n.ready.Load() || n.watches() },
-		Payload:        n.relay,
+		IsBridge:       func() bool { return !n.ready.Load() || n.isWatcher() },
+		Payload:        n.syncer,
 		Log:            n.Log,
 		Interval:       v.Duration(Heartbeat),
 		Timeout:        v.Duration(HeartbeatTimeout),
--- a/engine/client.go
+++ b/engine/client.go
@@ -15,67 +15,68 @@
 	"github.com/pkg/errors"
 )
 
-// The headers that the protocol adds.
+// The headers that the protocol adds to those of the engines.
 const (
-	FenceHeader    = "Cairn-Fence"   // on orders: the order's; on answers: the highest seen
-	BootHeader     = "Cairn-Boot"    // on answers: changes when the endpoint restarts empty
-	RequestHeader  = "X-Request-Id"  // names the run, for cancel and resume
-	KeyHeader      = "Cairn-Key"     // of a request that is not repeatable
-	ReasonHeader   = "Cairn-Reason"  // on refusals: the Code
-	EventsHeader   = "Cairn-Events"  // on a resumed stream: the event it begins with
-	LeavingHeader  = "Cairn-Leaving" // on answers: 1 while the endpoint leaves
-	LimitHeader    = "Cairn-Limit"   // on answers to requests: how many a second the endpoint takes from all gateways together
-	maxOrderAnswer = 1 << 20         // bytes read of an order's answer
+	FenceHeader      = "Cairn-Fence"   // on orders: the fence of the order; on responses: the highest fence seen
+	BootHeader       = "Cairn-Boot"    // on responses: changes when the endpoint restarts without adapters
+	RequestIDHeader  = "X-Request-Id"  // identifies the execution, to cancel or resume it
+	KeyHeader        = "Cairn-Key"     // idempotency key of a request that must not be executed twice
+	ReasonHeader     = "Cairn-Reason"  // on error responses: the Code
+	EventsHeader     = "Cairn-Events"  // on a resumed stream: the number of its first event
+	LeavingHeader    = "Cairn-Leaving" // on responses: 1 while the endpoint drains
+	RateLimitHeader  = "Cairn-Limit"   // on responses to requests: requests per second that the endpoint accepts from all gateways together
+	maxResponseBytes = 1 << 20         // of a response to any call except a completion
 )
 
-// Endpoint is what the scheduler needs of one model server. Every method
-// returns a *RefusedError for the endpoint's own refusal and a *LostError when
-// there was no answer.
+// Endpoint is the scheduler's interface to one model server. Every method
+// returns a *RefusedError when the endpoint refused the call, and a
+// *NoResponseError when there was no complete response.
 type Endpoint interface {
-	// Look reads the highest fence and the boot; it is the cheapest call.
-	Look(ctx context.Context) (Sight, error)
+	// ReadState reads the highest fence and the boot ID; it is the cheapest call.
+	ReadState(ctx context.Context) (State, error)
 	// Claim raises the highest fence to f.
-	Claim(ctx context.Context, f Fence) (Sight, error)
-	// Load puts an adapter into a slot, under the name that requests will use.
-	Load(ctx context.Context, a Authority, name, path string) error
-	// Unload empties the adapter's slot.
-	Unload(ctx context.Context, a Authority, name string) error
-	// Models lists the adapters in the slots.
+	Claim(ctx context.Context, f Fence) (State, error)
+	// Load loads the adapter at path into a slot, under the name that requests use.
+	Load(ctx context.Context, lease Lease, name, path string) error
+	// Unload frees the adapter's slot.
+	Unload(ctx context.Context, lease Lease, name string) error
+	// Models lists the loaded adapters.
 	Models(ctx context.Context) ([]string, error)
-	// Report reads the endpoint's load, as old as its published lag.
+	// Report reads the endpoint's load metrics, which are as old as the endpoint's
+	// published reporting lag.
 	Report(ctx context.Context) (Report, error)
 }
 
-// Authority is what an order is given under. An order that could not be written by
-// its end is not given: whoever gave it may not own the endpoint any more, and an
-// endpoint that checks no fences would carry it out.
-type Authority struct {
-	Fence Fence
-	Until time.Time // zero: for ever
+// Lease is the right to give orders to an endpoint. An order that could not be
+// written before the lease expires is not sent: its sender may not own the endpoint
+// any more, and an endpoint that does not check fences would carry the order out.
+type Lease struct {
+	Fence     Fence
+	ExpiresAt time.Time // zero: never
 }
 
-// Sight is what every answer of an endpoint shows.
-type Sight struct {
-	fence Fence
-	boot  string
+// State is what the headers of every response say about the endpoint.
+type State struct {
+	fence  Fence // the highest seen
+	bootID string
 }
 
-// NewSight returns what an answer with this fence and boot shows.
-func NewSight(f Fence, boot string) Sight { return Sight{fence: f, boot: boot} }
+// NewState returns the state with a highest fence and a boot ID.
+func NewState(f Fence, boot string) State { return State{fence: f, bootID: boot} }
 
 // Fence returns the highest fence that the endpoint has seen.
-func (s Sight) Fence() Fence { return s.fence }
+func (s State) Fence() Fence { return s.fence }
 
-// Boot returns what changes when the endpoint restarts empty.
-func (s Sight) Boot() string { return s.boot }
+// BootID returns an identifier that changes when the endpoint restarts without adapters.
+func (s State) BootID() string { return s.bootID }
 
-// SightOf reads the headers of an answer.
-func SightOf(h http.Header) Sight {
+// ParseState reads the headers of a response.
+func ParseState(h http.Header) State {
 	f, err := ParseFence(h.Get(FenceHeader))
 	if err != nil {
-		f = Fence{} // a header we cannot read shows nothing
+		f = Fence{} // an invalid header counts as a missing one
 	}
-	return Sight{fence: f, boot: h.Get(BootHeader)}
+	return State{fence: f, bootID: h.Get(BootHeader)}
 }
 
 // Client is an Endpoint over HTTP. Set the exported fields before use; it is
@@ -85,38 +86,38 @@
 	HTTP    *http.Client
 }
 
-// Look implements Endpoint.
-func (c *Client) Look(ctx context.Context) (Sight, error) {
-	a, _, err := c.call(ctx, http.MethodGet, "/cairn/fence", Authority{}, nil)
+// ReadState implements Endpoint.
+func (c *Client) ReadState(ctx context.Context) (State, error) {
+	resp, _, err := c.do(ctx, http.MethodGet, "/cairn/fence", Lease{}, nil)
 	if err != nil {
-		return Sight{}, err
+		return State{}, err
 	}
-	return SightOf(a.Header), nil
+	return ParseState(resp.Header), nil
 }
 
 // Claim implements Endpoint.
-func (c *Client) Claim(ctx context.Context, f Fence) (Sight, error) {
-	a, _, err := c.call(ctx, http.MethodPut, "/cairn/fence", Authority{Fence: f}, nil)
+func (c *Client) Claim(ctx context.Context, f Fence) (State, error) {
+	resp, _, err := c.do(ctx, http.MethodPut, "/cairn/fence", Lease{Fence: f}, nil)
 	if err != nil {
-		return Sight{}, err
+		return State{}, err
 	}
-	return SightOf(a.Header), nil
+	return ParseState(resp.Header), nil
 }
 
-type adapterOrder struct {
+type adapterRequest struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
 }
 
 // Load implements Endpoint.
-func (c *Client) Load(ctx context.Context, a Authority, name, path string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/load_lora_adapter", a, adapterOrder{Name: name, Path: path})
+func (c *Client) Load(ctx context.Context, lease Lease, name, path string) error {
+	_, _, err := c.do(ctx, http.MethodPost, "/v1/load_lora_adapter", lease, adapterRequest{Name: name, Path: path})
 	return err
 }
 
 // Unload implements Endpoint.
-func (c *Client) Unload(ctx context.Context, a Authority, name string) error {
-	_, _, err := c.call(ctx, http.MethodPost, "/v1/unload_lora_adapter", a, adapterOrder{Name: name})
+func (c *Client) Unload(ctx context.Context, lease Lease, name string) error {
+	_, _, err := c.do(ctx, http.MethodPost, "/v1/unload_lora_adapter", lease, adapterRequest{Name: name})
 	return err
 }
 
@@ -129,13 +130,13 @@
 
 // Models implements Endpoint.
 func (c *Client) Models(ctx context.Context) ([]string, error) {
-	_, body, err := c.call(ctx, http.MethodGet, "/v1/models", Authority{}, nil)
+	_, body, err := c.do(ctx, http.MethodGet, "/v1/models", Lease{}, nil)
 	if err != nil {
 		return nil, err
 	}
 	var l modelList
 	if err := json.Unmarshal(body, &l); err != nil {
-		return nil, &LostError{Sent: true, Cause: errors.Wrap(err, "list of models")}
+		return nil, &NoResponseError{Sent: true, Cause: errors.Wrap(err, "parse the list of models")}
 	}
 	var names []string
 	for _, m := range l.Data {
@@ -148,45 +149,45 @@
 
 // Report implements Endpoint.
 func (c *Client) Report(ctx context.Context) (Report, error) {
-	a, body, err := c.call(ctx, http.MethodGet, "/metrics", Authority{}, nil)
+	resp, body, err := c.do(ctx, http.MethodGet, "/metrics", Lease{}, nil)
 	if err != nil {
 		return Report{}, err
 	}
 	r, err := parseReport(bytes.NewReader(body))
 	if err != nil {
-		return Report{}, &LostError{Sent: true, Cause: err}
+		return Report{}, &NoResponseError{Sent: true, Cause: err}
 	}
-	r.sight = SightOf(a.Header)
+	r.state = ParseState(resp.Header)
 	return r, nil
 }
 
-// Cancel ends the run of a request, if it is still running.
+// Cancel cancels the execution of a request if it is still running.
 func (c *Client) Cancel(ctx context.Context, request string) error {
-	_, _, err := c.call(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Authority{}, nil)
+	_, _, err := c.do(ctx, http.MethodDelete, "/cairn/streams/"+url.PathEscape(request), Lease{}, nil)
 	return err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, u Authority, body any) (*http.Response, []byte, error) {
-	r, err := c.request(ctx, method, path, u.Fence, body)
+func (c *Client) do(ctx context.Context, method, path string, lease Lease, body any) (*http.Response, []byte, error) {
+	r, err := c.newRequest(ctx, method, path, lease.Fence, body)
 	if err != nil {
-		return nil, nil, &LostError{Cause: err}
+		return nil, nil, &NoResponseError{Cause: err}
 	}
-	a, err := Send(c.HTTP, r, u.Until)
+	resp, err := Send(c.HTTP, r, lease.ExpiresAt)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(a.Body, maxOrderAnswer))
+	defer resp.Body.Close()
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, nil, &LostError{Sent: true, Cause: err}
+		return nil, nil, &NoResponseError{Sent: true, Cause: err}
 	}
-	if a.StatusCode >= http.StatusBadRequest {
-		return nil, nil, Refusal(a, text)
+	if resp.StatusCode >= http.StatusBadRequest {
+		return nil, nil, ParseRefusal(resp, content)
 	}
-	return a, text, nil
+	return resp, content, nil
 }
 
-func (c *Client) request(ctx context.Context, method, path string, f Fence, body any) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, method, path string, f Fence, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
 		raw, err := json.Marshal(body)
@@ -195,64 +196,65 @@
 		}
 		reader = bytes.NewReader(raw)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, reader)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, reader)
 	if err != nil {
 		return nil, err
 	}
-	r.Header["User-Agent"] = nil // saves bytes on every look
+	req.Header["User-Agent"] = nil // saves bytes on calls that are made all the time
 	if body != nil {
-		r.Header.Set("Content-Type", "application/json")
+		req.Header.Set("Content-Type", "application/json")
 	}
 	if s := f.String(); s != "" {
-		r.Header.Set(FenceHeader, s)
+		req.Header.Set(FenceHeader, s)
 	}
-	return r, nil
+	return req, nil
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error struct {
 		Message string `json:"message"`
 		Type    string `json:"type"`
 	} `json:"error"`
 }
 
-// Refusal reads an endpoint's answer of status 400 and above. An answer
-// without a reason that we know counts as a failure that may have run.
-func Refusal(a *http.Response, text []byte) *RefusedError {
-	var e errorAnswer
-	if json.Unmarshal(text, &e) != nil {
-		e.Error.Message = a.Status
+// ParseRefusal reads an endpoint's response of status 400 or above. A response
+// without a known reason counts as a failure after which the request may have been
+// executed.
+func ParseRefusal(resp *http.Response, body []byte) *RefusedError {
+	var e errorResponse
+	if json.Unmarshal(body, &e) != nil {
+		e.Error.Message = resp.Status
 	}
 	return &RefusedError{
-		Code:    codeOf(a, e.Error.Type),
-		Message: e.Error.Message,
-		Highest: SightOf(a.Header).fence,
-		Retry:   retryOf(a),
+		Code:         refusalCode(resp, e.Error.Type),
+		Message:      e.Error.Message,
+		HighestFence: ParseState(resp.Header).fence,
+		RetryAfter:   parseRetryAfter(resp),
 	}
 }
 
-// codeOf takes the reason header, or what today's engines say by status and
-// type.
-func codeOf(a *http.Response, kind string) Code {
-	if c := a.Header.Get(ReasonHeader); c != "" {
+// refusalCode returns the code in the reason header. For engines that do not send
+// the header it derives the code from the status and the error type.
+func refusalCode(resp *http.Response, errorType string) Code {
+	if c := resp.Header.Get(ReasonHeader); c != "" {
 		return Code(c)
 	}
-	if a.StatusCode == http.StatusNotFound && kind == "NotFoundError" {
+	if resp.StatusCode == http.StatusNotFound && errorType == "NotFoundError" {
 		return CodeNotLoaded
 	}
-	if a.StatusCode == http.StatusBadRequest || a.StatusCode == http.StatusUnprocessableEntity {
+	if resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusUnprocessableEntity {
 		return CodeBadRequest
 	}
 	return CodeFailed
 }
 
-// mostRetry bounds the seconds after which an engine may ask to come back: nobody waits a day.
-const mostRetry = 24 * 60 * 60
+// maxRetryAfterSeconds limits an engine's Retry-After to one day; no caller waits longer.
+const maxRetryAfterSeconds = 24 * 60 * 60
 
-func retryOf(a *http.Response) time.Duration {
-	n, err := strconv.Atoi(a.Header.Get("Retry-After"))
+func parseRetryAfter(resp *http.Response) time.Duration {
+	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil {
 		return 0
 	}
-	return time.Duration(min(max(n, 0), mostRetry)) * time.Second
+	return time.Duration(min(max(seconds, 0), maxRetryAfterSeconds)) * time.Second
 }
--- a/engine/transport.go
+++ b/engine/transport.go
@@ -14,38 +14,40 @@
 	"github.com/pkg/errors"
 )
 
-// ErrExpired says that a grant was not used in time; nothing was sent.
-var ErrExpired = errors.New("engine: grant expired before the write")
+// ErrExpired means that a grant or lease expired before the request was written;
+// nothing was sent.
+var ErrExpired = errors.New("engine: grant or lease expired before the request was written")
 
-// guardedConn refuses the first write of a request that comes too late, and
-// remembers whether any byte of it was handed to the system.
+// guardedConn fails the first write of a request if its time has passed, and records
+// whether any byte of the request was passed to the operating system.
 type guardedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	sendBy time.Time // of the request under way; zero: none
-	sent   bool      // a write of it was begun
+	mu         sync.Mutex
+	sendBy     time.Time // limit for the current request's first write; zero: none
+	writeBegun bool      // some of the current request may have been sent
 }
 
-func (c *guardedConn) arm(sendBy time.Time) {
+// startRequest prepares the connection for the next request.
+func (c *guardedConn) startRequest(sendBy time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sendBy = sendBy
-	c.sent = false
+	c.writeBegun = false
 }
 
-func (c *guardedConn) wasSent() bool {
+func (c *guardedConn) requestSent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sent
+	return c.writeBegun
 }
 
-// Write checks the time just before the system call.
+// Write implements net.Conn. It checks the time immediately before the system call.
 func (c *guardedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	late := !c.sent && !c.sendBy.IsZero() && clock.Now().After(c.sendBy)
+	late := !c.writeBegun && !c.sendBy.IsZero() && clock.Now().After(c.sendBy)
 	if !late {
-		c.sent = true
+		c.writeBegun = true
 	}
 	c.mu.Unlock()
 	if late {
@@ -57,8 +59,8 @@
 // DialFunc opens connections.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewTransport returns the connections to endpoints: opened by dial, kept open,
-// without compression, each write guarded.
+// NewTransport returns a transport for endpoints. It opens connections with dial, keeps
+// them alive, uses no compression and supports the time limit of Send.
 func NewTransport(dial DialFunc, idlePerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -76,29 +78,29 @@
 	}
 }
 
-// Send gives one request to an endpoint, by sendBy or not at all, and never a
-// second time: net/http is kept from sending it again by itself. Without an
-// answer it returns a *LostError, which says whether a byte may have left. An
-// answer of any status is returned as it is; the caller closes its body.
-func Send(client *http.Client, r *http.Request, sendBy time.Time) (*http.Response, error) {
-	r.GetBody = nil // without it net/http cannot send again
+// Send sends one request to an endpoint, by sendBy or not at all, and at most once:
+// automatic retries of net/http are disabled. Without a response it returns a
+// *NoResponseError, which says whether any byte may have been sent. A response of any
+// status is returned unchanged; the caller must close its body.
+func Send(client *http.Client, req *http.Request, sendBy time.Time) (*http.Response, error) {
+	req.GetBody = nil // net/http cannot retry without it
 	var mu sync.Mutex
 	var conn *guardedConn
-	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		g, ok := i.Conn.(*guardedConn)
+	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
+		guarded, ok := info.Conn.(*guardedConn)
 		if !ok {
 			return
 		}
-		g.arm(sendBy)
+		guarded.startRequest(sendBy)
 		mu.Lock()
-		conn = g
+		conn = guarded
 		mu.Unlock()
 	}}
-	a, err := client.Do(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
+	resp, err := client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	if err == nil {
-		return a, nil
+		return resp, nil
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return nil, &LostError{Sent: conn != nil && conn.wasSent(), Cause: err}
+	return nil, &NoResponseError{Sent: conn != nil && conn.requestSent(), Cause: err}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(engine.RequestHeader, runID)
+	req.Header.Set(engine.RequestIDHeader, runID)
 	if q.key != "" {
 		req.Header.Set(engine.KeyHeader, q.key)
 	}
@@ -123,7 +123,7 @@
 
 // sendFailure returns the failure of an attempt that got no response.
 func (g *Gateway) sendFailure(ctx context.Context, h heldGrant, runID string, r *wire.ReleaseRequest, err error) *Failure {
-	var lost *engine.LostError
+	var lost *engine.NoResponseError
 	if errors.As(err, &lost) && !lost.Sent {
 		r.Outcome = wire.Outcome_OUTCOME_NOT_SENT
 		code := CodeNoResponse
@@ -158,25 +158,25 @@
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
 		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: "the error response of " + h.endpoint + " was truncated"}
 	}
-	refused := engine.Refusal(resp, text)
-	if !refused.NotRun() {
+	refused := engine.ParseRefusal(resp, text)
+	if !refused.NotExecuted() {
 		r.Outcome = wire.Outcome_OUTCOME_UNKNOWN
-		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: refused.Message, RetryAfter: refused.Retry}
+		return &Failure{Code: CodeNoResponse, Ran: MayHaveRun, Message: refused.Message, RetryAfter: refused.RetryAfter}
 	}
 	r.Outcome = wire.Outcome_OUTCOME_REFUSED
 	r.NotLoaded = refused.Code == engine.CodeNotLoaded
 	r.Busy = refused.Code == engine.CodeBusy
 	r.Leaving = r.Leaving || refused.Code == engine.CodeLeaving
 	if refused.Code == engine.CodeBusy {
-		g.observeBackoff(h.endpoint, refused.Retry)
+		g.observeBackoff(h.endpoint, refused.RetryAfter)
 	}
 	switch refused.Code {
 	case engine.CodeBadRequest:
 		return badRequest("%s", refused.Message)
 	case engine.CodeLeaving:
-		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.Retry, time.Second)}
+		return &Failure{Code: CodeLeaving, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.RetryAfter, time.Second)}
 	}
-	return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.Retry, time.Second)}
+	return &Failure{Code: CodeRefusedByEndpoint, Ran: NotRun, Message: refused.Message, RetryAfter: max(refused.RetryAfter, time.Second)}
 }
 
 // recordAttempt records the outcome of an attempt as a decision.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -53,7 +53,7 @@
 
 // observeLimit records the rate limit in the headers of a response to a request sent under a grant.
 func (g *Gateway) observeLimit(held heldGrant, h http.Header, sentAt, now time.Time) {
-	limit, err := ratelimit.Parse(h.Values(engine.LimitHeader))
+	limit, err := ratelimit.Parse(h.Values(engine.RateLimitHeader))
 	if err != nil {
 		g.Log.V(1).Info("Endpoint's rate limit can't be parsed; keeping the last one", "endpoint", held.endpoint, "err", err.Error())
 		return
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -34,7 +34,7 @@
 		IsTerminated: func(ctx context.Context, address string) bool {
 			ctx, cancel := context.WithTimeout(ctx, terminationCheckTimeout)
 			defer cancel()
-			return engine.HasEnded(ctx, g.DialEngine, address)
+			return engine.HasExited(ctx, g.DialEngine, address)
 		},
 		OnTermination: g.endpointEnded,
 	}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -113,7 +113,7 @@
 		return badRequest("call: %v", err)
 	}
 	copyEndToEndHeaders(req.Header, c.headers)
-	req.Header.Set(engine.RequestHeader, c.id)
+	req.Header.Set(engine.RequestIDHeader, c.id)
 	if c.key != "" {
 		req.Header.Set(engine.KeyHeader, c.key)
 	}
@@ -145,7 +145,7 @@
 // serviceCallFailure returns the failure of a call that got no response.
 func (g *Gateway) serviceCallFailure(ctx context.Context, c *serviceCall, address string, err error) *Failure {
 	ran := MayHaveRun
-	var lost *engine.LostError
+	var lost *engine.NoResponseError
 	if errors.As(err, &lost) && !lost.Sent {
 		ran = NotRun
 	} else {
--- a/gateway/setup.go
+++ b/gateway/setup.go
@@ -68,13 +68,13 @@
 	}
 	g := &Gateway{
 		Name:         n.Name(),
-		DataCentre:   n.Centre(),
+		DataCentre:   n.DataCentre(),
 		Catalog:      n.Keeper.Catalog,
 		Members:      n.Table,
 		Probe:        n.Probe,
 		Schedulers:   n.Dialer,
 		Peers:        n.Dialer,
-		Directory:    n.Boxes,
+		Directory:    n.BoxList,
 		EngineClient: n.EndpointClient(maxIdlePerEndpoint),
 		DialEngine:   n.EndpointDial(),
 		Placement:    placement,
@@ -99,9 +99,9 @@
 	if err != nil {
 		return errors.Wrap(err, "gateway: callers' port")
 	}
-	n.Leave = g.Drain
-	n.OnEnded = g.ReceiveEnded
-	n.Idle = func() bool { return g.InFlight() == 0 }
+	n.Drain = g.Drain
+	n.OnEndpointsEnded = g.ReceiveEnded
+	n.Drained = func() bool { return g.InFlight() == 0 }
 	n.Add(g.Run)
 	n.Add(func(ctx context.Context) error { return daemon.ServeHTTP(ctx, l, g.Handler()) })
 	return n.Run(ctx)
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package keeper holds the configuration in force on one daemon and decides
-// what may follow it.
+// Package keeper holds the configuration in force on one daemon and decides which
+// configuration may replace it.
 //
-// A head read from the platform is first a candidate: it is told to the peers,
-// and after the settling time the candidate of the lowest digest among those
-// made from the head in force wins. So two operators who publish on the same
-// base end with one in force everywhere, also where watchers missed one of the
-// two. A head that a peer has in force is taken over at once when it follows
-// the own one. What is in force is never given up for an older head.
+// A configuration is a head document, which names shards by digest, and the shards. A
+// head read from the platform is a candidate at first and is announced to the peers. After
+// the settling time the candidate with the lowest digest, among those based on the head in
+// force, comes into force. So if two operators publish on the same base, the same one of
+// the two comes into force everywhere, even where watchers missed the other. A head that a
+// peer has in force comes into force at once if it follows the own one. The head in force
+// is never replaced by an older one.
 package keeper
 
 import (
@@ -21,30 +22,31 @@
 	"github.com/go-logr/logr"
 )
 
-// Keeper is safe for concurrent use. Set the exported fields before use.
+// Keeper holds the configuration in force and the candidates to replace it. It is safe
+// for concurrent use. Set the exported fields before use.
 type Keeper struct {
-	Settle time.Duration
+	Settle time.Duration // settling time of a candidate
 	Log    logr.Logger
 
 	mu         sync.Mutex
-	inForce    *document            // nil until the first is accepted
+	inForce    *document            // nil until there is one
 	candidates map[string]*document // by digest; each follows inForce
-	refused    map[string]Verdict   // heads that were Rival or Invalid, by digest; bounded
+	rejected   map[string]Verdict   // Rival and Invalid heads, by digest; at most maxRejected
 	changed    chan struct{}        // closed when another head comes into force
 }
 
-// New returns a keeper that holds nothing.
+// New returns a keeper without a configuration.
 func New(settle time.Duration, log logr.Logger) *Keeper {
 	return &Keeper{
 		Settle:     settle,
 		Log:        log,
 		candidates: make(map[string]*document),
-		refused:    make(map[string]Verdict),
+		rejected:   make(map[string]Verdict),
 		changed:    make(chan struct{}),
 	}
 }
 
-// Catalog returns the configuration in force, or nil when there is none yet.
+// Catalog returns the configuration in force, or nil if there is none yet.
 func (k *Keeper) Catalog() *catalog.Catalog {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -61,18 +63,19 @@
 	return k.changed
 }
 
-// Offer takes in a head document read from a source. Its shards are fetched
-// there unless they are held already. An error says why a head is Invalid, or
-// that its shards could not be fetched; the verdict is then zero.
+// Offer evaluates a head document read from a source, and makes it a candidate or puts
+// it in force if it qualifies. Shards that are not held yet are fetched from the source.
+// An error says why a head is Invalid, or that its shards could not be fetched; the
+// verdict is zero in the latter case.
 func (k *Keeper) Offer(ctx context.Context, raw []byte, peerInForce bool, from Source) (Verdict, error) {
 	h, err := catalog.ParseHead(raw)
 	if err != nil {
 		return Invalid, err
 	}
-	if v := k.judge(h, peerInForce); v != Candidate && v != InForce {
+	if v := k.evaluate(h, peerInForce); v != Candidate && v != InForce {
 		return v, nil
 	}
-	shards, err := k.fetch(ctx, h, from)
+	shards, err := k.fetchShards(ctx, h, from)
 	if err != nil {
 		return 0, err
 	}
@@ -81,65 +84,67 @@
 		err = k.checkVersions(c)
 	}
 	if err != nil {
-		k.refuse(h, Invalid)
+		k.reject(h, Invalid)
 		return Invalid, err
 	}
-	return k.take(&document{head: h, shards: shards, catalog: c}, peerInForce), nil
+	return k.admit(&document{head: h, shards: shards, catalog: c}, peerInForce), nil
 }
 
-// take makes a checked document a candidate or puts it in force.
-func (k *Keeper) take(d *document, peerInForce bool) Verdict {
+// admit makes a validated document a candidate or puts it in force, as its head's
+// verdict says.
+func (k *Keeper) admit(d *document, peerInForce bool) Verdict {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	v := k.judgeLocked(d.head, peerInForce)
+	v := k.evaluateLocked(d.head, peerInForce)
 	switch v {
 	case InForce:
-		k.acceptLocked(d)
+		k.activateLocked(d)
 	case Candidate:
-		d.until = time.Now().Add(k.Settle)
+		d.settlesAt = time.Now().Add(k.Settle)
 		k.candidates[d.head.Digest()] = d
 	}
 	return v
 }
 
-// acceptLocked puts a document in force and drops the candidates that cannot follow it.
-func (k *Keeper) acceptLocked(d *document) {
+// activateLocked puts a document in force and rejects the candidates that are not based on it.
+func (k *Keeper) activateLocked(d *document) {
 	k.inForce = d
 	for digest, c := range k.candidates {
 		if !c.head.DescendsFrom(d.head) {
 			delete(k.candidates, digest)
-			k.loseLocked(c.head, d.head)
+			k.rejectLoserLocked(c.head, d.head)
 		}
 	}
 	close(k.changed)
 	k.changed = make(chan struct{})
-	debug.FreeOSMemory() // reading it left much behind, and it happens seldom
+	debug.FreeOSMemory() // parsing a configuration leaves much garbage, and activations are rare
 	k.Log.Info("Configuration is in force", "revision", d.head.Revision(), "digest", d.head.Digest())
 }
 
-// loseLocked refuses a candidate that another was preferred to.
-func (k *Keeper) loseLocked(lost, won catalog.Head) {
+// rejectLoserLocked rejects a candidate over which another one was preferred.
+func (k *Keeper) rejectLoserLocked(lost, won catalog.Head) {
 	if lost.Digest() == won.Digest() {
 		return
 	}
-	k.refuseLocked(lost, Rival)
-	k.Log.Info("Published head lost to another on the same base; publish it again on the winner",
+	k.rejectLocked(lost, Rival)
+	k.Log.Info("Published head lost to another one on the same base; publish it again on the winner",
 		"revision", lost.Revision(), "lost", lost.Digest(), "won", won.Digest())
 }
 
-// Tick puts the winning candidate in force once the first has settled, and
-// returns when to call again; the zero time says that nothing waits.
+// Tick puts the winning candidate in force once the first candidate's settling time
+// has ended, and returns when to call it again, or the zero time if there are no
+// candidates.
 func (k *Keeper) Tick(now time.Time) time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	first, winner := k.winnerLocked()
+	settlesAt, winner := k.winnerLocked()
 	if winner == nil {
 		return time.Time{}
 	}
-	if now.Before(first) {
-		return first
+	if now.Before(settlesAt) {
+		return settlesAt
 	}
-	k.acceptLocked(winner)
+	k.activateLocked(winner)
 	next, _ := k.winnerLocked()
 	return next
 }
--- a/scheduler/grants.go
+++ b/scheduler/grants.go
@@ -216,7 +216,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ownership != owned || report.Sight().Boot() != e.bootID {
+	if e.ownership != owned || report.State().BootID() != e.bootID {
 		return nil
 	}
 	e.reportNeeded = false
--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -49,11 +49,11 @@
 
 // authority checks that this scheduler still holds the ownership under which it planned the task,
 // and verified it recently. The result is checked once more when the request is written.
-func (s *Scheduler) authority(task loadTask) (auth engine.Authority, ok bool) {
+func (s *Scheduler) authority(task loadTask) (auth engine.Lease, ok bool) {
 	e := task.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	auth = engine.Authority{Fence: task.fence, Until: e.verifiedAt.Add(s.Timing.OwnershipTTL)}
+	auth = engine.Lease{Fence: task.fence, ExpiresAt: e.verifiedAt.Add(s.Timing.OwnershipTTL)}
 	return auth, task.validLocked() && e.ownershipValidLocked(clock.Now(), s.Timing.OwnershipTTL)
 }
 
@@ -142,10 +142,10 @@
 	}
 	switch refused.Code {
 	case engine.CodeStaleFence:
-		s.ownershipLostLocked(e, refused.Highest, now)
+		s.ownershipLostLocked(e, refused.HighestFence, now)
 	case engine.CodeStoreBusy:
 		s.storeBudget.recordRefusal()
-		e.loadFailures[task.load] = loadFailure{retryAt: now.Add(max(refused.Retry, e.loadTime) / 2)}
+		e.loadFailures[task.load] = loadFailure{retryAt: now.Add(max(refused.RetryAfter, e.loadTime) / 2)}
 	case engine.CodeNoSlot, engine.CodeBadRequest:
 		s.resyncLocked(e, now)
 	default:
--- a/scheduler/setup.go
+++ b/scheduler/setup.go
@@ -74,11 +74,11 @@
 	s := &Scheduler{
 		Name:             n.Name(),
 		Box:              n.Box(),
-		DataCentre:       n.Centre(),
+		DataCentre:       n.DataCentre(),
 		Catalog:          n.Keeper.Catalog,
 		CatalogChanged:   n.Keeper.Changed,
 		Members:          n.Table,
-		ListedSchedulers: func() []string { return n.Boxes.Listed(n.Centre()) },
+		ListedSchedulers: func() []string { return n.BoxList.SchedulerNames(n.DataCentre()) },
 		Ready:            n.Ready,
 		Dial:             func(address string) engine.Endpoint { return &engine.Client{Address: address, HTTP: client} },
 		Eviction:         eviction,
@@ -105,8 +105,8 @@
 	wire.RegisterSchedulerServer(n.Server, s)
 	n.Endpoints = s.Status
 	n.OnPause = func(time.Duration) { s.Keys.StartTerm(time.Now()) }
-	n.Leave = s.Leave
-	n.Idle = func() bool { return true } // grants stay valid without their scheduler
+	n.Drain = s.Leave
+	n.Drained = func() bool { return true } // grants stay valid without their scheduler
 	n.Add(s.Run)
 	return n.Run(ctx)
 }
