--- a/edge/follow.go
+++ b/edge/follow.go
@@ -87,13 +87,13 @@
 // apply records the status in a message of a followed box, whose facts have been merged already. A
 // stream without everything carries no endpoint entries, so its status does not cover them.
 func (p *peers) apply(s followTarget, u *wire.Update, received time.Time) {
-	p.table.Seen(s.name, received)
+	p.table.RecordContact(s.name, received)
 	if !u.GetReading() {
 		return
 	}
-	status := share.Status{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, Settled: u.GetSettledRevision()}
+	status := share.ReadStatus{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, SettledRevision: u.GetSettledRevision()}
 	if s.everything {
-		status.Endpoints = u.GetEndpointsRevision()
+		status.EndpointsRevision = u.GetEndpointsRevision()
 	}
 	p.receiveStatus(s.name, status, received)
 }
@@ -112,7 +112,7 @@
 }
 
 // receiveStatus records how far a followed box has read the source, by a status received at now.
-func (p *peers) receiveStatus(name string, status share.Status, now time.Time) {
+func (p *peers) receiveStatus(name string, status share.ReadStatus, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.statuses == nil {
@@ -120,17 +120,17 @@
 	}
 	read := now.Add(-status.Age)
 	w := p.statuses[name]
-	w.received, w.settled = now, Revision(status.Settled)
+	w.received, w.settled = now, Revision(status.SettledRevision)
 	if read.After(w.readAt) {
 		w.readAt = read
 	}
 	if w.first == 0 {
-		w.first = Revision(status.Endpoints)
+		w.first = Revision(status.EndpointsRevision)
 	}
 	p.statuses[name] = w
-	p.checkpoints.advance(Configuration, checkpoint{revision: Revision(status.Settled), asOf: read})
+	p.checkpoints.advance(Configuration, checkpoint{revision: Revision(status.SettledRevision), asOf: read})
 	if p.isComplete(w) {
-		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(status.Endpoints), asOf: read})
+		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(status.EndpointsRevision), asOf: read})
 	}
 }
 
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -35,7 +35,7 @@
 // Config implements Decoder.
 func (textDecoder) Config(value []byte) (*topology.Config, error) {
 	v, err := strconv.ParseUint(string(value), 10, 64)
-	return topology.NewConfig(v, nil, nil, topology.Limits{}), err
+	return topology.NewConfig(v, nil, nil, topology.RequestLimits{}), err
 }
 
 // Endpoint implements Decoder.
@@ -72,7 +72,7 @@
 	b.reader.decoder = textDecoder{}
 	n := &Node{Decoder: textDecoder{}}
 	b.node = n
-	b.table.Outlives, b.table.Same, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
+	b.table.ResolveRollback, b.table.IsEquivalent, b.table.IsSuperseded, b.table.HasEnded = n.outlives, n.isSame, n.isSuperseded, n.hasEnded
 	b.reader.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
 	b.reader.onList = func(r Revision) { n.recordList(Endpoints, r) }
 	return b
@@ -196,9 +196,9 @@
 	c := quicktest.New(t)
 	b := newRestoredBox()
 	c.Assert(b.do([]string{"read", "1/200", "e/1=draining"}), quicktest.IsNil)
-	_, before, _ := b.table.Since(0)
+	_, before, _ := b.table.ItemsSince(0)
 	c.Assert(b.do([]string{"read", "2/150", "e/1=ready"}), quicktest.IsNil)
-	items, _, _ := b.table.Since(before)
+	items, _, _ := b.table.ItemsSince(before)
 	c.Assert(items, quicktest.HasLen, 1)
 	c.Assert(revisionOf(items[0]), quicktest.Equals, revIn(2, 150).Kept())
 }
@@ -209,12 +209,12 @@
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
 		c.Assert(b.do([]string{"read", "1/200", fact}), quicktest.IsNil)
 	}
-	_, before, _ := b.table.Since(0)
+	_, before, _ := b.table.ItemsSince(0)
 	for _, fact := range []string{"e/1=ready", "config=7", "v/a=5"} {
 		c.Assert(b.do([]string{"read", "2/150", fact}), quicktest.IsNil)
 		c.Assert(b.do([]string{"want", fact, "2/150"}), quicktest.IsNil)
 	}
-	items, _, _ := b.table.Since(before)
+	items, _, _ := b.table.ItemsSince(before)
 	c.Assert(items, quicktest.HasLen, 0)
 }
 
@@ -238,7 +238,9 @@
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
-	receive := func(r Revision) { p.receiveStatus("b", share.Status{Settled: uint64(r), Endpoints: uint64(r)}, now) }
+	receive := func(r Revision) {
+		p.receiveStatus("b", share.ReadStatus{SettledRevision: uint64(r), EndpointsRevision: uint64(r)}, now)
+	}
 	relies := func() bool {
 		_, fresh := p.statusAge(now)
 		return fresh && p.leaderIsCurrent(now)
--- a/keeper/heartbeat.go
+++ b/keeper/heartbeat.go
@@ -37,8 +37,8 @@
 	return nil, false, false
 }
 
-// Fill adds the heads held here to a heartbeat.
-func (k *Keeper) Fill(h *wire.Heartbeat) {
+// Attach adds the heads held here to a heartbeat.
+func (k *Keeper) Attach(h *wire.Heartbeat) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.inForce != nil {
--- a/member/ring.go
+++ b/member/ring.go
@@ -2,13 +2,13 @@
 
 package member
 
-// Neighbours returns the next count members that are not dead, after self on
-// the ring of names.
+// Neighbours returns up to count members that are not dead, in name order starting after self
+// and wrapping around.
 func (t *Table) Neighbours(count int) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var after, before []Member
-	for _, m := range t.allLocked() {
+	for _, m := range t.membersLocked() {
 		if m.name == t.self.name || m.state == Dead {
 			continue
 		}
@@ -22,12 +22,12 @@
 	return ring[:min(count, len(ring))]
 }
 
-// Rank returns how many serving members come before this daemon by name.
+// Rank returns how many serving members sort before this daemon by name.
 func (t *Table) Rank() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rank := 0
-	for _, m := range t.others {
+	for _, m := range t.peers {
 		if m.Serving() && m.name < t.self.name {
 			rank++
 		}
--- a/member/suspend_test.go
+++ b/member/suspend_test.go
@@ -11,18 +11,18 @@
 	"github.com/frankban/quicktest"
 )
 
-// A machine was suspended, and the others took its daemons for dead. A daemon that does not see the
-// gap goes on by what it knew: it leads, owns and hands out what others have by now.
-func TestADaemonThatWasSuspendedDistrustsItsView(t *testing.T) {
+// While a machine is suspended, the others declare its daemons dead. A daemon that does not detect the
+// gap continues to act on its old view: it leads, owns and grants what others have taken over.
+func TestSuspendedDaemonInvalidatesItsView(t *testing.T) {
 	c := quicktest.New(t)
-	l := make(wires).join("a")
+	l := make(memoryNetwork).join("a")
 	l.Interval, l.PauseLimit = 10*time.Millisecond, 3*time.Second
 	paused := make(chan time.Duration, 1)
 	l.OnPause = func(gap time.Duration) { paused <- gap }
-	beats := make(chan struct{}, 1)
-	l.Remote = func() []string {
+	rounds := make(chan struct{}, 1)
+	l.RemotePeers = func() []string {
 		select {
-		case beats <- struct{}{}:
+		case rounds <- struct{}{}:
 		default:
 		}
 		return nil
@@ -30,9 +30,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
-	<-beats // from now on it counts the time between two
-	clock.Suspend(5 * time.Second)
-	c.Cleanup(func() { clock.Suspend(-5 * time.Second) })
+	<-rounds // the loop has started to measure the time between rounds
+	clock.SimulateSuspend(5 * time.Second)
+	c.Cleanup(func() { clock.SimulateSuspend(-5 * time.Second) })
 	c.Assert(<-paused >= 5*time.Second, quicktest.IsTrue)
 	cancel()
 	c.Assert(<-done, quicktest.IsNil)
