--- a/catalog/build.go
+++ b/catalog/build.go
@@ -234,7 +234,7 @@
 	for _, a := range f.Addresses {
 		b.checkAddress("services["+f.Name+"].addresses", a)
 	}
-	b.catalog.services[f.Name] = Service{name: f.Name, addresses: f.Addresses, notRepeatable: f.NotRepeatable}
+	b.catalog.services[f.Name] = Service{name: f.Name, addresses: f.Addresses, nonIdempotent: f.NonIdempotent}
 }
 
 func (b *builder) addAdapter(f AdapterSpec) {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -136,7 +136,7 @@
 type Service struct {
 	name          string
 	addresses     []string // IP:port, at least one
-	notRepeatable []string // "METHOD /path" of each call that must not be retried
+	nonIdempotent []string // "METHOD /path" of each call that must not be retried
 }
 
 // Name returns the service's name.
@@ -146,9 +146,9 @@
 // the slice.
 func (s Service) Addresses() []string { return s.addresses }
 
-// NotRepeatable tells whether the call must not be retried.
-func (s Service) NotRepeatable(method, path string) bool {
-	for _, c := range s.notRepeatable {
+// IsNonIdempotent tells whether the call is listed as non-idempotent, so that it must not be retried.
+func (s Service) IsNonIdempotent(method, path string) bool {
+	for _, c := range s.nonIdempotent {
 		if c == method+" "+path {
 			return true
 		}
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -65,7 +65,7 @@
 type ServiceSpec struct {
 	Name          string   `json:"name"`
 	Addresses     []string `json:"addresses"`
-	NotRepeatable []string `json:"not_repeatable,omitempty"`
+	NonIdempotent []string `json:"not_repeatable,omitempty"`
 }
 
 // AdapterSpec is the published form of an adapter.
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -102,7 +102,7 @@
 		}
 	}
 	if f.Spec.Services > 0 {
-		s := catalog.ServiceSpec{Name: ServiceName, NotRepeatable: []string{"POST /bookings"}}
+		s := catalog.ServiceSpec{Name: ServiceName, NonIdempotent: []string{"POST /bookings"}}
 		for i := 1; i <= f.Spec.Services; i++ {
 			s.Addresses = append(s.Addresses, f.ServiceAddress(i))
 		}
--- a/gateway/services.go
+++ b/gateway/services.go
@@ -58,7 +58,7 @@
 		return nil, &Failure{Code: CodeUnknownService, Ran: NotRun, Message: "no service " + strconv.Quote(r.PathValue("service"))}
 	}
 	c := &serviceCall{id: id, service: s, method: r.Method, path: "/" + r.PathValue("path"), headers: r.Header}
-	c.repeatable = !s.NotRepeatable(r.Method, c.path) && r.Header.Get(RepeatableHeader) != "no"
+	c.repeatable = !s.IsNonIdempotent(r.Method, c.path) && r.Header.Get(RepeatableHeader) != "no"
 	if r.URL.RawQuery != "" {
 		c.path += "?" + r.URL.RawQuery
 	}
