--- a/standin/backoff.go
+++ b/standin/backoff.go
@@ -11,20 +11,20 @@
 	"cairnwick.example/backoff"
 )
 
-// backoffHeard is after which a caller that was asked for a back-off keeps to it.
+// backoffHeard is how long a caller has to react to a Retry-After before further requests count as ignoring it.
 const backoffHeard = 500 * time.Millisecond
 
-// backoffs is what an engine asks for that turns requests away, and what came in all the same.
+// backoffs holds the Retry-After value of an engine that rejects requests, and counts the requests that arrive nevertheless.
 type backoffs struct {
 	mu     sync.Mutex
-	asks   string    // seconds, as its answers say; empty: it turns nothing away for this
-	since  time.Time // the first answer of the present back-off
-	came   int       // requests since the command
-	during int       // of these, those that came while it wanted none
-	asked  int       // back-offs that began
+	asks   string    // Retry-After value in seconds; empty: requests are accepted
+	since  time.Time // first rejection of the current back-off period
+	came   int       // requests since the setting was last changed
+	during int       // of these, requests within a back-off period
+	asked  int       // back-off periods started
 }
 
-// arrive notes a request, and returns what its answer asks for; empty: it may run.
+// arrive records a request and returns the Retry-After value to reject it with; empty: it may run.
 func (b *backoffs) arrive(now time.Time) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,7 +32,7 @@
 		return ""
 	}
 	b.came++
-	d, _ := backoff.Parse([]string{b.asks}) // what can't be read asks for nothing
+	d, _ := backoff.Parse([]string{b.asks}) // an unreadable value counts as zero seconds
 	switch ago := now.Sub(b.since); {
 	case ago >= d:
 		b.since = now
@@ -43,11 +43,11 @@
 	return b.asks
 }
 
-// Backoff returns for how many seconds the engine wants nothing more from the caller of a request that
-// comes now, and turns away, for another dialect; empty: it may run.
+// Backoff records a request and returns the Retry-After value, in seconds, to reject it with; empty: it
+// may run. Handlers of other protocols call it once per request.
 func (e *Engine) Backoff() string { return e.backoffs.arrive(time.Now()) }
 
-// setBackoff serves the command to turn requests away and ask for back-offs.
+// setBackoff handles POST /control/backoff: with seconds=N, requests are rejected with Retry-After: N.
 func (e *Engine) setBackoff(w http.ResponseWriter, q *http.Request) {
 	e.backoffs.mu.Lock()
 	defer e.backoffs.mu.Unlock()
@@ -56,16 +56,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// BackoffCounts is what an engine saw since it was told to ask for back-offs.
+// BackoffCounts counts the requests that arrived since the back-off setting was last changed.
 type BackoffCounts struct {
 	Came   int `json:"came"`
-	During int `json:"during"` // while it wanted nothing, whoever sent it
-	Asked  int `json:"asked"`  // back-offs, one after the other
+	During int `json:"during"` // within a back-off period, from any caller
+	Asked  int `json:"asked"`  // back-off periods started
 }
 
 func (e *Engine) showBackoff(w http.ResponseWriter, _ *http.Request) {
 	e.backoffs.mu.Lock()
 	c := BackoffCounts{Came: e.backoffs.came, During: e.backoffs.during, Asked: e.backoffs.asked}
 	e.backoffs.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(c) // the reader may be gone
+	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/complete.go
+++ b/standin/complete.go
@@ -16,13 +16,13 @@
 	"github.com/google/uuid"
 )
 
-// ExpectMark stands in a prompt before the adapter@version that the caller
-// means, so that the engine can witness a wrong version.
+// ExpectMark precedes, in a prompt, the adapter@version that the client
+// expects, so that the engine can detect a run on the wrong version.
 const ExpectMark = "expect:"
 
 const defaultTokens = 16
 
-// completion is the part of a request body that the stand-in reads.
+// completion holds the fields of a request body that the engine uses.
 type completion struct {
 	Model    string          `json:"model"`
 	Prompt   string          `json:"prompt"`
@@ -32,7 +32,7 @@
 	Priority int             `json:"priority"`
 }
 
-// expected returns the adapter@version after ExpectMark, or "".
+// expected returns the adapter@version after ExpectMark, or "" if there is none.
 func (q completion) expected() string {
 	_, rest, found := strings.Cut(q.Prompt+string(q.Messages), ExpectMark)
 	if !found {
@@ -59,12 +59,12 @@
 	}
 	if seconds := e.Backoff(); seconds != "" {
 		w.Header().Set("Retry-After", seconds)
-		refuse(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine wants no more requests for a while.")
+		refuse(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine is overloaded; retry after the time in Retry-After.")
 		return
 	}
 	r, code := e.admit(q, body)
 	if r == nil {
-		refuse(w, statusOf(code), code, fmt.Sprintf("The model `%s` was refused: %s.", body.Model, code))
+		refuse(w, statusOf(code), code, fmt.Sprintf("Request for model `%s` rejected: %s.", body.Model, code))
 		return
 	}
 	r.join()
@@ -76,7 +76,7 @@
 	whole(q.Context(), w, r)
 }
 
-// admit queues a run, or says why not.
+// admit queues a run, or returns the code to reject the request with.
 func (e *Engine) admit(q *http.Request, body completion) (*run, engine.Code) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +106,7 @@
 	return r, ""
 }
 
-// witnessLocked counts the run and every breach that it shows.
+// witnessLocked counts the run and the invariant violations that it reveals.
 func (e *Engine) witnessLocked(q *http.Request, body completion, s *slot) {
 	e.counts.Runs++
 	e.ran = append(e.ran, q.Header.Get(engine.RequestHeader))
@@ -124,7 +124,7 @@
 	}
 }
 
-// stream writes the run's tokens as server-sent events, from the given one on.
+// stream writes the run's tokens as server-sent events, starting with token from.
 func stream(ctx context.Context, w http.ResponseWriter, r *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.EventsHeader, strconv.Itoa(from))
@@ -141,7 +141,7 @@
 			return
 		}
 		if state != errRunning {
-			panic(http.ErrAbortHandler) // cut, so that the reader sees no clean end
+			panic(http.ErrAbortHandler) // reset the connection, so that the client does not see a complete response
 		}
 		_ = flush.Flush()
 		select {
@@ -157,7 +157,7 @@
 		r.request, r.model, r.token(n))
 }
 
-// whole waits for the run's end and writes one answer.
+// whole waits for the run to end and writes a single JSON response.
 func whole(ctx context.Context, w http.ResponseWriter, r *run) {
 	for {
 		have, changed, state := r.progress()
@@ -190,12 +190,12 @@
 func (e *Engine) resume(w http.ResponseWriter, q *http.Request) {
 	from, err := strconv.Atoi(q.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "from: write a whole number, zero or more")
+		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "from: must be a non-negative integer")
 		return
 	}
 	r := e.find(q.PathValue("request"))
 	if r == nil {
-		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "no such run")
+		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "no run with this request ID")
 		return
 	}
 	r.join()
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,77 +14,77 @@
 	"github.com/pkg/errors"
 )
 
-// Engine is a stand-in model server: it batches continuously, holds a few
-// adapters, honours priorities and checks fences by setting. Set the exported
-// fields before Run.
+// Engine simulates a model server with continuous batching, a limited number
+// of adapter slots, request priorities and, if ChecksFences is set, fencing of
+// load and unload orders. Set the exported fields before calling Run.
 type Engine struct {
 	Base         string
-	Slots        int           // adapters held at once
-	Batch        int           // requests in one step
-	QueueLimit   int           // requests held back before it refuses
-	StepTime     time.Duration // of one step; every request in it gets one token
-	ReportLag    time.Duration // age of what /metrics says
-	ResumeWindow time.Duration // how long a run goes on without its reader
-	Prefill      int           // steps before the first token of a prompt whose prefix is not cached
-	Prefixes     int           // prefixes cached; zero: none
-	EventLag     time.Duration // before a cache event can be read
-	EventGap     int           // every so many-th cache event is lost; zero: none
+	Slots        int           // adapters loaded at the same time
+	Batch        int           // requests processed per step
+	QueueLimit   int           // requests queued before further ones are rejected
+	StepTime     time.Duration // duration of a step, which produces one token for every request of the batch
+	ReportLag    time.Duration // age of the state that /metrics shows
+	ResumeWindow time.Duration // how long a run continues without a connected client
+	Prefill      int           // steps before the first token when the prompt's prefix is not cached
+	Prefixes     int           // capacity of the prefix cache; zero: no cache
+	EventLag     time.Duration // delay until a cache event becomes visible
+	EventGap     int           // every n-th cache event is dropped; zero: none
 	ChecksFences bool
-	RefusesNew   bool          // when leaving: refuses new work
-	LeavingGrace time.Duration // new work this long after leaving is a breach
+	RefusesNew   bool          // rejects new requests while leaving
+	LeavingGrace time.Duration // new requests later than this after leaving count as violations
 	Store        func(ctx context.Context, path string) (string, error)
-	Other        http.Handler // serves another dialect on all paths that are not the engine's; nil: nobody does
+	Other        http.Handler // serves all other paths, for instance another protocol; may be nil
 
 	mu        sync.Mutex
 	boot      string
 	fence     engine.Fence
-	slots     map[string]*slot // by adapter name; at most Slots
-	runs      map[string]*run  // by request, kept for a while after they end
-	waiting   []*run           // not yet in a batch
-	batch     []*run           // at most Batch
+	slots     map[string]*slot // by adapter name; at most Slots entries
+	runs      map[string]*run  // by request ID; kept for ResumeWindow after they end
+	waiting   []*run           // not yet in the batch
+	batch     []*run           // at most Batch entries
 	reports   []report         // recent states, oldest first; at least one
 	leaving   time.Time        // zero while serving
-	orders    uint64           // taken by Order since the start
-	fetches   chan fetch       // loads that Run begins; has room for every slot
-	failLoads int              // loads still to fail on command
+	orders    uint64           // accepted by Order since the start
+	fetches   chan fetch       // loads for Run to execute; buffered for one load per slot
+	failLoads int              // how many of the next loads fail
 	counts    Counts
 	prefixes  prefixCache
-	keys      map[string]int // runs by key
-	ran       []string       // every run by its request's id
-	limit     limit          // has a lock of its own
-	backoffs  backoffs       // the same
-	tells     bool           // its answers say that it leaves, while it does
+	keys      map[string]int // number of runs by idempotency key
+	ran       []string       // request IDs of all runs, in order
+	limit     limit          // has its own lock
+	backoffs  backoffs       // has its own lock
+	tells     bool           // responses carry the leaving header while the engine is leaving
 }
 
-// slot holds one adapter.
+// slot is an adapter slot that is in use.
 type slot struct {
-	content string // what the store gave: adapter@version
+	content string // what the store returned: adapter@version
 	loading bool
 }
 
-// report is the state that /metrics shows once it is old enough.
+// report is a snapshot of the state, shown by /metrics once it is ReportLag old.
 type report struct {
 	at      time.Time
-	running []string // adapters of the batch, one entry a request
+	running []string // adapters of the batch, one entry per request
 	waiting []string
 }
 
-// Counts is what the engine witnessed; every field only grows.
+// Counts counts what the engine observed. The counters never decrease.
 type Counts struct {
-	UnloadRunning   int `json:"unload_running"`    // breach: an adapter in use was unloaded
-	WrongVersion    int `json:"wrong_version"`     // breach: content other than asked for
-	KeyTwice        int `json:"key_twice"`         // breach: a key ran a second time here
-	NewAfterLeaving int `json:"new_after_leaving"` // breach: new work after the grace
+	UnloadRunning   int `json:"unload_running"`    // violation: an adapter in use was unloaded
+	WrongVersion    int `json:"wrong_version"`     // violation: a run on another version than expected
+	KeyTwice        int `json:"key_twice"`         // violation: an idempotency key ran again on this engine
+	NewAfterLeaving int `json:"new_after_leaving"` // violation: new request after LeavingGrace
 	Loads           int `json:"loads"`
 	FailedLoads     int `json:"failed_loads"`
 	Unloads         int `json:"unloads"`
-	StaleOrders     int `json:"stale_orders"` // refused by their fence
+	StaleOrders     int `json:"stale_orders"` // rejected because of their fence
 	Runs            int `json:"runs"`
 	Cancelled       int `json:"cancelled"`
 	Resumed         int `json:"resumed"`
-	Steps           int `json:"steps"`        // steps with work
-	StepTokens      int `json:"step_tokens"`  // tokens of those steps
-	PrefixHits      int `json:"prefix_hits"`  // runs whose prefix was cached
+	Steps           int `json:"steps"`        // steps with a non-empty batch
+	StepTokens      int `json:"step_tokens"`  // tokens produced in these steps
+	PrefixHits      int `json:"prefix_hits"`  // runs whose prompt prefix was cached
 	OrdersLoads     int `json:"orders_loads"` // load orders received
 }
 
@@ -108,7 +108,7 @@
 	return n
 }
 
-// Run steps the engine until ctx ends. It must be called once.
+// Run executes steps and loads until ctx is done. It must be called exactly once.
 func (e *Engine) Run(ctx context.Context) error {
 	e.init()
 	tick := time.NewTicker(e.StepTime)
@@ -135,7 +135,7 @@
 	}
 }
 
-// init prepares the engine's tables.
+// init initializes the internal state on its first call.
 func (e *Engine) init() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -146,7 +146,7 @@
 	}
 }
 
-// restartLocked empties the engine as a restart does; counts stay.
+// restartLocked resets the engine as a process restart does, except that the counters are kept.
 func (e *Engine) restartLocked() {
 	for _, r := range e.runs {
 		r.finish(errors.New("engine restarted"))
@@ -161,7 +161,7 @@
 	e.prefixes = prefixCache{most: e.Prefixes, lag: e.EventLag, gap: e.EventGap, next: e.prefixes.next}
 }
 
-// step gives one token to every request of the batch.
+// step produces one token for every request of the batch.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -177,13 +177,13 @@
 	e.noteReportLocked(now)
 }
 
-// dropEndedLocked takes ended and abandoned runs out of the batch, and forgets
-// runs that nobody can resume any more.
+// dropEndedLocked removes ended and abandoned runs from the batch and the queue, and
+// deletes runs that can no longer be resumed.
 func (e *Engine) dropEndedLocked(now time.Time) {
 	for _, r := range e.runs {
 		if r.abandoned(now, e.ResumeWindow) {
 			e.counts.Cancelled++
-			r.finish(errors.New("no reader"))
+			r.finish(errors.New("client disconnected and did not resume in time"))
 		}
 	}
 	ended := func(r *run) bool { return r.ended() }
@@ -196,7 +196,7 @@
 	}
 }
 
-// fillBatchLocked moves waiting runs into free places by priority, then age.
+// fillBatchLocked moves queued runs into the batch, ordered by priority, then by arrival.
 func (e *Engine) fillBatchLocked() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int { return a.priority - b.priority })
 	free := min(e.Batch-len(e.batch), len(e.waiting))
@@ -209,8 +209,8 @@
 	e.dropReportsLocked(now)
 }
 
-// dropReportsLocked keeps the reports that are not older than the lag, and the
-// newest one in any case.
+// dropReportsLocked removes the reports that are older than ReportLag, except the
+// newest one.
 func (e *Engine) dropReportsLocked(now time.Time) {
 	for len(e.reports) > 1 && now.Sub(e.reports[0].at) > e.ReportLag {
 		e.reports = e.reports[1:]
@@ -225,7 +225,7 @@
 	return names
 }
 
-// usedLocked tells whether a run of the adapter has not ended.
+// usedLocked reports whether an unfinished run uses the adapter.
 func (e *Engine) usedLocked(name string) bool {
 	for _, r := range e.runs {
 		if r.model == name && !r.ended() {
@@ -235,14 +235,14 @@
 	return false
 }
 
-// Counts returns what the engine witnessed so far.
+// Counts returns a copy of the engine's counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Handler serves the engine's protocol and its control paths.
+// Handler serves the engine's API and, under /control/, the test controls.
 func (e *Engine) Handler() http.Handler {
 	e.init()
 	m := http.NewServeMux()
@@ -274,14 +274,14 @@
 	return e.mark(m)
 }
 
-// Leaving tells whether the engine's answers say that it leaves, for another dialect.
+// Leaving reports whether responses must carry the leaving header. It is also for handlers of other protocols.
 func (e *Engine) Leaving() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tells && !e.leaving.IsZero()
 }
 
-// mark puts the fence and the boot on every answer, and whether the engine leaves.
+// mark sets the fence, boot and leaving headers on every response.
 func (e *Engine) mark(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
--- a/standin/facts.go
+++ b/standin/facts.go
@@ -12,16 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// HistoryKept is how many changes a watch can go back.
+// HistoryKept is the number of changes kept for watches.
 const HistoryKept = 4096
 
-// What List and Watch fail with, besides the end of their context.
+// Errors of List and Watch.
 var (
-	ErrDown      = errors.New("standin: down")
-	ErrForgotten = errors.New("standin: that history is gone")
+	ErrDown      = errors.New("standin: key-value service is down")
+	ErrForgotten = errors.New("standin: revision is no longer in the history")
 )
 
-// Fact is one key as it is told; of a removed one only the revision counts.
+// Fact is a key with its value, or the removal of a key, which has no value.
 type Fact struct {
 	Key      string
 	Value    []byte
@@ -29,15 +29,15 @@
 	Removed  bool
 }
 
-// Page is a part of a list.
+// Page is a result of List or Watch.
 type Page struct {
-	Facts    []Fact // by key
-	More     bool   // keys follow
-	Revision uint64 // of the newest change of any key
-	Epoch    uint64 // restores from a copy until then
+	Facts    []Fact // from List: sorted by key
+	More     bool   // more keys follow
+	Revision uint64 // of the latest change to any key
+	Epoch    uint64 // number of restores from a copy so far
 }
 
-// changedLocked keeps a change for those who watch, and wakes them.
+// changedLocked appends a change to the history and wakes the watchers.
 func (p *Platform) changedLocked(f Fact) {
 	p.history = append(p.history, f)
 	if len(p.history) > HistoryKept {
@@ -47,7 +47,7 @@
 	p.wakeLocked()
 }
 
-// remove takes a key away.
+// remove handles DELETE for a key.
 func (p *Platform) remove(w http.ResponseWriter, q *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// List returns the first keys with a prefix that come after a key, at most so many.
+// List returns up to most keys that have the prefix and sort after the given key.
 func (p *Platform) List(prefix, after string, most int) (Page, error) {
 	a, err := p.all(prefix, after)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return a, nil
 }
 
-// all returns every key with a prefix that comes after a key, in no order.
+// all returns every key that has the prefix and sorts after the given key, unordered.
 func (p *Platform) all(prefix, after string) (Page, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +92,7 @@
 	return a, nil
 }
 
-// Watch returns the changes under a prefix after a revision, once there is a change or the time is over.
+// Watch returns the changes to keys with the prefix after a revision. It blocks until there is one or wait has passed.
 func (p *Platform) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error) {
 	p.mu.Lock()
 	p.calls++
@@ -113,7 +113,7 @@
 	}
 }
 
-// since returns the changes under a prefix after a revision.
+// since returns the changes to keys with the prefix after a revision, and a channel that is closed by the next change.
 func (p *Platform) since(prefix string, after uint64) (a Page, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/fragile.go
+++ b/standin/fragile.go
@@ -8,8 +8,8 @@
 	"net/http"
 )
 
-// Fragile serves a stand-in that ends when it gets a request whose body holds a text: end is called
-// then, and must not return.
+// Fragile wraps a handler so that a request whose body contains text crashes the program: it then calls
+// end, which must not return.
 func Fragile(h http.Handler, text string, end func()) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
--- a/standin/hold.go
+++ b/standin/hold.go
@@ -12,25 +12,25 @@
 	"cairnwick.example/engine"
 )
 
-// What another dialect of the engine is made of: its life, what it holds, orders that are
-// answered before they are done, and requests. Adapters that came by such orders are in
-// slots named MODEL/ADAPTER.
+// The API for handlers of other engine protocols: the boot ID, the loaded adapters,
+// asynchronous load and unload orders, and requests. Adapters loaded this way are in slots
+// named MODEL/ADAPTER.
 
-// Boot returns the mark of the engine's present life.
+// Boot returns the engine's boot ID, which changes with every restart.
 func (e *Engine) Boot() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.boot
 }
 
-// Holding is which adapters of its model the engine holds, each as ADAPTER@VERSION.
+// Holding lists the adapters that were loaded by Order, each as ADAPTER@VERSION.
 type Holding struct {
 	Ready   []string
-	Pending []string // being loaded
-	Orders  uint64   // taken in this life
+	Pending []string // loading
+	Orders  uint64   // accepted since the last restart
 }
 
-// Holding returns what the engine holds by orders.
+// Holding returns the adapters that were loaded by Order.
 func (e *Engine) Holding() Holding {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,36 +53,36 @@
 	return v
 }
 
-// Operation is what an order asks for.
+// Operation is the action that an order requests.
 type Operation int
 
-// The operations; zero is none of them.
+// The operations. Zero is not a valid one.
 const (
 	Load Operation = iota + 1
 	Unload
 )
 
-// Order asks for an adapter of the engine's model to be held, or no longer.
+// Order requests that an adapter of the engine's model is loaded or unloaded.
 type Order struct {
 	Operation Operation
-	Adapter   string // empty: the model itself, which is always held
-	Version   int64  // to load; zero: the first
+	Adapter   string // empty: the base model, which is always loaded
+	Version   int64  // to load; zero: version 1
 	Fence     engine.Fence
 }
 
-// Outcome is what came of an order.
+// Outcome is the result of an order.
 type Outcome int
 
 // The outcomes of orders.
 const (
-	Done     Outcome = iota + 1 // it is as ordered
-	Begun                       // it will be
-	Busy                        // no slot is free, or the adapter is in use
-	Fenced                      // a higher fence was seen
-	Unwanted                    // no operation that there is
+	Done     Outcome = iota + 1 // already in the requested state
+	Begun                       // accepted; the load runs asynchronously
+	Busy                        // no free slot, or the adapter is in use
+	Fenced                      // rejected: the engine has seen a higher fence
+	Unwanted                    // invalid operation
 )
 
-// Order begins to load or unload what it names; one that came before changes nothing.
+// Order starts to load an adapter, or unloads one. Repeating an order has no effect.
 func (e *Engine) Order(o Order) Outcome {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,10 +103,10 @@
 	return Unwanted
 }
 
-// slotOf is the name of the slot that holds an adapter by orders.
+// slotOf returns the name of the slot for an adapter loaded by Order.
 func (e *Engine) slotOf(adapter string) string { return e.Base + "/" + adapter }
 
-// loadLocked takes a slot and fetches the adapter behind the answer.
+// loadLocked reserves a slot and queues the load for Run.
 func (e *Engine) loadLocked(o Order) Outcome {
 	n := e.slotOf(o.Adapter)
 	content := fmt.Sprintf("%s@%d", o.Adapter, max(o.Version, 1))
@@ -125,20 +125,20 @@
 	return Begun
 }
 
-// fetch is a load whose order was answered before it is done.
+// fetch is an asynchronous load.
 type fetch struct {
 	name string // of the slot
 	slot *slot
 	path string // in the store
 }
 
-// end ends a load.
+// end fetches the adapter from the store and completes the load.
 func (e *Engine) end(ctx context.Context, f fetch) {
 	content, err := e.Store(ctx, f.path)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.slots[f.name] != f.slot {
-		return // the engine restarted
+		return // the engine was restarted meanwhile
 	}
 	if err != nil {
 		e.counts.FailedLoads++
@@ -149,7 +149,7 @@
 	f.slot.content, f.slot.loading = content, false
 }
 
-// unloadLocked empties a slot that nobody uses.
+// unloadLocked frees a slot unless a load or a run uses it.
 func (e *Engine) unloadLocked(name string) Outcome {
 	if s := e.slots[name]; s == nil {
 		return Done
@@ -161,11 +161,11 @@
 	return Done
 }
 
-// Answer is that of a request which runs.
+// Answer is the response to a request that was admitted.
 type Answer struct{ run *run }
 
-// Begin runs a request of MODEL/ADAPTER with so many tokens, or some when there are none,
-// or says why not.
+// Begin admits a request for the slot MODEL/ADAPTER, or returns the code to reject it with.
+// If tokens is not positive, the default number is used.
 func (e *Engine) Begin(q *http.Request, name string, tokens int) (*Answer, engine.Code) {
 	if tokens <= 0 {
 		tokens = defaultTokens
@@ -177,10 +177,10 @@
 	return &Answer{run: r}, ""
 }
 
-// Content returns the adapter@version that answers.
+// Content returns the adapter@version that the request runs on.
 func (a *Answer) Content() string { return a.run.content }
 
-// Write writes the answer to its request as it comes, or whole when it has come.
+// Write writes the response: as a stream of events if streams is set, otherwise as one document.
 func (a *Answer) Write(w http.ResponseWriter, q *http.Request, streams bool) {
 	a.run.join()
 	defer a.run.part()
@@ -188,6 +188,6 @@
 		stream(q.Context(), w, a.run, 0)
 		return
 	}
-	_, _ = io.Copy(io.Discard, q.Body) // its bytes mean nothing here
+	_, _ = io.Copy(io.Discard, q.Body) // the request's body is not used
 	whole(q.Context(), w, a.run)
 }
--- a/standin/limit.go
+++ b/standin/limit.go
@@ -11,33 +11,34 @@
 	"cairnwick.example/ratelimit"
 )
 
-// What a caller of an endpoint that names a limit may send beyond it, in any window that begins a while
-// after the endpoint first named it.
+// Tolerance for callers of an engine that announces a rate limit: within any window of limitWindow that
+// starts at least limitHeard after the first announcement, limitBeyond times the rate plus limitBesides
+// requests are allowed.
 const (
 	limitWindow  = 4 * time.Second
 	limitBeyond  = 1.5
 	limitBesides = 5
-	limitHeard   = 3 * time.Second // by then all callers have heard of it
+	limitHeard   = 3 * time.Second // by then, every caller has seen the limit
 )
 
-// limit is how many requests a second an engine says that it takes, and what came in since it said so.
+// limit holds the rate limit that an engine announces and counts the requests that arrive meanwhile.
 type limit struct {
 	mu    sync.Mutex
-	named []string    // as it is named in answers; none: it names no limit
-	since time.Time   // the first answer that named it; zero: there was none yet
-	came  []time.Time // the requests of the last window
-	over  int         // requests that were more than a window allows
-	all   int         // requests since it was named
+	named []string    // header values of responses; none: no limit is announced
+	since time.Time   // first response that announced it; zero: there was none yet
+	came  []time.Time // arrival times within the last window
+	over  int         // requests above the allowance of a window
+	all   int         // requests since the limit was last set
 }
 
-// name sets what is named in answers.
+// name sets the header values to announce and resets the counts.
 func (l *limit) name(values []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.named, l.since, l.came, l.over, l.all = values, time.Time{}, nil, 0, 0
 }
 
-// arrive notes a request, and returns what its answer names.
+// arrive records a request and returns the header values for its response.
 func (l *limit) arrive(now time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +47,7 @@
 	if err != nil || !p.Named() {
 		return l.named
 	}
-	if l.since.IsZero() { // until now nobody could know of it: the engine may have been out of reach
+	if l.since.IsZero() { // callers learn the limit from this response at the earliest: the engine may have been unreachable before
 		l.since = now
 	}
 	first := 0
@@ -61,28 +62,28 @@
 	return l.named
 }
 
-// Limit returns what the answer to a request that comes now names as the engine's limit, for another
-// dialect; none: it names no limit.
+// Limit records a request and returns the values of the limit header for its response; none: no limit is
+// announced. Handlers of other protocols call it once per request.
 func (e *Engine) Limit() []string { return e.limit.arrive(time.Now()) }
 
-// Name makes the engine name limits in its answers; none: it names none any more.
+// Name sets the values of the limit header on responses; without values no limit is announced.
 func (e *Engine) Name(values ...string) { e.limit.name(values) }
 
-// setLimit serves the command to name a limit.
+// setLimit handles POST /control/limit, which sets the announced limit.
 func (e *Engine) setLimit(w http.ResponseWriter, q *http.Request) {
 	e.Name(q.URL.Query()["a_second"]...)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// LimitCounts is what an engine that names a limit saw since it was told to.
+// LimitCounts counts the requests that arrived since the limit was last set.
 type LimitCounts struct {
 	Came int `json:"came"`
-	Over int `json:"over"` // more than a window allows
+	Over int `json:"over"` // above the allowance of a window
 }
 
 func (e *Engine) showLimit(w http.ResponseWriter, _ *http.Request) {
 	e.limit.mu.Lock()
 	c := LimitCounts{Came: e.limit.all, Over: e.limit.over}
 	e.limit.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(c) // the reader may be gone
+	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -13,8 +13,9 @@
 	"time"
 )
 
-// Main serves a stand-in on an address until SIGTERM or SIGINT, with a task
-// beside it when run is not nil; it returns the exit code.
+// Main serves h on address until SIGTERM or SIGINT and returns the exit code.
+// If run is not nil, it runs alongside the server with a context that is
+// cancelled by the signal.
 func Main(address string, h http.Handler, run func(context.Context) error) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -33,7 +34,7 @@
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
 	<-ctx.Done()
-	_ = s.Close() // a stand-in ends at once
+	_ = s.Close() // no graceful shutdown: open connections are dropped
 	<-served
 	<-ended
 	return 0
--- a/standin/orders.go
+++ b/standin/orders.go
@@ -17,7 +17,7 @@
 
 var errRunCancelled = errors.New("cancelled")
 
-// refuse writes an error in the style of today's engines.
+// refuse writes an error response in the OpenAI-compatible format of model servers such as vLLM.
 func refuse(w http.ResponseWriter, status int, code engine.Code, message string) {
 	kind := "BadRequestError"
 	if status == http.StatusNotFound {
@@ -41,7 +41,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// allowLocked checks an order's fence and raises the highest one.
+// allowLocked checks the fence of an order against the highest one seen and remembers it.
 func (e *Engine) allowLocked(w http.ResponseWriter, q *http.Request) bool {
 	if !e.ChecksFences {
 		return true
@@ -49,7 +49,7 @@
 	f, err := engine.ParseFence(q.Header.Get(engine.FenceHeader))
 	if err != nil || f.Less(e.fence) || f == (engine.Fence{}) {
 		e.counts.StaleOrders++
-		refuse(w, http.StatusConflict, engine.CodeStaleFence, "a higher fence was seen")
+		refuse(w, http.StatusConflict, engine.CodeStaleFence, "stale fence: the engine has seen a higher one")
 		return false
 	}
 	e.fence = f
@@ -75,7 +75,7 @@
 func readOrder(w http.ResponseWriter, q *http.Request) (loadOrder, bool) {
 	var o loadOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || o.Name == "" {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "lora_name: give the adapter's name")
+		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "lora_name: must name an adapter")
 		return o, false
 	}
 	return o, true
@@ -91,7 +91,7 @@
 	defer e.mu.Unlock()
 	if err == nil && e.failLoads > 0 {
 		e.failLoads--
-		err = errors.New("failed on command")
+		err = errors.New("load failed by test control")
 	}
 	if err != nil {
 		e.counts.FailedLoads++
@@ -105,7 +105,7 @@
 	fmt.Fprintf(w, "Success: LoRA adapter '%s' added successfully.\n", o.Name)
 }
 
-// reserve takes a slot for the order, or refuses it.
+// reserve reserves a slot for a load, or writes an error response and returns false.
 func (e *Engine) reserve(w http.ResponseWriter, q *http.Request, o loadOrder) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,11 +114,11 @@
 		return false
 	}
 	if e.slots[o.Name] != nil {
-		refuse(w, http.StatusConflict, engine.CodeBadRequest, "already loaded")
+		refuse(w, http.StatusConflict, engine.CodeBadRequest, "adapter is already loaded or loading")
 		return false
 	}
 	if len(e.slots) >= e.Slots {
-		refuse(w, http.StatusConflict, engine.CodeNoSlot, "every slot is taken")
+		refuse(w, http.StatusConflict, engine.CodeNoSlot, "no free adapter slot")
 		return false
 	}
 	e.slots[o.Name] = &slot{loading: true}
@@ -147,7 +147,7 @@
 	}
 	s := e.slots[o.Name]
 	if s == nil || s.loading {
-		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "not loaded")
+		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "adapter is not loaded")
 		return
 	}
 	if e.usedLocked(o.Name) {
@@ -181,7 +181,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	if now.Sub(e.reports[len(e.reports)-1].at) > e.ReportLag { // steps stand still on a busy machine
+	if now.Sub(e.reports[len(e.reports)-1].at) > e.ReportLag { // no step ran lately, as on an overloaded machine
 		e.noteReportLocked(now)
 	}
 	e.dropReportsLocked(now)
@@ -205,7 +205,7 @@
 func (e *Engine) role(w http.ResponseWriter, q *http.Request) {
 	var o roleOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || (o.Role != "serving" && o.Role != "leaving") {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, `role: write "serving" or "leaving"`)
+		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, `role: must be "serving" or "leaving"`)
 		return
 	}
 	e.mu.Lock()
@@ -239,7 +239,7 @@
 	_ = json.NewEncoder(w).Encode(e.ran)
 }
 
-// leave makes the engine leave, as its own operators do; its answers say so where it is told to.
+// leave starts a shutdown by the engine's own operators. With tells=yes, responses carry the leaving header.
 func (e *Engine) leave(w http.ResponseWriter, q *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,7 +258,7 @@
 func (e *Engine) setFailLoads(w http.ResponseWriter, q *http.Request) {
 	n, err := strconv.Atoi(q.URL.Query().Get("count"))
 	if err != nil || n < 0 {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "count: write a whole number, zero or more")
+		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "count: must be a non-negative integer")
 		return
 	}
 	e.mu.Lock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -10,41 +10,42 @@
 	"time"
 )
 
-// Platform is a stand-in key-value service in Consul's HTTP style with
-// blocking reads; List and Watch are for other dialects. Users put values; it can be
-// down, stale or restored from a copy on command. The zero value is ready for Handler.
+// Platform simulates a key-value service with Consul's HTTP API, including blocking
+// queries. List and Watch are for handlers of other protocols. Test controls make it
+// unavailable, let it serve stale values, or restore it from a copy. Handler initializes
+// the zero value.
 type Platform struct {
-	Lag time.Duration // before a put is seen by readers
+	Lag time.Duration // delay before a write becomes visible
 
 	mu      sync.Mutex
 	index   uint64
 	values  map[string]*platformValue
-	mode    string // "", "down" or "stale"
+	mode    string // "" or one of the modes
 	calls   int
 	changed chan struct{}
-	history []Fact        // the newest changes, oldest first; at most HistoryKept
-	forgot  uint64        // revision of the newest change that history has lost
-	copied  *platformCopy // nil: none was made
-	epoch   uint64        // restores from a copy so far
+	history []Fact        // latest changes, oldest first; at most HistoryKept
+	forgot  uint64        // revision of the latest change dropped from the history
+	copied  *platformCopy // nil: no copy was made
+	epoch   uint64        // number of restores from a copy
 }
 
-// platformValue keeps the value before, for a stale platform to serve.
+// platformValue is a value with the one that it replaced, which is served in ModeStale.
 type platformValue struct {
 	body  []byte
 	index uint64
 	old   *platformValue
 }
 
-// The modes of a stand-in platform.
+// The modes of a Platform.
 const (
 	ModeUp    = "up"
 	ModeDown  = "down"  // every read fails
-	ModeStale = "stale" // every read gives the value before the last
+	ModeStale = "stale" // every read returns the previous value
 )
 
 const maxPut = 1 << 20
 
-// Handler serves the service and its control paths.
+// Handler serves the key-value API and, under /control/, the test controls.
 func (p *Platform) Handler() http.Handler {
 	p.values = make(map[string]*platformValue)
 	p.changed = make(chan struct{})
@@ -62,7 +63,7 @@
 func (p *Platform) put(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(q.Body, maxPut+1))
 	if err != nil || len(body) > maxPut {
-		http.Error(w, "value larger than a megabyte", http.StatusRequestEntityTooLarge)
+		http.Error(w, "value exceeds the limit of 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
 	time.Sleep(p.Lag)
@@ -81,7 +82,7 @@
 	return n == v.index
 }
 
-// store puts the value, unless cas is given and is not the key's index.
+// store writes a value. If cas is not empty, it must equal the key's index, as in Consul's check-and-set.
 func (p *Platform) store(key string, body []byte, cas string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	}
 	p.index++
 	if old != nil {
-		old.old = nil // one step back is enough
+		old.old = nil // only one previous value is kept
 	}
 	p.values[key] = &platformValue{body: body, index: p.index, old: old}
 	p.changedLocked(Fact{Key: key, Value: body, Revision: p.index})
@@ -104,7 +105,7 @@
 }
 
 func (p *Platform) get(w http.ResponseWriter, q *http.Request) {
-	index, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64) // absent is zero: answer now
+	index, _ := strconv.ParseUint(q.URL.Query().Get("index"), 10, 64) // absent is zero: respond immediately
 	wait, _ := time.ParseDuration(q.URL.Query().Get("wait"))
 	deadline := time.After(wait)
 	p.mu.Lock()
@@ -113,7 +114,7 @@
 	for {
 		v, mode, changed := p.read(q.PathValue("key"))
 		if mode == ModeDown {
-			http.Error(w, "down", http.StatusServiceUnavailable)
+			http.Error(w, "key-value service is down", http.StatusServiceUnavailable)
 			return
 		}
 		if v != nil && v.index != index {
@@ -157,7 +158,7 @@
 func (p *Platform) setMode(w http.ResponseWriter, q *http.Request) {
 	mode := q.URL.Query().Get("mode")
 	if mode != ModeUp && mode != ModeDown && mode != ModeStale {
-		http.Error(w, "mode: write up, down or stale", http.StatusBadRequest)
+		http.Error(w, "mode: must be up, down or stale", http.StatusBadRequest)
 		return
 	}
 	p.mu.Lock()
--- a/standin/prefix.go
+++ b/standin/prefix.go
@@ -13,17 +13,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// prefixLength is how much of a prompt makes its prefix, in bytes.
+// prefixLength is the length of a prompt's prefix in bytes.
 const prefixLength = 64
 
-// prefixCache remembers the prefixes of prompts run lately, for each adapter, and
-// tells of them in events that are late and have gaps.
+// prefixCache is an LRU cache of prompt prefixes by adapter. It publishes changes as
+// events, which are delayed and, if gap is set, partly lost.
 type prefixCache struct {
-	most   int           // prefixes kept; zero: no cache
-	lag    time.Duration // before an event can be read
-	gap    int           // every so many-th event is lost; zero: none
+	most   int           // capacity; zero: no cache
+	lag    time.Duration // delay until an event becomes visible
+	gap    int           // every n-th event is dropped; zero: none
 	order  []prefixKey   // least recently used first
-	events []cacheEvent  // of the last ones, oldest first
+	events []cacheEvent  // latest events, oldest first; at most eventsKept
 	next   uint64        // sequence number of the next event
 	hits   int
 	misses int
@@ -42,7 +42,7 @@
 
 const eventsKept = 1024
 
-// touch uses a prefix and tells whether it was cached.
+// touch marks a prefix as used, adding it if necessary, and reports whether it was cached.
 func (c *prefixCache) touch(adapter, prompt string, now time.Time) bool {
 	if c.most == 0 {
 		return false
@@ -63,7 +63,7 @@
 	return false
 }
 
-// drop removes the prefixes of an adapter that was unloaded.
+// drop removes the prefixes of an unloaded adapter.
 func (c *prefixCache) drop(adapter string, now time.Time) {
 	c.order = slices.DeleteFunc(c.order, func(k prefixKey) bool {
 		if k.adapter == adapter {
@@ -76,7 +76,7 @@
 func (c *prefixCache) tell(kind string, k prefixKey, now time.Time) {
 	c.next++
 	if c.gap > 0 && c.next%uint64(c.gap) == 0 {
-		return // lost; the sequence shows the gap
+		return // dropped; clients detect the gap by the sequence number
 	}
 	e := engine.CacheEvent{Sequence: c.next, Kind: kind, Adapter: k.adapter, Prefix: k.prefix}
 	c.events = append(c.events, cacheEvent{CacheEvent: e, at: now})
@@ -85,7 +85,7 @@
 	}
 }
 
-// after returns the events above a sequence number that are old enough.
+// after returns the visible events with a sequence number above the given one.
 func (c *prefixCache) after(sequence uint64, now time.Time) []engine.CacheEvent {
 	list := []engine.CacheEvent{}
 	for _, e := range c.events {
@@ -99,7 +99,7 @@
 func (e *Engine) showEvents(w http.ResponseWriter, q *http.Request) {
 	after, err := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "after: write a whole number, zero or more")
+		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "after: must be a non-negative integer")
 		return
 	}
 	e.mu.Lock()
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -14,23 +14,23 @@
 	"github.com/pkg/errors"
 )
 
-// Route is one address that the proxy takes connections at, and where it hands
-// them to.
+// Route maps an address on which the proxy listens to the address that it
+// forwards to.
 type Route struct {
 	Listen string `json:"listen"`
 	Target string `json:"target"`
 }
 
-// The modes of a rule.
+// The modes of a Rule.
 const (
 	ModePass = "pass"
-	ModeHold = "hold" // bytes wait, as behind a cut cable
-	ModeCut  = "cut"  // connections are broken, new ones too
+	ModeHold = "hold" // data is held back without a reset, as in a network partition
+	ModeCut  = "cut"  // open and new connections are reset
 )
 
-// Rule says what happens to bytes from some addresses to some addresses. Both
-// ranges are inclusive; a rule covers both directions of a connection unless
-// OneWay is set, which leaves the answers alone.
+// Rule applies a mode to connections from one range of addresses to another. Both
+// ranges are inclusive. A rule covers both directions of a connection unless
+// OneWay is set, which exempts the responses.
 type Rule struct {
 	FromLow  netip.Addr    `json:"from_low"`
 	FromHigh netip.Addr    `json:"from_high"`
@@ -38,10 +38,10 @@
 	ToHigh   netip.Addr    `json:"to_high"`
 	Mode     string        `json:"mode"`
 	OneWay   bool          `json:"one_way,omitempty"`
-	Delay    time.Duration `json:"delay,omitempty"`      // of each piece of bytes
-	CutAfter int           `json:"cut_after,omitempty"`  // bytes of the request that pass before a cut; zero: no cut
-	CutReply int           `json:"cut_answer,omitempty"` // bytes of the answer that pass before a cut; zero: no cut
-	Times    int           `json:"times,omitempty"`      // connections cut by CutAfter and CutReply; zero: all
+	Delay    time.Duration `json:"delay,omitempty"`      // before each forwarded chunk of data
+	CutAfter int           `json:"cut_after,omitempty"`  // reset the connection after this many bytes of the request; zero: never
+	CutReply int           `json:"cut_answer,omitempty"` // reset the connection after this many bytes of the response; zero: never
+	Times    int           `json:"times,omitempty"`      // how many connections CutAfter and CutReply apply to; zero: all
 }
 
 func (r Rule) matches(from, to netip.Addr) bool {
@@ -50,8 +50,8 @@
 
 func inRange(a, low, high netip.Addr) bool { return !a.Less(low) && !high.Less(a) }
 
-// Proxy passes TCP connections on and injects faults by rules. A later rule
-// goes before an earlier one. Set Routes before Run.
+// Proxy forwards TCP connections and injects faults by rules, of which the last
+// matching one applies. Set Routes before calling Run.
 type Proxy struct {
 	Routes []Route
 
@@ -61,7 +61,7 @@
 	changed chan struct{} // closed when the rules change
 }
 
-// Handler serves PUT /rules, which replaces the rules by a JSON list.
+// Handler serves PUT /rules, which replaces the rules with a JSON list.
 func (p *Proxy) Handler() http.Handler {
 	p.changed = make(chan struct{})
 	p.links = make(map[*link]struct{})
@@ -85,7 +85,7 @@
 	p.changed = make(chan struct{})
 	for k := range p.links {
 		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutReply > 0 {
-			abort(k.caller) // idle ones too
+			abort(k.caller) // also idle connections
 			abort(k.target)
 		}
 	}
@@ -100,7 +100,7 @@
 	return Rule{Mode: ModePass}
 }
 
-// rule returns the rule for a connection and a channel that closes when the
+// rule returns the rule for a connection and a channel that is closed when the
 // rules change.
 func (p *Proxy) rule(from, to netip.Addr) (Rule, <-chan struct{}) {
 	p.mu.Lock()
@@ -108,7 +108,7 @@
 	return p.ruleLocked(from, to), p.changed
 }
 
-// keep registers a connection, or takes it out.
+// keep adds a connection to the open ones, or removes it.
 func (p *Proxy) keep(k *link, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,8 @@
 	delete(p.links, k)
 }
 
-// takeCut tells whether a connection shall be cut by byte counts, and counts it.
+// takeCut returns the rule that resets a new connection after a number of bytes, or the zero Rule, and
+// decrements the rule's Times.
 func (p *Proxy) takeCut(from, to netip.Addr) Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +146,7 @@
 	return Rule{}
 }
 
-// Run takes connections at every route until ctx ends.
+// Run forwards the connections of all routes until ctx is done.
 func (p *Proxy) Run(ctx context.Context) error {
 	ended := make(chan error, len(p.Routes))
 	for _, r := range p.Routes {
@@ -172,17 +173,17 @@
 	}
 }
 
-// link is one connection through the proxy.
+// link is a connection through the proxy.
 type link struct {
 	proxy  *Proxy
 	from   netip.Addr
 	to     netip.Addr
-	cut    Rule // by byte counts; zero: none
+	cut    Rule // resets after a number of bytes; zero: none
 	caller net.Conn
 	target net.Conn
 }
 
-// carry passes one connection on until either side ends or a rule cuts it.
+// carry forwards a connection until either side closes it or a rule resets it.
 func (p *Proxy) carry(ctx context.Context, c net.Conn, r Route) {
 	defer abort(c)
 	target := netip.MustParseAddrPort(r.Target)
@@ -210,7 +211,7 @@
 	<-ended
 }
 
-// abort ends a connection so that the other side sees a break.
+// abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -218,7 +219,7 @@
 	_ = c.Close()
 }
 
-// relay copies bytes as the rules allow; most bounds them when it is not zero.
+// relay copies data as the rules allow; if most is not zero, it stops after that many bytes.
 func (k *link) relay(ctx context.Context, to, from net.Conn, answer bool, most int) {
 	buffer := make([]byte, 16<<10)
 	for passed := 0; ; {
@@ -227,7 +228,7 @@
 			return
 		}
 		if most > 0 && passed+n >= most {
-			_, _ = to.Write(buffer[:most-passed]) // the cut follows in any case
+			_, _ = to.Write(buffer[:most-passed]) // the connection is reset in any case
 			time.Sleep(cutPause)
 			return
 		}
@@ -243,9 +244,9 @@
 	}
 }
 
-const cutPause = 20 * time.Millisecond // lets the last bytes arrive before the break
+const cutPause = 20 * time.Millisecond // lets the last bytes arrive before the reset
 
-// allow waits until the rules let bytes pass; false ends the connection.
+// allow waits until the rules let data pass; false means that the connection must be closed.
 func (k *link) allow(ctx context.Context, answer bool) bool {
 	for {
 		r, changed := k.proxy.rule(k.from, k.to)
--- a/standin/restore.go
+++ b/standin/restore.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// platformCopy is what a stand-in platform held at one moment.
+// platformCopy is a snapshot of a Platform's data.
 type platformCopy struct {
 	index   uint64
 	values  map[string]*platformValue
@@ -16,7 +16,7 @@
 	forgot  uint64
 }
 
-// makeCopy keeps a copy of all values, in place of the copy before.
+// makeCopy handles POST /control/copy: it takes a snapshot and replaces the previous one.
 func (p *Platform) makeCopy(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -24,12 +24,13 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// restore goes back to the copy: what was put since is gone, and its revisions are given out again.
+// restore handles POST /control/restore: it goes back to the snapshot. Later writes are lost, and their
+// revisions are reused.
 func (p *Platform) restore(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.copied == nil {
-		http.Error(w, "restore: make a copy first", http.StatusConflict)
+		http.Error(w, "restore: no copy was made", http.StatusConflict)
 		return
 	}
 	p.index, p.forgot = p.copied.index, p.copied.forgot
@@ -39,7 +40,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Epoch returns how often the platform was restored from a copy.
+// Epoch returns how many times the platform was restored.
 func (p *Platform) Epoch() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/run.go
+++ b/standin/run.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// run is one request inside the engine. Its tokens are kept so that a reader
-// that lost its connection can resume.
+// run is the execution of a request. Its tokens can be produced again, so that a
+// client that lost its connection can resume the stream.
 type run struct {
 	request  string
-	model    string // the adapter's name as asked for
-	content  string // what the slot held when the run began
+	model    string // adapter name as requested
+	content  string // content of the slot when the run was admitted
 	priority int
-	tokens   int // to produce
-	prefill  int // steps left before the first token; only the engine's step changes it
+	tokens   int // number to produce
+	prefill  int // steps left before the first token; changed only by the engine's step
 
 	mu       sync.Mutex
 	produced int
 	readers  int
-	alone    time.Time // since when it has no reader
-	endedAt  time.Time // zero while it runs
-	failure  error     // why it ended early
+	alone    time.Time // since when it has had no reader
+	endedAt  time.Time // zero while running
+	failure  error     // why it ended early; nil if it completed
 	changed  chan struct{}
 }
 
@@ -41,11 +41,11 @@
 	}
 }
 
-// token returns the text of the n-th token: it names the adapter's content and
-// the request, so that a reader can tell whose answer it reads.
+// token returns the text of the n-th token. It names the adapter's content and
+// the request, so that clients can check that a response is their own.
 func (r *run) token(n int) string { return fmt.Sprintf("%s/%s/%d ", r.content, r.request, n) }
 
-// produce adds one token and ends the run after the last.
+// produce adds a token and ends the run after the last one. During prefill it adds none.
 func (r *run) produce(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +63,7 @@
 	r.wakeLocked()
 }
 
-// finish ends the run early.
+// finish ends the run before its last token.
 func (r *run) finish(failure error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,14 +86,14 @@
 	return !r.endedAt.IsZero()
 }
 
-// abandoned tells whether the run has gone without a reader for too long.
+// abandoned reports whether an unfinished run has had no reader for longer than window.
 func (r *run) abandoned(now time.Time, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.endedAt.IsZero() && r.readers == 0 && now.Sub(r.alone) > window
 }
 
-// forgettable tells whether the run ended longer than window ago.
+// forgettable reports whether the run ended longer than window ago and has no reader.
 func (r *run) forgettable(now time.Time, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,11 +113,11 @@
 	r.alone = time.Now()
 }
 
-// errRunning says that a run has not ended.
+// errRunning is the state of an unfinished run.
 var errRunning = errors.New("running")
 
-// progress returns how many tokens there are, a channel that closes at the next
-// change, and errRunning, nil or the failure.
+// progress returns the number of tokens produced, a channel that is closed at the
+// next change, and the state: errRunning, nil after completion, or the failure.
 func (r *run) progress() (int, <-chan struct{}, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,16 +12,16 @@
 	"cairnwick.example/engine"
 )
 
-// Service is a stand-in plain service: it echoes each call and counts the runs
-// of each key. Set the exported field before Handler.
+// Service simulates a plain HTTP service. It echoes requests and counts them by
+// idempotency key. Set Time before calling Handler.
 type Service struct {
-	Time time.Duration // of one call
+	Time time.Duration // latency of a request
 
 	mu   sync.Mutex
-	keys map[string]int // runs by key
+	keys map[string]int // requests by idempotency key
 }
 
-// Handler serves every path, and its control paths.
+// Handler serves all paths, with the test controls under /control/.
 func (s *Service) Handler() http.Handler {
 	s.keys = make(map[string]int)
 	m := http.NewServeMux()
--- a/standin/silence.go
+++ b/standin/silence.go
@@ -11,18 +11,18 @@
 	"github.com/pkg/errors"
 )
 
-// SilentProxy hands TCP connections on to Target. Silence makes those that are open say
-// nothing for good, without a reset, while later ones work. What is written to a silent
-// one is acknowledged and lost, so that only a time-out of the program itself shows it.
+// SilentProxy forwards TCP connections to Target. Silence turns the open connections into
+// black holes, without a reset, while later ones work: data sent on them is acknowledged by
+// TCP and discarded, so that only a timeout of the application itself detects the fault.
 type SilentProxy struct {
 	Target string // IP:port
 
 	mu    sync.Mutex
-	muted chan struct{} // closed by Silence, for the connections that are open by then
+	muted chan struct{} // closed by Silence for the connections that are open at that time
 	count int
 }
 
-// Silence makes the connections that are open fall silent.
+// Silence makes the proxy discard all further data of the open connections.
 func (p *SilentProxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,14 +32,14 @@
 	p.muted = make(chan struct{})
 }
 
-// Taken returns how many connections were taken so far.
+// Taken returns the number of connections accepted so far.
 func (p *SilentProxy) Taken() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count
 }
 
-// take counts a connection and returns what closes when it falls silent.
+// take counts a connection and returns the channel that is closed when its data is to be discarded.
 func (p *SilentProxy) take() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,7 +50,7 @@
 	return p.muted
 }
 
-// Run takes connections at l until ctx ends.
+// Run forwards the connections accepted by l until ctx is done.
 func (p *SilentProxy) Run(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -66,7 +66,7 @@
 	}
 }
 
-// carry passes one connection on until either side ends.
+// carry forwards a connection until either side closes it.
 func (p *SilentProxy) carry(ctx context.Context, c net.Conn, muted <-chan struct{}) {
 	defer c.Close()
 	t, err := net.Dial("tcp", p.Target)
@@ -81,7 +81,7 @@
 	defer stop()
 	ended := make(chan struct{}, 2)
 	pass := func(to, from net.Conn) {
-		_, _ = io.Copy(silentWriter{Writer: to, muted: muted}, from) // its end is all that matters
+		_, _ = io.Copy(silentWriter{Writer: to, muted: muted}, from) // any error ends the connection
 		ended <- struct{}{}
 	}
 	go pass(t, c)
@@ -89,12 +89,12 @@
 	<-ended
 	select {
 	case <-muted:
-		<-ctx.Done() // the end of one side is not told to the other
+		<-ctx.Done() // closing one side must not close the other
 	default:
 	}
 }
 
-// silentWriter loses what is written once muted is closed.
+// silentWriter discards writes once muted is closed.
 type silentWriter struct {
 	io.Writer
 
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 )
 
-// bench is a running stand-in engine.
+// bench runs an Engine behind an HTTP test server, with a client for it.
 type bench struct {
 	*quicktest.C
 
@@ -56,7 +56,7 @@
 	}
 }
 
-// begin sends a completion and returns its answer, unread.
+// begin sends a streaming completion request and returns the response without reading its body.
 func (b *bench) begin(model, prompt string, tokens int, header ...string) *http.Response {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, model, prompt, tokens)
 	r, err := http.NewRequest(http.MethodPost, b.url+"/v1/completions", strings.NewReader(body))
@@ -271,8 +271,8 @@
 	b.Assert(list[1].Kind, quicktest.Equals, engine.CacheRemoved)
 }
 
-// A soak on a busy machine saw an adapter unloaded while it ran: the engine's steps had stood still for longer than the
-// age that it publishes for its reports.
+// Guards against reports older than ReportLag. On an overloaded machine no step ran for longer than that, /metrics
+// showed an outdated report, and an adapter that was running was unloaded.
 func TestAReportIsNoOlderThanItsLagWhereStepsStandStill(t *testing.T) {
 	const lag = 20 * time.Millisecond
 	b := newBench(t, func(e *Engine) { e.StepTime, e.ReportLag = time.Second, lag })
--- a/standin/store.go
+++ b/standin/store.go
@@ -16,12 +16,12 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is a stand-in weight store: so many loads a second, so many at once at
-// full speed. Set the exported fields before Handler.
+// Store simulates a weight store with a rate limit and a shared bandwidth. Set the
+// exported fields before calling Handler.
 type Store struct {
-	Rate     float64       // loads begun a second
-	AtOnce   int           // loads at full speed; more share the speed
-	LoadTime time.Duration // of one load at full speed
+	Rate     float64       // loads started per second
+	AtOnce   int           // concurrent loads at full speed; more share the bandwidth
+	LoadTime time.Duration // duration of a load at full speed
 
 	mu       sync.Mutex
 	limiter  *rate.Limiter
@@ -31,13 +31,13 @@
 	refused  int
 }
 
-// StoreBusyError says that the store's rate is used up.
+// StoreBusyError means that the store's rate limit is exceeded.
 type StoreBusyError struct{ Retry time.Duration }
 
-func (e *StoreBusyError) Error() string { return "store: rate used up" }
+func (e *StoreBusyError) Error() string { return "store: rate limit exceeded" }
 
-// Handler serves GET /store/PATH: the content is named by the path,
-// adapters/NAME/VERSION gives NAME@VERSION.
+// Handler serves GET /store/PATH, whose content is derived from the path:
+// adapters/NAME/VERSION yields NAME@VERSION.
 func (s *Store) Handler() http.Handler {
 	s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(1, int(s.Rate)))
 	m := http.NewServeMux()
@@ -53,11 +53,11 @@
 		s.refused++
 		s.mu.Unlock()
 		w.Header().Set("Retry-After", "1")
-		http.Error(w, "rate used up", http.StatusTooManyRequests)
+		http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 		return
 	}
 	if s.begin() {
-		http.Error(w, "failed on command", http.StatusInternalServerError)
+		http.Error(w, "load failed by test control", http.StatusInternalServerError)
 		return
 	}
 	defer s.end()
@@ -67,7 +67,7 @@
 	fmt.Fprint(w, contentOf(q.PathValue("path")))
 }
 
-// begin counts a load and tells whether it shall fail.
+// begin counts a load and reports whether it must fail.
 func (s *Store) begin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	s.active--
 }
 
-// transfer takes LoadTime, longer while more than AtOnce share the speed.
+// transfer sleeps for LoadTime, longer while more than AtOnce loads share the bandwidth.
 func (s *Store) transfer(ctx context.Context) error {
 	const parts = 10
 	for range parts {
@@ -112,7 +112,7 @@
 func (s *Store) control(w http.ResponseWriter, q *http.Request) {
 	n, err := strconv.Atoi(q.URL.Query().Get("fail-each"))
 	if err != nil || n < 0 {
-		http.Error(w, "fail-each: write a whole number, zero or more", http.StatusBadRequest)
+		http.Error(w, "fail-each: must be a non-negative integer", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
@@ -127,25 +127,25 @@
 	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.begun, s.refused)
 }
 
-// FetchFrom returns a reader of the store at the URL, for Engine.Store.
+// FetchFrom returns a function for Engine.Store that reads from the store at a base URL.
 func FetchFrom(address string) func(context.Context, string) (string, error) {
 	return func(ctx context.Context, path string) (string, error) {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/store/"+path, nil)
 		if err != nil {
-			return "", errors.Wrap(err, "standin: store request")
+			return "", errors.Wrap(err, "standin: create store request")
 		}
 		a, err := http.DefaultClient.Do(r)
 		if err != nil {
-			return "", errors.Wrap(err, "standin: store")
+			return "", errors.Wrap(err, "standin: fetch from store")
 		}
 		defer a.Body.Close()
 		if a.StatusCode == http.StatusTooManyRequests {
 			return "", &StoreBusyError{Retry: time.Second}
 		}
 		if a.StatusCode != http.StatusOK {
-			return "", errors.Errorf("standin: store: status %d", a.StatusCode)
+			return "", errors.Errorf("standin: fetch from store: status %d", a.StatusCode)
 		}
 		body, err := io.ReadAll(a.Body)
-		return string(body), errors.Wrap(err, "standin: store answer")
+		return string(body), errors.Wrap(err, "standin: read store response")
 	}
 }
