--- a/fleet/caller.go
+++ b/fleet/caller.go
@@ -15,37 +15,37 @@
 	"github.com/pkg/errors"
 )
 
-// Ask is one request of a caller.
+// Ask is a completion request.
 type Ask struct {
-	Address string // of a gateway
-	Model   string // as a caller writes it
-	Expect  string // adapter@version that must answer; "" when any may
+	Address string // of the gateway
+	Model   string // model name as sent to the gateway
+	Expect  string // adapter@version that the request must run on; "" allows any
 	Tokens  int
-	Talk    int // conversation: prompts of one begin alike
+	Talk    int // conversation number; prompts of a conversation share a prefix
 	Stream  bool
 	Header  map[string]string
 }
 
-// Reply is what a caller got.
+// Reply is the response to an Ask.
 type Reply struct {
 	Status   int
 	Header   http.Header
-	Text     string // of the answer
-	Whole    bool   // the answer ended as it should
-	Code     string // of a failure
-	Ran      string // of a failure
+	Text     string // completion text
+	Whole    bool   // the response is a complete completion
+	Code     string // error code
+	Ran      string // whether the failed request was executed
 	Retry    time.Duration
 	Request  string
-	First    time.Duration // until the first byte
+	First    time.Duration // time to the response header
 	Duration time.Duration
 }
 
-// Stall returns how long the request waited for its adapter's load, as the
-// answer says.
+// Stall returns how long the request waited for its adapter to load, according to
+// the response header.
 func (p Reply) Stall() time.Duration {
 	ms, err := strconv.Atoi(p.Header.Get("Cairn-Load-Stall"))
 	if err != nil {
-		return 0 // refused requests have none
+		return 0 // rejected requests have no such header
 	}
 	return time.Duration(ms) * time.Millisecond
 }
@@ -62,11 +62,11 @@
 	} `json:"error"`
 }
 
-// Caller sends requests; the zero value is ready.
+// Caller sends completion requests. The zero value is ready to use.
 type Caller struct{ HTTP http.Client }
 
-// Do sends one request and reads its answer. An error says that the connection
-// gave none.
+// Do sends a request and reads its response. It returns an error if there is no valid
+// response, but not if an event stream ends early, which leaves Whole false.
 func (c *Caller) Do(ctx context.Context, a Ask) (Reply, error) {
 	body := map[string]any{"model": a.Model, "max_tokens": max(a.Tokens, 1), "stream": a.Stream, "prompt": "hello"}
 	if a.Expect != "" {
@@ -101,7 +101,7 @@
 	}
 	var b replyBody
 	if err := json.NewDecoder(w.Body).Decode(&b); err != nil {
-		return errors.Wrap(err, "fleet: answer")
+		return errors.Wrap(err, "fleet: decode response")
 	}
 	p.take(b)
 	p.Whole = b.Error == nil && len(b.Choices) > 0
@@ -112,7 +112,7 @@
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			return nil // cut: Whole stays false
+			return nil // connection lost: Whole stays false
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !found {
@@ -124,7 +124,7 @@
 		}
 		var b replyBody
 		if err := json.Unmarshal([]byte(data), &b); err != nil {
-			return errors.Wrap(err, "fleet: event")
+			return errors.Wrap(err, "fleet: decode event")
 		}
 		p.take(b)
 	}
@@ -139,20 +139,20 @@
 	}
 }
 
-// Check tells what is wrong with a whole answer: every token must name the
-// adapter's version and this request, in order.
+// Check validates the text of a complete response: every token must name the given
+// adapter@version, this request and its position.
 func (p *Reply) Check(model string, tokens int) error {
 	words := strings.Fields(p.Text)
 	if len(words) != tokens {
-		return errors.Errorf("fleet: %d tokens instead of %d", len(words), tokens)
+		return errors.Errorf("fleet: response has %d tokens, expected %d", len(words), tokens)
 	}
 	for i, w := range words {
 		parts := strings.Split(w, "/")
 		if len(parts) != 3 {
-			return errors.Errorf("fleet: token %q", w)
+			return errors.Errorf("fleet: malformed token %q", w)
 		}
 		if parts[0] != model || !strings.HasPrefix(parts[1], p.Request+".") || parts[2] != fmt.Sprint(i) {
-			return errors.Errorf("fleet: token %d is %q; the request is %s on %s", i, w, p.Request, model)
+			return errors.Errorf("fleet: token %d is %q, expected request %s on %s", i, w, p.Request, model)
 		}
 	}
 	return nil
--- a/fleet/edge.go
+++ b/fleet/edge.go
@@ -17,19 +17,19 @@
 	"github.com/pkg/errors"
 )
 
-// edgeRole is the part of the name of a box's one process on the users' platform.
+// edgeRole is the last part of the process name of an edge box, which runs a single process.
 const edgeRole = "edge"
 
-// readyPort takes the balancer's questions; the other ports are those of a gateway.
+// readyPort serves the load balancer's readiness checks. The other ports are those of a gateway.
 const readyPort = 8081
 
-// ReadyAddress returns where the balancer asks a box on the users' platform.
+// ReadyAddress returns the address of an edge box's readiness check.
 func (f *Fleet) ReadyAddress(centre, box int) string {
 	return fmt.Sprintf("%s:%d", f.boxIP(centre, box), readyPort)
 }
 
-// Documents in the form of the users' platform: a box's settings, a configuration with one
-// route to one service that runs a model, and the entry of an endpoint of it.
+// Documents in the format of the users' platform: a box's settings, a configuration with a
+// route to a service that runs a model, and the registration of an endpoint of this service.
 var (
 	//go:embed users/settings.toml
 	EdgeSettings string
@@ -39,11 +39,11 @@
 	edgeServer string
 )
 
-// StartEdge starts the one process of a box on the users' platform, with settings in that
-// platform's form, in which $BOX, $ZONE, $IP, $CALLERS, $READY, $PEERS, $PEERSPORT,
-// $METRICSPORT and $STORE stand for what is this box's, and $SEED for its first data centre's
-// first box. It writes to out, or to its log when that is nil. StartEdge returns when the
-// box answers the balancer.
+// StartEdge starts the single process of a box on the users' platform and waits until its
+// readiness check succeeds. In the settings, which have that platform's format, it expands
+// $BOX, $ZONE, $IP, $CALLERS, $READY, $PEERS, $PEERSPORT, $METRICSPORT and $STORE to the
+// values of this box, and $SEED to the address of the first box of the first data centre.
+// The process's standard output goes to out, or to its log if out is nil.
 func (f *Fleet) StartEdge(ctx context.Context, centre, box int, settings string, out *os.File) error {
 	values := map[string]string{
 		"BOX":         BoxName(centre, box),
@@ -69,13 +69,13 @@
 	return f.waitFor(ctx, "http://"+f.ReadyAddress(centre, box)+"/")
 }
 
-// PublishEdgeConfig publishes the configuration under another version.
+// PublishEdgeConfig publishes the configuration with the given version.
 func (f *Fleet) PublishEdgeConfig(ctx context.Context, version uint64) error {
 	text := strings.Replace(edgeConfig, `"version": 7`, fmt.Sprintf(`"version": %d`, version), 1)
 	return f.Put(ctx, platformtest.ConfigKey, []byte(text))
 }
 
-// PublishEdge publishes the configuration and an entry for each engine.
+// PublishEdge publishes the configuration and the registration of every engine.
 func (f *Fleet) PublishEdge(ctx context.Context) error {
 	if err := f.Put(ctx, platformtest.ConfigKey, []byte(edgeConfig)); err != nil {
 		return err
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Life waits until an engine answers, and returns which life of it does.
+// Life waits until an engine responds and returns its boot ID.
 func (f *Fleet) Life(ctx context.Context, centre, number int) (string, error) {
 	life := ""
 	err := f.await(ctx, func() error {
@@ -113,8 +113,8 @@
 	return life, err
 }
 
-// Remove takes a value away, as the users' endpoints do with their own.
+// Remove deletes a key, as an endpoint of the users does with its registration.
 func (f *Fleet) Remove(ctx context.Context, key string) error {
 	_, err := exchange(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
-	return errors.Wrapf(err, "fleet: remove %s", key)
+	return errors.Wrapf(err, "fleet: delete key %s", key)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	peerName  = "cairnwick" // in every certificate
+	peerName  = "cairnwick" // DNS name in every daemon's certificate
 	reportLag = 200 * time.Millisecond
 )
 
-// Fleet is a system of processes. Start it, and Stop it at the end.
+// Fleet runs a system of processes. It must be stopped with Stop, also if Start fails.
 type Fleet struct {
 	Spec Spec
 
-	network  string       // first three numbers of every address
-	taken    net.Listener // keeps other fleets from the network; nil: nothing does
-	identity Identity     // of every daemon, with TLS
+	network  string       // first three octets of all addresses
+	taken    net.Listener // reserves the network; nil: not reserved
+	identity Identity     // shared by all daemons if TLS is set
 
 	mu        sync.Mutex
-	processes map[string]*process // by name, running ones
-	head      catalog.Head        // as last published
+	processes map[string]*process // running processes by name
+	head      catalog.Head        // last published by Publish
 }
 
-// New returns a fleet that is not started.
+// New returns a fleet that has not been started and reserves its addresses.
 func New(s Spec) *Fleet {
 	network, taken := newNetwork()
 	return &Fleet{Spec: s, network: network, taken: taken, processes: make(map[string]*process)}
 }
 
-// Start starts every process and returns when every daemon is ready.
+// Start starts all processes and waits until every daemon is ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	if err := f.identify(); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return f.WaitReady(ctx)
 }
 
-// identify makes the identity of the daemons, when they speak TLS.
+// identify creates the daemons' certificate if they use TLS.
 func (f *Fleet) identify() error {
 	if !f.Spec.TLS {
 		return nil
@@ -107,7 +107,7 @@
 	return f.Publish(ctx, f.Shards())
 }
 
-// StartEngine starts one engine.
+// StartEngine starts an engine without waiting for it.
 func (f *Fleet) StartEngine(centre, engine int) error {
 	args := []string{
 		"--listen", f.EngineAddress(centre, engine),
@@ -136,7 +136,7 @@
 // DaemonName returns the name of a daemon's process.
 func DaemonName(centre, box int, role string) string { return BoxName(centre, box) + "/" + role }
 
-// StartDaemon starts one daemon.
+// StartDaemon writes a daemon's settings and starts it without waiting for it.
 func (f *Fleet) StartDaemon(centre, box int, role string) error {
 	s := map[string]any{
 		"box":              BoxName(centre, box),
@@ -171,7 +171,7 @@
 	return f.run(DaemonName(centre, box, role), "cairn-"+role, args...)
 }
 
-// WaitReady returns when every gateway and scheduler that runs is ready.
+// WaitReady waits until every running gateway and scheduler is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for b := 1; b <= f.Spec.Boxes; b++ {
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -13,12 +13,12 @@
 	"github.com/pkg/errors"
 )
 
-// Get reads a URL that answers with status 200 or 204.
+// Get returns the body of a URL. A status of 300 or above is an error.
 func Get(ctx context.Context, url string) ([]byte, error) {
 	return exchange(ctx, http.MethodGet, url, nil)
 }
 
-// Post sends an empty body to a control path.
+// Post sends a POST request with an empty body. A status of 300 or above is an error.
 func Post(ctx context.Context, url string) error {
 	_, err := exchange(ctx, http.MethodPost, url, nil)
 	return err
@@ -44,7 +44,7 @@
 	return text, nil
 }
 
-// waitFor returns when the URL answers with status 200.
+// waitFor waits until a GET request to the URL succeeds.
 func (f *Fleet) waitFor(ctx context.Context, url string) error {
 	return f.await(ctx, func() error {
 		_, err := Get(ctx, url)
@@ -52,10 +52,10 @@
 	})
 }
 
-// readyTimeout is the longest wait for a process to answer as it should.
+// readyTimeout limits the wait for a process to become ready.
 const readyTimeout = 30 * time.Second
 
-// await tries until it succeeds, for a bounded time.
+// await calls try until it succeeds or readyTimeout has passed.
 func (f *Fleet) await(ctx context.Context, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -66,7 +66,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "fleet: waited in vain")
+			return errors.Wrapf(err, "fleet: not ready within %s", readyTimeout)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/fleet/identity.go
+++ b/fleet/identity.go
@@ -17,13 +17,13 @@
 	"github.com/pkg/errors"
 )
 
-// Authority signs certificates for tests and demos.
+// Authority is a certificate authority for tests and demos.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// Identity names the files of one daemon's or operator's identity.
+// Identity holds the paths of a daemon's or operator's certificate, key and CA certificate.
 type Identity struct {
 	Certificate string
 	Key         string
@@ -32,7 +32,7 @@
 
 const identityLife = 24 * time.Hour
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// Write makes a certificate that carries the DNS name, and writes the files of an
-// identity to dir.
+// Write issues a certificate for the DNS name and writes it, its key and the CA
+// certificate to dir as PEM files.
 func (a *Authority) Write(dir, name string) (Identity, error) {
 	i := Identity{
 		Certificate: filepath.Join(dir, "certificate.pem"),
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -13,29 +13,29 @@
 	"github.com/pkg/errors"
 )
 
-// process is one running program.
+// process is a running program.
 type process struct {
 	command *exec.Cmd
-	ended   chan error // receives once
+	ended   chan error // receives the exit error once
 }
 
-// file returns the path in Dir of a process's file.
+// file returns the path of a process's file in Dir.
 func (f *Fleet) file(name, ending string) string {
 	return filepath.Join(f.Spec.Dir, strings.ReplaceAll(name, "/", "-")+ending)
 }
 
-// run starts a program under a name; its output goes to a log in Dir.
+// run starts a program under a name, with its output in a log in Dir.
 func (f *Fleet) run(name, program string, args ...string) error {
 	return f.runWith(surroundings{}, name, program, args...)
 }
 
-// surroundings are what a program gets besides its arguments.
+// surroundings are a program's additional environment and its standard output.
 type surroundings struct {
-	environment []string // more variables, NAME=VALUE
-	stdout      *os.File // nil: its log
+	environment []string // additional variables, NAME=VALUE
+	stdout      *os.File // nil: the log
 }
 
-// runWith is run with what the program gets besides.
+// runWith is like run, with the given environment and standard output.
 func (f *Fleet) runWith(s surroundings, name, program string, args ...string) error {
 	path := f.file(name, ".log")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -70,15 +70,15 @@
 	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
-		return errors.Errorf("fleet: no process %s", name)
+		return errors.Errorf("fleet: process %s is not running", name)
 	}
 	if err := p.command.Process.Signal(s); err != nil {
-		return errors.Wrapf(err, "fleet: %s, whose log ends: %s", name, f.tail(name))
+		return errors.Wrapf(err, "fleet: signal %s; end of its log: %s", name, f.tail(name))
 	}
 	return nil
 }
 
-// tailMost is how much of a log an error tells, in bytes.
+// tailMost is the number of bytes of a log that an error message includes.
 const tailMost = 1000
 
 // tail returns the end of a process's log.
@@ -90,11 +90,11 @@
 	return string(text[max(len(text)-tailMost, 0):])
 }
 
-// stopTimeout is how long a process has to end by itself.
+// stopTimeout is the time that a process has to exit after a signal.
 const stopTimeout = 20 * time.Second
 
-// End sends a signal to a process and waits for its end; the error is that of
-// its exit.
+// End sends a signal to a process and waits for it to exit. It returns the exit
+// error. A process that does not exit within stopTimeout is killed.
 func (f *Fleet) End(name string, s syscall.Signal) error {
 	if err := f.Signal(name, s); err != nil {
 		return err
@@ -108,11 +108,11 @@
 		return err
 	case <-time.After(stopTimeout):
 		_ = p.command.Process.Kill()
-		return errors.Errorf("fleet: %s did not end in time", name)
+		return errors.Errorf("fleet: %s did not exit within %s of a signal; killed", name, stopTimeout)
 	}
 }
 
-// PID returns the process number of a process.
+// PID returns the process ID of a process, or 0 if it is not running.
 func (f *Fleet) PID(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,19 +122,19 @@
 	return 0
 }
 
-// Stop ends every process, at once.
+// Stop kills all processes and releases the fleet's addresses.
 func (f *Fleet) Stop() {
 	f.mu.Lock()
 	list := f.processes
 	f.processes = make(map[string]*process)
 	f.mu.Unlock()
 	for _, p := range list {
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // it may have exited already
 	}
 	for _, p := range list {
 		<-p.ended
 	}
 	if f.taken != nil {
-		_ = f.taken.Close() // nobody connects to it
+		_ = f.taken.Close() // it has no connections
 	}
 }
--- a/fleet/proxy.go
+++ b/fleet/proxy.go
@@ -11,7 +11,7 @@
 	"cairnwick.example/standin"
 )
 
-// startProxy starts the proxy with a route to everything that daemons reach.
+// startProxy starts the proxy with routes to the platform, the daemons and the engines, and waits until it is ready.
 func (f *Fleet) startProxy(ctx context.Context) error {
 	args := []string{"--listen", f.ProxyAddress()}
 	route := func(ip string, port int) {
@@ -33,7 +33,7 @@
 	return f.await(ctx, func() error { return f.SetRules(ctx, nil) })
 }
 
-// SetRules replaces the proxy's rules.
+// SetRules replaces the rules of the proxy. Without rules, it forwards everything.
 func (f *Fleet) SetRules(ctx context.Context, rules []standin.Rule) error {
 	raw, err := json.Marshal(rules)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return err
 }
 
-// NewRule returns a rule for what passes from one part to another.
+// NewRule returns a rule for connections from one part of the fleet to another; see Range for the parts.
 func (f *Fleet) NewRule(from, to, mode string) (standin.Rule, error) {
 	r := standin.Rule{Mode: mode}
 	var err error
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -13,13 +13,13 @@
 	"cairnwick.example/kvstore"
 )
 
-// Put publishes one value, as the users do.
+// Put writes a key of the key-value service, as the platform's users do.
 func (f *Fleet) Put(ctx context.Context, key string, value []byte) error {
 	_, err := exchange(ctx, http.MethodPut, "http://"+f.PlatformAddress()+"/v1/kv/"+key, value)
 	return err
 }
 
-// Publish publishes a configuration that follows the last one.
+// Publish publishes a configuration as the successor of the last one.
 func (f *Fleet) Publish(ctx context.Context, shards map[string]catalog.Shard) error {
 	f.mu.Lock()
 	base := f.head
@@ -34,14 +34,14 @@
 	return nil
 }
 
-// Head returns the head that Publish published last.
+// Head returns the head of the last configuration published by Publish.
 func (f *Fleet) Head() catalog.Head {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.head
 }
 
-// PublishOn publishes a configuration that follows base.
+// PublishOn publishes a configuration as the successor of base. Head does not change.
 func (f *Fleet) PublishOn(ctx context.Context, base catalog.Head, shards map[string]catalog.Shard) (catalog.Head, error) {
 	texts := make(map[string][]byte, len(shards))
 	for n, s := range shards {
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet starts whole systems of real processes on loopback addresses:
-// gateways, schedulers and the stand-ins around them. The demo, the tests and
-// the measurements share it; no daemon does.
+// Package fleet starts complete systems of real processes on loopback addresses:
+// gateways, schedulers and the stand-ins that they need. It is used by the demo,
+// the tests and the measurements, but not by the daemons.
 package fleet
 
 import (
@@ -12,58 +12,58 @@
 	"cairnwick.example/member"
 )
 
-// Spec describes a fleet.
+// Spec is the configuration of a fleet.
 type Spec struct {
-	Bin        string   // folder of the programs
-	Dir        string   // folder for settings and logs
-	Centres    int      // data centres
-	Boxes      int      // of each data centre; each runs a gateway and a scheduler
-	Engines    int      // of each data centre
-	Services   int      // plain services, reached from every data centre
-	Adapters   int      // adapters, each with versions 1 and 2 and live on 2
-	PerShard   int      // adapters in one shard; zero: defaultPerShard
-	Slots      int      // of each engine
-	Batch      int      // of each engine
-	EngineArgs []string // more flags of the engines
-	StoreArgs  []string // more flags of the platform
-	Gateway    []string // more settings of gateways, NAME=VALUE
-	Scheduler  []string // more settings of schedulers, NAME=VALUE
-	Both       []string // more settings of both
+	Bin        string   // directory of the programs
+	Dir        string   // directory for settings and logs
+	Centres    int      // number of data centres
+	Boxes      int      // per data centre; each runs a gateway and a scheduler
+	Engines    int      // per data centre
+	Services   int      // plain services, which all data centres share
+	Adapters   int      // number of adapters, each with versions 1 and 2, of which 2 is live
+	PerShard   int      // adapters per shard; zero: defaultPerShard
+	Slots      int      // adapter slots per engine
+	Batch      int      // batch size of an engine
+	EngineArgs []string // additional flags of the engines
+	StoreArgs  []string // additional flags of the platform
+	Gateway    []string // additional settings of gateways, NAME=VALUE
+	Scheduler  []string // additional settings of schedulers, NAME=VALUE
+	Both       []string // additional settings of gateways and schedulers
 	NoFences   bool     // engines do not check fences
-	TLS        bool     // daemons speak TLS; the files are in Dir
-	Proxied    bool     // daemons, engines and platform are reached through a fault-injecting proxy
+	TLS        bool     // daemons use TLS, with the files in Dir
+	Proxied    bool     // connections to daemons, engines and platform go through a fault-injecting proxy
 }
 
-// Walkthrough returns the system that the page of the walk-through is about.
+// Walkthrough returns the fleet that the walk-through in the documentation uses.
 func Walkthrough() Spec {
 	return Spec{Centres: 2, Boxes: 1, Engines: 2, Services: 1, Adapters: 20, Slots: 2, Batch: 8}
 }
 
-// The names that every fleet's configuration uses.
+// Names in every fleet's configuration.
 const (
 	BaseName     = "advice"
-	CounterClass = "counter"   // may wait a little
-	NightClass   = "overnight" // may wait long
+	CounterClass = "counter"   // may wait for a few seconds
+	NightClass   = "overnight" // may wait for minutes
 	UrgentClass  = "urgent"    // may not wait
 	ServiceName  = "stock"
 )
 
-// defaultPerShard keeps a shard near 30 KB, so that a change moves little.
+// defaultPerShard keeps a shard near 30 KB, which limits the data transferred for a change.
 const defaultPerShard = 200
 
-// CentreName returns the name of the i-th data centre, from 1.
+// CentreName returns the name of a data centre, counted from 1.
 func CentreName(i int) string { return fmt.Sprintf("dc%d", i) }
 
 // BoxName returns the name of a box, both counted from 1.
 func BoxName(centre, box int) string { return fmt.Sprintf("dc%d-box%d", centre, box) }
 
-// EndpointName returns the name of an endpoint, both counted from 1.
+// EndpointName returns the name of the endpoint of an engine, both counted from 1.
 func EndpointName(centre, engine int) string { return fmt.Sprintf("dc%d-engine%d", centre, engine) }
 
-// AdapterName returns the name of the i-th adapter, from 1.
+// AdapterName returns the name of an adapter, counted from 1.
 func AdapterName(i int) string { return fmt.Sprintf("adapter-%05d", i) }
 
-// Daemons returns the addresses of all daemons for their peers and for operators.
+// Daemons returns the peer addresses of all daemons.
 func (f *Fleet) Daemons() []string {
 	var list []string
 	for _, b := range f.Boxes() {
@@ -72,7 +72,7 @@
 	return list
 }
 
-// Boxes returns the platform's list of the fleet's daemons.
+// Boxes returns the list of all daemons as published on the platform.
 func (f *Fleet) Boxes() []kvstore.Daemon {
 	var list []kvstore.Daemon
 	for c := 1; c <= f.Spec.Centres; c++ {
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -13,26 +13,26 @@
 	"github.com/pkg/errors"
 )
 
-// Usage is what a process has used since it began.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU    time.Duration // user and system
-	Memory int64         // bytes resident now
+	CPU    time.Duration // user and system time since the start
+	Memory int64         // resident set size in bytes
 }
 
-const clockTick = 10 * time.Millisecond // of /proc, on Linux
+const clockTick = 10 * time.Millisecond // unit of CPU times in /proc/PID/stat on Linux, as USER_HZ is 100
 
-// Usage reads what a process of the fleet has used.
+// Usage returns the resource usage of a process of the fleet.
 func (f *Fleet) Usage(name string) (Usage, error) {
 	pid := f.PID(name)
 	if pid == 0 {
-		return Usage{}, errors.Errorf("fleet: no process %s", name)
+		return Usage{}, errors.Errorf("fleet: process %s is not running", name)
 	}
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return Usage{}, errors.Wrap(err, "fleet: usage")
+		return Usage{}, errors.Wrap(err, "fleet: read process usage")
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	const userField, systemField, pagesField = 11, 12, 21 // after the name
+	const userField, systemField, pagesField = 11, 12, 21 // indexes after the process name
 	return Usage{
 		CPU:    time.Duration(whole(fields[userField])+whole(fields[systemField])) * clockTick,
 		Memory: whole(fields[pagesField]) * int64(os.Getpagesize()),
@@ -42,7 +42,7 @@
 func whole(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0 // the kernel writes numbers
+		return 0 // cannot happen: the kernel writes integers
 	}
 	return n
 }
--- a/fleet/witness.go
+++ b/fleet/witness.go
@@ -10,14 +10,14 @@
 	"cairnwick.example/standin"
 )
 
-// Witness is what all stand-ins of a fleet saw together.
+// Witness is what the stand-ins of a fleet observed in total.
 type Witness struct {
 	Counts standin.Counts
-	Twice  int             // keys that ran more than once, at any engine or service
-	Ran    map[string]bool // ids of the requests that ran
+	Twice  int             // idempotency keys that ran more than once on all engines and services together
+	Ran    map[string]bool // IDs of the requests that ran
 }
 
-// Witness sums what the stand-ins that answer have counted.
+// Witness collects the counts of the services and of the running engines.
 func (f *Fleet) Witness(ctx context.Context) (Witness, error) {
 	w := Witness{Ran: make(map[string]bool)}
 	keys := make(map[string]int)
@@ -58,7 +58,7 @@
 		return err
 	}
 	for _, r := range runs {
-		id, _, _ := strings.Cut(r, ".") // a run is named by the request and the attempt
+		id, _, _ := strings.Cut(r, ".") // the ID of a run is REQUEST.ATTEMPT
 		w.Ran[id] = true
 	}
 	return nil
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// Lied counts the requests that ran although they were refused as not run.
+// Lied returns how many of the requests that were rejected as not run did run.
 func (w Witness) Lied(notRun []string) int {
 	n := 0
 	for _, id := range notRun {
@@ -86,12 +86,12 @@
 	return n
 }
 
-// Breaches sums the breaches of promises, those of the refusals included.
+// Breaches returns the number of invariant violations, including those counted by Lied.
 func (w Witness) Breaches(notRun []string) int {
 	return w.Counts.UnloadRunning + w.Counts.WrongVersion + w.Counts.NewAfterLeaving + w.Twice + w.Lied(notRun)
 }
 
-// Line describes the witness on one line.
+// Line formats the counts on a single line.
 func (w Witness) Line(notRun []string) string {
 	return fmt.Sprintf("runs=%d loads=%d unloads=%d stale_orders=%d unload_running=%d wrong_version=%d key_twice=%d new_after_leaving=%d not_run=%d lied=%d",
 		w.Counts.Runs, w.Counts.Loads, w.Counts.Unloads, w.Counts.StaleOrders, w.Counts.UnloadRunning, w.Counts.WrongVersion,
--- a/load/balancer.go
+++ b/load/balancer.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// balancer stands in for the platform's: it sends requests to gateways that say
-// that they are ready. It is safe for concurrent use.
+// balancer simulates the platform's load balancer: it selects gateways whose readiness
+// check succeeds. It is safe for concurrent use.
 type balancer struct {
-	health map[string]string // URL of readiness by gateway
+	health map[string]string // URL of the readiness check by gateway
 
 	mu    sync.Mutex
 	ready map[string]bool
@@ -23,7 +23,7 @@
 	healthTimeout = 500 * time.Millisecond
 )
 
-// run asks every gateway for its readiness until ctx ends.
+// run checks the readiness of all gateways periodically until ctx is done.
 func (b *balancer) run(ctx context.Context) error {
 	c := &http.Client{Timeout: healthTimeout}
 	defer c.CloseIdleConnections()
@@ -55,7 +55,7 @@
 	b.ready[gateway] = ready
 }
 
-// choose returns the wanted gateway when it is ready, else another that is.
+// choose returns the preferred gateway if it is ready or none is, otherwise the first ready one.
 func (b *balancer) choose(wanted string, all []string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load sends requests to gateways at a steady rate, whether answers
-// come or not, and accounts for every one of them.
+// Package load is an open-loop load generator for gateways: it sends requests at
+// a given rate regardless of responses, and records the result of every request.
 package load
 
 import (
@@ -13,57 +13,57 @@
 	"github.com/google/uuid"
 )
 
-// Mix is one kind of request in a plan.
+// Mix is a kind of request in a plan.
 type Mix struct {
 	Class    string
 	Caller   string
-	Share    float64 // weight among the kinds
-	Tokens   int     // mean; each request draws from half to one and a half
+	Share    float64 // relative frequency among the kinds
+	Tokens   int     // mean; drawn uniformly from 0.5 to 1.5 times this
 	Stream   bool
-	Keyed    bool          // not repeatable: each request has a key of its own
-	Deadline time.Duration // zero: that of the class
+	Keyed    bool          // not repeatable: each request has its own idempotency key
+	Deadline time.Duration // zero: the default of the class
 }
 
-// Plan describes a load. The same plan with the same seed asks for the same
-// adapters at the same times.
+// Plan describes a load. Requests are drawn from the seed: the same plan yields the
+// same adapters at the same times.
 type Plan struct {
 	Gateways []string
-	Health   map[string]string // URL of readiness by gateway; empty: no balancer stands before them
-	Rate     float64           // requests a second
+	Health   map[string]string // URL of the readiness check by gateway; empty: no load balancer
+	Rate     float64           // requests per second, with exponential intervals
 	Duration time.Duration
 	Seed     uint64
-	Adapters int           // asked for, from the first on
-	Talks    int           // conversations of each adapter, whose prompts begin alike; zero: one
-	Wake     time.Duration // after it a quarter of all adapters wakes; zero: never
-	Skew     float64       // exponent of the popularity, above 1
-	Shift    time.Duration // after it other adapters are the popular ones; zero: never
+	Adapters int           // number of adapters requested, from the first one
+	Talks    int           // conversations per adapter, each with a common prompt prefix; zero: one
+	Wake     time.Duration // from then on, a quarter of the requests go to a quarter of the adapters, uniformly; zero: never
+	Skew     float64       // exponent of the Zipf distribution of adapter popularity, above 1
+	Shift    time.Duration // from then on, other adapters are popular; zero: never
 	Kinds    []Mix
-	Patience time.Duration // longest wait for an answer
-	ComeBack bool          // refused callers come back once, when they were told to
-	Explicit bool          // name the version, not the adapter alone
-	Alias    bool          // the live version may change: the answer's own header says which must have run
-	Twice    bool          // send each request with a key again, at once, through another gateway
+	Patience time.Duration // client timeout
+	ComeBack bool          // rejected requests are sent once more after the time that the gateway suggests
+	Explicit bool          // request the version explicitly instead of the live one
+	Alias    bool          // the live version may change: the response is checked against the version in its header
+	Twice    bool          // send each request that has a key twice, concurrently, through random gateways
 }
 
-// arrival is one request of a plan.
+// arrival is a scheduled request of a plan.
 type arrival struct {
-	at      time.Duration // from the begin
+	at      time.Duration // since the start
 	gateway string
 	adapter string
 	kind    Mix
 	tokens  int
 	talk    int    // conversation
-	again   string // gateway of a second sending; "" for none
-	version string // asked for; "" leaves it to the alias
-	any     bool   // any version may answer
+	again   string // gateway for the duplicate; "" for none
+	version string // "@" and version to request; "" for the live one
+	any     bool   // any version may be used
 }
 
 const (
-	wakingAdapters = 0.24 // of all adapters wake
-	wakingRequests = 0.25 // of the requests are then for them
+	wakingAdapters = 0.24 // share of the adapters
+	wakingRequests = 0.25 // share of the requests
 )
 
-// arrivals draws the whole plan.
+// arrivals returns all requests of the plan, in order.
 func (p Plan) arrivals() []arrival {
 	r := rand.New(rand.NewPCG(p.Seed, p.Seed+1))
 	zipf := rand.NewZipf(r, p.Skew, 1, uint64(p.Adapters-1))
@@ -95,7 +95,7 @@
 	return list
 }
 
-// Sequence returns the adapters that the plan asks for, in order.
+// Sequence returns the adapters of the plan's requests, in order.
 func (p Plan) Sequence() []string {
 	list := p.arrivals()
 	names := make([]string, len(list))
@@ -105,8 +105,8 @@
 	return names
 }
 
-// adapter turns a rank of popularity into an adapter: ranks are spread over the
-// adapters, and spread otherwise after a shift.
+// adapter returns the index of the adapter with a popularity rank. After a shift, the
+// ranks are rotated by half of the adapters.
 func (p Plan) adapter(rank int, at time.Duration) int {
 	if p.Shift > 0 && at >= p.Shift {
 		return (rank + p.Adapters/2) % p.Adapters
@@ -128,7 +128,7 @@
 	return p.Kinds[len(p.Kinds)-1]
 }
 
-// ask is the request as a caller sends it.
+// ask returns the request to send.
 func (a arrival) ask() fleet.Ask {
 	q := fleet.Ask{
 		Address: a.gateway,
@@ -152,11 +152,11 @@
 	return q
 }
 
-// NewKey returns a key for a request that is not repeatable.
+// NewKey returns an idempotency key for a request that is not repeatable.
 func NewKey() string {
 	u, err := uuid.NewV7()
 	if err != nil {
-		panic(fmt.Sprintf("load: no randomness: %v", err))
+		panic(fmt.Sprintf("load: generate key: %v", err))
 	}
 	return u.String()
 }
--- a/load/run.go
+++ b/load/run.go
@@ -12,52 +12,52 @@
 	"cairnwick.example/metrics"
 )
 
-// Report accounts for every request of a load.
+// Report is the result of a load, with the outcome of every request.
 type Report struct {
 	Sent    int
-	Whole   int // answered whole, each token checked
-	NotRun  int // refused, saying that it did not run
-	Unknown int // failed, saying that it may have run
-	Broken  int // the connection ended without a final answer
-	Wrong   int // an answer that was not the request's own, or not whole
+	Whole   int // complete responses with correct tokens
+	NotRun  int // rejected as not executed
+	Unknown int // failed, possibly after execution
+	Broken  int // connection ended without a complete response or an error
+	Wrong   int // complete response with tokens that are missing or of another request
 	Codes   map[string]int
-	Back    int // refused requests whose callers came back when they were told to
-	Honest  int // of those, answered whole then
+	Back    int // rejected requests that were sent once more after the suggested time
+	Honest  int // of these, those with a complete response then
 
-	First *metrics.Family // time to the first byte of whole answers, by class
-	Total *metrics.Family // time to the end of whole answers, by class
-	Gap   time.Duration   // longest time without a whole answer ending
+	First *metrics.Family // time to first byte of complete responses, by class
+	Total *metrics.Family // duration of complete responses, by class
+	Gap   time.Duration   // longest interval between the ends of complete responses
 
-	Ends       []End    // of every request
-	NotRunIDs  []string // of the requests refused as not run
-	Complaints []string // what was wrong, the first few
+	Ends       []End    // one entry per request
+	NotRunIDs  []string // IDs of the requests rejected as not executed
+	Complaints []string // first errors, at most maxComplaints
 }
 
-// End is how one request ended.
+// End is the outcome of a request.
 type End struct {
 	Gateway string
 	Begun   time.Time
 	At      time.Time
 	Whole   bool
-	Broken  bool // without a final answer
+	Broken  bool // no complete response and no error code
 	Class   string
 	Caller  string
-	Code    string        // of a failure
-	Retry   time.Duration // said by a failure
+	Code    string        // error code
+	Retry   time.Duration // delay suggested by an error response
 	Adapter string
-	Stall   time.Duration // spent waiting for a load
+	Stall   time.Duration // time spent waiting for the adapter to load
 }
 
 const maxComplaints = 10
 
-// book gathers a report; it is safe for concurrent use.
+// book collects a report. It is safe for concurrent use.
 type book struct {
 	mu     sync.Mutex
 	report Report
-	last   time.Time // when a whole answer ended last
+	last   time.Time // end of the latest complete response
 }
 
-// Run sends the plan's requests and returns when all have ended.
+// Run sends the plan's requests and returns when all of them have ended.
 func Run(ctx context.Context, p Plan) Report {
 	list := p.arrivals()
 	b := &book{report: Report{
@@ -119,11 +119,11 @@
 	}
 }
 
-// result is what became of one request.
+// result is the response to a request, or its error.
 type result struct {
 	reply fleet.Reply
-	err   error // no final answer
-	wrong error // an answer that is not right
+	err   error // no valid response
+	wrong error // incorrect content of a complete response
 }
 
 func send(ctx context.Context, c *fleet.Caller, a arrival) result {
@@ -145,13 +145,13 @@
 	return result{reply: r, wrong: r.Check(want, a.tokens)}
 }
 
-// sendAgain sends the same request at the same time through another gateway, as
-// a balancer or an impatient caller may. The function it returns waits for it.
+// sendAgain sends a duplicate of a request concurrently through another gateway, as
+// a retrying load balancer or client may. The returned function waits for its end.
 func sendAgain(ctx context.Context, c *fleet.Caller, q fleet.Ask, gateway string) func() {
 	q.Address = gateway
 	done := make(chan struct{})
 	go func() {
-		_, _ = c.Do(ctx, q) // the engines' witness tells whether both ran
+		_, _ = c.Do(ctx, q) // the engines count whether both ran
 		close(done)
 	}()
 	return func() { <-done }
@@ -180,7 +180,7 @@
 		p.Whole++
 		b.wholeLocked(a, r.reply)
 	case r.reply.Code == "":
-		p.Broken++ // a stream without its end and without an error
+		p.Broken++ // the stream ended without a final event or an error
 	case r.reply.Ran == "not_run":
 		p.NotRun++
 		p.NotRunIDs = append(p.NotRunIDs, r.reply.Request)
@@ -191,9 +191,9 @@
 	}
 }
 
-const longestBack = 10 * time.Second // callers told to come back later are not followed
+const longestBack = 10 * time.Second // longer suggested delays are not waited for
 
-// noteBack lets a refused caller come back when it was told to.
+// noteBack sends a rejected request once more after the suggested delay and records the result.
 func (b *book) noteBack(ctx context.Context, c *fleet.Caller, a arrival, retry time.Duration) {
 	if retry > longestBack || !sleepUntil(ctx, time.Now().Add(retry)) {
 		return
