--- a/cmd/standin-engine/main.go
+++ b/cmd/standin-engine/main.go
@@ -39,26 +39,26 @@
 	var a arguments
 	arg.MustParse(&a)
 	e := &standin.Engine{
-		Base:         a.Base,
-		Slots:        a.Slots,
-		Batch:        a.Batch,
-		QueueLimit:   a.Queue,
-		StepTime:     a.StepTime,
-		ReportLag:    a.ReportLag,
-		ResumeWindow: a.ResumeWindow,
-		Prefill:      a.Prefill,
-		Prefixes:     a.Prefixes,
-		EventLag:     a.EventLag,
-		EventGap:     a.EventGap,
-		ChecksFences: !a.NoFences,
-		RefusesNew:   a.RefusesNew,
-		LeavingGrace: a.LeavingGrace,
-		Store:        standin.FetchFrom(a.Store),
+		Base:            a.Base,
+		Slots:           a.Slots,
+		BatchSize:       a.Batch,
+		QueueLimit:      a.Queue,
+		StepTime:        a.StepTime,
+		ReportLag:       a.ReportLag,
+		ResumeWindow:    a.ResumeWindow,
+		PrefillSteps:    a.Prefill,
+		PrefixCacheSize: a.Prefixes,
+		EventDelay:      a.EventLag,
+		DropEventEvery:  a.EventGap,
+		ChecksFences:    !a.NoFences,
+		RefusesNew:      a.RefusesNew,
+		LeavingGrace:    a.LeavingGrace,
+		Store:           standin.StoreFetcher(a.Store),
 	}
-	e.Other = platformtest.EndpointHandler(e)
+	e.Fallback = platformtest.EndpointHandler(e)
 	h := e.Handler()
 	if a.EndsUnder != "" {
-		h = standin.Fragile(h, a.EndsUnder, func() { os.Exit(endedUnder) })
+		h = standin.CrashOnText(h, a.EndsUnder, func() { os.Exit(endedUnder) })
 	}
 	os.Exit(standin.Main(a.Listen, h, e.Run))
 }
--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -25,8 +25,8 @@
 func main() {
 	var a arguments
 	arg.MustParse(&a)
-	p := &standin.Platform{Lag: a.Lag}
-	s := &standin.Store{Rate: a.Rate, AtOnce: a.AtOnce, LoadTime: a.LoadTime}
+	p := &standin.Platform{WriteDelay: a.Lag}
+	s := &standin.Store{Rate: a.Rate, FullSpeedLoads: a.AtOnce, LoadTime: a.LoadTime}
 	m := http.NewServeMux()
 	m.Handle("/", platformtest.StoreHandler(p))
 	store := s.Handler()
--- a/cmd/standin-service/main.go
+++ b/cmd/standin-service/main.go
@@ -19,6 +19,6 @@
 func main() {
 	var a arguments
 	arg.MustParse(&a)
-	s := &standin.Service{Time: a.Time}
+	s := &standin.Service{Latency: a.Time}
 	os.Exit(standin.Main(a.Listen, s.Handler(), nil))
 }
--- a/daemon/silence_test.go
+++ b/daemon/silence_test.go
@@ -37,7 +37,7 @@
 }
 
 // silentPeer starts a peer behind a proxy and returns a dialer to it.
-func silentPeer(t *testing.T, silentFor time.Duration) (*standin.SilentProxy, *Dialer, string) {
+func silentPeer(t *testing.T, silentFor time.Duration) (*standin.BlackholeProxy, *Dialer, string) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	back, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	s := NewServer(insecure.NewCredentials(), nil)
 	wire.RegisterPeerServer(s, answering{})
 	wire.RegisterShareServer(s, answering{})
-	proxy := &standin.SilentProxy{Target: back.Addr().String()}
+	proxy := &standin.BlackholeProxy{Target: back.Addr().String()}
 	ended := make(chan error, 2)
 	go func() { ended <- s.Serve(back) }()
 	go func() { ended <- proxy.Run(ctx, front) }()
@@ -81,14 +81,14 @@
 	c := quicktest.New(t)
 	proxy, d, address := silentPeer(t, oneBeat+oneBeat/2)
 	c.Assert(beat(d, address, time.Minute), quicktest.IsNil)
-	proxy.Silence()
+	proxy.Blackhole()
 	c.Assert(status.Code(beat(d, address, oneBeat)), quicktest.Equals, codes.DeadlineExceeded)
 	err := beat(d, address, oneBeat)
 	for n := 0; err != nil && n < mostBeats; n++ {
 		err = beat(d, address, oneBeat)
 	}
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 2)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 2)
 }
 
 // The same for a box that is only followed: its stream is cancelled by who reads it, and the
@@ -107,7 +107,7 @@
 			return err
 		}
 		time.AfterFunc(oneBeat+oneBeat/2, cancel)
-		proxy.Silence()
+		proxy.Blackhole()
 		_, err = s.Recv()
 		return err
 	}
@@ -117,7 +117,7 @@
 		err = beat(d, address, 5*time.Second)
 	}
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 2)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 2)
 }
 
 // A call that waits long on a connection that others are answered on ends alone.
@@ -137,7 +137,7 @@
 	_, err = s.Recv()
 	c.Assert(status.Code(err), quicktest.Equals, codes.Canceled)
 	c.Assert(beat(d, address, time.Minute), quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 1)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 1)
 }
 
 // A stream was given up by its reader on a connection in order, and nothing came on it for a
@@ -157,5 +157,5 @@
 	time.Sleep(2 * oneBeat)
 	c.Assert(beat(d, address, time.Microsecond), quicktest.IsNotNil)
 	c.Assert(beat(d, address, time.Minute), quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 1)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 1)
 }
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -189,7 +189,7 @@
 	ts.Check(err)
 	r.OneWay = o["oneway"] == "yes"
 	r.CutAfter = number(ts, o, "after", 0)
-	r.CutReply = number(ts, o, "answer", 0)
+	r.CutResponse = number(ts, o, "answer", 0)
 	r.Times = number(ts, o, "times", 0)
 	if o["delay"] != "" {
 		r.Delay, err = time.ParseDuration(o["delay"])
--- a/fleet/witness.go
+++ b/fleet/observations.go
@@ -49,7 +49,7 @@
 	if err := getJSON(ctx, url+"/control/counts", &n); err != nil {
 		return err
 	}
-	w.Counts = w.Counts.Plus(n)
+	w.Counts = w.Counts.Add(n)
 	if err := addKeys(ctx, keys, url); err != nil {
 		return err
 	}
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -19,12 +19,12 @@
 
 // addProxy moves the site's latest endpoint behind a proxy that can silence its
 // connections.
-func (s *testSite) addProxy(t *testing.T) *standin.SilentProxy {
+func (s *testSite) addProxy(t *testing.T) *standin.BlackholeProxy {
 	e := s.gateway.View.All()[0]
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	s.c.Assert(err, quicktest.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &standin.SilentProxy{Target: e.Address()}
+	p := &standin.BlackholeProxy{Target: e.Address()}
 	ended := make(chan error, 1)
 	go func() { ended <- p.Run(ctx, l) }()
 	t.Cleanup(func() {
@@ -70,7 +70,7 @@
 	for range kept {
 		s.c.Assert(<-status, quicktest.Equals, http.StatusOK)
 	}
-	p.Silence()
+	p.Blackhole()
 	go ask()
 	time.Sleep(2 * silenceTimeout)
 	ask() // finishes before the one on the dead connection
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -44,7 +44,7 @@
 	case 6:
 		return r.link(fmt.Sprintf("cut off box%d.%d from its boxes", c, b), standin.Rule{Mode: standin.ModeHold}, fmt.Sprintf("box%d.%d", c, b), fmt.Sprintf("boxes%d", c))
 	case 7:
-		return r.link(fmt.Sprintf("break connections to engine%d.%d", c, e), standin.Rule{Mode: standin.ModePass, CutReply: 400}, "all", fmt.Sprintf("engine%d.%d", c, e))
+		return r.link(fmt.Sprintf("break connections to engine%d.%d", c, e), standin.Rule{Mode: standin.ModePass, CutResponse: 400}, "all", fmt.Sprintf("engine%d.%d", c, e))
 	case 8:
 		return r.control("platform "+[]string{standin.ModeDown, standin.ModeStale}[r.rand.IntN(2)], "/control/mode?mode=")
 	case 9:
@@ -104,7 +104,7 @@
 			if err != nil {
 				return err
 			}
-			rule.CutReply = like.CutReply
+			rule.CutResponse = like.CutResponse
 			delete(r.rules, 2*n+i)
 			if on {
 				r.rules[2*n+i] = rule
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -150,9 +150,9 @@
 		if err := r.engineCounts(ctx, c, stormEngines, "backoff", &n); err != nil {
 			return false, err
 		}
-		most := 2 * n.Asked * (stormCentres*stormBoxes - 1)
-		fmt.Fprintf(w, "%s asks for %v s: came=%d during=%d most=%d\n", fleet.EndpointName(c, stormEngines), r.Backoff, n.Came, n.During, most)
-		ignored = ignored || n.During > most
+		most := 2 * n.Periods * (stormCentres*stormBoxes - 1)
+		fmt.Fprintf(w, "%s asks for %v s: came=%d during=%d most=%d\n", fleet.EndpointName(c, stormEngines), r.Backoff, n.Requests, n.DuringBackoff, most)
+		ignored = ignored || n.DuringBackoff > most
 	}
 	return ignored, nil
 }
@@ -175,8 +175,8 @@
 		if err := r.engineCounts(ctx, c, 1, "limit", &n); err != nil {
 			return 0, err
 		}
-		fmt.Fprintf(w, "%s names %v a second: came=%d over=%d\n", fleet.EndpointName(c, 1), r.Limit, n.Came, n.Over)
-		over += n.Over
+		fmt.Fprintf(w, "%s names %v a second: came=%d over=%d\n", fleet.EndpointName(c, 1), r.Limit, n.Requests, n.Exceeding)
+		over += n.Exceeding
 	}
 	return over, nil
 }
--- a/standin/backoff.go
+++ b/standin/backoff.go
@@ -43,9 +43,9 @@
 	return b.asks
 }
 
-// Backoff records a request and returns the Retry-After value, in seconds, to reject it with; empty: it
+// RetryAfter records a request and returns the Retry-After value, in seconds, to reject it with; empty: it
 // may run. Handlers of other protocols call it once per request.
-func (e *Engine) Backoff() string { return e.backoffs.arrive(time.Now()) }
+func (e *Engine) RetryAfter() string { return e.backoffs.arrive(time.Now()) }
 
 // setBackoff handles POST /control/backoff: with seconds=N, requests are rejected with Retry-After: N.
 func (e *Engine) setBackoff(w http.ResponseWriter, q *http.Request) {
@@ -58,14 +58,14 @@
 
 // BackoffCounts counts the requests that arrived since the back-off setting was last changed.
 type BackoffCounts struct {
-	Came   int `json:"came"`
-	During int `json:"during"` // within a back-off period, from any caller
-	Asked  int `json:"asked"`  // back-off periods started
+	Requests      int `json:"came"`
+	DuringBackoff int `json:"during"` // within a back-off period, from any caller
+	Periods       int `json:"asked"`  // back-off periods started
 }
 
 func (e *Engine) showBackoff(w http.ResponseWriter, _ *http.Request) {
 	e.backoffs.mu.Lock()
-	c := BackoffCounts{Came: e.backoffs.came, During: e.backoffs.during, Asked: e.backoffs.asked}
+	c := BackoffCounts{Requests: e.backoffs.came, DuringBackoff: e.backoffs.during, Periods: e.backoffs.asked}
 	e.backoffs.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/silence.go
+++ b/standin/blackhole.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// SilentProxy forwards TCP connections to Target. Silence turns the open connections into
+// BlackholeProxy forwards TCP connections to Target. Silence turns the open connections into
 // black holes, without a reset, while later ones work: data sent on them is acknowledged by
 // TCP and discarded, so that only a timeout of the application itself detects the fault.
-type SilentProxy struct {
+type BlackholeProxy struct {
 	Target string // IP:port
 
 	mu    sync.Mutex
@@ -22,8 +22,8 @@
 	count int
 }
 
-// Silence makes the proxy discard all further data of the open connections.
-func (p *SilentProxy) Silence() {
+// Blackhole makes the proxy discard all further data of the open connections.
+func (p *BlackholeProxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.muted != nil {
@@ -32,15 +32,15 @@
 	p.muted = make(chan struct{})
 }
 
-// Taken returns the number of connections accepted so far.
-func (p *SilentProxy) Taken() int {
+// Accepted returns the number of connections accepted so far.
+func (p *BlackholeProxy) Accepted() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.count
 }
 
 // take counts a connection and returns the channel that is closed when its data is to be discarded.
-func (p *SilentProxy) take() <-chan struct{} {
+func (p *BlackholeProxy) take() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count++
@@ -51,7 +51,7 @@
 }
 
 // Run forwards the connections accepted by l until ctx is done.
-func (p *SilentProxy) Run(ctx context.Context, l net.Listener) error {
+func (p *BlackholeProxy) Run(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
@@ -67,7 +67,7 @@
 }
 
 // carry forwards a connection until either side closes it.
-func (p *SilentProxy) carry(ctx context.Context, c net.Conn, muted <-chan struct{}) {
+func (p *BlackholeProxy) carry(ctx context.Context, c net.Conn, muted <-chan struct{}) {
 	defer c.Close()
 	t, err := net.Dial("tcp", p.Target)
 	if err != nil {
--- a/standin/complete.go
+++ b/standin/complete.go
@@ -46,7 +46,7 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
-	for _, l := range e.Limit() {
+	for _, l := range e.LimitHeader() {
 		w.Header().Add(engine.LimitHeader, l)
 	}
 	var body completion
@@ -57,7 +57,7 @@
 	if body.Tokens <= 0 {
 		body.Tokens = defaultTokens
 	}
-	if seconds := e.Backoff(); seconds != "" {
+	if seconds := e.RetryAfter(); seconds != "" {
 		w.Header().Set("Retry-After", seconds)
 		refuse(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine is overloaded; retry after the time in Retry-After.")
 		return
@@ -99,7 +99,7 @@
 	if e.prefixes.touch(body.Model, body.Prompt+string(body.Messages), time.Now()) {
 		e.counts.PrefixHits++
 	} else {
-		r.prefill = e.Prefill
+		r.prefill = e.PrefillSteps
 	}
 	e.runs[request] = r
 	e.waiting = append(e.waiting, r)
@@ -119,7 +119,7 @@
 	if key := q.Header.Get(engine.KeyHeader); key != "" {
 		e.keys[key]++
 		if e.keys[key] > 1 {
-			e.counts.KeyTwice++
+			e.counts.RepeatedKeys++
 		}
 	}
 }
--- a/standin/fragile.go
+++ b/standin/crash.go
@@ -8,9 +8,9 @@
 	"net/http"
 )
 
-// Fragile wraps a handler so that a request whose body contains text crashes the program: it then calls
+// CrashOnText wraps a handler so that a request whose body contains text crashes the program: it then calls
 // end, which must not return.
-func Fragile(h http.Handler, text string, end func()) http.Handler {
+func CrashOnText(h http.Handler, text string, end func()) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		body, err := io.ReadAll(q.Body)
 		if err != nil {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -18,22 +18,22 @@
 // of adapter slots, request priorities and, if ChecksFences is set, fencing of
 // load and unload orders. Set the exported fields before calling Run.
 type Engine struct {
-	Base         string
-	Slots        int           // adapters loaded at the same time
-	Batch        int           // requests processed per step
-	QueueLimit   int           // requests queued before further ones are rejected
-	StepTime     time.Duration // duration of a step, which produces one token for every request of the batch
-	ReportLag    time.Duration // age of the state that /metrics shows
-	ResumeWindow time.Duration // how long a run continues without a connected client
-	Prefill      int           // steps before the first token when the prompt's prefix is not cached
-	Prefixes     int           // capacity of the prefix cache; zero: no cache
-	EventLag     time.Duration // delay until a cache event becomes visible
-	EventGap     int           // every n-th cache event is dropped; zero: none
-	ChecksFences bool
-	RefusesNew   bool          // rejects new requests while leaving
-	LeavingGrace time.Duration // new requests later than this after leaving count as violations
-	Store        func(ctx context.Context, path string) (string, error)
-	Other        http.Handler // serves all other paths, for instance another protocol; may be nil
+	Base            string
+	Slots           int           // adapters loaded at the same time
+	BatchSize       int           // requests processed per step
+	QueueLimit      int           // requests queued before further ones are rejected
+	StepTime        time.Duration // duration of a step, which produces one token for every request of the batch
+	ReportLag       time.Duration // age of the state that /metrics shows
+	ResumeWindow    time.Duration // how long a run continues without a connected client
+	PrefillSteps    int           // steps before the first token when the prompt's prefix is not cached
+	PrefixCacheSize int           // capacity of the prefix cache; zero: no cache
+	EventDelay      time.Duration // delay until a cache event becomes visible
+	DropEventEvery  int           // every n-th cache event is dropped; zero: none
+	ChecksFences    bool
+	RefusesNew      bool          // rejects new requests while leaving
+	LeavingGrace    time.Duration // new requests later than this after leaving count as violations
+	Store           func(ctx context.Context, path string) (string, error)
+	Fallback        http.Handler // serves all other paths, for instance another protocol; may be nil
 
 	mu        sync.Mutex
 	boot      string
@@ -73,7 +73,7 @@
 type Counts struct {
 	UnloadRunning   int `json:"unload_running"`    // violation: an adapter in use was unloaded
 	WrongVersion    int `json:"wrong_version"`     // violation: a run on another version than expected
-	KeyTwice        int `json:"key_twice"`         // violation: an idempotency key ran again on this engine
+	RepeatedKeys    int `json:"key_twice"`         // violation: an idempotency key ran again on this engine
 	NewAfterLeaving int `json:"new_after_leaving"` // violation: new request after LeavingGrace
 	Loads           int `json:"loads"`
 	FailedLoads     int `json:"failed_loads"`
@@ -88,11 +88,11 @@
 	OrdersLoads     int `json:"orders_loads"` // load orders received
 }
 
-// Plus returns the sum of both counts.
-func (n Counts) Plus(o Counts) Counts {
+// Add returns the sum of both counts.
+func (n Counts) Add(o Counts) Counts {
 	n.UnloadRunning += o.UnloadRunning
 	n.WrongVersion += o.WrongVersion
-	n.KeyTwice += o.KeyTwice
+	n.RepeatedKeys += o.RepeatedKeys
 	n.NewAfterLeaving += o.NewAfterLeaving
 	n.Loads += o.Loads
 	n.FailedLoads += o.FailedLoads
@@ -158,7 +158,7 @@
 	e.runs = make(map[string]*run)
 	e.waiting, e.batch = nil, nil
 	e.reports = []report{{at: time.Now()}}
-	e.prefixes = prefixCache{most: e.Prefixes, lag: e.EventLag, gap: e.EventGap, next: e.prefixes.next}
+	e.prefixes = prefixCache{most: e.PrefixCacheSize, lag: e.EventDelay, gap: e.DropEventEvery, next: e.prefixes.next}
 }
 
 // step produces one token for every request of the batch.
@@ -199,7 +199,7 @@
 // fillBatchLocked moves queued runs into the batch, ordered by priority, then by arrival.
 func (e *Engine) fillBatchLocked() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int { return a.priority - b.priority })
-	free := min(e.Batch-len(e.batch), len(e.waiting))
+	free := min(e.BatchSize-len(e.batch), len(e.waiting))
 	e.batch = append(e.batch, e.waiting[:free]...)
 	e.waiting = slices.Delete(e.waiting, 0, free)
 }
@@ -268,8 +268,8 @@
 	m.HandleFunc("GET /control/limit", e.showLimit)
 	m.HandleFunc("POST /control/backoff", e.setBackoff)
 	m.HandleFunc("GET /control/backoff", e.showBackoff)
-	if e.Other != nil {
-		m.Handle("/", e.Other)
+	if e.Fallback != nil {
+		m.Handle("/", e.Fallback)
 	}
 	return e.mark(m)
 }
--- a/standin/facts.go
+++ b/standin/history.go
@@ -12,35 +12,35 @@
 	"github.com/pkg/errors"
 )
 
-// HistoryKept is the number of changes kept for watches.
-const HistoryKept = 4096
+// HistorySize is the number of changes kept for watches.
+const HistorySize = 4096
 
 // Errors of List and Watch.
 var (
-	ErrDown      = errors.New("standin: key-value service is down")
-	ErrForgotten = errors.New("standin: revision is no longer in the history")
+	ErrUnavailable = errors.New("standin: key-value service is down")
+	ErrCompacted   = errors.New("standin: revision is no longer in the history")
 )
 
-// Fact is a key with its value, or the removal of a key, which has no value.
-type Fact struct {
+// Entry is a key with its value, or the removal of a key, which has no value.
+type Entry struct {
 	Key      string
 	Value    []byte
 	Revision uint64
-	Removed  bool
+	Deleted  bool
 }
 
 // Page is a result of List or Watch.
 type Page struct {
-	Facts    []Fact // from List: sorted by key
-	More     bool   // more keys follow
-	Revision uint64 // of the latest change to any key
-	Epoch    uint64 // number of restores from a copy so far
+	Entries  []Entry // from List: sorted by key
+	More     bool    // more keys follow
+	Revision uint64  // of the latest change to any key
+	Epoch    uint64  // number of restores from a copy so far
 }
 
 // changedLocked appends a change to the history and wakes the watchers.
-func (p *Platform) changedLocked(f Fact) {
+func (p *Platform) changedLocked(f Entry) {
 	p.history = append(p.history, f)
-	if len(p.history) > HistoryKept {
+	if len(p.history) > HistorySize {
 		p.forgot = p.history[0].Revision
 		p.history = p.history[1:]
 	}
@@ -58,7 +58,7 @@
 	}
 	p.index++
 	delete(p.values, key)
-	p.changedLocked(Fact{Key: key, Revision: p.index, Removed: true})
+	p.changedLocked(Entry{Key: key, Revision: p.index, Deleted: true})
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -68,9 +68,9 @@
 	if err != nil {
 		return Page{}, err
 	}
-	slices.SortFunc(a.Facts, func(x, y Fact) int { return strings.Compare(x.Key, y.Key) })
-	if len(a.Facts) > most {
-		a.Facts, a.More = a.Facts[:most], true
+	slices.SortFunc(a.Entries, func(x, y Entry) int { return strings.Compare(x.Key, y.Key) })
+	if len(a.Entries) > most {
+		a.Entries, a.More = a.Entries[:most], true
 	}
 	return a, nil
 }
@@ -81,12 +81,12 @@
 	defer p.mu.Unlock()
 	p.calls++
 	if p.mode == ModeDown {
-		return Page{}, ErrDown
+		return Page{}, ErrUnavailable
 	}
 	a := Page{Revision: p.index, Epoch: p.epoch}
 	for k, v := range p.values {
 		if strings.HasPrefix(k, prefix) && k > after {
-			a.Facts = append(a.Facts, Fact{Key: k, Value: v.body, Revision: v.index})
+			a.Entries = append(a.Entries, Entry{Key: k, Value: v.body, Revision: v.index})
 		}
 	}
 	return a, nil
@@ -100,7 +100,7 @@
 	over := time.After(wait)
 	for ended := false; ; {
 		a, changed, err := p.since(prefix, after)
-		if err != nil || len(a.Facts) > 0 || ended {
+		if err != nil || len(a.Entries) > 0 || ended {
 			return a, err
 		}
 		select {
@@ -118,15 +118,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == ModeDown {
-		return Page{}, nil, ErrDown
+		return Page{}, nil, ErrUnavailable
 	}
 	if after < p.forgot || after > p.index {
-		return Page{}, nil, ErrForgotten
+		return Page{}, nil, ErrCompacted
 	}
 	a = Page{Revision: p.index, Epoch: p.epoch}
 	for _, f := range p.history {
 		if f.Revision > after && strings.HasPrefix(f.Key, prefix) {
-			a.Facts = append(a.Facts, f)
+			a.Entries = append(a.Entries, f)
 		}
 	}
 	return a, p.changed, nil
--- a/standin/limit.go
+++ b/standin/limit.go
@@ -62,28 +62,28 @@
 	return l.named
 }
 
-// Limit records a request and returns the values of the limit header for its response; none: no limit is
+// LimitHeader records a request and returns the values of the limit header for its response; none: no limit is
 // announced. Handlers of other protocols call it once per request.
-func (e *Engine) Limit() []string { return e.limit.arrive(time.Now()) }
+func (e *Engine) LimitHeader() []string { return e.limit.arrive(time.Now()) }
 
-// Name sets the values of the limit header on responses; without values no limit is announced.
-func (e *Engine) Name(values ...string) { e.limit.name(values) }
+// AnnounceLimit sets the values of the limit header on responses; without values no limit is announced.
+func (e *Engine) AnnounceLimit(values ...string) { e.limit.name(values) }
 
 // setLimit handles POST /control/limit, which sets the announced limit.
 func (e *Engine) setLimit(w http.ResponseWriter, q *http.Request) {
-	e.Name(q.URL.Query()["a_second"]...)
+	e.AnnounceLimit(q.URL.Query()["a_second"]...)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // LimitCounts counts the requests that arrived since the limit was last set.
 type LimitCounts struct {
-	Came int `json:"came"`
-	Over int `json:"over"` // above the allowance of a window
+	Requests  int `json:"came"`
+	Exceeding int `json:"over"` // above the allowance of a window
 }
 
 func (e *Engine) showLimit(w http.ResponseWriter, _ *http.Request) {
 	e.limit.mu.Lock()
-	c := LimitCounts{Came: e.limit.all, Over: e.limit.over}
+	c := LimitCounts{Requests: e.limit.all, Exceeding: e.limit.over}
 	e.limit.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,7 +15,7 @@
 // unavailable, let it serve stale values, or restore it from a copy. Handler initializes
 // the zero value.
 type Platform struct {
-	Lag time.Duration // delay before a write becomes visible
+	WriteDelay time.Duration // delay before a write becomes visible
 
 	mu      sync.Mutex
 	index   uint64
@@ -23,7 +23,7 @@
 	mode    string // "" or one of the modes
 	calls   int
 	changed chan struct{}
-	history []Fact        // latest changes, oldest first; at most HistoryKept
+	history []Entry       // latest changes, oldest first; at most HistoryKept
 	forgot  uint64        // revision of the latest change dropped from the history
 	copied  *platformCopy // nil: no copy was made
 	epoch   uint64        // number of restores from a copy
@@ -66,7 +66,7 @@
 		http.Error(w, "value exceeds the limit of 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
-	time.Sleep(p.Lag)
+	time.Sleep(p.WriteDelay)
 	done := p.store(q.PathValue("key"), body, q.URL.Query().Get("cas"))
 	_, _ = io.WriteString(w, strconv.FormatBool(done))
 }
@@ -95,7 +95,7 @@
 		old.old = nil // only one previous value is kept
 	}
 	p.values[key] = &platformValue{body: body, index: p.index, old: old}
-	p.changedLocked(Fact{Key: key, Value: body, Revision: p.index})
+	p.changedLocked(Entry{Key: key, Value: body, Revision: p.index})
 	return true
 }
 
--- a/standin/hold.go
+++ b/standin/protocol.go
@@ -23,18 +23,18 @@
 	return e.boot
 }
 
-// Holding lists the adapters that were loaded by Order, each as ADAPTER@VERSION.
-type Holding struct {
+// LoadedAdapters lists the adapters that were loaded by Order, each as ADAPTER@VERSION.
+type LoadedAdapters struct {
 	Ready   []string
 	Pending []string // loading
 	Orders  uint64   // accepted since the last restart
 }
 
-// Holding returns the adapters that were loaded by Order.
-func (e *Engine) Holding() Holding {
+// LoadedAdapters returns the adapters that were loaded by Order.
+func (e *Engine) LoadedAdapters() LoadedAdapters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := Holding{Orders: e.orders}
+	h := LoadedAdapters{Orders: e.orders}
 	for n, s := range e.slots {
 		_, name, found := strings.Cut(n, "/")
 		switch {
@@ -76,10 +76,10 @@
 // The outcomes of orders.
 const (
 	Done     Outcome = iota + 1 // already in the requested state
-	Begun                       // accepted; the load runs asynchronously
+	Accepted                    // accepted; the load runs asynchronously
 	Busy                        // no free slot, or the adapter is in use
 	Fenced                      // rejected: the engine has seen a higher fence
-	Unwanted                    // invalid operation
+	Invalid                     // invalid operation
 )
 
 // Order starts to load an adapter, or unloads one. Repeating an order has no effect.
@@ -100,7 +100,7 @@
 	case o.Operation == Unload:
 		return e.unloadLocked(e.slotOf(o.Adapter))
 	}
-	return Unwanted
+	return Invalid
 }
 
 // slotOf returns the name of the slot for an adapter loaded by Order.
@@ -112,7 +112,7 @@
 	content := fmt.Sprintf("%s@%d", o.Adapter, max(o.Version, 1))
 	switch s := e.slots[n]; {
 	case s != nil && s.loading:
-		return Begun
+		return Accepted
 	case s != nil && s.content == content:
 		return Done
 	case s == nil && len(e.slots) >= e.Slots:
@@ -122,7 +122,7 @@
 	s := &slot{content: content, loading: true}
 	e.slots[n] = s
 	e.fetches <- fetch{name: n, slot: s, path: fmt.Sprintf("adapters/%s/%d", o.Adapter, max(o.Version, 1))}
-	return Begun
+	return Accepted
 }
 
 // fetch is an asynchronous load.
@@ -161,12 +161,12 @@
 	return Done
 }
 
-// Answer is the response to a request that was admitted.
-type Answer struct{ run *run }
+// Response is the response to a request that was admitted.
+type Response struct{ run *run }
 
-// Begin admits a request for the slot MODEL/ADAPTER, or returns the code to reject it with.
+// Start admits a request for the slot MODEL/ADAPTER, or returns the code to reject it with.
 // If tokens is not positive, the default number is used.
-func (e *Engine) Begin(q *http.Request, name string, tokens int) (*Answer, engine.Code) {
+func (e *Engine) Start(q *http.Request, name string, tokens int) (*Response, engine.Code) {
 	if tokens <= 0 {
 		tokens = defaultTokens
 	}
@@ -174,14 +174,14 @@
 	if r == nil {
 		return nil, code
 	}
-	return &Answer{run: r}, ""
+	return &Response{run: r}, ""
 }
 
 // Content returns the adapter@version that the request runs on.
-func (a *Answer) Content() string { return a.run.content }
+func (a *Response) Content() string { return a.run.content }
 
 // Write writes the response: as a stream of events if streams is set, otherwise as one document.
-func (a *Answer) Write(w http.ResponseWriter, q *http.Request, streams bool) {
+func (a *Response) Write(w http.ResponseWriter, q *http.Request, streams bool) {
 	a.run.join()
 	defer a.run.part()
 	if streams {
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -32,16 +32,16 @@
 // ranges are inclusive. A rule covers both directions of a connection unless
 // OneWay is set, which exempts the responses.
 type Rule struct {
-	FromLow  netip.Addr    `json:"from_low"`
-	FromHigh netip.Addr    `json:"from_high"`
-	ToLow    netip.Addr    `json:"to_low"`
-	ToHigh   netip.Addr    `json:"to_high"`
-	Mode     string        `json:"mode"`
-	OneWay   bool          `json:"one_way,omitempty"`
-	Delay    time.Duration `json:"delay,omitempty"`      // before each forwarded chunk of data
-	CutAfter int           `json:"cut_after,omitempty"`  // reset the connection after this many bytes of the request; zero: never
-	CutReply int           `json:"cut_answer,omitempty"` // reset the connection after this many bytes of the response; zero: never
-	Times    int           `json:"times,omitempty"`      // how many connections CutAfter and CutReply apply to; zero: all
+	FromLow     netip.Addr    `json:"from_low"`
+	FromHigh    netip.Addr    `json:"from_high"`
+	ToLow       netip.Addr    `json:"to_low"`
+	ToHigh      netip.Addr    `json:"to_high"`
+	Mode        string        `json:"mode"`
+	OneWay      bool          `json:"one_way,omitempty"`
+	Delay       time.Duration `json:"delay,omitempty"`      // before each forwarded chunk of data
+	CutAfter    int           `json:"cut_after,omitempty"`  // reset the connection after this many bytes of the request; zero: never
+	CutResponse int           `json:"cut_answer,omitempty"` // reset the connection after this many bytes of the response; zero: never
+	Times       int           `json:"times,omitempty"`      // how many connections CutAfter and CutReply apply to; zero: all
 }
 
 func (r Rule) matches(from, to netip.Addr) bool {
@@ -84,7 +84,7 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	for k := range p.links {
-		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutReply > 0 {
+		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutResponse > 0 {
 			abort(k.caller) // also idle connections
 			abort(k.target)
 		}
@@ -129,7 +129,7 @@
 		if !r.matches(from, to) {
 			continue
 		}
-		if r.CutAfter == 0 && r.CutReply == 0 {
+		if r.CutAfter == 0 && r.CutResponse == 0 {
 			return Rule{}
 		}
 		if r.Times < 0 {
@@ -205,7 +205,7 @@
 		ended <- struct{}{}
 	}()
 	go func() {
-		k.relay(ctx, c, t, true, k.cut.CutReply)
+		k.relay(ctx, c, t, true, k.cut.CutResponse)
 		ended <- struct{}{}
 	}()
 	<-ended
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,7 +15,7 @@
 // Service simulates a plain HTTP service. It echoes requests and counts them by
 // idempotency key. Set Time before calling Handler.
 type Service struct {
-	Time time.Duration // latency of a request
+	Latency time.Duration // latency of a request
 
 	mu   sync.Mutex
 	keys map[string]int // requests by idempotency key
@@ -37,7 +37,7 @@
 		s.keys[key]++
 		s.mu.Unlock()
 	}
-	time.Sleep(s.Time)
+	time.Sleep(s.Latency)
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"method\":%q,\"path\":%q,\"key\":%q}\n", q.Method, q.URL.Path, key)
 }
--- a/standin/restore.go
+++ b/standin/snapshot.go
@@ -12,7 +12,7 @@
 type platformCopy struct {
 	index   uint64
 	values  map[string]*platformValue
-	history []Fact
+	history []Entry
 	forgot  uint64
 }
 
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -29,7 +29,7 @@
 func newBench(t *testing.T, change func(*Engine)) *bench {
 	c := quicktest.New(t)
 	e := &Engine{
-		Base: "base", Slots: 2, Batch: 2, QueueLimit: 2,
+		Base: "base", Slots: 2, BatchSize: 2, QueueLimit: 2,
 		StepTime: time.Millisecond, ResumeWindow: 50 * time.Millisecond, ChecksFences: true,
 		Store: func(_ context.Context, path string) (string, error) { return contentOf(path), nil },
 	}
@@ -115,9 +115,9 @@
 	b := newBench(t, nil)
 	b.load("roses@1")
 	b.run("roses@1", "x", engine.KeyHeader, "k")
-	b.Assert(b.engine.Counts().KeyTwice, quicktest.Equals, 0)
+	b.Assert(b.engine.Counts().RepeatedKeys, quicktest.Equals, 0)
 	b.run("roses@1", "x", engine.KeyHeader, "k")
-	b.Assert(b.engine.Counts().KeyTwice, quicktest.Equals, 1)
+	b.Assert(b.engine.Counts().RepeatedKeys, quicktest.Equals, 1)
 }
 
 func TestNewWorkAfterLeavingIsWitnessed(t *testing.T) {
@@ -202,7 +202,7 @@
 
 func TestPriorityRunsFirst(t *testing.T) {
 	c := quicktest.New(t)
-	e := &Engine{Batch: 1}
+	e := &Engine{BatchSize: 1}
 	e.init()
 	e.waiting = []*run{newRun("late", "a", "a", 5, 1), newRun("soon", "a", "a", 1, 1)}
 	e.fillBatchLocked()
@@ -222,10 +222,10 @@
 
 func TestTheStoreRefusesAboveItsRate(t *testing.T) {
 	c := quicktest.New(t)
-	s := &Store{Rate: 2, AtOnce: 1}
+	s := &Store{Rate: 2, FullSpeedLoads: 1}
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
-	fetch := FetchFrom(server.URL)
+	fetch := StoreFetcher(server.URL)
 	for range 2 {
 		content, err := fetch(context.Background(), "adapters/roses/1")
 		c.Assert(err, quicktest.IsNil)
@@ -237,7 +237,7 @@
 }
 
 func TestACachedPrefixSkipsThePrefill(t *testing.T) {
-	b := newBench(t, func(e *Engine) { e.Prefixes, e.Prefill = 2, 3 })
+	b := newBench(t, func(e *Engine) { e.PrefixCacheSize, e.PrefillSteps = 2, 3 })
 	b.load("a@1")
 	b.run("a@1", "how do I prune roses")
 	steps := b.engine.Counts().Steps
@@ -261,7 +261,7 @@
 }
 
 func TestUnloadingDropsThePrefixes(t *testing.T) {
-	b := newBench(t, func(e *Engine) { e.Prefixes = 2 })
+	b := newBench(t, func(e *Engine) { e.PrefixCacheSize = 2 })
 	b.load("a@1")
 	b.run("a@1", "x")
 	b.Assert(b.client.Unload(context.Background(), engine.Authority{Fence: fence}, "a@1"), quicktest.IsNil)
--- a/standin/store.go
+++ b/standin/store.go
@@ -19,9 +19,9 @@
 // Store simulates a weight store with a rate limit and a shared bandwidth. Set the
 // exported fields before calling Handler.
 type Store struct {
-	Rate     float64       // loads started per second
-	AtOnce   int           // concurrent loads at full speed; more share the bandwidth
-	LoadTime time.Duration // duration of a load at full speed
+	Rate           float64       // loads started per second
+	FullSpeedLoads int           // concurrent loads at full speed; more share the bandwidth
+	LoadTime       time.Duration // duration of a load at full speed
 
 	mu       sync.Mutex
 	limiter  *rate.Limiter
@@ -90,7 +90,7 @@
 	const parts = 10
 	for range parts {
 		s.mu.Lock()
-		share := max(1, float64(s.active)/float64(s.AtOnce))
+		share := max(1, float64(s.active)/float64(s.FullSpeedLoads))
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -127,8 +127,8 @@
 	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.begun, s.refused)
 }
 
-// FetchFrom returns a function for Engine.Store that reads from the store at a base URL.
-func FetchFrom(address string) func(context.Context, string) (string, error) {
+// StoreFetcher returns a function for Engine.Store that reads from the store at a base URL.
+func StoreFetcher(address string) func(context.Context, string) (string, error) {
 	return func(ctx context.Context, path string) (string, error) {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/store/"+path, nil)
 		if err != nil {
