--- a/standin/api.go
+++ b/standin/api.go
@@ -15,10 +15,10 @@
 	"github.com/pkg/errors"
 )
 
-var errRunCancelled = errors.New("cancelled")
+var errCancelled = errors.New("cancelled")
 
-// refuse writes an error response in the OpenAI-compatible format of model servers such as vLLM.
-func refuse(w http.ResponseWriter, status int, code engine.Code, message string) {
+// writeError writes an error response in the OpenAI-compatible format of model servers such as vLLM.
+func writeError(w http.ResponseWriter, status int, code engine.Code, message string) {
 	kind := "BadRequestError"
 	if status == http.StatusNotFound {
 		kind = "NotFoundError"
@@ -29,7 +29,7 @@
 	fmt.Fprintf(w, "{\"error\":{\"message\":%q,\"type\":%q,\"code\":%d}}\n", message, kind, status)
 }
 
-func statusOf(c engine.Code) int {
+func httpStatus(c engine.Code) int {
 	switch c {
 	case engine.CodeNotLoaded:
 		return http.StatusNotFound
@@ -41,15 +41,15 @@
 	return http.StatusServiceUnavailable
 }
 
-// allowLocked checks the fence of an order against the highest one seen and remembers it.
-func (e *Engine) allowLocked(w http.ResponseWriter, q *http.Request) bool {
+// checkFenceLocked checks the fence of an order against the highest one seen and remembers it.
+func (e *Engine) checkFenceLocked(w http.ResponseWriter, q *http.Request) bool {
 	if !e.ChecksFences {
 		return true
 	}
 	f, err := engine.ParseFence(q.Header.Get(engine.FenceHeader))
 	if err != nil || f.Less(e.fence) || f == (engine.Fence{}) {
 		e.counts.StaleOrders++
-		refuse(w, http.StatusConflict, engine.CodeStaleFence, "stale fence: the engine has seen a higher one")
+		writeError(w, http.StatusConflict, engine.CodeStaleFence, "stale fence: the engine has seen a higher one")
 		return false
 	}
 	e.fence = f
@@ -57,12 +57,14 @@
 	return true
 }
 
-func (e *Engine) look(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) }
+func (e *Engine) showFence(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusNoContent)
+}
 
 func (e *Engine) claim(w http.ResponseWriter, q *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.allowLocked(w, q) {
+	if e.checkFenceLocked(w, q) {
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
@@ -75,7 +77,7 @@
 func readOrder(w http.ResponseWriter, q *http.Request) (loadOrder, bool) {
 	var o loadOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || o.Name == "" {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "lora_name: must name an adapter")
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, "lora_name: must name an adapter")
 		return o, false
 	}
 	return o, true
@@ -96,7 +98,7 @@
 	if err != nil {
 		e.counts.FailedLoads++
 		delete(e.slots, o.Name)
-		refuseLoad(w, err)
+		writeLoadError(w, err)
 		return
 	}
 	e.counts.Loads++
@@ -110,29 +112,29 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.OrdersLoads++
-	if !e.allowLocked(w, q) {
+	if !e.checkFenceLocked(w, q) {
 		return false
 	}
 	if e.slots[o.Name] != nil {
-		refuse(w, http.StatusConflict, engine.CodeBadRequest, "adapter is already loaded or loading")
+		writeError(w, http.StatusConflict, engine.CodeBadRequest, "adapter is already loaded or loading")
 		return false
 	}
 	if len(e.slots) >= e.Slots {
-		refuse(w, http.StatusConflict, engine.CodeNoSlot, "no free adapter slot")
+		writeError(w, http.StatusConflict, engine.CodeNoSlot, "no free adapter slot")
 		return false
 	}
 	e.slots[o.Name] = &slot{loading: true}
 	return true
 }
 
-func refuseLoad(w http.ResponseWriter, err error) {
+func writeLoadError(w http.ResponseWriter, err error) {
 	var busy *StoreBusyError
 	if errors.As(err, &busy) {
 		w.Header().Set("Retry-After", strconv.Itoa(int(busy.Retry/time.Second)+1))
-		refuse(w, http.StatusTooManyRequests, engine.CodeStoreBusy, err.Error())
+		writeError(w, http.StatusTooManyRequests, engine.CodeStoreBusy, err.Error())
 		return
 	}
-	refuse(w, http.StatusServiceUnavailable, engine.CodeLoadFailed, err.Error())
+	writeError(w, http.StatusServiceUnavailable, engine.CodeLoadFailed, err.Error())
 }
 
 func (e *Engine) unload(w http.ResponseWriter, q *http.Request) {
@@ -142,15 +144,15 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.allowLocked(w, q) {
+	if !e.checkFenceLocked(w, q) {
 		return
 	}
 	s := e.slots[o.Name]
 	if s == nil || s.loading {
-		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "adapter is not loaded")
+		writeError(w, http.StatusNotFound, engine.CodeNotLoaded, "adapter is not loaded")
 		return
 	}
-	if e.usedLocked(o.Name) {
+	if e.inUseLocked(o.Name) {
 		e.counts.UnloadRunning++
 	}
 	e.counts.Unloads++
@@ -182,17 +184,17 @@
 	defer e.mu.Unlock()
 	now := time.Now()
 	if now.Sub(e.reports[len(e.reports)-1].at) > e.ReportLag { // no step ran lately, as on an overloaded machine
-		e.noteReportLocked(now)
+		e.recordReportLocked(now)
 	}
 	e.dropReportsLocked(now)
 	r := e.reports[0]
 	fmt.Fprintf(w, "# TYPE %s gauge\n%s{model_name=%q} %d\n", engine.RunningMetric, engine.RunningMetric, e.Base, len(r.running))
 	fmt.Fprintf(w, "# TYPE %s gauge\n%s{model_name=%q} %d\n", engine.WaitingMetric, engine.WaitingMetric, e.Base, len(r.waiting))
 	fmt.Fprintf(w, "# TYPE %s gauge\n%s{max_lora=\"%d\",running_lora_adapters=%q,waiting_lora_adapters=%q} 1\n",
-		engine.AdaptersMetric, engine.AdaptersMetric, e.Slots, list(r.running), list(r.waiting))
+		engine.AdaptersMetric, engine.AdaptersMetric, e.Slots, joinNames(r.running), joinNames(r.waiting))
 }
 
-func list(names []string) string {
+func joinNames(names []string) string {
 	names = slices.Clone(names)
 	slices.Sort(names)
 	return strings.Join(slices.Compact(names), ",")
@@ -205,12 +207,12 @@
 func (e *Engine) role(w http.ResponseWriter, q *http.Request) {
 	var o roleOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || (o.Role != "serving" && o.Role != "leaving") {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, `role: must be "serving" or "leaving"`)
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, `role: must be "serving" or "leaving"`)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.allowLocked(w, q) {
+	if !e.checkFenceLocked(w, q) {
 		return
 	}
 	e.leaving = time.Time{}
@@ -233,10 +235,10 @@
 func (e *Engine) showRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.ran == nil {
-		e.ran = []string{}
+	if e.requestIDs == nil {
+		e.requestIDs = []string{}
 	}
-	_ = json.NewEncoder(w).Encode(e.ran)
+	_ = json.NewEncoder(w).Encode(e.requestIDs)
 }
 
 // leave starts a shutdown by the engine's own operators. With tells=yes, responses carry the leaving header.
@@ -244,21 +246,21 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = time.Now()
-	e.tells = q.URL.Query().Get("tells") == "yes"
+	e.announcesLeaving = q.URL.Query().Get("tells") == "yes"
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (e *Engine) restart(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.restartLocked()
+	e.resetLocked()
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (e *Engine) setFailLoads(w http.ResponseWriter, q *http.Request) {
 	n, err := strconv.Atoi(q.URL.Query().Get("count"))
 	if err != nil || n < 0 {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "count: must be a non-negative integer")
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, "count: must be a non-negative integer")
 		return
 	}
 	e.mu.Lock()
--- a/standin/backoff.go
+++ b/standin/backoff.go
@@ -11,48 +11,48 @@
 	"cairnwick.example/backoff"
 )
 
-// backoffHeard is how long a caller has to react to a Retry-After before further requests count as ignoring it.
-const backoffHeard = 500 * time.Millisecond
+// backoffReactionTime is how long a caller has to react to a Retry-After before further requests count as ignoring it.
+const backoffReactionTime = 500 * time.Millisecond
 
-// backoffs holds the Retry-After value of an engine that rejects requests, and counts the requests that arrive nevertheless.
-type backoffs struct {
-	mu     sync.Mutex
-	asks   string    // Retry-After value in seconds; empty: requests are accepted
-	since  time.Time // first rejection of the current back-off period
-	came   int       // requests since the setting was last changed
-	during int       // of these, requests within a back-off period
-	asked  int       // back-off periods started
+// backoffState holds the Retry-After value of an engine that rejects requests, and counts the requests that arrive nevertheless.
+type backoffState struct {
+	mu            sync.Mutex
+	retryAfter    string    // Retry-After value in seconds; empty: requests are accepted
+	periodStart   time.Time // first rejection of the current back-off period
+	requests      int       // requests since the setting was last changed
+	duringBackoff int       // of these, requests within a back-off period
+	periods       int       // back-off periods started
 }
 
-// arrive records a request and returns the Retry-After value to reject it with; empty: it may run.
-func (b *backoffs) arrive(now time.Time) string {
+// record records a request and returns the Retry-After value to reject it with; empty: it may run.
+func (b *backoffState) record(now time.Time) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.asks == "" {
+	if b.retryAfter == "" {
 		return ""
 	}
-	b.came++
-	d, _ := backoff.Parse([]string{b.asks}) // an unreadable value counts as zero seconds
-	switch ago := now.Sub(b.since); {
-	case ago >= d:
-		b.since = now
-		b.asked++
-	case ago > backoffHeard:
-		b.during++
+	b.requests++
+	d, _ := backoff.Parse([]string{b.retryAfter}) // an unreadable value counts as zero seconds
+	switch elapsed := now.Sub(b.periodStart); {
+	case elapsed >= d:
+		b.periodStart = now
+		b.periods++
+	case elapsed > backoffReactionTime:
+		b.duringBackoff++
 	}
-	return b.asks
+	return b.retryAfter
 }
 
 // RetryAfter records a request and returns the Retry-After value, in seconds, to reject it with; empty: it
 // may run. Handlers of other protocols call it once per request.
-func (e *Engine) RetryAfter() string { return e.backoffs.arrive(time.Now()) }
+func (e *Engine) RetryAfter() string { return e.backoff.record(time.Now()) }
 
 // setBackoff handles POST /control/backoff: with seconds=N, requests are rejected with Retry-After: N.
 func (e *Engine) setBackoff(w http.ResponseWriter, q *http.Request) {
-	e.backoffs.mu.Lock()
-	defer e.backoffs.mu.Unlock()
-	e.backoffs.asks, e.backoffs.since = q.URL.Query().Get("seconds"), time.Time{}
-	e.backoffs.came, e.backoffs.during, e.backoffs.asked = 0, 0, 0
+	e.backoff.mu.Lock()
+	defer e.backoff.mu.Unlock()
+	e.backoff.retryAfter, e.backoff.periodStart = q.URL.Query().Get("seconds"), time.Time{}
+	e.backoff.requests, e.backoff.duringBackoff, e.backoff.periods = 0, 0, 0
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -64,8 +64,8 @@
 }
 
 func (e *Engine) showBackoff(w http.ResponseWriter, _ *http.Request) {
-	e.backoffs.mu.Lock()
-	c := BackoffCounts{Requests: e.backoffs.came, DuringBackoff: e.backoffs.during, Periods: e.backoffs.asked}
-	e.backoffs.mu.Unlock()
+	e.backoff.mu.Lock()
+	c := BackoffCounts{Requests: e.backoff.requests, DuringBackoff: e.backoff.duringBackoff, Periods: e.backoff.periods}
+	e.backoff.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/blackhole.go
+++ b/standin/blackhole.go
@@ -11,25 +11,25 @@
 	"github.com/pkg/errors"
 )
 
-// BlackholeProxy forwards TCP connections to Target. Silence turns the open connections into
+// BlackholeProxy forwards TCP connections to Target. Blackhole turns the open connections into
 // black holes, without a reset, while later ones work: data sent on them is acknowledged by
 // TCP and discarded, so that only a timeout of the application itself detects the fault.
 type BlackholeProxy struct {
 	Target string // IP:port
 
-	mu    sync.Mutex
-	muted chan struct{} // closed by Silence for the connections that are open at that time
-	count int
+	mu      sync.Mutex
+	discard chan struct{} // closed by Blackhole for the connections that are open at that time
+	count   int
 }
 
 // Blackhole makes the proxy discard all further data of the open connections.
 func (p *BlackholeProxy) Blackhole() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.muted != nil {
-		close(p.muted)
+	if p.discard != nil {
+		close(p.discard)
 	}
-	p.muted = make(chan struct{})
+	p.discard = make(chan struct{})
 }
 
 // Accepted returns the number of connections accepted so far.
@@ -39,15 +39,15 @@
 	return p.count
 }
 
-// take counts a connection and returns the channel that is closed when its data is to be discarded.
-func (p *BlackholeProxy) take() <-chan struct{} {
+// register counts a connection and returns the channel that is closed when its data is to be discarded.
+func (p *BlackholeProxy) register() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.count++
-	if p.muted == nil {
-		p.muted = make(chan struct{})
+	if p.discard == nil {
+		p.discard = make(chan struct{})
 	}
-	return p.muted
+	return p.discard
 }
 
 // Run forwards the connections accepted by l until ctx is done.
@@ -60,14 +60,14 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "standin: silent proxy")
+			return errors.Wrap(err, "standin: accept in black hole proxy")
 		}
-		go p.carry(ctx, c, p.take())
+		go p.forward(ctx, c, p.register())
 	}
 }
 
-// carry forwards a connection until either side closes it.
-func (p *BlackholeProxy) carry(ctx context.Context, c net.Conn, muted <-chan struct{}) {
+// forward forwards a connection until either side closes it.
+func (p *BlackholeProxy) forward(ctx context.Context, c net.Conn, discard <-chan struct{}) {
 	defer c.Close()
 	t, err := net.Dial("tcp", p.Target)
 	if err != nil {
@@ -80,31 +80,31 @@
 	})
 	defer stop()
 	ended := make(chan struct{}, 2)
-	pass := func(to, from net.Conn) {
-		_, _ = io.Copy(silentWriter{Writer: to, muted: muted}, from) // any error ends the connection
+	copyData := func(to, from net.Conn) {
+		_, _ = io.Copy(discardWriter{Writer: to, discard: discard}, from) // any error ends the connection
 		ended <- struct{}{}
 	}
-	go pass(t, c)
-	go pass(c, t)
+	go copyData(t, c)
+	go copyData(c, t)
 	<-ended
 	select {
-	case <-muted:
+	case <-discard:
 		<-ctx.Done() // closing one side must not close the other
 	default:
 	}
 }
 
-// silentWriter discards writes once muted is closed.
-type silentWriter struct {
+// discardWriter discards writes once discard is closed.
+type discardWriter struct {
 	io.Writer
 
-	muted <-chan struct{}
+	discard <-chan struct{}
 }
 
 // Write implements io.Writer.
-func (w silentWriter) Write(b []byte) (int, error) {
+func (w discardWriter) Write(b []byte) (int, error) {
 	select {
-	case <-w.muted:
+	case <-w.discard:
 		return len(b), nil
 	default:
 		return w.Writer.Write(b)
--- a/standin/complete.go
+++ b/standin/complete.go
@@ -51,7 +51,7 @@
 	}
 	var body completion
 	if err := json.NewDecoder(io.LimitReader(q.Body, 8<<20)).Decode(&body); err != nil {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, err.Error())
 		return
 	}
 	if body.Tokens <= 0 {
@@ -59,21 +59,21 @@
 	}
 	if seconds := e.RetryAfter(); seconds != "" {
 		w.Header().Set("Retry-After", seconds)
-		refuse(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine is overloaded; retry after the time in Retry-After.")
+		writeError(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine is overloaded; retry after the time in Retry-After.")
 		return
 	}
 	r, code := e.admit(q, body)
 	if r == nil {
-		refuse(w, statusOf(code), code, fmt.Sprintf("Request for model `%s` rejected: %s.", body.Model, code))
+		writeError(w, httpStatus(code), code, fmt.Sprintf("Request for model `%s` rejected: %s.", body.Model, code))
 		return
 	}
-	r.join()
-	defer r.part()
+	r.addReader()
+	defer r.removeReader()
 	if body.Stream {
 		stream(q.Context(), w, r, 0)
 		return
 	}
-	whole(q.Context(), w, r)
+	writeFinal(q.Context(), w, r)
 }
 
 // admit queues a run, or returns the code to reject the request with.
@@ -95,7 +95,7 @@
 		request = uuid.NewString()
 	}
 	r := newRun(request, body.Model, s.content, body.Priority, body.Tokens)
-	e.witnessLocked(q, body, s)
+	e.observeLocked(q, body, s)
 	if e.prefixes.touch(body.Model, body.Prompt+string(body.Messages), time.Now()) {
 		e.counts.PrefixHits++
 	} else {
@@ -106,10 +106,10 @@
 	return r, ""
 }
 
-// witnessLocked counts the run and the invariant violations that it reveals.
-func (e *Engine) witnessLocked(q *http.Request, body completion, s *slot) {
+// observeLocked counts the run and the invariant violations that it reveals.
+func (e *Engine) observeLocked(q *http.Request, body completion, s *slot) {
 	e.counts.Runs++
-	e.ran = append(e.ran, q.Header.Get(engine.RequestHeader))
+	e.requestIDs = append(e.requestIDs, q.Header.Get(engine.RequestHeader))
 	if want := body.expected(); want != "" && want != s.content {
 		e.counts.WrongVersion++
 	}
@@ -132,8 +132,8 @@
 	flush := http.NewResponseController(w)
 	_ = flush.Flush()
 	for n := from; ; {
-		have, changed, state := r.progress()
-		for ; n < have; n++ {
+		produced, changed, state := r.progress()
+		for ; n < produced; n++ {
 			writeEvent(w, r, n)
 		}
 		if state == nil {
@@ -157,16 +157,16 @@
 		r.request, r.model, r.token(n))
 }
 
-// whole waits for the run to end and writes a single JSON response.
-func whole(ctx context.Context, w http.ResponseWriter, r *run) {
+// writeFinal waits for the run to end and writes a single JSON response.
+func writeFinal(ctx context.Context, w http.ResponseWriter, r *run) {
 	for {
-		have, changed, state := r.progress()
+		produced, changed, state := r.progress()
 		if state == nil {
-			writeWhole(w, r, have)
+			writeCompletion(w, r, produced)
 			return
 		}
 		if state != errRunning {
-			refuse(w, http.StatusInternalServerError, engine.CodeFailed, state.Error())
+			writeError(w, http.StatusInternalServerError, engine.CodeFailed, state.Error())
 			return
 		}
 		select {
@@ -177,29 +177,29 @@
 	}
 }
 
-func writeWhole(w http.ResponseWriter, r *run, have int) {
+func writeCompletion(w http.ResponseWriter, r *run, produced int) {
 	var text strings.Builder
-	for n := range have {
+	for n := range produced {
 		text.WriteString(r.token(n))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"id\":%q,\"object\":\"text_completion\",\"model\":%q,\"choices\":[{\"index\":0,\"text\":%q,\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n",
-		r.request, r.model, text.String(), have)
+		r.request, r.model, text.String(), produced)
 }
 
 func (e *Engine) resume(w http.ResponseWriter, q *http.Request) {
 	from, err := strconv.Atoi(q.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "from: must be a non-negative integer")
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, "from: must be a non-negative integer")
 		return
 	}
 	r := e.find(q.PathValue("request"))
 	if r == nil {
-		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "no run with this request ID")
+		writeError(w, http.StatusNotFound, engine.CodeNotLoaded, "no run with this request ID")
 		return
 	}
-	r.join()
-	defer r.part()
+	r.addReader()
+	defer r.removeReader()
 	e.mu.Lock()
 	e.counts.Resumed++
 	e.mu.Unlock()
@@ -212,7 +212,7 @@
 		e.mu.Lock()
 		e.counts.Cancelled++
 		e.mu.Unlock()
-		r.finish(errRunCancelled)
+		r.abort(errCancelled)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -35,25 +35,25 @@
 	Store           func(ctx context.Context, path string) (string, error)
 	Fallback        http.Handler // serves all other paths, for instance another protocol; may be nil
 
-	mu        sync.Mutex
-	boot      string
-	fence     engine.Fence
-	slots     map[string]*slot // by adapter name; at most Slots entries
-	runs      map[string]*run  // by request ID; kept for ResumeWindow after they end
-	waiting   []*run           // not yet in the batch
-	batch     []*run           // at most Batch entries
-	reports   []report         // recent states, oldest first; at least one
-	leaving   time.Time        // zero while serving
-	orders    uint64           // accepted by Order since the start
-	fetches   chan fetch       // loads for Run to execute; buffered for one load per slot
-	failLoads int              // how many of the next loads fail
-	counts    Counts
-	prefixes  prefixCache
-	keys      map[string]int // number of runs by idempotency key
-	ran       []string       // request IDs of all runs, in order
-	limit     limit          // has its own lock
-	backoffs  backoffs       // has its own lock
-	tells     bool           // responses carry the leaving header while the engine is leaving
+	mu               sync.Mutex
+	boot             string
+	fence            engine.Fence
+	slots            map[string]*slot // by adapter name; at most Slots entries
+	runs             map[string]*run  // by request ID; kept for ResumeWindow after they end
+	waiting          []*run           // not yet in the batch
+	batch            []*run           // at most Batch entries
+	reports          []report         // recent states, oldest first; at least one
+	leaving          time.Time        // zero while serving
+	orderCount       uint64           // accepted by Order since the start
+	loadQueue        chan asyncLoad   // loads for Run to execute; buffered for one load per slot
+	failLoads        int              // how many of the next loads fail
+	counts           Counts
+	prefixes         prefixCache
+	keys             map[string]int // number of runs by idempotency key
+	requestIDs       []string       // request IDs of all runs, in order
+	limit            limit          // has its own lock
+	backoff          backoffState   // has its own lock
+	announcesLeaving bool           // responses carry the leaving header while the engine is leaving
 }
 
 // slot is an adapter slot that is in use.
@@ -114,21 +114,21 @@
 	tick := time.NewTicker(e.StepTime)
 	defer tick.Stop()
 	ended := make(chan struct{})
-	for fetching := 0; ; {
+	for loading := 0; ; {
 		select {
 		case <-ctx.Done():
-			for range fetching {
+			for range loading {
 				<-ended
 			}
 			return nil
-		case f := <-e.fetches:
-			fetching++
+		case f := <-e.loadQueue:
+			loading++
 			go func() {
-				e.end(ctx, f)
+				e.completeLoad(ctx, f)
 				ended <- struct{}{}
 			}()
 		case <-ended:
-			fetching--
+			loading--
 		case <-tick.C:
 			e.step(time.Now())
 		}
@@ -140,32 +140,32 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.slots == nil {
-		e.restartLocked()
+		e.resetLocked()
 		e.keys = make(map[string]int)
-		e.fetches = make(chan fetch, e.Slots)
+		e.loadQueue = make(chan asyncLoad, e.Slots)
 	}
 }
 
-// restartLocked resets the engine as a process restart does, except that the counters are kept.
-func (e *Engine) restartLocked() {
+// resetLocked resets the engine as a process restart does, except that the counters are kept.
+func (e *Engine) resetLocked() {
 	for _, r := range e.runs {
-		r.finish(errors.New("engine restarted"))
+		r.abort(errors.New("engine restarted"))
 	}
 	e.boot = uuid.NewString()
 	e.fence = engine.Fence{}
-	e.orders = 0
+	e.orderCount = 0
 	e.slots = make(map[string]*slot)
 	e.runs = make(map[string]*run)
 	e.waiting, e.batch = nil, nil
 	e.reports = []report{{at: time.Now()}}
-	e.prefixes = prefixCache{most: e.PrefixCacheSize, lag: e.EventDelay, gap: e.DropEventEvery, next: e.prefixes.next}
+	e.prefixes = prefixCache{capacity: e.PrefixCacheSize, delay: e.EventDelay, dropEvery: e.DropEventEvery, nextSequence: e.prefixes.nextSequence}
 }
 
 // step produces one token for every request of the batch.
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.dropEndedLocked(now)
+	e.removeEndedLocked(now)
 	e.fillBatchLocked()
 	if len(e.batch) > 0 {
 		e.counts.Steps++
@@ -174,23 +174,23 @@
 	for _, r := range e.batch {
 		r.produce(now)
 	}
-	e.noteReportLocked(now)
+	e.recordReportLocked(now)
 }
 
-// dropEndedLocked removes ended and abandoned runs from the batch and the queue, and
+// removeEndedLocked removes ended and abandoned runs from the batch and the queue, and
 // deletes runs that can no longer be resumed.
-func (e *Engine) dropEndedLocked(now time.Time) {
+func (e *Engine) removeEndedLocked(now time.Time) {
 	for _, r := range e.runs {
 		if r.abandoned(now, e.ResumeWindow) {
 			e.counts.Cancelled++
-			r.finish(errors.New("client disconnected and did not resume in time"))
+			r.abort(errors.New("client disconnected and did not resume in time"))
 		}
 	}
 	ended := func(r *run) bool { return r.ended() }
 	e.batch = slices.DeleteFunc(e.batch, ended)
 	e.waiting = slices.DeleteFunc(e.waiting, ended)
 	for n, r := range e.runs {
-		if r.forgettable(now, e.ResumeWindow) {
+		if r.expired(now, e.ResumeWindow) {
 			delete(e.runs, n)
 		}
 	}
@@ -204,8 +204,8 @@
 	e.waiting = slices.Delete(e.waiting, 0, free)
 }
 
-func (e *Engine) noteReportLocked(now time.Time) {
-	e.reports = append(e.reports, report{at: now, running: adaptersOf(e.batch), waiting: adaptersOf(e.waiting)})
+func (e *Engine) recordReportLocked(now time.Time) {
+	e.reports = append(e.reports, report{at: now, running: adapterNames(e.batch), waiting: adapterNames(e.waiting)})
 	e.dropReportsLocked(now)
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-func adaptersOf(runs []*run) []string {
+func adapterNames(runs []*run) []string {
 	var names []string
 	for _, r := range runs {
 		names = append(names, r.model)
@@ -225,8 +225,8 @@
 	return names
 }
 
-// usedLocked reports whether an unfinished run uses the adapter.
-func (e *Engine) usedLocked(name string) bool {
+// inUseLocked reports whether an unfinished run uses the adapter.
+func (e *Engine) inUseLocked(name string) bool {
 	for _, r := range e.runs {
 		if r.model == name && !r.ended() {
 			return true
@@ -252,7 +252,7 @@
 	m.HandleFunc("POST /v1/load_lora_adapter", e.load)
 	m.HandleFunc("POST /v1/unload_lora_adapter", e.unload)
 	m.HandleFunc("GET /metrics", e.metrics)
-	m.HandleFunc("GET /cairn/fence", e.look)
+	m.HandleFunc("GET /cairn/fence", e.showFence)
 	m.HandleFunc("PUT /cairn/fence", e.claim)
 	m.HandleFunc("GET /cairn/streams/{request}", e.resume)
 	m.HandleFunc("DELETE /cairn/streams/{request}", e.cancel)
@@ -271,18 +271,18 @@
 	if e.Fallback != nil {
 		m.Handle("/", e.Fallback)
 	}
-	return e.mark(m)
+	return e.withHeaders(m)
 }
 
 // Leaving reports whether responses must carry the leaving header. It is also for handlers of other protocols.
 func (e *Engine) Leaving() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.tells && !e.leaving.IsZero()
+	return e.announcesLeaving && !e.leaving.IsZero()
 }
 
-// mark sets the fence, boot and leaving headers on every response.
-func (e *Engine) mark(next http.Handler) http.Handler {
+// withHeaders sets the fence, boot and leaving headers on every response.
+func (e *Engine) withHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.mu.Lock()
 		w.Header().Set(engine.FenceHeader, e.fence.String())
--- a/standin/history.go
+++ b/standin/history.go
@@ -37,11 +37,11 @@
 	Epoch    uint64  // number of restores from a copy so far
 }
 
-// changedLocked appends a change to the history and wakes the watchers.
-func (p *Platform) changedLocked(f Entry) {
+// recordChangeLocked appends a change to the history and wakes the watchers.
+func (p *Platform) recordChangeLocked(f Entry) {
 	p.history = append(p.history, f)
 	if len(p.history) > HistorySize {
-		p.forgot = p.history[0].Revision
+		p.compacted = p.history[0].Revision
 		p.history = p.history[1:]
 	}
 	p.wakeLocked()
@@ -58,25 +58,25 @@
 	}
 	p.index++
 	delete(p.values, key)
-	p.changedLocked(Entry{Key: key, Revision: p.index, Deleted: true})
+	p.recordChangeLocked(Entry{Key: key, Revision: p.index, Deleted: true})
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// List returns up to most keys that have the prefix and sort after the given key.
-func (p *Platform) List(prefix, after string, most int) (Page, error) {
-	a, err := p.all(prefix, after)
+// List returns up to limit keys that have the prefix and sort after the given key.
+func (p *Platform) List(prefix, after string, limit int) (Page, error) {
+	a, err := p.listAll(prefix, after)
 	if err != nil {
 		return Page{}, err
 	}
 	slices.SortFunc(a.Entries, func(x, y Entry) int { return strings.Compare(x.Key, y.Key) })
-	if len(a.Entries) > most {
-		a.Entries, a.More = a.Entries[:most], true
+	if len(a.Entries) > limit {
+		a.Entries, a.More = a.Entries[:limit], true
 	}
 	return a, nil
 }
 
-// all returns every key that has the prefix and sorts after the given key, unordered.
-func (p *Platform) all(prefix, after string) (Page, error) {
+// listAll returns every key that has the prefix and sorts after the given key, unordered.
+func (p *Platform) listAll(prefix, after string) (Page, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
@@ -97,30 +97,30 @@
 	p.mu.Lock()
 	p.calls++
 	p.mu.Unlock()
-	over := time.After(wait)
-	for ended := false; ; {
-		a, changed, err := p.since(prefix, after)
-		if err != nil || len(a.Entries) > 0 || ended {
+	timeout := time.After(wait)
+	for timedOut := false; ; {
+		a, changed, err := p.changesAfter(prefix, after)
+		if err != nil || len(a.Entries) > 0 || timedOut {
 			return a, err
 		}
 		select {
 		case <-ctx.Done():
 			return Page{}, ctx.Err()
 		case <-changed:
-		case <-over:
-			ended = true
+		case <-timeout:
+			timedOut = true
 		}
 	}
 }
 
-// since returns the changes to keys with the prefix after a revision, and a channel that is closed by the next change.
-func (p *Platform) since(prefix string, after uint64) (a Page, changed <-chan struct{}, err error) {
+// changesAfter returns the changes to keys with the prefix after a revision, and a channel that is closed by the next change.
+func (p *Platform) changesAfter(prefix string, after uint64) (a Page, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == ModeDown {
 		return Page{}, nil, ErrUnavailable
 	}
-	if after < p.forgot || after > p.index {
+	if after < p.compacted || after > p.index {
 		return Page{}, nil, ErrCompacted
 	}
 	a = Page{Revision: p.index, Epoch: p.epoch}
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,23 +17,23 @@
 type Platform struct {
 	WriteDelay time.Duration // delay before a write becomes visible
 
-	mu      sync.Mutex
-	index   uint64
-	values  map[string]*platformValue
-	mode    string // "" or one of the modes
-	calls   int
-	changed chan struct{}
-	history []Entry       // latest changes, oldest first; at most HistoryKept
-	forgot  uint64        // revision of the latest change dropped from the history
-	copied  *platformCopy // nil: no copy was made
-	epoch   uint64        // number of restores from a copy
+	mu        sync.Mutex
+	index     uint64
+	values    map[string]*platformValue
+	mode      string // "" or one of the modes
+	calls     int
+	changed   chan struct{}
+	history   []Entry           // latest changes, oldest first; at most HistoryKept
+	compacted uint64            // revision of the latest change dropped from the history
+	snapshot  *platformSnapshot // nil: no copy was made
+	epoch     uint64            // number of restores from a copy
 }
 
 // platformValue is a value with the one that it replaced, which is served in ModeStale.
 type platformValue struct {
-	body  []byte
-	index uint64
-	old   *platformValue
+	body     []byte
+	index    uint64
+	previous *platformValue
 }
 
 // The modes of a Platform.
@@ -43,7 +43,7 @@
 	ModeStale = "stale" // every read returns the previous value
 )
 
-const maxPut = 1 << 20
+const maxValueSize = 1 << 20
 
 // Handler serves the key-value API and, under /control/, the test controls.
 func (p *Platform) Handler() http.Handler {
@@ -54,24 +54,24 @@
 	m.HandleFunc("PUT /v1/kv/{key...}", p.put)
 	m.HandleFunc("DELETE /v1/kv/{key...}", p.remove)
 	m.HandleFunc("POST /control/mode", p.setMode)
-	m.HandleFunc("POST /control/copy", p.makeCopy)
+	m.HandleFunc("POST /control/copy", p.takeSnapshot)
 	m.HandleFunc("POST /control/restore", p.restore)
 	m.HandleFunc("GET /control/calls", p.showCalls)
 	return m
 }
 
 func (p *Platform) put(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(q.Body, maxPut+1))
-	if err != nil || len(body) > maxPut {
+	body, err := io.ReadAll(io.LimitReader(q.Body, maxValueSize+1))
+	if err != nil || len(body) > maxValueSize {
 		http.Error(w, "value exceeds the limit of 1 MiB", http.StatusRequestEntityTooLarge)
 		return
 	}
 	time.Sleep(p.WriteDelay)
-	done := p.store(q.PathValue("key"), body, q.URL.Query().Get("cas"))
-	_, _ = io.WriteString(w, strconv.FormatBool(done))
+	ok := p.set(q.PathValue("key"), body, q.URL.Query().Get("cas"))
+	_, _ = io.WriteString(w, strconv.FormatBool(ok))
 }
 
-func matches(cas string, v *platformValue) bool {
+func casMatches(cas string, v *platformValue) bool {
 	n, err := strconv.ParseUint(cas, 10, 64)
 	if err != nil {
 		return false
@@ -82,20 +82,20 @@
 	return n == v.index
 }
 
-// store writes a value. If cas is not empty, it must equal the key's index, as in Consul's check-and-set.
-func (p *Platform) store(key string, body []byte, cas string) bool {
+// set writes a value. If cas is not empty, it must equal the key's index, as in Consul's check-and-set.
+func (p *Platform) set(key string, body []byte, cas string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.values[key]
-	if cas != "" && !matches(cas, old) {
+	current := p.values[key]
+	if cas != "" && !casMatches(cas, current) {
 		return false
 	}
 	p.index++
-	if old != nil {
-		old.old = nil // only one previous value is kept
+	if current != nil {
+		current.previous = nil // only one previous value is kept
 	}
-	p.values[key] = &platformValue{body: body, index: p.index, old: old}
-	p.changedLocked(Entry{Key: key, Value: body, Revision: p.index})
+	p.values[key] = &platformValue{body: body, index: p.index, previous: current}
+	p.recordChangeLocked(Entry{Key: key, Value: body, Revision: p.index})
 	return true
 }
 
@@ -144,8 +144,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v := p.values[key]
-	if p.mode == ModeStale && v != nil && v.old != nil {
-		v = v.old
+	if p.mode == ModeStale && v != nil && v.previous != nil {
+		v = v.previous
 	}
 	return v, p.mode, p.changed
 }
--- a/standin/prefix.go
+++ b/standin/prefix.go
@@ -17,16 +17,16 @@
 const prefixLength = 64
 
 // prefixCache is an LRU cache of prompt prefixes by adapter. It publishes changes as
-// events, which are delayed and, if gap is set, partly lost.
+// events, which are delayed and, if dropEvery is set, partly lost.
 type prefixCache struct {
-	most   int           // capacity; zero: no cache
-	lag    time.Duration // delay until an event becomes visible
-	gap    int           // every n-th event is dropped; zero: none
-	order  []prefixKey   // least recently used first
-	events []cacheEvent  // latest events, oldest first; at most eventsKept
-	next   uint64        // sequence number of the next event
-	hits   int
-	misses int
+	capacity     int           // capacity; zero: no cache
+	delay        time.Duration // delay until an event becomes visible
+	dropEvery    int           // every n-th event is dropped; zero: none
+	order        []prefixKey   // least recently used first
+	events       []cacheEvent  // latest events, oldest first; at most maxEvents
+	nextSequence uint64        // sequence number of the next event
+	hits         int
+	misses       int
 }
 
 type prefixKey struct {
@@ -40,11 +40,11 @@
 	at time.Time
 }
 
-const eventsKept = 1024
+const maxEvents = 1024
 
 // touch marks a prefix as used, adding it if necessary, and reports whether it was cached.
 func (c *prefixCache) touch(adapter, prompt string, now time.Time) bool {
-	if c.most == 0 {
+	if c.capacity == 0 {
 		return false
 	}
 	k := prefixKey{adapter: adapter, prefix: xxhash.Sum64String(prompt[:min(len(prompt), prefixLength)])}
@@ -55,9 +55,9 @@
 	}
 	c.misses++
 	c.order = append(c.order, k)
-	c.tell(engine.CacheStored, k, now)
-	for len(c.order) > c.most {
-		c.tell(engine.CacheRemoved, c.order[0], now)
+	c.publish(engine.CacheStored, k, now)
+	for len(c.order) > c.capacity {
+		c.publish(engine.CacheRemoved, c.order[0], now)
 		c.order = c.order[1:]
 	}
 	return false
@@ -67,20 +67,20 @@
 func (c *prefixCache) drop(adapter string, now time.Time) {
 	c.order = slices.DeleteFunc(c.order, func(k prefixKey) bool {
 		if k.adapter == adapter {
-			c.tell(engine.CacheRemoved, k, now)
+			c.publish(engine.CacheRemoved, k, now)
 		}
 		return k.adapter == adapter
 	})
 }
 
-func (c *prefixCache) tell(kind string, k prefixKey, now time.Time) {
-	c.next++
-	if c.gap > 0 && c.next%uint64(c.gap) == 0 {
+func (c *prefixCache) publish(kind string, k prefixKey, now time.Time) {
+	c.nextSequence++
+	if c.dropEvery > 0 && c.nextSequence%uint64(c.dropEvery) == 0 {
 		return // dropped; clients detect the gap by the sequence number
 	}
-	e := engine.CacheEvent{Sequence: c.next, Kind: kind, Adapter: k.adapter, Prefix: k.prefix}
+	e := engine.CacheEvent{Sequence: c.nextSequence, Kind: kind, Adapter: k.adapter, Prefix: k.prefix}
 	c.events = append(c.events, cacheEvent{CacheEvent: e, at: now})
-	if len(c.events) > eventsKept {
+	if len(c.events) > maxEvents {
 		c.events = c.events[1:]
 	}
 }
@@ -89,7 +89,7 @@
 func (c *prefixCache) after(sequence uint64, now time.Time) []engine.CacheEvent {
 	list := []engine.CacheEvent{}
 	for _, e := range c.events {
-		if e.Sequence > sequence && now.Sub(e.at) >= c.lag {
+		if e.Sequence > sequence && now.Sub(e.at) >= c.delay {
 			list = append(list, e.CacheEvent)
 		}
 	}
@@ -99,7 +99,7 @@
 func (e *Engine) showEvents(w http.ResponseWriter, q *http.Request) {
 	after, err := strconv.ParseUint(q.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "after: must be a non-negative integer")
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, "after: must be a non-negative integer")
 		return
 	}
 	e.mu.Lock()
--- a/standin/protocol.go
+++ b/standin/protocol.go
@@ -34,7 +34,7 @@
 func (e *Engine) LoadedAdapters() LoadedAdapters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := LoadedAdapters{Orders: e.orders}
+	h := LoadedAdapters{Orders: e.orderCount}
 	for n, s := range e.slots {
 		_, name, found := strings.Cut(n, "/")
 		switch {
@@ -42,13 +42,13 @@
 		case s.loading:
 			h.Pending = append(h.Pending, s.content)
 		default:
-			h.Ready = append(h.Ready, name+"@"+versionOf(s.content))
+			h.Ready = append(h.Ready, name+"@"+versionIn(s.content))
 		}
 	}
 	return h
 }
 
-func versionOf(content string) string {
+func versionIn(content string) string {
 	_, v, _ := strings.Cut(content, "@")
 	return v
 }
@@ -91,24 +91,24 @@
 		return Fenced
 	}
 	e.fence = o.Fence
-	e.orders++
+	e.orderCount++
 	switch {
 	case o.Adapter == "":
 		return Done
 	case o.Operation == Load:
 		return e.loadLocked(o)
 	case o.Operation == Unload:
-		return e.unloadLocked(e.slotOf(o.Adapter))
+		return e.unloadLocked(e.slotName(o.Adapter))
 	}
 	return Invalid
 }
 
-// slotOf returns the name of the slot for an adapter loaded by Order.
-func (e *Engine) slotOf(adapter string) string { return e.Base + "/" + adapter }
+// slotName returns the name of the slot for an adapter loaded by Order.
+func (e *Engine) slotName(adapter string) string { return e.Base + "/" + adapter }
 
 // loadLocked reserves a slot and queues the load for Run.
 func (e *Engine) loadLocked(o Order) Outcome {
-	n := e.slotOf(o.Adapter)
+	n := e.slotName(o.Adapter)
 	content := fmt.Sprintf("%s@%d", o.Adapter, max(o.Version, 1))
 	switch s := e.slots[n]; {
 	case s != nil && s.loading:
@@ -121,19 +121,19 @@
 	e.counts.OrdersLoads++
 	s := &slot{content: content, loading: true}
 	e.slots[n] = s
-	e.fetches <- fetch{name: n, slot: s, path: fmt.Sprintf("adapters/%s/%d", o.Adapter, max(o.Version, 1))}
+	e.loadQueue <- asyncLoad{name: n, slot: s, path: fmt.Sprintf("adapters/%s/%d", o.Adapter, max(o.Version, 1))}
 	return Accepted
 }
 
-// fetch is an asynchronous load.
-type fetch struct {
+// asyncLoad is an asynchronous load.
+type asyncLoad struct {
 	name string // of the slot
 	slot *slot
 	path string // in the store
 }
 
-// end fetches the adapter from the store and completes the load.
-func (e *Engine) end(ctx context.Context, f fetch) {
+// completeLoad fetches the adapter from the store and completes the load.
+func (e *Engine) completeLoad(ctx context.Context, f asyncLoad) {
 	content, err := e.Store(ctx, f.path)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,7 +153,7 @@
 func (e *Engine) unloadLocked(name string) Outcome {
 	if s := e.slots[name]; s == nil {
 		return Done
-	} else if s.loading || e.usedLocked(name) {
+	} else if s.loading || e.inUseLocked(name) {
 		return Busy
 	}
 	e.counts.Unloads++
@@ -180,14 +180,14 @@
 // Content returns the adapter@version that the request runs on.
 func (a *Response) Content() string { return a.run.content }
 
-// Write writes the response: as a stream of events if streams is set, otherwise as one document.
-func (a *Response) Write(w http.ResponseWriter, q *http.Request, streams bool) {
-	a.run.join()
-	defer a.run.part()
-	if streams {
+// Write writes the response: as a stream of events if streaming is set, otherwise as one document.
+func (a *Response) Write(w http.ResponseWriter, q *http.Request, streaming bool) {
+	a.run.addReader()
+	defer a.run.removeReader()
+	if streaming {
 		stream(q.Context(), w, a.run, 0)
 		return
 	}
 	_, _ = io.Copy(io.Discard, q.Body) // the request's body is not used
-	whole(q.Context(), w, a.run)
+	writeFinal(q.Context(), w, a.run)
 }
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -55,16 +55,16 @@
 type Proxy struct {
 	Routes []Route
 
-	mu      sync.Mutex
-	rules   []Rule
-	links   map[*link]struct{}
-	changed chan struct{} // closed when the rules change
+	mu          sync.Mutex
+	rules       []Rule
+	connections map[*connection]struct{}
+	changed     chan struct{} // closed when the rules change
 }
 
 // Handler serves PUT /rules, which replaces the rules with a JSON list.
 func (p *Proxy) Handler() http.Handler {
 	p.changed = make(chan struct{})
-	p.links = make(map[*link]struct{})
+	p.connections = make(map[*connection]struct{})
 	m := http.NewServeMux()
 	m.HandleFunc("PUT /rules", func(w http.ResponseWriter, q *http.Request) {
 		var rules []Rule
@@ -83,10 +83,10 @@
 	p.rules = rules
 	close(p.changed)
 	p.changed = make(chan struct{})
-	for k := range p.links {
+	for k := range p.connections {
 		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutResponse > 0 {
-			abort(k.caller) // also idle connections
-			abort(k.target)
+			reset(k.caller) // also idle connections
+			reset(k.target)
 		}
 	}
 }
@@ -108,20 +108,20 @@
 	return p.ruleLocked(from, to), p.changed
 }
 
-// keep adds a connection to the open ones, or removes it.
-func (p *Proxy) keep(k *link, on bool) {
+// track adds a connection to the open ones, or removes it if on is false.
+func (p *Proxy) track(k *connection, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
-		p.links[k] = struct{}{}
+		p.connections[k] = struct{}{}
 		return
 	}
-	delete(p.links, k)
+	delete(p.connections, k)
 }
 
-// takeCut returns the rule that resets a new connection after a number of bytes, or the zero Rule, and
+// consumeCut returns the rule that resets a new connection after a number of bytes, or the zero Rule, and
 // decrements the rule's Times.
-func (p *Proxy) takeCut(from, to netip.Addr) Rule {
+func (p *Proxy) consumeCut(from, to netip.Addr) Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.rules) - 1; i >= 0; i-- {
@@ -152,7 +152,7 @@
 	for _, r := range p.Routes {
 		l, err := net.Listen("tcp", r.Listen)
 		if err != nil {
-			return errors.Wrap(err, "standin: proxy")
+			return errors.Wrap(err, "standin: listen for proxy route")
 		}
 		context.AfterFunc(ctx, func() { l.Close() })
 		go func() { ended <- p.accept(ctx, l, r) }()
@@ -169,12 +169,12 @@
 		if err != nil {
 			return err
 		}
-		go p.carry(ctx, c, r)
+		go p.forward(ctx, c, r)
 	}
 }
 
-// link is a connection through the proxy.
-type link struct {
+// connection is a connection through the proxy.
+type connection struct {
 	proxy  *Proxy
 	from   netip.Addr
 	to     netip.Addr
@@ -183,9 +183,9 @@
 	target net.Conn
 }
 
-// carry forwards a connection until either side closes it or a rule resets it.
-func (p *Proxy) carry(ctx context.Context, c net.Conn, r Route) {
-	defer abort(c)
+// forward forwards a connection until either side closes it or a rule resets it.
+func (p *Proxy) forward(ctx context.Context, c net.Conn, r Route) {
+	defer reset(c)
 	target := netip.MustParseAddrPort(r.Target)
 	from := netip.MustParseAddrPort(c.RemoteAddr().String()).Addr()
 	if rule, _ := p.rule(from, target.Addr()); rule.Mode == ModeCut {
@@ -195,10 +195,10 @@
 	if err != nil {
 		return
 	}
-	defer abort(t)
-	k := &link{proxy: p, from: from, to: target.Addr(), cut: p.takeCut(from, target.Addr()), caller: c, target: t}
-	p.keep(k, true)
-	defer p.keep(k, false)
+	defer reset(t)
+	k := &connection{proxy: p, from: from, to: target.Addr(), cut: p.consumeCut(from, target.Addr()), caller: c, target: t}
+	p.track(k, true)
+	defer p.track(k, false)
 	ended := make(chan struct{}, 2)
 	go func() {
 		k.relay(ctx, t, c, false, k.cut.CutAfter)
@@ -211,32 +211,32 @@
 	<-ended
 }
 
-// abort closes a connection with a reset.
-func abort(c net.Conn) {
+// reset closes a connection with a reset.
+func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// relay copies data as the rules allow; if most is not zero, it stops after that many bytes.
-func (k *link) relay(ctx context.Context, to, from net.Conn, answer bool, most int) {
+// relay copies data as the rules allow; if limit is not zero, it stops after that many bytes.
+func (k *connection) relay(ctx context.Context, to, from net.Conn, response bool, limit int) {
 	buffer := make([]byte, 16<<10)
-	for passed := 0; ; {
+	for forwarded := 0; ; {
 		n, err := from.Read(buffer)
-		if n > 0 && !k.allow(ctx, answer) {
+		if n > 0 && !k.waitAllowed(ctx, response) {
 			return
 		}
-		if most > 0 && passed+n >= most {
-			_, _ = to.Write(buffer[:most-passed]) // the connection is reset in any case
-			time.Sleep(cutPause)
+		if limit > 0 && forwarded+n >= limit {
+			_, _ = to.Write(buffer[:limit-forwarded]) // the connection is reset in any case
+			time.Sleep(resetDelay)
 			return
 		}
 		if n > 0 {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
-			passed += n
+			forwarded += n
 		}
 		if err != nil {
 			return
@@ -244,13 +244,13 @@
 	}
 }
 
-const cutPause = 20 * time.Millisecond // lets the last bytes arrive before the reset
+const resetDelay = 20 * time.Millisecond // lets the last bytes arrive before the reset
 
-// allow waits until the rules let data pass; false means that the connection must be closed.
-func (k *link) allow(ctx context.Context, answer bool) bool {
+// waitAllowed waits until the rules let data pass; false means that the connection must be closed.
+func (k *connection) waitAllowed(ctx context.Context, response bool) bool {
 	for {
 		r, changed := k.proxy.rule(k.from, k.to)
-		held := r.Mode == ModeHold && !(answer && r.OneWay)
+		held := r.Mode == ModeHold && !(response && r.OneWay)
 		switch {
 		case r.Mode == ModeCut:
 			return false
--- a/standin/run.go
+++ b/standin/run.go
@@ -20,24 +20,24 @@
 	tokens   int // number to produce
 	prefill  int // steps left before the first token; changed only by the engine's step
 
-	mu       sync.Mutex
-	produced int
-	readers  int
-	alone    time.Time // since when it has had no reader
-	endedAt  time.Time // zero while running
-	failure  error     // why it ended early; nil if it completed
-	changed  chan struct{}
+	mu        sync.Mutex
+	produced  int
+	readers   int
+	idleSince time.Time // since when it has had no reader
+	endedAt   time.Time // zero while running
+	failure   error     // why it ended early; nil if it completed
+	changed   chan struct{}
 }
 
 func newRun(request, model, content string, priority, tokens int) *run {
 	return &run{
-		request:  request,
-		model:    model,
-		content:  content,
-		priority: priority,
-		tokens:   tokens,
-		alone:    time.Now(),
-		changed:  make(chan struct{}),
+		request:   request,
+		model:     model,
+		content:   content,
+		priority:  priority,
+		tokens:    tokens,
+		idleSince: time.Now(),
+		changed:   make(chan struct{}),
 	}
 }
 
@@ -63,8 +63,8 @@
 	r.wakeLocked()
 }
 
-// finish ends the run before its last token.
-func (r *run) finish(failure error) {
+// abort ends the run before its last token.
+func (r *run) abort(failure error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.endedAt.IsZero() {
@@ -90,27 +90,27 @@
 func (r *run) abandoned(now time.Time, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.endedAt.IsZero() && r.readers == 0 && now.Sub(r.alone) > window
+	return r.endedAt.IsZero() && r.readers == 0 && now.Sub(r.idleSince) > window
 }
 
-// forgettable reports whether the run ended longer than window ago and has no reader.
-func (r *run) forgettable(now time.Time, window time.Duration) bool {
+// expired reports whether the run ended longer than window ago and has no reader.
+func (r *run) expired(now time.Time, window time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.endedAt.IsZero() && r.readers == 0 && now.Sub(r.endedAt) > window
 }
 
-func (r *run) join() {
+func (r *run) addReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers++
 }
 
-func (r *run) part() {
+func (r *run) removeReader() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.readers--
-	r.alone = time.Now()
+	r.idleSince = time.Now()
 }
 
 // errRunning is the state of an unfinished run.
--- a/standin/service.go
+++ b/standin/service.go
@@ -25,12 +25,12 @@
 func (s *Service) Handler() http.Handler {
 	s.keys = make(map[string]int)
 	m := http.NewServeMux()
-	m.HandleFunc("/", s.answer)
+	m.HandleFunc("/", s.echo)
 	m.HandleFunc("GET /control/keys", s.showKeys)
 	return m
 }
 
-func (s *Service) answer(w http.ResponseWriter, q *http.Request) {
+func (s *Service) echo(w http.ResponseWriter, q *http.Request) {
 	key := q.Header.Get(engine.KeyHeader)
 	if key != "" {
 		s.mu.Lock()
--- a/standin/snapshot.go
+++ b/standin/snapshot.go
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-// platformCopy is a snapshot of a Platform's data.
-type platformCopy struct {
-	index   uint64
-	values  map[string]*platformValue
-	history []Entry
-	forgot  uint64
+// platformSnapshot is a snapshot of a Platform's data.
+type platformSnapshot struct {
+	index     uint64
+	values    map[string]*platformValue
+	history   []Entry
+	compacted uint64
 }
 
-// makeCopy handles POST /control/copy: it takes a snapshot and replaces the previous one.
-func (p *Platform) makeCopy(w http.ResponseWriter, _ *http.Request) {
+// takeSnapshot handles POST /control/copy: it takes a snapshot and replaces the previous one.
+func (p *Platform) takeSnapshot(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.copied = &platformCopy{index: p.index, values: maps.Clone(p.values), history: slices.Clone(p.history), forgot: p.forgot}
+	p.snapshot = &platformSnapshot{index: p.index, values: maps.Clone(p.values), history: slices.Clone(p.history), compacted: p.compacted}
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -29,12 +29,12 @@
 func (p *Platform) restore(w http.ResponseWriter, _ *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.copied == nil {
+	if p.snapshot == nil {
 		http.Error(w, "restore: no copy was made", http.StatusConflict)
 		return
 	}
-	p.index, p.forgot = p.copied.index, p.copied.forgot
-	p.values, p.history = maps.Clone(p.copied.values), slices.Clone(p.copied.history)
+	p.index, p.compacted = p.snapshot.index, p.snapshot.compacted
+	p.values, p.history = maps.Clone(p.snapshot.values), slices.Clone(p.snapshot.history)
 	p.epoch++
 	p.wakeLocked()
 	w.WriteHeader(http.StatusNoContent)
--- a/standin/store.go
+++ b/standin/store.go
@@ -27,7 +27,7 @@
 	limiter  *rate.Limiter
 	active   int
 	failEach int // every n-th load fails; zero: none
-	begun    int
+	started  int
 	refused  int
 }
 
@@ -42,8 +42,8 @@
 	s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(1, int(s.Rate)))
 	m := http.NewServeMux()
 	m.HandleFunc("GET /store/{path...}", s.get)
-	m.HandleFunc("POST /control/store", s.control)
-	m.HandleFunc("GET /control/store", s.show)
+	m.HandleFunc("POST /control/store", s.setFailEach)
+	m.HandleFunc("GET /control/store", s.showCounts)
 	return m
 }
 
@@ -56,30 +56,30 @@
 		http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 		return
 	}
-	if s.begin() {
+	if s.startLoad() {
 		http.Error(w, "load failed by test control", http.StatusInternalServerError)
 		return
 	}
-	defer s.end()
+	defer s.endLoad()
 	if err := s.transfer(q.Context()); err != nil {
 		return
 	}
-	fmt.Fprint(w, contentOf(q.PathValue("path")))
+	fmt.Fprint(w, contentFor(q.PathValue("path")))
 }
 
-// begin counts a load and reports whether it must fail.
-func (s *Store) begin() bool {
+// startLoad counts a load and reports whether it must fail.
+func (s *Store) startLoad() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun++
-	if s.failEach > 0 && s.begun%s.failEach == 0 {
+	s.started++
+	if s.failEach > 0 && s.started%s.failEach == 0 {
 		return true
 	}
 	s.active++
 	return false
 }
 
-func (s *Store) end() {
+func (s *Store) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func contentOf(path string) string {
+func contentFor(path string) string {
 	parts := strings.Split(path, "/")
 	if len(parts) < 2 {
 		return path
@@ -109,7 +109,7 @@
 	return parts[len(parts)-2] + "@" + parts[len(parts)-1]
 }
 
-func (s *Store) control(w http.ResponseWriter, q *http.Request) {
+func (s *Store) setFailEach(w http.ResponseWriter, q *http.Request) {
 	n, err := strconv.Atoi(q.URL.Query().Get("fail-each"))
 	if err != nil || n < 0 {
 		http.Error(w, "fail-each: must be a non-negative integer", http.StatusBadRequest)
@@ -121,10 +121,10 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Store) show(w http.ResponseWriter, _ *http.Request) {
+func (s *Store) showCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.begun, s.refused)
+	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.started, s.refused)
 }
 
 // StoreFetcher returns a function for Engine.Store that reads from the store at a base URL.
