--- a/standin/engine.go
+++ b/standin/engine.go
@@ -121,10 +121,10 @@
 				<-ended
 			}
 			return nil
-		case f := <-e.loadQueue:
+		case l := <-e.loadQueue:
 			loading++
 			go func() {
-				e.completeLoad(ctx, f)
+				e.completeLoad(ctx, l)
 				ended <- struct{}{}
 			}()
 		case <-ended:
--- a/standin/history.go
+++ b/standin/history.go
@@ -38,8 +38,8 @@
 }
 
 // recordChangeLocked appends a change to the history and wakes the watchers.
-func (p *Platform) recordChangeLocked(f Entry) {
-	p.history = append(p.history, f)
+func (p *Platform) recordChangeLocked(change Entry) {
+	p.history = append(p.history, change)
 	if len(p.history) > HistorySize {
 		p.compacted = p.history[0].Revision
 		p.history = p.history[1:]
@@ -64,15 +64,15 @@
 
 // List returns up to limit keys that have the prefix and sort after the given key.
 func (p *Platform) List(prefix, after string, limit int) (Page, error) {
-	a, err := p.listAll(prefix, after)
+	page, err := p.listAll(prefix, after)
 	if err != nil {
 		return Page{}, err
 	}
-	slices.SortFunc(a.Entries, func(x, y Entry) int { return strings.Compare(x.Key, y.Key) })
-	if len(a.Entries) > limit {
-		a.Entries, a.More = a.Entries[:limit], true
+	slices.SortFunc(page.Entries, func(x, y Entry) int { return strings.Compare(x.Key, y.Key) })
+	if len(page.Entries) > limit {
+		page.Entries, page.More = page.Entries[:limit], true
 	}
-	return a, nil
+	return page, nil
 }
 
 // listAll returns every key that has the prefix and sorts after the given key, unordered.
@@ -83,13 +83,13 @@
 	if p.mode == ModeDown {
 		return Page{}, ErrUnavailable
 	}
-	a := Page{Revision: p.index, Epoch: p.epoch}
+	page := Page{Revision: p.index, Epoch: p.epoch}
 	for k, v := range p.values {
 		if strings.HasPrefix(k, prefix) && k > after {
-			a.Entries = append(a.Entries, Entry{Key: k, Value: v.body, Revision: v.index})
+			page.Entries = append(page.Entries, Entry{Key: k, Value: v.body, Revision: v.index})
 		}
 	}
-	return a, nil
+	return page, nil
 }
 
 // Watch returns the changes to keys with the prefix after a revision. It blocks until there is one or wait has passed.
@@ -99,9 +99,9 @@
 	p.mu.Unlock()
 	timeout := time.After(wait)
 	for timedOut := false; ; {
-		a, changed, err := p.changesAfter(prefix, after)
-		if err != nil || len(a.Entries) > 0 || timedOut {
-			return a, err
+		page, changed, err := p.changesAfter(prefix, after)
+		if err != nil || len(page.Entries) > 0 || timedOut {
+			return page, err
 		}
 		select {
 		case <-ctx.Done():
@@ -114,7 +114,7 @@
 }
 
 // changesAfter returns the changes to keys with the prefix after a revision, and a channel that is closed by the next change.
-func (p *Platform) changesAfter(prefix string, after uint64) (a Page, changed <-chan struct{}, err error) {
+func (p *Platform) changesAfter(prefix string, after uint64) (page Page, changed <-chan struct{}, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.mode == ModeDown {
@@ -123,11 +123,11 @@
 	if after < p.compacted || after > p.index {
 		return Page{}, nil, ErrCompacted
 	}
-	a = Page{Revision: p.index, Epoch: p.epoch}
-	for _, f := range p.history {
-		if f.Revision > after && strings.HasPrefix(f.Key, prefix) {
-			a.Entries = append(a.Entries, f)
+	page = Page{Revision: p.index, Epoch: p.epoch}
+	for _, change := range p.history {
+		if change.Revision > after && strings.HasPrefix(change.Key, prefix) {
+			page.Entries = append(page.Entries, change)
 		}
 	}
-	return a, p.changed, nil
+	return page, p.changed, nil
 }
--- a/standin/protocol.go
+++ b/standin/protocol.go
@@ -34,18 +34,18 @@
 func (e *Engine) LoadedAdapters() LoadedAdapters {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	h := LoadedAdapters{Orders: e.orderCount}
+	loaded := LoadedAdapters{Orders: e.orderCount}
 	for n, s := range e.slots {
 		_, name, found := strings.Cut(n, "/")
 		switch {
 		case !found:
 		case s.loading:
-			h.Pending = append(h.Pending, s.content)
+			loaded.Pending = append(loaded.Pending, s.content)
 		default:
-			h.Ready = append(h.Ready, name+"@"+versionIn(s.content))
+			loaded.Ready = append(loaded.Ready, name+"@"+versionIn(s.content))
 		}
 	}
-	return h
+	return loaded
 }
 
 func versionIn(content string) string {
@@ -133,20 +133,20 @@
 }
 
 // completeLoad fetches the adapter from the store and completes the load.
-func (e *Engine) completeLoad(ctx context.Context, f asyncLoad) {
-	content, err := e.Store(ctx, f.path)
+func (e *Engine) completeLoad(ctx context.Context, l asyncLoad) {
+	content, err := e.Store(ctx, l.path)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.slots[f.name] != f.slot {
+	if e.slots[l.name] != l.slot {
 		return // the engine was restarted meanwhile
 	}
 	if err != nil {
 		e.counts.FailedLoads++
-		delete(e.slots, f.name)
+		delete(e.slots, l.name)
 		return
 	}
 	e.counts.Loads++
-	f.slot.content, f.slot.loading = content, false
+	l.slot.content, l.slot.loading = content, false
 }
 
 // unloadLocked frees a slot unless a load or a run uses it.
@@ -178,16 +178,16 @@
 }
 
 // Content returns the adapter@version that the request runs on.
-func (a *Response) Content() string { return a.run.content }
+func (r *Response) Content() string { return r.run.content }
 
 // Write writes the response: as a stream of events if streaming is set, otherwise as one document.
-func (a *Response) Write(w http.ResponseWriter, q *http.Request, streaming bool) {
-	a.run.addReader()
-	defer a.run.removeReader()
+func (r *Response) Write(w http.ResponseWriter, q *http.Request, streaming bool) {
+	r.run.addReader()
+	defer r.run.removeReader()
 	if streaming {
-		stream(q.Context(), w, a.run, 0)
+		stream(q.Context(), w, r.run, 0)
 		return
 	}
 	_, _ = io.Copy(io.Discard, q.Body) // the request's body is not used
-	writeFinal(q.Context(), w, a.run)
+	writeFinal(q.Context(), w, r.run)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -85,7 +85,7 @@
 	s.active--
 }
 
-// transfer sleeps for LoadTime, longer while more than AtOnce loads share the bandwidth.
+// transfer sleeps for LoadTime, longer while more than FullSpeedLoads loads share the bandwidth.
 func (s *Store) transfer(ctx context.Context) error {
 	const parts = 10
 	for range parts {
@@ -128,24 +128,24 @@
 }
 
 // StoreFetcher returns a function for Engine.Store that reads from the store at a base URL.
-func StoreFetcher(address string) func(context.Context, string) (string, error) {
+func StoreFetcher(baseURL string) func(context.Context, string) (string, error) {
 	return func(ctx context.Context, path string) (string, error) {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/store/"+path, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+"/store/"+path, nil)
 		if err != nil {
 			return "", errors.Wrap(err, "standin: create store request")
 		}
-		a, err := http.DefaultClient.Do(r)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return "", errors.Wrap(err, "standin: fetch from store")
 		}
-		defer a.Body.Close()
-		if a.StatusCode == http.StatusTooManyRequests {
+		defer resp.Body.Close()
+		if resp.StatusCode == http.StatusTooManyRequests {
 			return "", &StoreBusyError{Retry: time.Second}
 		}
-		if a.StatusCode != http.StatusOK {
-			return "", errors.Errorf("standin: fetch from store: status %d", a.StatusCode)
+		if resp.StatusCode != http.StatusOK {
+			return "", errors.Errorf("standin: fetch from store: status %d", resp.StatusCode)
 		}
-		body, err := io.ReadAll(a.Body)
+		body, err := io.ReadAll(resp.Body)
 		return string(body), errors.Wrap(err, "standin: read store response")
 	}
 }
