--- a/cmd/cairn-demo/keep.go
+++ b/cmd/cairn-demo/keep.go
@@ -19,7 +19,7 @@
 	defer stop()
 	return withFleet(ctx, bin, fleet.Walkthrough(), func(f *fleet.Fleet) error {
 		fmt.Fprintf(w, "export CAIRN_DAEMONS=%s\nexport GATEWAY=http://%s\nexport PLATFORM=http://%s\nexport ENGINE=http://%s\n",
-			strings.Join(f.Daemons(), ","), f.CallersAddress(1, 1), f.PlatformAddress(), f.EngineAddress(1, 1))
+			strings.Join(f.DaemonAddresses(), ","), f.CallersAddress(1, 1), f.PlatformAddress(), f.EngineAddress(1, 1))
 		fmt.Fprintln(w, "# running; interrupt to end")
 		<-ctx.Done()
 		return nil
--- a/cmd/cairn-demo/show.go
+++ b/cmd/cairn-demo/show.go
@@ -21,7 +21,7 @@
 func show(w io.Writer, bin string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
-	spec := fleet.Spec{Centres: 3, Boxes: 1, Engines: 2, Services: 1, Adapters: 100, Slots: 4, Batch: 8}
+	spec := fleet.Spec{Centres: 3, Boxes: 1, Engines: 2, Services: 1, Adapters: 100, Slots: 4, BatchSize: 8}
 	fmt.Fprintln(w, "Starting three data centres: a gateway, a scheduler and two engines in each, the platform and a plain service.")
 	return withFleet(ctx, bin, spec, func(f *fleet.Fleet) error {
 		last, err := askSome(ctx, w, f)
@@ -34,9 +34,9 @@
 
 // askSome sends requests of several kinds and returns the id of the last one.
 func askSome(ctx context.Context, w io.Writer, f *fleet.Fleet) (string, error) {
-	var c fleet.Caller
+	var c fleet.Client
 	adapter := fleet.AdapterName(7)
-	asks := []fleet.Ask{
+	asks := []fleet.Request{
 		{Address: f.CallersAddress(1, 1), Model: adapter, Expect: adapter + "@2", Tokens: 4},
 		{Address: f.CallersAddress(2, 1), Model: adapter + "@1", Expect: adapter + "@1", Tokens: 4, Stream: true},
 		{Address: f.CallersAddress(3, 1), Model: "no-such-adapter", Tokens: 4},
@@ -50,13 +50,13 @@
 		}
 		fmt.Fprintf(w, "\nasked %s for %s\n", a.Address, a.Model)
 		if r.Code != "" {
-			fmt.Fprintf(w, "refused with status %d: %s, %s\n", r.Status, r.Code, r.Ran)
+			fmt.Fprintf(w, "refused with status %d: %s, %s\n", r.Status, r.Code, r.Execution)
 			continue
 		}
-		if err := r.Check(a.Expect, a.Tokens); err != nil {
+		if err := r.Validate(a.Expect, a.Tokens); err != nil {
 			return "", err
 		}
-		request = r.Request
+		request = r.RequestID
 		fmt.Fprintf(w, "answered in %s by %s on %s: %s\n", r.Duration.Round(time.Millisecond),
 			r.Header.Get("Cairn-Endpoint"), r.Header.Get("Cairn-Model"), r.Text)
 	}
@@ -71,7 +71,7 @@
 		return err
 	}
 	defer c.Close()
-	found, _ := c.Explain(ctx, f.Daemons(), request)
+	found, _ := c.Explain(ctx, f.DaemonAddresses(), request)
 	if len(found) == 0 {
 		return errors.New("demo: no daemon remembers the request")
 	}
--- a/e2e/ask_test.go
+++ b/e2e/ask_test.go
@@ -29,7 +29,7 @@
 	w := worldOf(ts)
 	c, b := place(ts, o["gateway"])
 	tokens := number(ts, o, "tokens", 4)
-	q := fleet.Ask{
+	q := fleet.Request{
 		Address: w.fleet.CallersAddress(c, b),
 		Model:   o["model"],
 		Expect:  o["expect"],
@@ -44,22 +44,22 @@
 	}
 	r, err := w.caller.Do(context.Background(), q)
 	ts.Check(err)
-	for tries := number(ts, o, "tries", 1); tries > 1 && r.Ran == "not_run" && r.Retry > 0; tries-- {
-		time.Sleep(r.Retry) // as callers are told to
+	for tries := number(ts, o, "tries", 1); tries > 1 && r.Execution == "not_run" && r.RetryAfter > 0; tries-- {
+		time.Sleep(r.RetryAfter) // as callers are told to
 		r, err = w.caller.Do(context.Background(), q)
 		ts.Check(err)
 	}
-	if r.Ran == "not_run" {
-		w.notRun = append(w.notRun, r.Request)
+	if r.Execution == "not_run" {
+		w.notRun = append(w.notRun, r.RequestID)
 	}
-	ts.Setenv("REQUEST", r.Request)
+	ts.Setenv("REQUEST", r.RequestID)
 	fmt.Fprintf(ts.Stdout(), "status=%d code=%s ran=%s retry=%v whole=%v model=%s endpoint=%s revision=%s\n",
-		r.Status, r.Code, r.Ran, r.Retry > 0, r.Whole, r.Header.Get("Cairn-Model"), r.Header.Get("Cairn-Endpoint"), r.Header.Get("Cairn-Revision"))
-	if neg == r.Whole {
-		ts.Fatalf("whole=%v code=%s text=%q", r.Whole, r.Code, r.Text)
+		r.Status, r.Code, r.Execution, r.RetryAfter > 0, r.Complete, r.Header.Get("Cairn-Model"), r.Header.Get("Cairn-Endpoint"), r.Header.Get("Cairn-Revision"))
+	if neg == r.Complete {
+		ts.Fatalf("whole=%v code=%s text=%q", r.Complete, r.Code, r.Text)
 	}
-	if r.Whole && q.Expect != "" {
-		ts.Check(r.Check(q.Expect, tokens))
+	if r.Complete && q.Expect != "" {
+		ts.Check(r.Validate(q.Expect, tokens))
 	}
 }
 
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -32,7 +32,7 @@
 	key, text := rest[0], ts.ReadFile(rest[1])
 	if o["engine"] != "" {
 		c, n := place(ts, o["engine"])
-		life, err := w.fleet.Life(context.Background(), c, n)
+		life, err := w.fleet.BootID(context.Background(), c, n)
 		ts.Check(err)
 		key, text = key+life, strings.ReplaceAll(text, "$ADDRESS", w.fleet.EngineAddress(c, n))
 		ts.Setenv("ENDPOINT", life)
@@ -42,7 +42,7 @@
 
 // cmdRemove takes a key away: remove servers/$ENDPOINT.
 func cmdRemove(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).fleet.Remove(context.Background(), args[0]))
+	ts.Check(worldOf(ts).fleet.Delete(context.Background(), args[0]))
 }
 
 // sent is what came of a request to a box on the users' platform.
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -45,7 +45,7 @@
 		c, b := place(ts, at)
 		ended := make(chan error, 2)
 		for _, role := range []string{"gateway", "scheduler"} {
-			go func() { ended <- w.fleet.End(fleet.DaemonName(c, b, role), syscall.SIGTERM) }()
+			go func() { ended <- w.fleet.Terminate(fleet.DaemonName(c, b, role), syscall.SIGTERM) }()
 		}
 		ts.Check(<-ended)
 		ts.Check(<-ended)
@@ -57,7 +57,7 @@
 // cmdEnd sends a signal and waits for the end: end kill scheduler1.1. An orderly
 // end must have exit code 0.
 func cmdEnd(ts *testscript.TestScript, _ bool, args []string) {
-	err := worldOf(ts).fleet.End(process(ts, args[1]), signals[args[0]])
+	err := worldOf(ts).fleet.Terminate(process(ts, args[1]), signals[args[0]])
 	if args[0] == "term" {
 		ts.Check(err)
 	}
@@ -96,25 +96,25 @@
 	d, err := time.ParseDuration(o["for"])
 	ts.Check(err)
 	p := load.Plan{
-		Rate:     float64(number(ts, o, "rate", 50)),
-		Duration: d,
-		Seed:     uint64(number(ts, o, "seed", 1)),
-		Adapters: number(ts, o, "adapters", 10),
-		Skew:     1.2,
-		Patience: time.Minute,
-		Health:   make(map[string]string),
-		Explicit: o["explicit"] == "yes",
-		Twice:    o["twice"] == "yes",
-		Alias:    o["alias"] == "yes",
+		Rate:            float64(number(ts, o, "rate", 50)),
+		Duration:        d,
+		Seed:            uint64(number(ts, o, "seed", 1)),
+		Adapters:        number(ts, o, "adapters", 10),
+		Skew:            1.2,
+		Timeout:         time.Minute,
+		Health:          make(map[string]string),
+		ExplicitVersion: o["explicit"] == "yes",
+		Duplicate:       o["twice"] == "yes",
+		AnyVersion:      o["alias"] == "yes",
 	}
 	tokens := number(ts, o, "tokens", 8)
-	p.Kinds = []load.Mix{
-		{Class: fleet.CounterClass, Caller: "till", Share: 6, Tokens: tokens, Stream: true},
-		{Class: fleet.CounterClass, Caller: "desk", Share: 3, Tokens: tokens},
-		{Class: fleet.NightClass, Caller: "office", Share: 1, Tokens: tokens},
+	p.Kinds = []load.RequestKind{
+		{Class: fleet.CounterClass, Caller: "till", Weight: 6, Tokens: tokens, Stream: true},
+		{Class: fleet.CounterClass, Caller: "desk", Weight: 3, Tokens: tokens},
+		{Class: fleet.NightClass, Caller: "office", Weight: 1, Tokens: tokens},
 	}
 	if o["keyed"] != "" {
-		p.Kinds = append(p.Kinds, load.Mix{Class: fleet.CounterClass, Caller: "booking", Share: 2, Tokens: tokens, Keyed: true})
+		p.Kinds = append(p.Kinds, load.RequestKind{Class: fleet.CounterClass, Caller: "booking", Weight: 2, Tokens: tokens, WithKey: true})
 	}
 	for _, g := range strings.Split(o["gateways"], ",") {
 		c, b := place(ts, g)
@@ -138,7 +138,7 @@
 	r := <-w.loads
 	w.notRun = append(w.notRun, r.NotRunIDs...)
 	text := fmt.Sprintf("sent=%d whole=%d notrun=%d unknown=%d broken=%d wrong=%d gap=%v codes=%v %v",
-		r.Sent, r.Whole, r.NotRun, r.Unknown, r.Broken, r.Wrong, r.Gap.Round(time.Millisecond), r.Codes, r.Complaints)
+		r.Sent, r.Complete, r.NotRun, r.Unknown, r.Broken, r.Incorrect, r.LongestGap.Round(time.Millisecond), r.Codes, r.Errors)
 	fmt.Fprintln(ts.Stdout(), text)
 	ts.Logf("%s", text)
 	most := func(name string, n int) {
@@ -149,13 +149,13 @@
 	most("broken", r.Broken)
 	most("unknown", r.Unknown)
 	most("notrun", r.NotRun)
-	if r.Wrong > 0 || r.Sent == 0 || r.Whole < number(ts, o, "whole", 1) {
+	if r.Incorrect > 0 || r.Sent == 0 || r.Complete < number(ts, o, "whole", 1) {
 		ts.Fatalf("%s", text)
 	}
 	if o["gap"] != "" {
 		limit, err := time.ParseDuration(o["gap"])
 		ts.Check(err)
-		if r.Gap > limit {
+		if r.LongestGap > limit {
 			ts.Fatalf("gap above %v: %s", limit, text)
 		}
 	}
@@ -165,11 +165,11 @@
 // With !, there must be one.
 func cmdBreaches(ts *testscript.TestScript, neg bool, _ []string) {
 	w := worldOf(ts)
-	seen, err := w.fleet.Witness(context.Background())
+	seen, err := w.fleet.Observations(context.Background())
 	ts.Check(err)
-	text := seen.Line(w.notRun)
+	text := seen.Summary(w.notRun)
 	fmt.Fprintln(ts.Stdout(), text)
-	if (seen.Breaches(w.notRun) > 0) != neg {
+	if (seen.Violations(w.notRun) > 0) != neg {
 		ts.Fatalf("breaches: %s", text)
 	}
 }
@@ -243,7 +243,7 @@
 
 // cmdCairnctl runs the operators' client against every daemon of the fleet.
 func cmdCairnctl(ts *testscript.TestScript, neg bool, args []string) {
-	daemons := strings.Join(worldOf(ts).fleet.Daemons(), ",")
+	daemons := strings.Join(worldOf(ts).fleet.DaemonAddresses(), ",")
 	runProgram(ts, neg, "cairnctl", append([]string{"--daemons", daemons}, args...))
 }
 
--- a/e2e/pages_test.go
+++ b/e2e/pages_test.go
@@ -60,7 +60,7 @@
 	f := startFleet(c, fleet.Walkthrough())
 	environment := append(os.Environ(),
 		"PATH="+bin+":"+os.Getenv("PATH"),
-		"CAIRN_DAEMONS="+strings.Join(f.Daemons(), ","),
+		"CAIRN_DAEMONS="+strings.Join(f.DaemonAddresses(), ","),
 		"GATEWAY=http://"+f.CallersAddress(1, 1),
 		"PLATFORM=http://"+f.PlatformAddress(),
 		"ENGINE=http://"+f.EngineAddress(1, 1))
@@ -80,7 +80,7 @@
 // startFleet starts a fleet that stops at the test's end.
 func startFleet(c *quicktest.C, s fleet.Spec) *fleet.Fleet {
 	s.Bin, s.Dir = bin, c.TempDir()
-	s.Slots, s.Batch = max(s.Slots, 2), max(s.Batch, 4)
+	s.Slots, s.BatchSize = max(s.Slots, 2), max(s.BatchSize, 4)
 	f := fleet.New(s)
 	c.Cleanup(f.Stop)
 	c.Assert(f.Start(context.Background()), quicktest.IsNil)
--- a/e2e/script_test.go
+++ b/e2e/script_test.go
@@ -88,7 +88,7 @@
 // world is what one script works on.
 type world struct {
 	fleet  *fleet.Fleet
-	caller fleet.Caller
+	caller fleet.Client
 	loads  chan load.Report // of the load that runs in the background
 	cancel context.CancelFunc
 	rules  []standin.Rule // of the proxy
@@ -175,23 +175,23 @@
 		return list
 	}
 	w.fleet = fleet.New(fleet.Spec{
-		Bin:        bin,
-		Dir:        ts.MkAbs("."),
-		Centres:    number(ts, o, "centres", 1),
-		Boxes:      number(ts, o, "boxes", 1),
-		Engines:    number(ts, o, "engines", 1),
-		Services:   number(ts, o, "services", 0),
-		Adapters:   number(ts, o, "adapters", 10),
-		Slots:      number(ts, o, "slots", 4),
-		Batch:      number(ts, o, "batch", 8),
-		NoFences:   o["fences"] == "no",
-		Proxied:    o["proxied"] == "yes",
-		TLS:        o["tls"] == "yes",
-		EngineArgs: flags(o["engine"]),
-		StoreArgs:  flags(o["store"]),
-		Gateway:    settings(o["gateway"]),
-		Scheduler:  settings(o["scheduler"]),
-		Both:       settings(o["both"]),
+		Bin:               bin,
+		Dir:               ts.MkAbs("."),
+		Centres:           number(ts, o, "centres", 1),
+		Boxes:             number(ts, o, "boxes", 1),
+		Engines:           number(ts, o, "engines", 1),
+		Services:          number(ts, o, "services", 0),
+		Adapters:          number(ts, o, "adapters", 10),
+		Slots:             number(ts, o, "slots", 4),
+		BatchSize:         number(ts, o, "batch", 8),
+		NoFences:          o["fences"] == "no",
+		Proxied:           o["proxied"] == "yes",
+		TLS:               o["tls"] == "yes",
+		EngineArgs:        flags(o["engine"]),
+		PlatformArgs:      flags(o["store"]),
+		GatewaySettings:   settings(o["gateway"]),
+		SchedulerSettings: settings(o["scheduler"]),
+		CommonSettings:    settings(o["both"]),
 	})
 	ts.Check(w.fleet.Start(context.Background()))
 }
--- a/fleet/address.go
+++ b/fleet/address.go
@@ -114,9 +114,9 @@
 	return join(ip, port)
 }
 
-// Range returns the address range of a part of the fleet: platform, dc1 (boxes and
+// AddressRange returns the address range of a part of the fleet: platform, dc1 (boxes and
 // engines of a data centre), boxes1 (its boxes), box1.2, engine1.2 or all.
-func (f *Fleet) Range(part string) (low, high netip.Addr, err error) {
+func (f *Fleet) AddressRange(part string) (low, high netip.Addr, err error) {
 	at := func(first, last int) (netip.Addr, netip.Addr, error) {
 		return netip.MustParseAddr(f.ip(first)), netip.MustParseAddr(f.ip(last)), nil
 	}
--- a/fleet/edge.go
+++ b/fleet/edge.go
@@ -82,7 +82,7 @@
 	}
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for e := 1; e <= f.Spec.Engines; e++ {
-			life, err := f.Life(ctx, c, e)
+			life, err := f.BootID(ctx, c, e)
 			if err != nil {
 				return err
 			}
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Life waits until an engine responds and returns its boot ID.
-func (f *Fleet) Life(ctx context.Context, centre, number int) (string, error) {
+// BootID waits until an engine responds and returns its boot ID.
+func (f *Fleet) BootID(ctx context.Context, centre, number int) (string, error) {
 	life := ""
 	err := f.await(ctx, func() error {
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.EngineAddress(centre, number)+"/control/counts", nil)
@@ -113,8 +113,8 @@
 	return life, err
 }
 
-// Remove deletes a key, as an endpoint of the users does with its registration.
-func (f *Fleet) Remove(ctx context.Context, key string) error {
+// Delete deletes a key, as an endpoint of the users does with its registration.
+func (f *Fleet) Delete(ctx context.Context, key string) error {
 	_, err := exchange(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
 	return errors.Wrapf(err, "fleet: delete key %s", key)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -90,14 +90,14 @@
 
 // StartPlatform starts the platform and publishes the fleet's configuration.
 func (f *Fleet) StartPlatform(ctx context.Context) error {
-	args := append([]string{"--listen", f.PlatformAddress()}, f.Spec.StoreArgs...)
+	args := append([]string{"--listen", f.PlatformAddress()}, f.Spec.PlatformArgs...)
 	if err := f.run("platform", "standin-platform", args...); err != nil {
 		return err
 	}
 	if err := f.waitFor(ctx, "http://"+f.PlatformAddress()+"/control/calls"); err != nil {
 		return err
 	}
-	boxes, err := json.Marshal(f.Boxes())
+	boxes, err := json.Marshal(f.DaemonRecords())
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 		"--store", "http://" + f.PlatformAddress(),
 		"--base", BaseName,
 		"--slots", fmt.Sprint(f.Spec.Slots),
-		"--batch", fmt.Sprint(f.Spec.Batch),
+		"--batch", fmt.Sprint(f.Spec.BatchSize),
 		"--report-lag", reportLag.String(),
 	}
 	if f.Spec.NoFences {
@@ -148,10 +148,10 @@
 		"source":           f.boxIP(centre, box),
 		"settle":           "300ms",
 	}
-	more := f.Spec.Scheduler
+	more := f.Spec.SchedulerSettings
 	if role == member.Gateway {
 		s["callers_listen"] = f.CallersAddress(centre, box)
-		more = f.Spec.Gateway
+		more = f.Spec.GatewaySettings
 	}
 	if f.Spec.TLS {
 		s["tls_certificate"], s["tls_key"], s["tls_authority"] = f.identity.Certificate, f.identity.Key, f.identity.Authority
@@ -165,7 +165,7 @@
 		return err
 	}
 	args := []string{"--settings", path}
-	for _, v := range append(append([]string{}, f.Spec.Both...), more...) {
+	for _, v := range append(append([]string{}, f.Spec.CommonSettings...), more...) {
 		args = append(args, "--set", v)
 	}
 	return f.run(DaemonName(centre, box, role), "cairn-"+role, args...)
--- a/fleet/observations.go
+++ b/fleet/observations.go
@@ -10,16 +10,16 @@
 	"cairnwick.example/standin"
 )
 
-// Witness is what the stand-ins of a fleet observed in total.
-type Witness struct {
-	Counts standin.Counts
-	Twice  int             // idempotency keys that ran more than once on all engines and services together
-	Ran    map[string]bool // IDs of the requests that ran
+// Observations is what the stand-ins of a fleet observed in total.
+type Observations struct {
+	Counts       standin.Counts
+	RepeatedKeys int             // idempotency keys that ran more than once on all engines and services together
+	Ran          map[string]bool // IDs of the requests that ran
 }
 
-// Witness collects the counts of the services and of the running engines.
-func (f *Fleet) Witness(ctx context.Context) (Witness, error) {
-	w := Witness{Ran: make(map[string]bool)}
+// Observations collects the counts of the services and of the running engines.
+func (f *Fleet) Observations(ctx context.Context) (Observations, error) {
+	w := Observations{Ran: make(map[string]bool)}
 	keys := make(map[string]int)
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for e := 1; e <= f.Spec.Engines; e++ {
@@ -38,13 +38,13 @@
 	}
 	for _, n := range keys {
 		if n > 1 {
-			w.Twice++
+			w.RepeatedKeys++
 		}
 	}
 	return w, nil
 }
 
-func (w *Witness) addEngine(ctx context.Context, url string, keys map[string]int) error {
+func (w *Observations) addEngine(ctx context.Context, url string, keys map[string]int) error {
 	var n standin.Counts
 	if err := getJSON(ctx, url+"/control/counts", &n); err != nil {
 		return err
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// Lied returns how many of the requests that were rejected as not run did run.
-func (w Witness) Lied(notRun []string) int {
+// FalseNotRun returns how many of the requests that were rejected as not run did run.
+func (w Observations) FalseNotRun(notRun []string) int {
 	n := 0
 	for _, id := range notRun {
 		if w.Ran[id] {
@@ -86,14 +86,14 @@
 	return n
 }
 
-// Breaches returns the number of invariant violations, including those counted by Lied.
-func (w Witness) Breaches(notRun []string) int {
-	return w.Counts.UnloadRunning + w.Counts.WrongVersion + w.Counts.NewAfterLeaving + w.Twice + w.Lied(notRun)
+// Violations returns the number of invariant violations, including those counted by Lied.
+func (w Observations) Violations(notRun []string) int {
+	return w.Counts.UnloadRunning + w.Counts.WrongVersion + w.Counts.NewAfterLeaving + w.RepeatedKeys + w.FalseNotRun(notRun)
 }
 
-// Line formats the counts on a single line.
-func (w Witness) Line(notRun []string) string {
+// Summary formats the counts on a single line.
+func (w Observations) Summary(notRun []string) string {
 	return fmt.Sprintf("runs=%d loads=%d unloads=%d stale_orders=%d unload_running=%d wrong_version=%d key_twice=%d new_after_leaving=%d not_run=%d lied=%d",
 		w.Counts.Runs, w.Counts.Loads, w.Counts.Unloads, w.Counts.StaleOrders, w.Counts.UnloadRunning, w.Counts.WrongVersion,
-		w.Twice, w.Counts.NewAfterLeaving, len(notRun), w.Lied(notRun))
+		w.RepeatedKeys, w.Counts.NewAfterLeaving, len(notRun), w.FalseNotRun(notRun))
 }
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -93,9 +93,9 @@
 // stopTimeout is the time that a process has to exit after a signal.
 const stopTimeout = 20 * time.Second
 
-// End sends a signal to a process and waits for it to exit. It returns the exit
+// Terminate sends a signal to a process and waits for it to exit. It returns the exit
 // error. A process that does not exit within stopTimeout is killed.
-func (f *Fleet) End(name string, s syscall.Signal) error {
+func (f *Fleet) Terminate(name string, s syscall.Signal) error {
 	if err := f.Signal(name, s); err != nil {
 		return err
 	}
--- a/fleet/proxy.go
+++ b/fleet/proxy.go
@@ -47,9 +47,9 @@
 func (f *Fleet) NewRule(from, to, mode string) (standin.Rule, error) {
 	r := standin.Rule{Mode: mode}
 	var err error
-	if r.FromLow, r.FromHigh, err = f.Range(from); err != nil {
+	if r.FromLow, r.FromHigh, err = f.AddressRange(from); err != nil {
 		return r, err
 	}
-	r.ToLow, r.ToHigh, err = f.Range(to)
+	r.ToLow, r.ToHigh, err = f.AddressRange(to)
 	return r, err
 }
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -95,7 +95,7 @@
 				Base:         BaseName,
 				Address:      f.reached(f.engineIP(c, e), standinPort),
 				Slots:        f.Spec.Slots,
-				Running:      f.Spec.Batch,
+				Running:      f.Spec.BatchSize,
 				ChecksFences: !f.Spec.NoFences,
 				ReportLag:    catalog.Span(reportLag),
 			})
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -14,29 +14,29 @@
 
 // Spec is the configuration of a fleet.
 type Spec struct {
-	Bin        string   // directory of the programs
-	Dir        string   // directory for settings and logs
-	Centres    int      // number of data centres
-	Boxes      int      // per data centre; each runs a gateway and a scheduler
-	Engines    int      // per data centre
-	Services   int      // plain services, which all data centres share
-	Adapters   int      // number of adapters, each with versions 1 and 2, of which 2 is live
-	PerShard   int      // adapters per shard; zero: defaultPerShard
-	Slots      int      // adapter slots per engine
-	Batch      int      // batch size of an engine
-	EngineArgs []string // additional flags of the engines
-	StoreArgs  []string // additional flags of the platform
-	Gateway    []string // additional settings of gateways, NAME=VALUE
-	Scheduler  []string // additional settings of schedulers, NAME=VALUE
-	Both       []string // additional settings of gateways and schedulers
-	NoFences   bool     // engines do not check fences
-	TLS        bool     // daemons use TLS, with the files in Dir
-	Proxied    bool     // connections to daemons, engines and platform go through a fault-injecting proxy
+	Bin               string   // directory of the programs
+	Dir               string   // directory for settings and logs
+	Centres           int      // number of data centres
+	Boxes             int      // per data centre; each runs a gateway and a scheduler
+	Engines           int      // per data centre
+	Services          int      // plain services, which all data centres share
+	Adapters          int      // number of adapters, each with versions 1 and 2, of which 2 is live
+	PerShard          int      // adapters per shard; zero: defaultPerShard
+	Slots             int      // adapter slots per engine
+	BatchSize         int      // batch size of an engine
+	EngineArgs        []string // additional flags of the engines
+	PlatformArgs      []string // additional flags of the platform
+	GatewaySettings   []string // additional settings of gateways, NAME=VALUE
+	SchedulerSettings []string // additional settings of schedulers, NAME=VALUE
+	CommonSettings    []string // additional settings of gateways and schedulers
+	NoFences          bool     // engines do not check fences
+	TLS               bool     // daemons use TLS, with the files in Dir
+	Proxied           bool     // connections to daemons, engines and platform go through a fault-injecting proxy
 }
 
 // Walkthrough returns the fleet that the walk-through in the documentation uses.
 func Walkthrough() Spec {
-	return Spec{Centres: 2, Boxes: 1, Engines: 2, Services: 1, Adapters: 20, Slots: 2, Batch: 8}
+	return Spec{Centres: 2, Boxes: 1, Engines: 2, Services: 1, Adapters: 20, Slots: 2, BatchSize: 8}
 }
 
 // Names in every fleet's configuration.
@@ -63,17 +63,17 @@
 // AdapterName returns the name of an adapter, counted from 1.
 func AdapterName(i int) string { return fmt.Sprintf("adapter-%05d", i) }
 
-// Daemons returns the peer addresses of all daemons.
-func (f *Fleet) Daemons() []string {
+// DaemonAddresses returns the peer addresses of all daemons.
+func (f *Fleet) DaemonAddresses() []string {
 	var list []string
-	for _, b := range f.Boxes() {
+	for _, b := range f.DaemonRecords() {
 		list = append(list, b.Address)
 	}
 	return list
 }
 
-// Boxes returns the list of all daemons as published on the platform.
-func (f *Fleet) Boxes() []kvstore.Daemon {
+// DaemonRecords returns the list of all daemons as published on the platform.
+func (f *Fleet) DaemonRecords() []kvstore.Daemon {
 	var list []kvstore.Daemon
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for b := 1; b <= f.Spec.Boxes; b++ {
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -17,7 +17,7 @@
 		Seed:     7,
 		Adapters: 100,
 		Skew:     1.2,
-		Kinds:    []Mix{{Class: "counter", Share: 3, Tokens: 8}, {Class: "overnight", Share: 1, Tokens: 8}},
+		Kinds:    []RequestKind{{Class: "counter", Weight: 3, Tokens: 8}, {Class: "overnight", Weight: 1, Tokens: 8}},
 	}
 }
 
@@ -45,7 +45,7 @@
 func TestAShiftMakesOtherAdaptersPopular(t *testing.T) {
 	c := quicktest.New(t)
 	p := plan()
-	p.Shift = time.Second
+	p.ShiftAfter = time.Second
 	c.Assert(p.adapter(0, 0), quicktest.Equals, 0)
 	c.Assert(p.adapter(0, 2*time.Second), quicktest.Equals, 50)
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -13,36 +13,36 @@
 	"github.com/google/uuid"
 )
 
-// Mix is a kind of request in a plan.
-type Mix struct {
+// RequestKind is a kind of request in a plan.
+type RequestKind struct {
 	Class    string
 	Caller   string
-	Share    float64 // relative frequency among the kinds
+	Weight   float64 // relative frequency among the kinds
 	Tokens   int     // mean; drawn uniformly from 0.5 to 1.5 times this
 	Stream   bool
-	Keyed    bool          // not repeatable: each request has its own idempotency key
+	WithKey  bool          // not repeatable: each request has its own idempotency key
 	Deadline time.Duration // zero: the default of the class
 }
 
 // Plan describes a load. Requests are drawn from the seed: the same plan yields the
 // same adapters at the same times.
 type Plan struct {
-	Gateways []string
-	Health   map[string]string // URL of the readiness check by gateway; empty: no load balancer
-	Rate     float64           // requests per second, with exponential intervals
-	Duration time.Duration
-	Seed     uint64
-	Adapters int           // number of adapters requested, from the first one
-	Talks    int           // conversations per adapter, each with a common prompt prefix; zero: one
-	Wake     time.Duration // from then on, a quarter of the requests go to a quarter of the adapters, uniformly; zero: never
-	Skew     float64       // exponent of the Zipf distribution of adapter popularity, above 1
-	Shift    time.Duration // from then on, other adapters are popular; zero: never
-	Kinds    []Mix
-	Patience time.Duration // client timeout
-	ComeBack bool          // rejected requests are sent once more after the time that the gateway suggests
-	Explicit bool          // request the version explicitly instead of the live one
-	Alias    bool          // the live version may change: the response is checked against the version in its header
-	Twice    bool          // send each request that has a key twice, concurrently, through random gateways
+	Gateways        []string
+	Health          map[string]string // URL of the readiness check by gateway; empty: no load balancer
+	Rate            float64           // requests per second, with exponential intervals
+	Duration        time.Duration
+	Seed            uint64
+	Adapters        int           // number of adapters requested, from the first one
+	Conversations   int           // conversations per adapter, each with a common prompt prefix; zero: one
+	ActivateAfter   time.Duration // from then on, a quarter of the requests go to a quarter of the adapters, uniformly; zero: never
+	Skew            float64       // exponent of the Zipf distribution of adapter popularity, above 1
+	ShiftAfter      time.Duration // from then on, other adapters are popular; zero: never
+	Kinds           []RequestKind
+	Timeout         time.Duration // client timeout
+	RetryRejected   bool          // rejected requests are sent once more after the time that the gateway suggests
+	ExplicitVersion bool          // request the version explicitly instead of the live one
+	AnyVersion      bool          // the live version may change: the response is checked against the version in its header
+	Duplicate       bool          // send each request that has a key twice, concurrently, through random gateways
 }
 
 // arrival is a scheduled request of a plan.
@@ -50,7 +50,7 @@
 	at      time.Duration // since the start
 	gateway string
 	adapter string
-	kind    Mix
+	kind    RequestKind
 	tokens  int
 	talk    int    // conversation
 	again   string // gateway for the duplicate; "" for none
@@ -76,19 +76,19 @@
 			kind:    k,
 			tokens:  max(1, k.Tokens/2+r.IntN(k.Tokens+1)),
 		}
-		if p.Twice && k.Keyed {
+		if p.Duplicate && k.WithKey {
 			a.again = p.Gateways[r.IntN(len(p.Gateways))]
 		}
-		a.any = p.Alias
-		if p.Explicit {
+		a.any = p.AnyVersion
+		if p.ExplicitVersion {
 			a.version = "@2"
 		}
 		a.adapter = fleet.AdapterName(1 + p.adapter(int(zipf.Uint64()), a.at))
-		if p.Wake > 0 && a.at >= p.Wake && r.Float64() < wakingRequests {
+		if p.ActivateAfter > 0 && a.at >= p.ActivateAfter && r.Float64() < wakingRequests {
 			a.adapter = fleet.AdapterName(1 + r.IntN(max(1, int(wakingAdapters*float64(p.Adapters)))))
 		}
-		if p.Talks > 0 {
-			a.talk = r.IntN(p.Talks)
+		if p.Conversations > 0 {
+			a.talk = r.IntN(p.Conversations)
 		}
 		list = append(list, a)
 	}
@@ -108,20 +108,20 @@
 // adapter returns the index of the adapter with a popularity rank. After a shift, the
 // ranks are rotated by half of the adapters.
 func (p Plan) adapter(rank int, at time.Duration) int {
-	if p.Shift > 0 && at >= p.Shift {
+	if p.ShiftAfter > 0 && at >= p.ShiftAfter {
 		return (rank + p.Adapters/2) % p.Adapters
 	}
 	return rank
 }
 
-func (p Plan) kind(r *rand.Rand) Mix {
+func (p Plan) kind(r *rand.Rand) RequestKind {
 	whole := 0.0
 	for _, k := range p.Kinds {
-		whole += k.Share
+		whole += k.Weight
 	}
 	x := r.Float64() * whole
 	for _, k := range p.Kinds {
-		if x -= k.Share; x < 0 {
+		if x -= k.Weight; x < 0 {
 			return k
 		}
 	}
@@ -129,15 +129,15 @@
 }
 
 // ask returns the request to send.
-func (a arrival) ask() fleet.Ask {
-	q := fleet.Ask{
-		Address: a.gateway,
-		Model:   a.adapter + a.version,
-		Expect:  a.adapter + "@2",
-		Tokens:  a.tokens,
-		Talk:    a.talk,
-		Stream:  a.kind.Stream,
-		Header:  map[string]string{"Cairn-Class": a.kind.Class, "Cairn-Caller": a.kind.Caller},
+func (a arrival) ask() fleet.Request {
+	q := fleet.Request{
+		Address:      a.gateway,
+		Model:        a.adapter + a.version,
+		Expect:       a.adapter + "@2",
+		Tokens:       a.tokens,
+		Conversation: a.talk,
+		Stream:       a.kind.Stream,
+		Header:       map[string]string{"Cairn-Class": a.kind.Class, "Cairn-Caller": a.kind.Caller},
 	}
 	if a.any {
 		q.Expect = ""
@@ -145,7 +145,7 @@
 	if a.kind.Deadline > 0 {
 		q.Header["Cairn-Deadline"] = a.kind.Deadline.String()
 	}
-	if a.kind.Keyed {
+	if a.kind.WithKey {
 		q.Header["Cairn-Repeatable"] = "no"
 		q.Header["Idempotency-Key"] = NewKey()
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -14,38 +14,38 @@
 
 // Report is the result of a load, with the outcome of every request.
 type Report struct {
-	Sent    int
-	Whole   int // complete responses with correct tokens
-	NotRun  int // rejected as not executed
-	Unknown int // failed, possibly after execution
-	Broken  int // connection ended without a complete response or an error
-	Wrong   int // complete response with tokens that are missing or of another request
-	Codes   map[string]int
-	Back    int // rejected requests that were sent once more after the suggested time
-	Honest  int // of these, those with a complete response then
-
-	First *metrics.Family // time to first byte of complete responses, by class
-	Total *metrics.Family // duration of complete responses, by class
-	Gap   time.Duration   // longest interval between the ends of complete responses
-
-	Ends       []End    // one entry per request
-	NotRunIDs  []string // IDs of the requests rejected as not executed
-	Complaints []string // first errors, at most maxComplaints
+	Sent            int
+	Complete        int // complete responses with correct tokens
+	NotRun          int // rejected as not executed
+	Unknown         int // failed, possibly after execution
+	Broken          int // connection ended without a complete response or an error
+	Incorrect       int // complete response with tokens that are missing or of another request
+	Codes           map[string]int
+	Retried         int // rejected requests that were sent once more after the suggested time
+	RetriedComplete int // of these, those with a complete response then
+
+	TimeToHeader *metrics.Family // time to first byte of complete responses, by class
+	Total        *metrics.Family // duration of complete responses, by class
+	LongestGap   time.Duration   // longest interval between the ends of complete responses
+
+	Outcomes  []Outcome // one entry per request
+	NotRunIDs []string  // IDs of the requests rejected as not executed
+	Errors    []string  // first errors, at most maxComplaints
 }
 
-// End is the outcome of a request.
-type End struct {
-	Gateway string
-	Begun   time.Time
-	At      time.Time
-	Whole   bool
-	Broken  bool // no complete response and no error code
-	Class   string
-	Caller  string
-	Code    string        // error code
-	Retry   time.Duration // delay suggested by an error response
-	Adapter string
-	Stall   time.Duration // time spent waiting for the adapter to load
+// Outcome is the outcome of a request.
+type Outcome struct {
+	Gateway    string
+	Started    time.Time
+	Ended      time.Time
+	Complete   bool
+	Broken     bool // no complete response and no error code
+	Class      string
+	Caller     string
+	Code       string        // error code
+	RetryAfter time.Duration // delay suggested by an error response
+	Adapter    string
+	LoadStall  time.Duration // time spent waiting for the adapter to load
 }
 
 const maxComplaints = 10
@@ -61,13 +61,13 @@
 func Run(ctx context.Context, p Plan) Report {
 	list := p.arrivals()
 	b := &book{report: Report{
-		Codes: make(map[string]int),
-		First: metrics.NewFamily(classesKept),
-		Total: metrics.NewFamily(classesKept),
+		Codes:        make(map[string]int),
+		TimeToHeader: metrics.NewFamily(classesKept),
+		Total:        metrics.NewFamily(classesKept),
 	}}
-	c := &fleet.Caller{HTTP: http.Client{
+	c := &fleet.Client{HTTP: http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: idlePerGateway},
-		Timeout:   p.Patience,
+		Timeout:   p.Timeout,
 	}}
 	defer c.HTTP.CloseIdleConnections()
 	begun := time.Now()
@@ -92,8 +92,8 @@
 			begun := time.Now()
 			r := send(ctx, c, a)
 			b.note(a, r, begun)
-			if p.ComeBack && r.reply.Ran == "not_run" && r.reply.Retry > 0 {
-				b.noteBack(ctx, c, a, r.reply.Retry)
+			if p.RetryRejected && r.reply.Execution == "not_run" && r.reply.RetryAfter > 0 {
+				b.noteBack(ctx, c, a, r.reply.RetryAfter)
 			}
 		})
 	}
@@ -121,12 +121,12 @@
 
 // result is the response to a request, or its error.
 type result struct {
-	reply fleet.Reply
+	reply fleet.Response
 	err   error // no valid response
 	wrong error // incorrect content of a complete response
 }
 
-func send(ctx context.Context, c *fleet.Caller, a arrival) result {
+func send(ctx context.Context, c *fleet.Client, a arrival) result {
 	q := a.ask()
 	if a.again != "" {
 		defer sendAgain(ctx, c, q, a.again)()
@@ -135,19 +135,19 @@
 	if err != nil {
 		return result{err: err}
 	}
-	if !r.Whole {
+	if !r.Complete {
 		return result{reply: r}
 	}
 	want := q.Expect
 	if a.any {
 		want = r.Header.Get("Cairn-Model")
 	}
-	return result{reply: r, wrong: r.Check(want, a.tokens)}
+	return result{reply: r, wrong: r.Validate(want, a.tokens)}
 }
 
 // sendAgain sends a duplicate of a request concurrently through another gateway, as
 // a retrying load balancer or client may. The returned function waits for its end.
-func sendAgain(ctx context.Context, c *fleet.Caller, q fleet.Ask, gateway string) func() {
+func sendAgain(ctx context.Context, c *fleet.Client, q fleet.Request, gateway string) func() {
 	q.Address = gateway
 	done := make(chan struct{})
 	go func() {
@@ -162,28 +162,28 @@
 	defer b.mu.Unlock()
 	p := &b.report
 	p.Sent++
-	right := r.err == nil && r.wrong == nil && r.reply.Whole
-	broken := r.err != nil || (r.wrong == nil && !r.reply.Whole && r.reply.Code == "")
-	p.Ends = append(p.Ends, End{
-		Gateway: a.gateway, Begun: begun, At: time.Now(), Whole: right, Broken: broken,
-		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.reply.Code, Retry: r.reply.Retry, Adapter: a.adapter,
-		Stall: r.reply.Stall(),
+	right := r.err == nil && r.wrong == nil && r.reply.Complete
+	broken := r.err != nil || (r.wrong == nil && !r.reply.Complete && r.reply.Code == "")
+	p.Outcomes = append(p.Outcomes, Outcome{
+		Gateway: a.gateway, Started: begun, Ended: time.Now(), Complete: right, Broken: broken,
+		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.reply.Code, RetryAfter: r.reply.RetryAfter, Adapter: a.adapter,
+		LoadStall: r.reply.LoadStall(),
 	})
 	switch {
 	case r.err != nil:
 		p.Broken++
 		b.complainLocked(r.err)
 	case r.wrong != nil:
-		p.Wrong++
+		p.Incorrect++
 		b.complainLocked(r.wrong)
-	case r.reply.Whole:
-		p.Whole++
+	case r.reply.Complete:
+		p.Complete++
 		b.wholeLocked(a, r.reply)
 	case r.reply.Code == "":
 		p.Broken++ // the stream ended without a final event or an error
-	case r.reply.Ran == "not_run":
+	case r.reply.Execution == "not_run":
 		p.NotRun++
-		p.NotRunIDs = append(p.NotRunIDs, r.reply.Request)
+		p.NotRunIDs = append(p.NotRunIDs, r.reply.RequestID)
 		p.Codes[r.reply.Code]++
 	default:
 		p.Unknown++
@@ -194,29 +194,29 @@
 const longestBack = 10 * time.Second // longer suggested delays are not waited for
 
 // noteBack sends a rejected request once more after the suggested delay and records the result.
-func (b *book) noteBack(ctx context.Context, c *fleet.Caller, a arrival, retry time.Duration) {
+func (b *book) noteBack(ctx context.Context, c *fleet.Client, a arrival, retry time.Duration) {
 	if retry > longestBack || !sleepUntil(ctx, time.Now().Add(retry)) {
 		return
 	}
 	r := send(ctx, c, a)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.report.Back++
-	if r.err == nil && r.reply.Whole {
-		b.report.Honest++
+	b.report.Retried++
+	if r.err == nil && r.reply.Complete {
+		b.report.RetriedComplete++
 	}
 }
 
-func (b *book) wholeLocked(a arrival, r fleet.Reply) {
+func (b *book) wholeLocked(a arrival, r fleet.Response) {
 	now := time.Now()
-	b.report.Gap = max(b.report.Gap, now.Sub(b.last))
+	b.report.LongestGap = max(b.report.LongestGap, now.Sub(b.last))
 	b.last = now
-	b.report.First.Observe(a.kind.Class, r.First)
+	b.report.TimeToHeader.Observe(a.kind.Class, r.TimeToHeader)
 	b.report.Total.Observe(a.kind.Class, r.Duration)
 }
 
 func (b *book) complainLocked(err error) {
-	if len(b.report.Complaints) < maxComplaints {
-		b.report.Complaints = append(b.report.Complaints, err.Error())
+	if len(b.report.Errors) < maxComplaints {
+		b.report.Errors = append(b.report.Errors, err.Error())
 	}
 }
--- a/measure/blocked.go
+++ b/measure/blocked.go
@@ -78,7 +78,7 @@
 
 // Run writes the comparison to w.
 func (b Blocked) Run(ctx context.Context, w io.Writer) error {
-	f := fleet.New(fleet.Spec{Bin: b.Bin, Dir: b.Dir, Centres: 1, Engines: 1, Slots: 4, Batch: 64})
+	f := fleet.New(fleet.Spec{Bin: b.Bin, Dir: b.Dir, Centres: 1, Engines: 1, Slots: 4, BatchSize: 64})
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
 		return err
--- a/measure/bound_test.go
+++ b/measure/bound_test.go
@@ -26,13 +26,13 @@
 func TestRecoveryIsWhenTheStallIsAsBefore(t *testing.T) {
 	c := quicktest.New(t)
 	begun := time.Unix(1000, 0)
-	var ends []load.End
+	var ends []load.Outcome
 	for s := range 20 {
 		stall := time.Duration(0)
 		if s >= 10 && s < 14 {
 			stall = time.Second
 		}
-		ends = append(ends, load.End{Begun: begun.Add(time.Duration(s) * time.Second), Whole: true, Stall: stall})
+		ends = append(ends, load.Outcome{Started: begun.Add(time.Duration(s) * time.Second), Complete: true, LoadStall: stall})
 	}
 	c.Assert(recovery(ends, begun, 20*time.Second), quicktest.Equals, 4*time.Second)
 }
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -59,7 +59,7 @@
 func (c Capacity) base() fleet.Spec {
 	return fleet.Spec{
 		Bin: c.Bin, Dir: c.Dir,
-		Centres: 1, Boxes: 2, Engines: 2, Adapters: 100, Slots: 8, Batch: 256,
+		Centres: 1, Boxes: 2, Engines: 2, Adapters: 100, Slots: 8, BatchSize: 256,
 		EngineArgs: []string{"--step", "5ms", "--queue", "4096"},
 	}
 }
@@ -126,8 +126,8 @@
 		Seed:     sweepSeed,
 		Adapters: 8,
 		Skew:     1.2,
-		Kinds:    []load.Mix{{Class: fleet.CounterClass, Caller: "till", Share: 1, Tokens: tokens, Stream: true}},
-		Patience: time.Minute,
+		Kinds:    []load.RequestKind{{Class: fleet.CounterClass, Caller: "till", Weight: 1, Tokens: tokens, Stream: true}},
+		Timeout:  time.Minute,
 	}
 }
 
@@ -192,8 +192,8 @@
 	}
 	took := time.Since(begun)
 	if s.load != nil {
-		if r := <-done; r.Whole != r.Sent {
-			return nil, errors.Errorf("%d of %d requests were answered whole: %v", r.Whole, r.Sent, r.Codes)
+		if r := <-done; r.Complete != r.Sent {
+			return nil, errors.Errorf("%d of %d requests were answered whole: %v", r.Complete, r.Sent, r.Codes)
 		}
 	}
 	return average(before, after, took), nil
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -80,7 +80,7 @@
 	return fault{
 		name: "kill " + name,
 		inject: func(context.Context, int) error {
-			_ = r.fleet.End(name, syscall.SIGKILL) // a killed process ends with an error
+			_ = r.fleet.Terminate(name, syscall.SIGKILL) // a killed process ends with an error
 			return nil
 		},
 		calm: func(context.Context, int) error { return r.fleet.StartDaemon(c, b, role) },
@@ -190,7 +190,7 @@
 // ended while they held them, or that were not started again yet.
 func (r *storm) killed(p load.Report) int {
 	n := 0
-	for _, e := range p.Ends {
+	for _, e := range p.Outcomes {
 		if !e.Broken {
 			continue
 		}
@@ -204,11 +204,11 @@
 	return n
 }
 
-func (r *storm) downAt(f struckFault, e load.End) bool {
+func (r *storm) downAt(f struckFault, e load.Outcome) bool {
 	for c := 1; c <= stormCentres; c++ {
 		for b := 1; b <= stormBoxes; b++ {
 			down := f.name == "kill "+fleet.DaemonName(c, b, member.Gateway) && e.Gateway == r.fleet.CallersAddress(c, b)
-			if down && e.At.After(f.begun) && e.Begun.Before(f.ended.Add(startTime)) {
+			if down && e.Ended.After(f.begun) && e.Started.Before(f.ended.Add(startTime)) {
 				return true
 			}
 		}
--- a/measure/path.go
+++ b/measure/path.go
@@ -45,7 +45,7 @@
 func (p Path) Run(ctx context.Context, w io.Writer) error {
 	f := fleet.New(fleet.Spec{
 		Bin: p.Bin, Dir: p.Dir,
-		Centres: 1, Boxes: 1, Engines: 1, Adapters: 1, Slots: 2, Batch: 512,
+		Centres: 1, Boxes: 1, Engines: 1, Adapters: 1, Slots: 2, BatchSize: 512,
 		EngineArgs: []string{"--step", "500us", "--queue", "4096"},
 	})
 	defer f.Stop()
--- a/measure/plot.go
+++ b/measure/plot.go
@@ -20,12 +20,12 @@
 
 // stallSeries is the mean stall of the whole answers begun in each window, in
 // milliseconds.
-func stallSeries(ends []load.End, begun time.Time, whole time.Duration) []float64 {
+func stallSeries(ends []load.Outcome, begun time.Time, whole time.Duration) []float64 {
 	windows := make([][]time.Duration, int(whole/seriesWindow))
 	for _, e := range ends {
-		i := int(e.Begun.Sub(begun) / seriesWindow)
-		if e.Whole && i >= 0 && i < len(windows) {
-			windows[i] = append(windows[i], e.Stall)
+		i := int(e.Started.Sub(begun) / seriesWindow)
+		if e.Complete && i >= 0 && i < len(windows) {
+			windows[i] = append(windows[i], e.LoadStall)
 		}
 	}
 	series := make([]float64, len(windows))
--- a/measure/policies.go
+++ b/measure/policies.go
@@ -114,8 +114,8 @@
 	spec := u.spec
 	spec.Bin = p.Bin
 	spec.Dir = filepath.Join(p.Dir, fmt.Sprintf("%s-%s-%s", u.name, l.name, c.name))
-	spec.Scheduler = slices.Concat(u.scheduler, c.scheduler)
-	spec.Gateway = c.gateway
+	spec.SchedulerSettings = slices.Concat(u.scheduler, c.scheduler)
+	spec.GatewaySettings = c.gateway
 	if err := os.MkdirAll(spec.Dir, 0o700); err != nil {
 		return Figures{}, err
 	}
@@ -130,7 +130,7 @@
 			return Figures{}, err
 		}
 	}
-	before, err := f.Witness(ctx)
+	before, err := f.Observations(ctx)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -139,15 +139,15 @@
 	}
 	begun := time.Now()
 	r := load.Run(ctx, u.plan(f, l, p.Time, p.Seed))
-	after, err := f.Witness(ctx)
+	after, err := f.Observations(ctx)
 	if err != nil {
 		return Figures{}, err
 	}
-	g := figures(r, before.Counts, after.Counts, spec.Batch)
+	g := figures(r, before.Counts, after.Counts, spec.BatchSize)
 	g.User, g.Workload, g.Policies = u.name, l.name, c.name
-	g.Series = stallSeries(r.Ends, begun, p.Time)
+	g.Series = stallSeries(r.Outcomes, begun, p.Time)
 	if l.shift {
-		g.Recovery = recovery(r.Ends, begun, p.Time).Seconds()
+		g.Recovery = recovery(r.Outcomes, begun, p.Time).Seconds()
 	}
 	return g, nil
 }
@@ -177,18 +177,18 @@
 
 // figures sums up a run.
 func figures(r load.Report, before, after standin.Counts, batch int) Figures {
-	g := Figures{Sent: r.Sent, Refused: r.NotRun, Back: r.Back, Honest: r.Honest, Lost: r.Unknown + r.Broken + r.Wrong, Loads: after.Loads - before.Loads}
+	g := Figures{Sent: r.Sent, Refused: r.NotRun, Back: r.Retried, Honest: r.RetriedComplete, Lost: r.Unknown + r.Broken + r.Incorrect, Loads: after.Loads - before.Loads}
 	var stalls []time.Duration
 	classes, callers := make(map[string]*share), make(map[string]*share)
-	for _, e := range r.Ends {
-		inTime := e.Whole && e.At.Sub(e.Begun) <= deadlines[e.Class]
+	for _, e := range r.Outcomes {
+		inTime := e.Complete && e.Ended.Sub(e.Started) <= deadlines[e.Class]
 		count(classes, e.Class, inTime)
 		count(callers, e.Caller, inTime)
 		if inTime {
 			g.InTime++
 		}
-		if e.Whole {
-			stalls = append(stalls, e.Stall)
+		if e.Complete {
+			stalls = append(stalls, e.LoadStall)
 		}
 	}
 	slices.Sort(stalls)
@@ -262,13 +262,13 @@
 
 // recovery is how long after a shift at half-time the mean stall of a second is
 // within a tenth, or 5 ms, of what it was before.
-func recovery(ends []load.End, begun time.Time, whole time.Duration) time.Duration {
+func recovery(ends []load.Outcome, begun time.Time, whole time.Duration) time.Duration {
 	const window = 2 * time.Second
 	stallIn := func(from, to time.Duration) float64 {
 		var list []time.Duration
 		for _, e := range ends {
-			if at := e.Begun.Sub(begun); e.Whole && at >= from && at < to {
-				list = append(list, e.Stall)
+			if at := e.Started.Sub(begun); e.Complete && at >= from && at < to {
+				list = append(list, e.LoadStall)
 			}
 		}
 		return meanMillis(list)
--- a/measure/replace.go
+++ b/measure/replace.go
@@ -15,7 +15,7 @@
 	return func() error {
 		for c := 1; c <= f.Spec.Centres; c++ {
 			for _, role := range []string{member.Scheduler, member.Gateway} {
-				if err := f.End(fleet.DaemonName(c, 2, role), syscall.SIGTERM); err != nil {
+				if err := f.Terminate(fleet.DaemonName(c, 2, role), syscall.SIGTERM); err != nil {
 					return err
 				}
 				if err := f.StartDaemon(c, 2, role); err != nil {
--- a/measure/restores.go
+++ b/measure/restores.go
@@ -61,7 +61,7 @@
 
 // Run writes the report to w. It returns ErrBreach when a box went back, or missed a configuration.
 func (s Restores) Run(ctx context.Context, w io.Writer) error {
-	f := fleet.New(fleet.Spec{Bin: s.Bin, Dir: s.Dir, Centres: restoreCentres, Engines: 1, Adapters: 9, Slots: 4, Batch: 8})
+	f := fleet.New(fleet.Spec{Bin: s.Bin, Dir: s.Dir, Centres: restoreCentres, Engines: 1, Adapters: 9, Slots: 4, BatchSize: 8})
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
 		return err
@@ -199,7 +199,7 @@
 	name := fleet.DaemonName(b.centre, b.box, "edge")
 	r.done = append(r.done, "kill "+name)
 	r.set(func() { b.down = true })
-	_ = r.fleet.End(name, syscall.SIGKILL) // a killed process ends with an error
+	_ = r.fleet.Terminate(name, syscall.SIGKILL) // a killed process ends with an error
 	r.rest(300)
 	err := r.fleet.StartEdge(ctx, b.centre, b.box, fleet.EdgeSettings, nil)
 	if err != nil {
--- a/measure/storm.go
+++ b/measure/storm.go
@@ -69,10 +69,10 @@
 	f := fleet.New(fleet.Spec{
 		Bin: s.Bin, Dir: s.Dir, Proxied: true,
 		Centres: stormCentres, Boxes: stormBoxes, Engines: stormEngines, Services: 1,
-		Adapters: stormAdapters, Slots: 4, Batch: 8,
-		EngineArgs: []string{"--step", "5ms", "--report-lag", "200ms", "--leaving-grace", "8s"},
-		StoreArgs:  []string{"--store-rate", "40", "--load-time", "100ms"},
-		Scheduler:  []string{"store_rate=40", "key_margin=1s"},
+		Adapters: stormAdapters, Slots: 4, BatchSize: 8,
+		EngineArgs:        []string{"--step", "5ms", "--report-lag", "200ms", "--leaving-grace", "8s"},
+		PlatformArgs:      []string{"--store-rate", "40", "--load-time", "100ms"},
+		SchedulerSettings: []string{"store_rate=40", "key_margin=1s"},
 	})
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
@@ -91,7 +91,7 @@
 		return err
 	}
 	report := <-reports
-	seen, err := f.Witness(ctx)
+	seen, err := f.Observations(ctx)
 	if err != nil {
 		return err
 	}
@@ -183,19 +183,19 @@
 
 func (r *storm) plan() load.Plan {
 	p := load.Plan{
-		Rate:     r.Rate,
-		Duration: r.Time,
-		Seed:     r.Seed,
-		Adapters: stormAdapters,
-		Skew:     1.3,
-		Explicit: true,
-		Twice:    true,
-		Patience: time.Minute,
-		Kinds: []load.Mix{
-			{Class: fleet.CounterClass, Caller: "till", Share: 6, Tokens: 12, Stream: true},
-			{Class: fleet.CounterClass, Caller: "booking", Share: 2, Tokens: 8, Keyed: true},
-			{Class: fleet.NightClass, Caller: "office", Share: 2, Tokens: 20},
-			{Class: fleet.UrgentClass, Caller: "desk", Share: 1, Tokens: 6},
+		Rate:            r.Rate,
+		Duration:        r.Time,
+		Seed:            r.Seed,
+		Adapters:        stormAdapters,
+		Skew:            1.3,
+		ExplicitVersion: true,
+		Duplicate:       true,
+		Timeout:         time.Minute,
+		Kinds: []load.RequestKind{
+			{Class: fleet.CounterClass, Caller: "till", Weight: 6, Tokens: 12, Stream: true},
+			{Class: fleet.CounterClass, Caller: "booking", Weight: 2, Tokens: 8, WithKey: true},
+			{Class: fleet.NightClass, Caller: "office", Weight: 2, Tokens: 20},
+			{Class: fleet.UrgentClass, Caller: "desk", Weight: 1, Tokens: 6},
 		},
 	}
 	for c := 1; c <= stormCentres; c++ {
@@ -237,23 +237,23 @@
 	return time.Duration(1000+r.rand.IntN(3000)) * time.Millisecond
 }
 
-func (r *storm) print(w io.Writer, p load.Report, seen fleet.Witness) error {
+func (r *storm) print(w io.Writer, p load.Report, seen fleet.Observations) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "fault\tlasted s\tlongest gap s\tlongest gap at one gateway s\tslowest answer s")
 	for _, f := range r.done {
-		all, one, slow := waits(p.Ends, f)
+		all, one, slow := waits(p.Outcomes, f)
 		fmt.Fprintf(t, "%s\t%.1f\t%.2f\t%.2f\t%.2f\n", f.name, f.ended.Sub(f.begun).Seconds(), all.Seconds(), one.Seconds(), slow.Seconds())
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "\nsent=%d whole=%d not_run=%d unknown=%d broken=%d wrong=%d codes=%v\n", p.Sent, p.Whole, p.NotRun, p.Unknown, p.Broken, p.Wrong, p.Codes)
-	fmt.Fprintln(w, seen.Line(p.NotRunIDs))
-	for _, c := range p.Complaints {
+	fmt.Fprintf(w, "\nsent=%d whole=%d not_run=%d unknown=%d broken=%d wrong=%d codes=%v\n", p.Sent, p.Complete, p.NotRun, p.Unknown, p.Broken, p.Incorrect, p.Codes)
+	fmt.Fprintln(w, seen.Summary(p.NotRunIDs))
+	for _, c := range p.Errors {
 		fmt.Fprintln(w, c)
 	}
 	broken := p.Broken - r.killed(p)
-	if seen.Breaches(p.NotRunIDs) > 0 || p.Wrong > 0 || broken > 0 {
+	if seen.Violations(p.NotRunIDs) > 0 || p.Incorrect > 0 || broken > 0 {
 		return ErrBreach
 	}
 	fmt.Fprintln(w, "no breach; every request got its final answer or was held by a gateway that was killed")
@@ -265,24 +265,24 @@
 // waits returns the longest time without a whole answer during a fault, in all
 // and at the gateway where it was longest, and the slowest whole answer begun
 // in it.
-func waits(ends []load.End, f struckFault) (all, one, slow time.Duration) {
+func waits(ends []load.Outcome, f struckFault) (all, one, slow time.Duration) {
 	until := f.ended.Add(gapAfter)
 	last := f.begun
 	at := make(map[string]time.Time)
 	for _, e := range ends {
-		if !e.Whole || e.At.Before(f.begun) || e.At.After(until) {
+		if !e.Complete || e.Ended.Before(f.begun) || e.Ended.After(until) {
 			continue
 		}
-		all = max(all, e.At.Sub(last))
-		last = e.At
+		all = max(all, e.Ended.Sub(last))
+		last = e.Ended
 		before, known := at[e.Gateway]
 		if !known {
 			before = f.begun
 		}
-		one = max(one, e.At.Sub(before))
-		at[e.Gateway] = e.At
-		if e.Begun.After(f.begun) {
-			slow = max(slow, e.At.Sub(e.Begun))
+		one = max(one, e.Ended.Sub(before))
+		at[e.Gateway] = e.Ended
+		if e.Started.After(f.begun) {
+			slow = max(slow, e.Ended.Sub(e.Started))
 		}
 	}
 	return all, one, slow
--- a/measure/users.go
+++ b/measure/users.go
@@ -16,7 +16,7 @@
 	rate      float64 // requests a second that are steady
 	store     float64 // loads a second that the store allows
 	scheduler []string
-	kinds     []load.Mix
+	kinds     []load.RequestKind
 }
 
 // workload is one way of asking.
@@ -60,17 +60,17 @@
 	return user{
 		name: "nursery",
 		spec: fleet.Spec{
-			Centres: 3, Boxes: 2, Engines: 6, Adapters: userAdapters, Slots: 8, Batch: 8,
-			EngineArgs: []string{"--step", "10ms"},
-			StoreArgs:  []string{"--store-rate", "9", "--store-at-once", "6", "--load-time", loadTime.String()},
+			Centres: 3, Boxes: 2, Engines: 6, Adapters: userAdapters, Slots: 8, BatchSize: 8,
+			EngineArgs:   []string{"--step", "10ms"},
+			PlatformArgs: []string{"--store-rate", "9", "--store-at-once", "6", "--load-time", loadTime.String()},
 		},
 		rate:      60,
 		store:     9,
 		scheduler: []string{"store_rate=9", "store_at_once=6", "weight_batch=0"},
-		kinds: []load.Mix{
-			{Class: fleet.CounterClass, Caller: "till", Share: 6, Tokens: 16, Stream: true},
-			{Class: fleet.CounterClass, Caller: "landscaper", Share: 3, Tokens: 48},
-			{Class: fleet.UrgentClass, Caller: "lookup", Share: 1, Tokens: 8},
+		kinds: []load.RequestKind{
+			{Class: fleet.CounterClass, Caller: "till", Weight: 6, Tokens: 16, Stream: true},
+			{Class: fleet.CounterClass, Caller: "landscaper", Weight: 3, Tokens: 48},
+			{Class: fleet.UrgentClass, Caller: "lookup", Weight: 1, Tokens: 8},
 		},
 	}
 }
@@ -80,17 +80,17 @@
 	return user{
 		name: "boundaries",
 		spec: fleet.Spec{
-			Centres: 3, Boxes: 2, Engines: 4, Adapters: userAdapters, Slots: 8, Batch: 8,
-			EngineArgs: []string{"--step", "10ms"},
-			StoreArgs:  []string{"--store-rate", "4", "--store-at-once", "8", "--load-time", loadTime.String()},
+			Centres: 3, Boxes: 2, Engines: 4, Adapters: userAdapters, Slots: 8, BatchSize: 8,
+			EngineArgs:   []string{"--step", "10ms"},
+			PlatformArgs: []string{"--store-rate", "4", "--store-at-once", "8", "--load-time", loadTime.String()},
 		},
 		rate:      40,
 		store:     4,
 		scheduler: []string{"store_rate=4", "store_at_once=8", "weight_batch=1"},
-		kinds: []load.Mix{
-			{Class: fleet.CounterClass, Caller: "counter", Share: 3, Tokens: 16, Stream: true},
-			{Class: fleet.NightClass, Caller: "cooperative", Share: 4, Tokens: 32},
-			{Class: fleet.NightClass, Caller: "office", Share: 3, Tokens: 32},
+		kinds: []load.RequestKind{
+			{Class: fleet.CounterClass, Caller: "counter", Weight: 3, Tokens: 16, Stream: true},
+			{Class: fleet.NightClass, Caller: "cooperative", Weight: 4, Tokens: 32},
+			{Class: fleet.NightClass, Caller: "office", Weight: 3, Tokens: 32},
 		},
 	}
 }
@@ -100,21 +100,21 @@
 // plan asks as the user does.
 func (u user) plan(f *fleet.Fleet, l workload, d time.Duration, seed uint64) load.Plan {
 	p := load.Plan{
-		Rate:     u.rate * l.times,
-		Duration: d,
-		Seed:     seed,
-		Adapters: userAdapters,
-		Skew:     userSkew,
-		Kinds:    u.kinds,
-		Talks:    talks,
-		Patience: 2 * time.Minute,
-		ComeBack: true,
+		Rate:          u.rate * l.times,
+		Duration:      d,
+		Seed:          seed,
+		Adapters:      userAdapters,
+		Skew:          userSkew,
+		Kinds:         u.kinds,
+		Conversations: talks,
+		Timeout:       2 * time.Minute,
+		RetryRejected: true,
 	}
 	if l.shift {
-		p.Shift = d / 2
+		p.ShiftAfter = d / 2
 	}
 	if l.wake {
-		p.Wake = d / 2
+		p.ActivateAfter = d / 2
 	}
 	for c := 1; c <= u.spec.Centres; c++ {
 		for b := 1; b <= u.spec.Boxes; b++ {
