--- a/fleet/client.go
+++ b/fleet/client.go
@@ -26,14 +26,14 @@
 	Header       map[string]string
 }
 
-// Response is the response to an Ask.
+// Response is the response to a Request.
 type Response struct {
 	Status       int
 	Header       http.Header
 	Text         string // completion text
 	Complete     bool   // the response is a complete completion
 	Code         string // error code
-	Execution    string // whether the failed request was executed
+	Execution    string // for errors: whether the request was executed, for example "not_run"
 	RetryAfter   time.Duration
 	RequestID    string
 	TimeToHeader time.Duration // time to the response header
@@ -42,15 +42,15 @@
 
 // LoadStall returns how long the request waited for its adapter to load, according to
 // the response header.
-func (p Response) LoadStall() time.Duration {
-	ms, err := strconv.Atoi(p.Header.Get("Cairn-Load-Stall"))
+func (r Response) LoadStall() time.Duration {
+	ms, err := strconv.Atoi(r.Header.Get("Cairn-Load-Stall"))
 	if err != nil {
 		return 0 // rejected requests have no such header
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-type replyBody struct {
+type responseBody struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -66,83 +66,83 @@
 type Client struct{ HTTP http.Client }
 
 // Do sends a request and reads its response. It returns an error if there is no valid
-// response, but not if an event stream ends early, which leaves Whole false.
-func (c *Client) Do(ctx context.Context, a Request) (Response, error) {
-	body := map[string]any{"model": a.Model, "max_tokens": max(a.Tokens, 1), "stream": a.Stream, "prompt": "hello"}
-	if a.Expect != "" {
-		body["prompt"] = fmt.Sprintf("expect:%s conversation %d", a.Expect, a.Conversation)
+// response, but not if an event stream ends early, which leaves Complete false.
+func (c *Client) Do(ctx context.Context, request Request) (Response, error) {
+	body := map[string]any{"model": request.Model, "max_tokens": max(request.Tokens, 1), "stream": request.Stream, "prompt": "hello"}
+	if request.Expect != "" {
+		body["prompt"] = fmt.Sprintf("expect:%s conversation %d", request.Expect, request.Conversation)
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return Response{}, err
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Address+"/v1/completions", strings.NewReader(string(raw)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+request.Address+"/v1/completions", strings.NewReader(string(raw)))
 	if err != nil {
 		return Response{}, err
 	}
-	for n, v := range a.Header {
-		r.Header.Set(n, v)
+	for n, v := range request.Header {
+		req.Header.Set(n, v)
 	}
-	begun := time.Now()
-	w, err := c.HTTP.Do(r)
+	started := time.Now()
+	resp, err := c.HTTP.Do(req)
 	if err != nil {
 		return Response{}, err
 	}
-	defer w.Body.Close()
-	p := Response{Status: w.StatusCode, Header: w.Header, RequestID: w.Header.Get("X-Request-Id"), TimeToHeader: time.Since(begun)}
-	err = p.read(w)
-	p.Duration = time.Since(begun)
-	return p, err
+	defer resp.Body.Close()
+	result := Response{Status: resp.StatusCode, Header: resp.Header, RequestID: resp.Header.Get("X-Request-Id"), TimeToHeader: time.Since(started)}
+	err = result.read(resp)
+	result.Duration = time.Since(started)
+	return result, err
 }
 
-func (p *Response) read(w *http.Response) error {
-	if strings.HasPrefix(w.Header.Get("Content-Type"), "text/event-stream") {
-		return p.readEvents(bufio.NewReader(w.Body))
+func (r *Response) read(resp *http.Response) error {
+	if strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
+		return r.readEvents(bufio.NewReader(resp.Body))
 	}
-	var b replyBody
-	if err := json.NewDecoder(w.Body).Decode(&b); err != nil {
+	var b responseBody
+	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
 		return errors.Wrap(err, "fleet: decode response")
 	}
-	p.take(b)
-	p.Complete = b.Error == nil && len(b.Choices) > 0
+	r.add(b)
+	r.Complete = b.Error == nil && len(b.Choices) > 0
 	return nil
 }
 
-func (p *Response) readEvents(in *bufio.Reader) error {
+func (r *Response) readEvents(in *bufio.Reader) error {
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
-			return nil // connection lost: Whole stays false
+			return nil // connection lost: Complete stays false
 		}
 		data, found := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !found {
 			continue
 		}
 		if data == "[DONE]" {
-			p.Complete = true
+			r.Complete = true
 			return nil
 		}
-		var b replyBody
+		var b responseBody
 		if err := json.Unmarshal([]byte(data), &b); err != nil {
 			return errors.Wrap(err, "fleet: decode event")
 		}
-		p.take(b)
+		r.add(b)
 	}
 }
 
-func (p *Response) take(b replyBody) {
+func (r *Response) add(b responseBody) {
 	for _, c := range b.Choices {
-		p.Text += c.Text
+		r.Text += c.Text
 	}
 	if b.Error != nil {
-		p.Code, p.Execution, p.RetryAfter = b.Error.Code, b.Error.Ran, time.Duration(b.Error.Retry)*time.Millisecond
+		r.Code, r.Execution, r.RetryAfter = b.Error.Code, b.Error.Ran, time.Duration(b.Error.Retry)*time.Millisecond
 	}
 }
 
 // Validate validates the text of a complete response: every token must name the given
 // adapter@version, this request and its position.
-func (p *Response) Validate(model string, tokens int) error {
-	words := strings.Fields(p.Text)
+func (r *Response) Validate(model string, tokens int) error {
+	words := strings.Fields(r.Text)
 	if len(words) != tokens {
 		return errors.Errorf("fleet: response has %d tokens, expected %d", len(words), tokens)
 	}
@@ -151,8 +151,8 @@
 		if len(parts) != 3 {
 			return errors.Errorf("fleet: malformed token %q", w)
 		}
-		if parts[0] != model || !strings.HasPrefix(parts[1], p.RequestID+".") || parts[2] != fmt.Sprint(i) {
-			return errors.Errorf("fleet: token %d is %q, expected request %s on %s", i, w, p.RequestID, model)
+		if parts[0] != model || !strings.HasPrefix(parts[1], r.RequestID+".") || parts[2] != fmt.Sprint(i) {
+			return errors.Errorf("fleet: token %d is %q, expected request %s on %s", i, w, r.RequestID, model)
 		}
 	}
 	return nil
--- a/fleet/edge.go
+++ b/fleet/edge.go
@@ -36,7 +36,7 @@
 	//go:embed users/config.json
 	edgeConfig string
 	//go:embed users/server.json
-	edgeServer string
+	edgeRegistration string
 )
 
 // StartEdge starts the single process of a box on the users' platform and waits until its
@@ -62,11 +62,11 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	o := surroundings{environment: []string{platform.SettingsVariable + "=" + path}, stdout: out}
-	if err := f.runWith(o, DaemonName(centre, box, edgeRole), "cairnwick"); err != nil {
+	options := processOptions{environment: []string{platform.SettingsVariable + "=" + path}, stdout: out}
+	if err := f.runWithOptions(options, DaemonName(centre, box, edgeRole), "cairnwick"); err != nil {
 		return err
 	}
-	return f.waitFor(ctx, "http://"+f.ReadyAddress(centre, box)+"/")
+	return f.waitForOK(ctx, "http://"+f.ReadyAddress(centre, box)+"/")
 }
 
 // PublishEdgeConfig publishes the configuration with the given version.
@@ -82,12 +82,12 @@
 	}
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for e := 1; e <= f.Spec.Engines; e++ {
-			life, err := f.BootID(ctx, c, e)
+			bootID, err := f.BootID(ctx, c, e)
 			if err != nil {
 				return err
 			}
-			entry := strings.ReplaceAll(edgeServer, "$ADDRESS", f.EngineAddress(c, e))
-			if err := f.Put(ctx, platformtest.EndpointKey(life), []byte(entry)); err != nil {
+			registration := strings.ReplaceAll(edgeRegistration, "$ADDRESS", f.EngineAddress(c, e))
+			if err := f.Put(ctx, platformtest.EndpointKey(bootID), []byte(registration)); err != nil {
 				return err
 			}
 		}
@@ -97,24 +97,24 @@
 
 // BootID waits until an engine responds and returns its boot ID.
 func (f *Fleet) BootID(ctx context.Context, centre, number int) (string, error) {
-	life := ""
-	err := f.await(ctx, func() error {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.EngineAddress(centre, number)+"/control/counts", nil)
+	bootID := ""
+	err := f.poll(ctx, func() error {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.EngineAddress(centre, number)+"/control/counts", nil)
 		if err != nil {
 			return err
 		}
-		a, err := http.DefaultClient.Do(r)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return err
 		}
-		life = a.Header.Get(engine.BootHeader)
-		return a.Body.Close()
+		bootID = resp.Header.Get(engine.BootHeader)
+		return resp.Body.Close()
 	})
-	return life, err
+	return bootID, err
 }
 
 // Delete deletes a key, as an endpoint of the users does with its registration.
 func (f *Fleet) Delete(ctx context.Context, key string) error {
-	_, err := exchange(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
+	_, err := doRequest(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
 	return errors.Wrapf(err, "fleet: delete key %s", key)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	peerName  = "cairnwick" // DNS name in every daemon's certificate
-	reportLag = 200 * time.Millisecond
+	certificateName = "cairnwick" // DNS name in every daemon's certificate
+	reportLag       = 200 * time.Millisecond
 )
 
 // Fleet runs a system of processes. It must be stopped with Stop, also if Start fails.
 type Fleet struct {
 	Spec Spec
 
-	network  string       // first three octets of all addresses
-	taken    net.Listener // reserves the network; nil: not reserved
-	identity Identity     // shared by all daemons if TLS is set
+	network     string       // first three octets of all addresses
+	reservation net.Listener // reserves the network; nil: not reserved
+	identity    Identity     // shared by all daemons if TLS is set
 
 	mu        sync.Mutex
 	processes map[string]*process // running processes by name
@@ -36,13 +36,13 @@
 
 // New returns a fleet that has not been started and reserves its addresses.
 func New(s Spec) *Fleet {
-	network, taken := newNetwork()
-	return &Fleet{Spec: s, network: network, taken: taken, processes: make(map[string]*process)}
+	network, reservation := reserveNetwork()
+	return &Fleet{Spec: s, network: network, reservation: reservation, processes: make(map[string]*process)}
 }
 
 // Start starts all processes and waits until every daemon is ready.
 func (f *Fleet) Start(ctx context.Context) error {
-	if err := f.identify(); err != nil {
+	if err := f.createIdentity(); err != nil {
 		return err
 	}
 	if err := f.StartPlatform(ctx); err != nil {
@@ -75,16 +75,16 @@
 	return f.WaitReady(ctx)
 }
 
-// identify creates the daemons' certificate if they use TLS.
-func (f *Fleet) identify() error {
+// createIdentity creates the daemons' certificate if they use TLS.
+func (f *Fleet) createIdentity() error {
 	if !f.Spec.TLS {
 		return nil
 	}
-	a, err := NewAuthority()
+	authority, err := NewAuthority()
 	if err != nil {
 		return err
 	}
-	f.identity, err = a.Write(f.Spec.Dir, peerName)
+	f.identity, err = authority.Write(f.Spec.Dir, certificateName)
 	return err
 }
 
@@ -94,7 +94,7 @@
 	if err := f.run("platform", "standin-platform", args...); err != nil {
 		return err
 	}
-	if err := f.waitFor(ctx, "http://"+f.PlatformAddress()+"/control/calls"); err != nil {
+	if err := f.waitForOK(ctx, "http://"+f.PlatformAddress()+"/control/calls"); err != nil {
 		return err
 	}
 	boxes, err := json.Marshal(f.DaemonRecords())
@@ -138,29 +138,29 @@
 
 // StartDaemon writes a daemon's settings and starts it without waiting for it.
 func (f *Fleet) StartDaemon(centre, box int, role string) error {
-	s := map[string]any{
+	settings := map[string]any{
 		"box":              BoxName(centre, box),
 		"data_centre":      CentreName(centre),
 		"peers_listen":     f.PeersAddress(centre, box, role),
 		"operators_listen": f.OperatorsAddress(centre, box, role),
-		"platform":         "http://" + f.reached(f.platformIP(), standinPort),
-		"advertise":        f.reached(f.boxIP(centre, box), peersPort+offset(role)),
+		"platform":         "http://" + f.daemonAddress(f.platformIP(), standinPort),
+		"advertise":        f.daemonAddress(f.boxIP(centre, box), peersPort+offset(role)),
 		"source":           f.boxIP(centre, box),
 		"settle":           "300ms",
 	}
 	more := f.Spec.SchedulerSettings
 	if role == member.Gateway {
-		s["callers_listen"] = f.CallersAddress(centre, box)
+		settings["callers_listen"] = f.CallersAddress(centre, box)
 		more = f.Spec.GatewaySettings
 	}
 	if f.Spec.TLS {
-		s["tls_certificate"], s["tls_key"], s["tls_authority"] = f.identity.Certificate, f.identity.Key, f.identity.Authority
+		settings["tls_certificate"], settings["tls_key"], settings["tls_authority"] = f.identity.Certificate, f.identity.Key, f.identity.Authority
 	}
-	raw, err := json.MarshalIndent(s, "", "  ")
+	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
 	}
-	path := f.file(DaemonName(centre, box, role), ".json")
+	path := f.filePath(DaemonName(centre, box, role), ".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 				if f.PID(DaemonName(c, b, role)) == 0 {
 					continue
 				}
-				if err := f.waitFor(ctx, "http://"+f.OperatorsAddress(c, b, role)+"/readyz"); err != nil {
+				if err := f.waitForOK(ctx, "http://"+f.OperatorsAddress(c, b, role)+"/readyz"); err != nil {
 					return err
 				}
 			}
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -15,38 +15,38 @@
 
 // Get returns the body of a URL. A status of 300 or above is an error.
 func Get(ctx context.Context, url string) ([]byte, error) {
-	return exchange(ctx, http.MethodGet, url, nil)
+	return doRequest(ctx, http.MethodGet, url, nil)
 }
 
 // Post sends a POST request with an empty body. A status of 300 or above is an error.
 func Post(ctx context.Context, url string) error {
-	_, err := exchange(ctx, http.MethodPost, url, nil)
+	_, err := doRequest(ctx, http.MethodPost, url, nil)
 	return err
 }
 
-func exchange(ctx context.Context, method, url string, body []byte) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+func doRequest(ctx context.Context, method, url string, body []byte) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	content, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return nil, err
 	}
-	if a.StatusCode >= http.StatusMultipleChoices {
-		return nil, errors.Errorf("fleet: %s %s: status %d: %s", method, url, a.StatusCode, text)
+	if resp.StatusCode >= http.StatusMultipleChoices {
+		return nil, errors.Errorf("fleet: %s %s: status %d: %s", method, url, resp.StatusCode, content)
 	}
-	return text, nil
+	return content, nil
 }
 
-// waitFor waits until a GET request to the URL succeeds.
-func (f *Fleet) waitFor(ctx context.Context, url string) error {
-	return f.await(ctx, func() error {
+// waitForOK waits until a GET request to the URL succeeds.
+func (f *Fleet) waitForOK(ctx context.Context, url string) error {
+	return f.poll(ctx, func() error {
 		_, err := Get(ctx, url)
 		return err
 	})
@@ -55,8 +55,8 @@
 // readyTimeout limits the wait for a process to become ready.
 const readyTimeout = 30 * time.Second
 
-// await calls try until it succeeds or readyTimeout has passed.
-func (f *Fleet) await(ctx context.Context, try func() error) error {
+// poll calls try until it succeeds or readyTimeout has passed.
+func (f *Fleet) poll(ctx context.Context, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
--- a/fleet/identity.go
+++ b/fleet/identity.go
@@ -30,7 +30,7 @@
 	Authority   string
 }
 
-const identityLife = 24 * time.Hour
+const certificateLifetime = 24 * time.Hour
 
 // NewAuthority creates an authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "fleet: authority")
 	}
-	t := certificateFor("authority")
+	t := certificateTemplate("authority")
 	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
@@ -48,13 +48,13 @@
 	return &Authority{certificate: c, key: key}, errors.Wrap(err, "fleet: authority")
 }
 
-func certificateFor(name string) *x509.Certificate {
+func certificateTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		DNSNames:     []string{name},
 		NotBefore:    time.Now().Add(-time.Hour),
-		NotAfter:     time.Now().Add(identityLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
 }
 
@@ -70,7 +70,7 @@
 	if err != nil {
 		return i, errors.Wrap(err, "fleet: identity")
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, certificateFor(name), a.certificate, key.Public(), a.key)
+	raw, err := x509.CreateCertificate(rand.Reader, certificateTemplate(name), a.certificate, key.Public(), a.key)
 	if err != nil {
 		return i, errors.Wrap(err, "fleet: identity")
 	}
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -16,46 +16,46 @@
 // process is a running program.
 type process struct {
 	command *exec.Cmd
-	ended   chan error // receives the exit error once
+	exited  chan error // receives the exit error once
 }
 
-// file returns the path of a process's file in Dir.
-func (f *Fleet) file(name, ending string) string {
-	return filepath.Join(f.Spec.Dir, strings.ReplaceAll(name, "/", "-")+ending)
+// filePath returns the path of a process's file in Dir.
+func (f *Fleet) filePath(name, extension string) string {
+	return filepath.Join(f.Spec.Dir, strings.ReplaceAll(name, "/", "-")+extension)
 }
 
 // run starts a program under a name, with its output in a log in Dir.
 func (f *Fleet) run(name, program string, args ...string) error {
-	return f.runWith(surroundings{}, name, program, args...)
+	return f.runWithOptions(processOptions{}, name, program, args...)
 }
 
-// surroundings are a program's additional environment and its standard output.
-type surroundings struct {
+// processOptions are a program's additional environment and its standard output.
+type processOptions struct {
 	environment []string // additional variables, NAME=VALUE
 	stdout      *os.File // nil: the log
 }
 
-// runWith is like run, with the given environment and standard output.
-func (f *Fleet) runWith(s surroundings, name, program string, args ...string) error {
-	path := f.file(name, ".log")
+// runWithOptions is like run, with the given environment and standard output.
+func (f *Fleet) runWithOptions(options processOptions, name, program string, args ...string) error {
+	path := f.filePath(name, ".log")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	c := exec.Command(filepath.Join(f.Spec.Bin, program), args...)
 	c.Stdout, c.Stderr = out, out
-	if s.stdout != nil {
-		c.Stdout = s.stdout
+	if options.stdout != nil {
+		c.Stdout = options.stdout
 	}
-	c.Env = append(os.Environ(), s.environment...)
+	c.Env = append(os.Environ(), options.environment...)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		out.Close()
 		return errors.Wrapf(err, "fleet: start %s", name)
 	}
-	p := &process{command: c, ended: make(chan error, 1)}
+	p := &process{command: c, exited: make(chan error, 1)}
 	go func() {
-		p.ended <- c.Wait()
+		p.exited <- c.Wait()
 		out.Close()
 	}()
 	f.mu.Lock()
@@ -78,16 +78,16 @@
 	return nil
 }
 
-// tailMost is the number of bytes of a log that an error message includes.
-const tailMost = 1000
+// logTailSize is the number of bytes of a log that an error message includes.
+const logTailSize = 1000
 
 // tail returns the end of a process's log.
 func (f *Fleet) tail(name string) string {
-	text, err := os.ReadFile(f.file(name, ".log"))
+	text, err := os.ReadFile(f.filePath(name, ".log"))
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(len(text)-tailMost, 0):])
+	return string(text[max(len(text)-logTailSize, 0):])
 }
 
 // stopTimeout is the time that a process has to exit after a signal.
@@ -104,7 +104,7 @@
 	delete(f.processes, name)
 	f.mu.Unlock()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		return err
 	case <-time.After(stopTimeout):
 		_ = p.command.Process.Kill()
@@ -132,9 +132,9 @@
 		_ = p.command.Process.Kill() // it may have exited already
 	}
 	for _, p := range list {
-		<-p.ended
+		<-p.exited
 	}
-	if f.taken != nil {
-		_ = f.taken.Close() // it has no connections
+	if f.reservation != nil {
+		_ = f.reservation.Close() // it has no connections
 	}
 }
--- a/fleet/proxy.go
+++ b/fleet/proxy.go
@@ -15,7 +15,7 @@
 func (f *Fleet) startProxy(ctx context.Context) error {
 	args := []string{"--listen", f.ProxyAddress()}
 	route := func(ip string, port int) {
-		args = append(args, "--route", join(ip, port+proxyOffset)+"="+join(ip, port))
+		args = append(args, "--route", joinHostPort(ip, port+proxyOffset)+"="+joinHostPort(ip, port))
 	}
 	route(f.platformIP(), standinPort)
 	for c := 1; c <= f.Spec.Centres; c++ {
@@ -30,7 +30,7 @@
 	if err := f.run("proxy", "standin-proxy", args...); err != nil {
 		return err
 	}
-	return f.await(ctx, func() error { return f.SetRules(ctx, nil) })
+	return f.poll(ctx, func() error { return f.SetRules(ctx, nil) })
 }
 
 // SetRules replaces the rules of the proxy. Without rules, it forwards everything.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = exchange(ctx, http.MethodPut, "http://"+f.ProxyAddress()+"/rules", raw)
+	_, err = doRequest(ctx, http.MethodPut, "http://"+f.ProxyAddress()+"/rules", raw)
 	return err
 }
 
--- a/fleet/publish.go
+++ b/fleet/publish.go
@@ -15,7 +15,7 @@
 
 // Put writes a key of the key-value service, as the platform's users do.
 func (f *Fleet) Put(ctx context.Context, key string, value []byte) error {
-	_, err := exchange(ctx, http.MethodPut, "http://"+f.PlatformAddress()+"/v1/kv/"+key, value)
+	_, err := doRequest(ctx, http.MethodPut, "http://"+f.PlatformAddress()+"/v1/kv/"+key, value)
 	return err
 }
 
@@ -77,7 +77,7 @@
 	}
 	each := s.PerShard
 	if each == 0 {
-		each = defaultPerShard
+		each = defaultAdaptersPerShard
 	}
 	for first := 1; first <= s.Adapters; first += each {
 		shards[fmt.Sprintf("adapters-%05d", first)] = adapterShard(first, min(first+each, s.Adapters+1))
@@ -93,7 +93,7 @@
 				Name:         EndpointName(c, e),
 				DataCentre:   CentreName(c),
 				Base:         BaseName,
-				Address:      f.reached(f.engineIP(c, e), standinPort),
+				Address:      f.daemonAddress(f.engineIP(c, e), standinPort),
 				Slots:        f.Spec.Slots,
 				Running:      f.Spec.BatchSize,
 				ChecksFences: !f.Spec.NoFences,
--- a/fleet/spec.go
+++ b/fleet/spec.go
@@ -21,7 +21,7 @@
 	Engines           int      // per data centre
 	Services          int      // plain services, which all data centres share
 	Adapters          int      // number of adapters, each with versions 1 and 2, of which 2 is live
-	PerShard          int      // adapters per shard; zero: defaultPerShard
+	PerShard          int      // adapters per shard; zero: defaultAdaptersPerShard
 	Slots             int      // adapter slots per engine
 	BatchSize         int      // batch size of an engine
 	EngineArgs        []string // additional flags of the engines
@@ -48,8 +48,8 @@
 	ServiceName  = "stock"
 )
 
-// defaultPerShard keeps a shard near 30 KB, which limits the data transferred for a change.
-const defaultPerShard = 200
+// defaultAdaptersPerShard keeps a shard near 30 KB, which limits the data transferred for a change.
+const defaultAdaptersPerShard = 200
 
 // CentreName returns the name of a data centre, counted from 1.
 func CentreName(i int) string { return fmt.Sprintf("dc%d", i) }
@@ -82,7 +82,7 @@
 					Name:       BoxName(c, b) + "/" + role,
 					DataCentre: CentreName(c),
 					Role:       role,
-					Address:    f.reached(f.boxIP(c, b), peersPort+offset(role)),
+					Address:    f.daemonAddress(f.boxIP(c, b), peersPort+offset(role)),
 				})
 			}
 		}
--- a/fleet/usage.go
+++ b/fleet/usage.go
@@ -34,12 +34,12 @@
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	const userField, systemField, pagesField = 11, 12, 21 // indexes after the process name
 	return Usage{
-		CPU:    time.Duration(whole(fields[userField])+whole(fields[systemField])) * clockTick,
-		Memory: whole(fields[pagesField]) * int64(os.Getpagesize()),
+		CPU:    time.Duration(parseInt(fields[userField])+parseInt(fields[systemField])) * clockTick,
+		Memory: parseInt(fields[pagesField]) * int64(os.Getpagesize()),
 	}, nil
 }
 
-func whole(text string) int64 {
+func parseInt(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0 // cannot happen: the kernel writes integers
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -21,11 +21,11 @@
 	}
 }
 
-func TestASeedGivesTheSameArrivals(t *testing.T) {
+func TestSameSeedYieldsSameArrivals(t *testing.T) {
 	quicktest.Assert(t, plan().arrivals()[500].adapter, quicktest.Equals, plan().arrivals()[500].adapter)
 }
 
-func TestArrivalsFollowRateSkewAndShares(t *testing.T) {
+func TestArrivalsFollowRateSkewAndWeights(t *testing.T) {
 	c := quicktest.New(t)
 	list := plan().arrivals()
 	c.Assert(len(list) > 900 && len(list) < 1100, quicktest.IsTrue, quicktest.Commentf("%d", len(list)))
@@ -42,7 +42,7 @@
 	c.Assert(counter > 6*len(list)/10 && counter < 9*len(list)/10, quicktest.IsTrue)
 }
 
-func TestAShiftMakesOtherAdaptersPopular(t *testing.T) {
+func TestShiftMakesOtherAdaptersPopular(t *testing.T) {
 	c := quicktest.New(t)
 	p := plan()
 	p.ShiftAfter = time.Second
--- a/load/plan.go
+++ b/load/plan.go
@@ -47,20 +47,20 @@
 
 // arrival is a scheduled request of a plan.
 type arrival struct {
-	at      time.Duration // since the start
-	gateway string
-	adapter string
-	kind    RequestKind
-	tokens  int
-	talk    int    // conversation
-	again   string // gateway for the duplicate; "" for none
-	version string // "@" and version to request; "" for the live one
-	any     bool   // any version may be used
+	at               time.Duration // since the start
+	gateway          string
+	adapter          string
+	kind             RequestKind
+	tokens           int
+	conversation     int
+	duplicateGateway string // gateway for the duplicate; "" for none
+	version          string // "@" and version to request; "" for the live one
+	anyVersion       bool   // any version may be used
 }
 
 const (
-	wakingAdapters = 0.24 // share of the adapters
-	wakingRequests = 0.25 // share of the requests
+	activatedAdapters = 0.24 // share of the adapters
+	activatedRequests = 0.25 // share of the requests
 )
 
 // arrivals returns all requests of the plan, in order.
@@ -77,18 +77,18 @@
 			tokens:  max(1, k.Tokens/2+r.IntN(k.Tokens+1)),
 		}
 		if p.Duplicate && k.WithKey {
-			a.again = p.Gateways[r.IntN(len(p.Gateways))]
+			a.duplicateGateway = p.Gateways[r.IntN(len(p.Gateways))]
 		}
-		a.any = p.AnyVersion
+		a.anyVersion = p.AnyVersion
 		if p.ExplicitVersion {
 			a.version = "@2"
 		}
 		a.adapter = fleet.AdapterName(1 + p.adapter(int(zipf.Uint64()), a.at))
-		if p.ActivateAfter > 0 && a.at >= p.ActivateAfter && r.Float64() < wakingRequests {
-			a.adapter = fleet.AdapterName(1 + r.IntN(max(1, int(wakingAdapters*float64(p.Adapters)))))
+		if p.ActivateAfter > 0 && a.at >= p.ActivateAfter && r.Float64() < activatedRequests {
+			a.adapter = fleet.AdapterName(1 + r.IntN(max(1, int(activatedAdapters*float64(p.Adapters)))))
 		}
 		if p.Conversations > 0 {
-			a.talk = r.IntN(p.Conversations)
+			a.conversation = r.IntN(p.Conversations)
 		}
 		list = append(list, a)
 	}
@@ -115,11 +115,11 @@
 }
 
 func (p Plan) kind(r *rand.Rand) RequestKind {
-	whole := 0.0
+	total := 0.0
 	for _, k := range p.Kinds {
-		whole += k.Weight
+		total += k.Weight
 	}
-	x := r.Float64() * whole
+	x := r.Float64() * total
 	for _, k := range p.Kinds {
 		if x -= k.Weight; x < 0 {
 			return k
@@ -128,18 +128,18 @@
 	return p.Kinds[len(p.Kinds)-1]
 }
 
-// ask returns the request to send.
-func (a arrival) ask() fleet.Request {
+// request returns the request to send.
+func (a arrival) request() fleet.Request {
 	q := fleet.Request{
 		Address:      a.gateway,
 		Model:        a.adapter + a.version,
 		Expect:       a.adapter + "@2",
 		Tokens:       a.tokens,
-		Conversation: a.talk,
+		Conversation: a.conversation,
 		Stream:       a.kind.Stream,
 		Header:       map[string]string{"Cairn-Class": a.kind.Class, "Cairn-Caller": a.kind.Caller},
 	}
-	if a.any {
+	if a.anyVersion {
 		q.Expect = ""
 	}
 	if a.kind.Deadline > 0 {
--- a/load/run.go
+++ b/load/run.go
@@ -24,13 +24,13 @@
 	Retried         int // rejected requests that were sent once more after the suggested time
 	RetriedComplete int // of these, those with a complete response then
 
-	TimeToHeader *metrics.Family // time to first byte of complete responses, by class
+	TimeToHeader *metrics.Family // time to the response header of complete responses, by class
 	Total        *metrics.Family // duration of complete responses, by class
 	LongestGap   time.Duration   // longest interval between the ends of complete responses
 
 	Outcomes  []Outcome // one entry per request
 	NotRunIDs []string  // IDs of the requests rejected as not executed
-	Errors    []string  // first errors, at most maxComplaints
+	Errors    []string  // first errors, at most maxErrors
 }
 
 // Outcome is the outcome of a request.
@@ -48,10 +48,10 @@
 	LoadStall  time.Duration // time spent waiting for the adapter to load
 }
 
-const maxComplaints = 10
+const maxErrors = 10
 
-// book collects a report. It is safe for concurrent use.
-type book struct {
+// recorder collects a report. It is safe for concurrent use.
+type recorder struct {
 	mu     sync.Mutex
 	report Report
 	last   time.Time // end of the latest complete response
@@ -60,50 +60,50 @@
 // Run sends the plan's requests and returns when all of them have ended.
 func Run(ctx context.Context, p Plan) Report {
 	list := p.arrivals()
-	b := &book{report: Report{
+	rec := &recorder{report: Report{
 		Codes:        make(map[string]int),
-		TimeToHeader: metrics.NewFamily(classesKept),
-		Total:        metrics.NewFamily(classesKept),
+		TimeToHeader: metrics.NewFamily(maxClasses),
+		Total:        metrics.NewFamily(maxClasses),
 	}}
 	c := &fleet.Client{HTTP: http.Client{
-		Transport: &http.Transport{MaxIdleConnsPerHost: idlePerGateway},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerGateway},
 		Timeout:   p.Timeout,
 	}}
 	defer c.HTTP.CloseIdleConnections()
-	begun := time.Now()
-	b.last = begun
-	front := &balancer{health: p.Health, ready: make(map[string]bool)}
-	balanced, stop := context.WithCancel(ctx)
+	started := time.Now()
+	rec.last = started
+	lb := &loadBalancer{health: p.Health, ready: make(map[string]bool)}
+	lbCtx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- front.run(balanced) }()
+	go func() { ended <- lb.run(lbCtx) }()
 	defer func() {
 		stop()
 		<-ended
 	}()
 	var all sync.WaitGroup
 	for _, a := range list {
-		if !sleepUntil(ctx, begun.Add(a.at)) {
+		if !sleepUntil(ctx, started.Add(a.at)) {
 			break
 		}
 		if len(p.Health) > 0 {
-			a.gateway = front.choose(a.gateway, p.Gateways)
+			a.gateway = lb.choose(a.gateway, p.Gateways)
 		}
 		all.Go(func() {
-			begun := time.Now()
+			started := time.Now()
 			r := send(ctx, c, a)
-			b.note(a, r, begun)
-			if p.RetryRejected && r.reply.Execution == "not_run" && r.reply.RetryAfter > 0 {
-				b.noteBack(ctx, c, a, r.reply.RetryAfter)
+			rec.record(a, r, started)
+			if p.RetryRejected && r.response.Execution == "not_run" && r.response.RetryAfter > 0 {
+				rec.retryOnce(ctx, c, a, r.response.RetryAfter)
 			}
 		})
 	}
 	all.Wait()
-	return b.report
+	return rec.report
 }
 
 const (
-	classesKept    = 16
-	idlePerGateway = 1024
+	maxClasses        = 16
+	maxIdlePerGateway = 1024
 )
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
@@ -121,33 +121,33 @@
 
 // result is the response to a request, or its error.
 type result struct {
-	reply fleet.Response
-	err   error // no valid response
-	wrong error // incorrect content of a complete response
+	response   fleet.Response
+	err        error // no valid response
+	contentErr error // incorrect content of a complete response
 }
 
 func send(ctx context.Context, c *fleet.Client, a arrival) result {
-	q := a.ask()
-	if a.again != "" {
-		defer sendAgain(ctx, c, q, a.again)()
+	q := a.request()
+	if a.duplicateGateway != "" {
+		defer sendDuplicate(ctx, c, q, a.duplicateGateway)()
 	}
 	r, err := c.Do(ctx, q)
 	if err != nil {
 		return result{err: err}
 	}
 	if !r.Complete {
-		return result{reply: r}
+		return result{response: r}
 	}
 	want := q.Expect
-	if a.any {
+	if a.anyVersion {
 		want = r.Header.Get("Cairn-Model")
 	}
-	return result{reply: r, wrong: r.Validate(want, a.tokens)}
+	return result{response: r, contentErr: r.Validate(want, a.tokens)}
 }
 
-// sendAgain sends a duplicate of a request concurrently through another gateway, as
+// sendDuplicate sends a duplicate of a request concurrently through another gateway, as
 // a retrying load balancer or client may. The returned function waits for its end.
-func sendAgain(ctx context.Context, c *fleet.Client, q fleet.Request, gateway string) func() {
+func sendDuplicate(ctx context.Context, c *fleet.Client, q fleet.Request, gateway string) func() {
 	q.Address = gateway
 	done := make(chan struct{})
 	go func() {
@@ -157,66 +157,66 @@
 	return func() { <-done }
 }
 
-func (b *book) note(a arrival, r result, begun time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &b.report
+func (rec *recorder) record(a arrival, r result, started time.Time) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	p := &rec.report
 	p.Sent++
-	right := r.err == nil && r.wrong == nil && r.reply.Complete
-	broken := r.err != nil || (r.wrong == nil && !r.reply.Complete && r.reply.Code == "")
+	complete := r.err == nil && r.contentErr == nil && r.response.Complete
+	broken := r.err != nil || (r.contentErr == nil && !r.response.Complete && r.response.Code == "")
 	p.Outcomes = append(p.Outcomes, Outcome{
-		Gateway: a.gateway, Started: begun, Ended: time.Now(), Complete: right, Broken: broken,
-		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.reply.Code, RetryAfter: r.reply.RetryAfter, Adapter: a.adapter,
-		LoadStall: r.reply.LoadStall(),
+		Gateway: a.gateway, Started: started, Ended: time.Now(), Complete: complete, Broken: broken,
+		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.response.Code, RetryAfter: r.response.RetryAfter, Adapter: a.adapter,
+		LoadStall: r.response.LoadStall(),
 	})
 	switch {
 	case r.err != nil:
 		p.Broken++
-		b.complainLocked(r.err)
-	case r.wrong != nil:
+		rec.recordErrorLocked(r.err)
+	case r.contentErr != nil:
 		p.Incorrect++
-		b.complainLocked(r.wrong)
-	case r.reply.Complete:
+		rec.recordErrorLocked(r.contentErr)
+	case r.response.Complete:
 		p.Complete++
-		b.wholeLocked(a, r.reply)
-	case r.reply.Code == "":
+		rec.recordCompleteLocked(a, r.response)
+	case r.response.Code == "":
 		p.Broken++ // the stream ended without a final event or an error
-	case r.reply.Execution == "not_run":
+	case r.response.Execution == "not_run":
 		p.NotRun++
-		p.NotRunIDs = append(p.NotRunIDs, r.reply.RequestID)
-		p.Codes[r.reply.Code]++
+		p.NotRunIDs = append(p.NotRunIDs, r.response.RequestID)
+		p.Codes[r.response.Code]++
 	default:
 		p.Unknown++
-		p.Codes[r.reply.Code]++
+		p.Codes[r.response.Code]++
 	}
 }
 
-const longestBack = 10 * time.Second // longer suggested delays are not waited for
+const maxRetryDelay = 10 * time.Second // longer suggested delays are not waited for
 
-// noteBack sends a rejected request once more after the suggested delay and records the result.
-func (b *book) noteBack(ctx context.Context, c *fleet.Client, a arrival, retry time.Duration) {
-	if retry > longestBack || !sleepUntil(ctx, time.Now().Add(retry)) {
+// retryOnce sends a rejected request once more after the suggested delay and records the result.
+func (rec *recorder) retryOnce(ctx context.Context, c *fleet.Client, a arrival, delay time.Duration) {
+	if delay > maxRetryDelay || !sleepUntil(ctx, time.Now().Add(delay)) {
 		return
 	}
 	r := send(ctx, c, a)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.report.Retried++
-	if r.err == nil && r.reply.Complete {
-		b.report.RetriedComplete++
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.report.Retried++
+	if r.err == nil && r.response.Complete {
+		rec.report.RetriedComplete++
 	}
 }
 
-func (b *book) wholeLocked(a arrival, r fleet.Response) {
+func (rec *recorder) recordCompleteLocked(a arrival, r fleet.Response) {
 	now := time.Now()
-	b.report.LongestGap = max(b.report.LongestGap, now.Sub(b.last))
-	b.last = now
-	b.report.TimeToHeader.Observe(a.kind.Class, r.TimeToHeader)
-	b.report.Total.Observe(a.kind.Class, r.Duration)
+	rec.report.LongestGap = max(rec.report.LongestGap, now.Sub(rec.last))
+	rec.last = now
+	rec.report.TimeToHeader.Observe(a.kind.Class, r.TimeToHeader)
+	rec.report.Total.Observe(a.kind.Class, r.Duration)
 }
 
-func (b *book) complainLocked(err error) {
-	if len(b.report.Errors) < maxComplaints {
-		b.report.Errors = append(b.report.Errors, err.Error())
+func (rec *recorder) recordErrorLocked(err error) {
+	if len(rec.report.Errors) < maxErrors {
+		rec.report.Errors = append(rec.report.Errors, err.Error())
 	}
 }
