--- a/fleet/proxy.go
+++ b/fleet/proxy.go
@@ -43,7 +43,7 @@
 	return err
 }
 
-// NewRule returns a rule for connections from one part of the fleet to another; see Range for the parts.
+// NewRule returns a rule for connections from one part of the fleet to another; see AddressRange for the parts.
 func (f *Fleet) NewRule(from, to, mode string) (standin.Rule, error) {
 	r := standin.Rule{Mode: mode}
 	var err error
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -26,7 +26,7 @@
 	ReportLag       time.Duration // age of the state that /metrics shows
 	ResumeWindow    time.Duration // how long a run continues without a connected client
 	PrefillSteps    int           // steps before the first token when the prompt's prefix is not cached
-	PrefixCacheSize int           // capacity of the prefix cache; zero: no cache
+	PrefixCacheSize int           // zero: no cache
 	EventDelay      time.Duration // delay until a cache event becomes visible
 	DropEventEvery  int           // every n-th cache event is dropped; zero: none
 	ChecksFences    bool
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -23,7 +23,7 @@
 	mode      string // "" or one of the modes
 	calls     int
 	changed   chan struct{}
-	history   []Entry           // latest changes, oldest first; at most HistoryKept
+	history   []Entry           // latest changes, oldest first; at most HistorySize
 	compacted uint64            // revision of the latest change dropped from the history
 	snapshot  *platformSnapshot // nil: no copy was made
 	epoch     uint64            // number of restores from a copy
--- a/standin/prefix.go
+++ b/standin/prefix.go
@@ -19,7 +19,7 @@
 // prefixCache is an LRU cache of prompt prefixes by adapter. It publishes changes as
 // events, which are delayed and, if dropEvery is set, partly lost.
 type prefixCache struct {
-	capacity     int           // capacity; zero: no cache
+	capacity     int           // zero: no cache
 	delay        time.Duration // delay until an event becomes visible
 	dropEvery    int           // every n-th event is dropped; zero: none
 	order        []prefixKey   // least recently used first
