--- a/daemon/silence_test.go
+++ b/daemon/silence_test.go
@@ -38,7 +38,7 @@
 
 // startPeerBehindProxy starts a peer behind a proxy that can be silenced, and returns the proxy,
 // a dialer and the proxy's address.
-func startPeerBehindProxy(t *testing.T, silentFor time.Duration) (*standin.SilentProxy, *Dialer, string) {
+func startPeerBehindProxy(t *testing.T, silentFor time.Duration) (*standin.BlackholeProxy, *Dialer, string) {
 	c := quicktest.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	back, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 	s := NewServer(insecure.NewCredentials(), nil)
 	wire.RegisterPeerServer(s, echoPeer{})
 	wire.RegisterShareServer(s, echoPeer{})
-	proxy := &standin.SilentProxy{Target: back.Addr().String()}
+	proxy := &standin.BlackholeProxy{Target: back.Addr().String()}
 	ended := make(chan error, 2)
 	go func() { ended <- s.Serve(back) }()
 	go func() { ended <- proxy.Run(ctx, front) }()
@@ -82,14 +82,14 @@
 	c := quicktest.New(t)
 	proxy, d, address := startPeerBehindProxy(t, heartbeatTimeout+heartbeatTimeout/2)
 	c.Assert(sendHeartbeat(d, address, time.Minute), quicktest.IsNil)
-	proxy.Silence()
+	proxy.Blackhole()
 	c.Assert(status.Code(sendHeartbeat(d, address, heartbeatTimeout)), quicktest.Equals, codes.DeadlineExceeded)
 	err := sendHeartbeat(d, address, heartbeatTimeout)
 	for n := 0; err != nil && n < maxHeartbeats; n++ {
 		err = sendHeartbeat(d, address, heartbeatTimeout)
 	}
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 2)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 2)
 }
 
 // The same failure on a stream of updates: the reader cancelled the overdue stream, and the next
@@ -108,7 +108,7 @@
 			return err
 		}
 		time.AfterFunc(heartbeatTimeout+heartbeatTimeout/2, cancel)
-		proxy.Silence()
+		proxy.Blackhole()
 		_, err = s.Recv()
 		return err
 	}
@@ -118,7 +118,7 @@
 		err = sendHeartbeat(d, address, 5*time.Second)
 	}
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 2)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 2)
 }
 
 // A call that waits long on a connection on which others are answered does not close it.
@@ -138,7 +138,7 @@
 	_, err = s.Recv()
 	c.Assert(status.Code(err), quicktest.Equals, codes.Canceled)
 	c.Assert(sendHeartbeat(d, address, time.Minute), quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 1)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 1)
 }
 
 // The reader of a stream cancelled it on a working connection, on which nothing was received for a
@@ -158,5 +158,5 @@
 	time.Sleep(2 * heartbeatTimeout)
 	c.Assert(sendHeartbeat(d, address, time.Microsecond), quicktest.IsNotNil)
 	c.Assert(sendHeartbeat(d, address, time.Minute), quicktest.IsNil)
-	c.Assert(proxy.Taken(), quicktest.Equals, 1)
+	c.Assert(proxy.Accepted(), quicktest.Equals, 1)
 }
--- a/fleet/edge.go
+++ b/fleet/edge.go
@@ -17,33 +17,33 @@
 	"github.com/pkg/errors"
 )
 
-// edgeRole is the part of the name of a box's one process on the users' platform.
+// edgeRole is the last part of the process name of an edge box, which runs a single process.
 const edgeRole = "edge"
 
-// readyPort takes the balancer's questions; the other ports are those of a gateway.
+// readyPort serves the load balancer's readiness checks. The other ports are those of a gateway.
 const readyPort = 8081
 
-// ReadyAddress returns where the balancer asks a box on the users' platform.
+// ReadyAddress returns the address of an edge box's readiness check.
 func (f *Fleet) ReadyAddress(centre, box int) string {
 	return fmt.Sprintf("%s:%d", f.boxIP(centre, box), readyPort)
 }
 
-// Documents in the form of the users' platform: a box's settings, a configuration with one
-// route to one service that runs a model, and the entry of an endpoint of it.
+// Documents in the format of the users' platform: a box's settings, a configuration with a
+// route to a service that runs a model, and the registration of an endpoint of this service.
 var (
 	//go:embed users/settings.toml
 	EdgeSettings string
 	//go:embed users/config.json
 	edgeConfig string
 	//go:embed users/server.json
-	edgeServer string
+	edgeRegistration string
 )
 
-// StartEdge starts the one process of a box on the users' platform, with settings in that
-// platform's form, in which $BOX, $ZONE, $IP, $CALLERS, $READY, $PEERS, $PEERSPORT,
-// $METRICSPORT and $STORE stand for what is this box's, and $SEED for its first data centre's
-// first box. It writes to out, or to its log when that is nil. StartEdge returns when the
-// box answers the balancer.
+// StartEdge starts the single process of a box on the users' platform and waits until its
+// readiness check succeeds. In the settings, which have that platform's format, it expands
+// $BOX, $ZONE, $IP, $CALLERS, $READY, $PEERS, $PEERSPORT, $METRICSPORT and $STORE to the
+// values of this box, and $SEED to the address of the first box of the first data centre.
+// The process's standard output goes to out, or to its log if out is nil.
 func (f *Fleet) StartEdge(ctx context.Context, centre, box int, settings string, out *os.File) error {
 	values := map[string]string{
 		"BOX":         BoxName(centre, box),
@@ -62,32 +62,32 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return err
 	}
-	o := surroundings{environment: []string{platform.SettingsVariable + "=" + path}, stdout: out}
-	if err := f.runWith(o, DaemonName(centre, box, edgeRole), "cairnwick"); err != nil {
+	options := processOptions{environment: []string{platform.SettingsVariable + "=" + path}, stdout: out}
+	if err := f.runWithOptions(options, DaemonName(centre, box, edgeRole), "cairnwick"); err != nil {
 		return err
 	}
-	return f.waitFor(ctx, "http://"+f.ReadyAddress(centre, box)+"/")
+	return f.waitForOK(ctx, "http://"+f.ReadyAddress(centre, box)+"/")
 }
 
-// PublishEdgeConfig publishes the configuration under another version.
+// PublishEdgeConfig publishes the configuration with the given version.
 func (f *Fleet) PublishEdgeConfig(ctx context.Context, version uint64) error {
 	text := strings.Replace(edgeConfig, `"version": 7`, fmt.Sprintf(`"version": %d`, version), 1)
 	return f.Put(ctx, platformtest.ConfigKey, []byte(text))
 }
 
-// PublishEdge publishes the configuration and an entry for each engine.
+// PublishEdge publishes the configuration and the registration of every engine.
 func (f *Fleet) PublishEdge(ctx context.Context) error {
 	if err := f.Put(ctx, platformtest.ConfigKey, []byte(edgeConfig)); err != nil {
 		return err
 	}
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for e := 1; e <= f.Spec.Engines; e++ {
-			life, err := f.Life(ctx, c, e)
+			bootID, err := f.BootID(ctx, c, e)
 			if err != nil {
 				return err
 			}
-			entry := strings.ReplaceAll(edgeServer, "$ADDRESS", f.EngineAddress(c, e))
-			if err := f.Put(ctx, platformtest.EndpointKey(life), []byte(entry)); err != nil {
+			registration := strings.ReplaceAll(edgeRegistration, "$ADDRESS", f.EngineAddress(c, e))
+			if err := f.Put(ctx, platformtest.EndpointKey(bootID), []byte(registration)); err != nil {
 				return err
 			}
 		}
@@ -95,26 +95,26 @@
 	return nil
 }
 
-// Life waits until an engine answers, and returns which life of it does.
-func (f *Fleet) Life(ctx context.Context, centre, number int) (string, error) {
-	life := ""
-	err := f.await(ctx, func() error {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.EngineAddress(centre, number)+"/control/counts", nil)
+// BootID waits until an engine responds and returns its boot ID.
+func (f *Fleet) BootID(ctx context.Context, centre, number int) (string, error) {
+	bootID := ""
+	err := f.poll(ctx, func() error {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.EngineAddress(centre, number)+"/control/counts", nil)
 		if err != nil {
 			return err
 		}
-		a, err := http.DefaultClient.Do(r)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return err
 		}
-		life = a.Header.Get(engine.BootHeader)
-		return a.Body.Close()
+		bootID = resp.Header.Get(engine.BootHeader)
+		return resp.Body.Close()
 	})
-	return life, err
+	return bootID, err
 }
 
-// Remove takes a value away, as the users' endpoints do with their own.
-func (f *Fleet) Remove(ctx context.Context, key string) error {
-	_, err := exchange(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
-	return errors.Wrapf(err, "fleet: remove %s", key)
+// Delete deletes a key, as an endpoint of the users does with its registration.
+func (f *Fleet) Delete(ctx context.Context, key string) error {
+	_, err := doRequest(ctx, http.MethodDelete, "http://"+f.PlatformAddress()+"/v1/kv/"+key, nil)
+	return errors.Wrapf(err, "fleet: delete key %s", key)
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	peerName  = "cairnwick" // in every certificate
-	reportLag = 200 * time.Millisecond
+	certificateName = "cairnwick" // DNS name in every daemon's certificate
+	reportLag       = 200 * time.Millisecond
 )
 
-// Fleet is a system of processes. Start it, and Stop it at the end.
+// Fleet runs a system of processes. It must be stopped with Stop, also if Start fails.
 type Fleet struct {
 	Spec Spec
 
-	network  string       // first three numbers of every address
-	taken    net.Listener // keeps other fleets from the network; nil: nothing does
-	identity Identity     // of every daemon, with TLS
+	network     string       // first three octets of all addresses
+	reservation net.Listener // reserves the network; nil: not reserved
+	identity    Identity     // shared by all daemons if TLS is set
 
 	mu        sync.Mutex
-	processes map[string]*process // by name, running ones
-	head      catalog.Head        // as last published
+	processes map[string]*process // running processes by name
+	head      catalog.Head        // last published by Publish
 }
 
-// New returns a fleet that is not started.
+// New returns a fleet that has not been started and reserves its addresses.
 func New(s Spec) *Fleet {
-	network, taken := newNetwork()
-	return &Fleet{Spec: s, network: network, taken: taken, processes: make(map[string]*process)}
+	network, reservation := reserveNetwork()
+	return &Fleet{Spec: s, network: network, reservation: reservation, processes: make(map[string]*process)}
 }
 
-// Start starts every process and returns when every daemon is ready.
+// Start starts all processes and waits until every daemon is ready.
 func (f *Fleet) Start(ctx context.Context) error {
-	if err := f.identify(); err != nil {
+	if err := f.createIdentity(); err != nil {
 		return err
 	}
 	if err := f.StartPlatform(ctx); err != nil {
@@ -75,29 +75,29 @@
 	return f.WaitReady(ctx)
 }
 
-// identify makes the identity of the daemons, when they speak TLS.
-func (f *Fleet) identify() error {
+// createIdentity creates the daemons' certificate if they use TLS.
+func (f *Fleet) createIdentity() error {
 	if !f.Spec.TLS {
 		return nil
 	}
-	a, err := NewAuthority()
+	authority, err := NewAuthority()
 	if err != nil {
 		return err
 	}
-	f.identity, err = a.Write(f.Spec.Dir, peerName)
+	f.identity, err = authority.Write(f.Spec.Dir, certificateName)
 	return err
 }
 
 // StartPlatform starts the platform and publishes the fleet's configuration.
 func (f *Fleet) StartPlatform(ctx context.Context) error {
-	args := append([]string{"--listen", f.PlatformAddress()}, f.Spec.StoreArgs...)
+	args := append([]string{"--listen", f.PlatformAddress()}, f.Spec.PlatformArgs...)
 	if err := f.run("platform", "standin-platform", args...); err != nil {
 		return err
 	}
-	if err := f.waitFor(ctx, "http://"+f.PlatformAddress()+"/control/calls"); err != nil {
+	if err := f.waitForOK(ctx, "http://"+f.PlatformAddress()+"/control/calls"); err != nil {
 		return err
 	}
-	boxes, err := json.Marshal(f.Boxes())
+	boxes, err := json.Marshal(f.DaemonRecords())
 	if err != nil {
 		return err
 	}
@@ -107,14 +107,14 @@
 	return f.Publish(ctx, f.Shards())
 }
 
-// StartEngine starts one engine.
+// StartEngine starts an engine without waiting for it.
 func (f *Fleet) StartEngine(centre, engine int) error {
 	args := []string{
 		"--listen", f.EngineAddress(centre, engine),
 		"--store", "http://" + f.PlatformAddress(),
 		"--base", BaseName,
 		"--slots", fmt.Sprint(f.Spec.Slots),
-		"--batch", fmt.Sprint(f.Spec.Batch),
+		"--batch", fmt.Sprint(f.Spec.BatchSize),
 		"--report-lag", reportLag.String(),
 	}
 	if f.Spec.NoFences {
@@ -136,42 +136,42 @@
 // DaemonName returns the name of a daemon's process.
 func DaemonName(centre, box int, role string) string { return BoxName(centre, box) + "/" + role }
 
-// StartDaemon starts one daemon.
+// StartDaemon writes a daemon's settings and starts it without waiting for it.
 func (f *Fleet) StartDaemon(centre, box int, role string) error {
-	s := map[string]any{
+	settings := map[string]any{
 		"box":              BoxName(centre, box),
 		"data_centre":      CentreName(centre),
 		"peers_listen":     f.PeersAddress(centre, box, role),
 		"operators_listen": f.OperatorsAddress(centre, box, role),
-		"platform":         "http://" + f.reached(f.platformIP(), standinPort),
-		"advertise":        f.reached(f.boxIP(centre, box), peersPort+offset(role)),
+		"platform":         "http://" + f.daemonAddress(f.platformIP(), standinPort),
+		"advertise":        f.daemonAddress(f.boxIP(centre, box), peersPort+offset(role)),
 		"source":           f.boxIP(centre, box),
 		"settle":           "300ms",
 	}
-	more := f.Spec.Scheduler
+	more := f.Spec.SchedulerSettings
 	if role == member.Gateway {
-		s["callers_listen"] = f.CallersAddress(centre, box)
-		more = f.Spec.Gateway
+		settings["callers_listen"] = f.CallersAddress(centre, box)
+		more = f.Spec.GatewaySettings
 	}
 	if f.Spec.TLS {
-		s["tls_certificate"], s["tls_key"], s["tls_authority"] = f.identity.Certificate, f.identity.Key, f.identity.Authority
+		settings["tls_certificate"], settings["tls_key"], settings["tls_authority"] = f.identity.Certificate, f.identity.Key, f.identity.Authority
 	}
-	raw, err := json.MarshalIndent(s, "", "  ")
+	raw, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
 	}
-	path := f.file(DaemonName(centre, box, role), ".json")
+	path := f.filePath(DaemonName(centre, box, role), ".json")
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
 		return err
 	}
 	args := []string{"--settings", path}
-	for _, v := range append(append([]string{}, f.Spec.Both...), more...) {
+	for _, v := range append(append([]string{}, f.Spec.CommonSettings...), more...) {
 		args = append(args, "--set", v)
 	}
 	return f.run(DaemonName(centre, box, role), "cairn-"+role, args...)
 }
 
-// WaitReady returns when every gateway and scheduler that runs is ready.
+// WaitReady waits until every running gateway and scheduler is ready.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for c := 1; c <= f.Spec.Centres; c++ {
 		for b := 1; b <= f.Spec.Boxes; b++ {
@@ -179,7 +179,7 @@
 				if f.PID(DaemonName(c, b, role)) == 0 {
 					continue
 				}
-				if err := f.waitFor(ctx, "http://"+f.OperatorsAddress(c, b, role)+"/readyz"); err != nil {
+				if err := f.waitForOK(ctx, "http://"+f.OperatorsAddress(c, b, role)+"/readyz"); err != nil {
 					return err
 				}
 			}
--- a/fleet/http.go
+++ b/fleet/http.go
@@ -13,50 +13,50 @@
 	"github.com/pkg/errors"
 )
 
-// Get reads a URL that answers with status 200 or 204.
+// Get returns the body of a URL. A status of 300 or above is an error.
 func Get(ctx context.Context, url string) ([]byte, error) {
-	return exchange(ctx, http.MethodGet, url, nil)
+	return doRequest(ctx, http.MethodGet, url, nil)
 }
 
-// Post sends an empty body to a control path.
+// Post sends a POST request with an empty body. A status of 300 or above is an error.
 func Post(ctx context.Context, url string) error {
-	_, err := exchange(ctx, http.MethodPost, url, nil)
+	_, err := doRequest(ctx, http.MethodPost, url, nil)
 	return err
 }
 
-func exchange(ctx context.Context, method, url string, body []byte) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
+func doRequest(ctx context.Context, method, url string, body []byte) ([]byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	content, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return nil, err
 	}
-	if a.StatusCode >= http.StatusMultipleChoices {
-		return nil, errors.Errorf("fleet: %s %s: status %d: %s", method, url, a.StatusCode, text)
+	if resp.StatusCode >= http.StatusMultipleChoices {
+		return nil, errors.Errorf("fleet: %s %s: status %d: %s", method, url, resp.StatusCode, content)
 	}
-	return text, nil
+	return content, nil
 }
 
-// waitFor returns when the URL answers with status 200.
-func (f *Fleet) waitFor(ctx context.Context, url string) error {
-	return f.await(ctx, func() error {
+// waitForOK waits until a GET request to the URL succeeds.
+func (f *Fleet) waitForOK(ctx context.Context, url string) error {
+	return f.poll(ctx, func() error {
 		_, err := Get(ctx, url)
 		return err
 	})
 }
 
-// readyTimeout is the longest wait for a process to answer as it should.
+// readyTimeout limits the wait for a process to become ready.
 const readyTimeout = 30 * time.Second
 
-// await tries until it succeeds, for a bounded time.
-func (f *Fleet) await(ctx context.Context, try func() error) error {
+// poll calls try until it succeeds or readyTimeout has passed.
+func (f *Fleet) poll(ctx context.Context, try func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
@@ -66,7 +66,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "fleet: waited in vain")
+			return errors.Wrapf(err, "fleet: not ready within %s", readyTimeout)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/fleet/identity.go
+++ b/fleet/identity.go
@@ -17,28 +17,28 @@
 	"github.com/pkg/errors"
 )
 
-// Authority signs certificates for tests and demos.
+// Authority is a certificate authority for tests and demos.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// Identity names the files of one daemon's or operator's identity.
+// Identity holds the paths of a daemon's or operator's certificate, key and CA certificate.
 type Identity struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-const identityLife = 24 * time.Hour
+const certificateLifetime = 24 * time.Hour
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "fleet: authority")
 	}
-	t := certificateFor("authority")
+	t := certificateTemplate("authority")
 	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
@@ -48,18 +48,18 @@
 	return &Authority{certificate: c, key: key}, errors.Wrap(err, "fleet: authority")
 }
 
-func certificateFor(name string) *x509.Certificate {
+func certificateTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		DNSNames:     []string{name},
 		NotBefore:    time.Now().Add(-time.Hour),
-		NotAfter:     time.Now().Add(identityLife),
+		NotAfter:     time.Now().Add(certificateLifetime),
 	}
 }
 
-// Write makes a certificate that carries the DNS name, and writes the files of an
-// identity to dir.
+// Write issues a certificate for the DNS name and writes it, its key and the CA
+// certificate to dir as PEM files.
 func (a *Authority) Write(dir, name string) (Identity, error) {
 	i := Identity{
 		Certificate: filepath.Join(dir, "certificate.pem"),
@@ -70,7 +70,7 @@
 	if err != nil {
 		return i, errors.Wrap(err, "fleet: identity")
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, certificateFor(name), a.certificate, key.Public(), a.key)
+	raw, err := x509.CreateCertificate(rand.Reader, certificateTemplate(name), a.certificate, key.Public(), a.key)
 	if err != nil {
 		return i, errors.Wrap(err, "fleet: identity")
 	}
--- a/fleet/process.go
+++ b/fleet/process.go
@@ -13,49 +13,49 @@
 	"github.com/pkg/errors"
 )
 
-// process is one running program.
+// process is a running program.
 type process struct {
 	command *exec.Cmd
-	ended   chan error // receives once
+	exited  chan error // receives the exit error once
 }
 
-// file returns the path in Dir of a process's file.
-func (f *Fleet) file(name, ending string) string {
-	return filepath.Join(f.Spec.Dir, strings.ReplaceAll(name, "/", "-")+ending)
+// filePath returns the path of a process's file in Dir.
+func (f *Fleet) filePath(name, extension string) string {
+	return filepath.Join(f.Spec.Dir, strings.ReplaceAll(name, "/", "-")+extension)
 }
 
-// run starts a program under a name; its output goes to a log in Dir.
+// run starts a program under a name, with its output in a log in Dir.
 func (f *Fleet) run(name, program string, args ...string) error {
-	return f.runWith(surroundings{}, name, program, args...)
+	return f.runWithOptions(processOptions{}, name, program, args...)
 }
 
-// surroundings are what a program gets besides its arguments.
-type surroundings struct {
-	environment []string // more variables, NAME=VALUE
-	stdout      *os.File // nil: its log
+// processOptions are a program's additional environment and its standard output.
+type processOptions struct {
+	environment []string // additional variables, NAME=VALUE
+	stdout      *os.File // nil: the log
 }
 
-// runWith is run with what the program gets besides.
-func (f *Fleet) runWith(s surroundings, name, program string, args ...string) error {
-	path := f.file(name, ".log")
+// runWithOptions is like run, with the given environment and standard output.
+func (f *Fleet) runWithOptions(options processOptions, name, program string, args ...string) error {
+	path := f.filePath(name, ".log")
 	out, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	c := exec.Command(filepath.Join(f.Spec.Bin, program), args...)
 	c.Stdout, c.Stderr = out, out
-	if s.stdout != nil {
-		c.Stdout = s.stdout
+	if options.stdout != nil {
+		c.Stdout = options.stdout
 	}
-	c.Env = append(os.Environ(), s.environment...)
+	c.Env = append(os.Environ(), options.environment...)
 	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := c.Start(); err != nil {
 		out.Close()
 		return errors.Wrapf(err, "fleet: start %s", name)
 	}
-	p := &process{command: c, ended: make(chan error, 1)}
+	p := &process{command: c, exited: make(chan error, 1)}
 	go func() {
-		p.ended <- c.Wait()
+		p.exited <- c.Wait()
 		out.Close()
 	}()
 	f.mu.Lock()
@@ -70,32 +70,32 @@
 	p := f.processes[name]
 	f.mu.Unlock()
 	if p == nil {
-		return errors.Errorf("fleet: no process %s", name)
+		return errors.Errorf("fleet: process %s is not running", name)
 	}
 	if err := p.command.Process.Signal(s); err != nil {
-		return errors.Wrapf(err, "fleet: %s, whose log ends: %s", name, f.tail(name))
+		return errors.Wrapf(err, "fleet: signal %s; end of its log: %s", name, f.tail(name))
 	}
 	return nil
 }
 
-// tailMost is how much of a log an error tells, in bytes.
-const tailMost = 1000
+// logTailSize is the number of bytes of a log that an error message includes.
+const logTailSize = 1000
 
 // tail returns the end of a process's log.
 func (f *Fleet) tail(name string) string {
-	text, err := os.ReadFile(f.file(name, ".log"))
+	text, err := os.ReadFile(f.filePath(name, ".log"))
 	if err != nil {
 		return err.Error()
 	}
-	return string(text[max(len(text)-tailMost, 0):])
+	return string(text[max(len(text)-logTailSize, 0):])
 }
 
-// stopTimeout is how long a process has to end by itself.
+// stopTimeout is the time that a process has to exit after a signal.
 const stopTimeout = 20 * time.Second
 
-// End sends a signal to a process and waits for its end; the error is that of
-// its exit.
-func (f *Fleet) End(name string, s syscall.Signal) error {
+// Terminate sends a signal to a process and waits for it to exit. It returns the exit
+// error. A process that does not exit within stopTimeout is killed.
+func (f *Fleet) Terminate(name string, s syscall.Signal) error {
 	if err := f.Signal(name, s); err != nil {
 		return err
 	}
@@ -104,15 +104,15 @@
 	delete(f.processes, name)
 	f.mu.Unlock()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		return err
 	case <-time.After(stopTimeout):
 		_ = p.command.Process.Kill()
-		return errors.Errorf("fleet: %s did not end in time", name)
+		return errors.Errorf("fleet: %s did not exit within %s of a signal; killed", name, stopTimeout)
 	}
 }
 
-// PID returns the process number of a process.
+// PID returns the process ID of a process, or 0 if it is not running.
 func (f *Fleet) PID(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,19 +122,19 @@
 	return 0
 }
 
-// Stop ends every process, at once.
+// Stop kills all processes and releases the fleet's addresses.
 func (f *Fleet) Stop() {
 	f.mu.Lock()
 	list := f.processes
 	f.processes = make(map[string]*process)
 	f.mu.Unlock()
 	for _, p := range list {
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // it may have exited already
 	}
 	for _, p := range list {
-		<-p.ended
+		<-p.exited
 	}
-	if f.taken != nil {
-		_ = f.taken.Close() // nobody connects to it
+	if f.reservation != nil {
+		_ = f.reservation.Close() // it has no connections
 	}
 }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -17,15 +17,15 @@
 		Seed:     7,
 		Adapters: 100,
 		Skew:     1.2,
-		Kinds:    []Mix{{Class: "counter", Share: 3, Tokens: 8}, {Class: "overnight", Share: 1, Tokens: 8}},
+		Kinds:    []RequestKind{{Class: "counter", Weight: 3, Tokens: 8}, {Class: "overnight", Weight: 1, Tokens: 8}},
 	}
 }
 
-func TestASeedGivesTheSameArrivals(t *testing.T) {
+func TestSameSeedYieldsSameArrivals(t *testing.T) {
 	quicktest.Assert(t, plan().arrivals()[500].adapter, quicktest.Equals, plan().arrivals()[500].adapter)
 }
 
-func TestArrivalsFollowRateSkewAndShares(t *testing.T) {
+func TestArrivalsFollowRateSkewAndWeights(t *testing.T) {
 	c := quicktest.New(t)
 	list := plan().arrivals()
 	c.Assert(len(list) > 900 && len(list) < 1100, quicktest.IsTrue, quicktest.Commentf("%d", len(list)))
@@ -42,10 +42,10 @@
 	c.Assert(counter > 6*len(list)/10 && counter < 9*len(list)/10, quicktest.IsTrue)
 }
 
-func TestAShiftMakesOtherAdaptersPopular(t *testing.T) {
+func TestShiftMakesOtherAdaptersPopular(t *testing.T) {
 	c := quicktest.New(t)
 	p := plan()
-	p.Shift = time.Second
+	p.ShiftAfter = time.Second
 	c.Assert(p.adapter(0, 0), quicktest.Equals, 0)
 	c.Assert(p.adapter(0, 2*time.Second), quicktest.Equals, 50)
 }
--- a/load/plan.go
+++ b/load/plan.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load sends requests to gateways at a steady rate, whether answers
-// come or not, and accounts for every one of them.
+// Package load is an open-loop load generator for gateways: it sends requests at
+// a given rate regardless of responses, and records the result of every request.
 package load
 
 import (
@@ -13,57 +13,57 @@
 	"github.com/google/uuid"
 )
 
-// Mix is one kind of request in a plan.
-type Mix struct {
+// RequestKind is a kind of request in a plan.
+type RequestKind struct {
 	Class    string
 	Caller   string
-	Share    float64 // weight among the kinds
-	Tokens   int     // mean; each request draws from half to one and a half
+	Weight   float64 // relative frequency among the kinds
+	Tokens   int     // mean; drawn uniformly from 0.5 to 1.5 times this
 	Stream   bool
-	Keyed    bool          // not repeatable: each request has a key of its own
-	Deadline time.Duration // zero: that of the class
+	WithKey  bool          // not repeatable: each request has its own idempotency key
+	Deadline time.Duration // zero: the default of the class
 }
 
-// Plan describes a load. The same plan with the same seed asks for the same
-// adapters at the same times.
+// Plan describes a load. Requests are drawn from the seed: the same plan yields the
+// same adapters at the same times.
 type Plan struct {
-	Gateways []string
-	Health   map[string]string // URL of readiness by gateway; empty: no balancer stands before them
-	Rate     float64           // requests a second
-	Duration time.Duration
-	Seed     uint64
-	Adapters int           // asked for, from the first on
-	Talks    int           // conversations of each adapter, whose prompts begin alike; zero: one
-	Wake     time.Duration // after it a quarter of all adapters wakes; zero: never
-	Skew     float64       // exponent of the popularity, above 1
-	Shift    time.Duration // after it other adapters are the popular ones; zero: never
-	Kinds    []Mix
-	Patience time.Duration // longest wait for an answer
-	ComeBack bool          // refused callers come back once, when they were told to
-	Explicit bool          // name the version, not the adapter alone
-	Alias    bool          // the live version may change: the answer's own header says which must have run
-	Twice    bool          // send each request with a key again, at once, through another gateway
+	Gateways        []string
+	Health          map[string]string // URL of the readiness check by gateway; empty: no load balancer
+	Rate            float64           // requests per second, with exponential intervals
+	Duration        time.Duration
+	Seed            uint64
+	Adapters        int           // number of adapters requested, from the first one
+	Conversations   int           // conversations per adapter, each with a common prompt prefix; zero: one
+	ActivateAfter   time.Duration // from then on, a quarter of the requests go to a quarter of the adapters, uniformly; zero: never
+	Skew            float64       // exponent of the Zipf distribution of adapter popularity, above 1
+	ShiftAfter      time.Duration // from then on, other adapters are popular; zero: never
+	Kinds           []RequestKind
+	Timeout         time.Duration // client timeout
+	RetryRejected   bool          // rejected requests are sent once more after the time that the gateway suggests
+	ExplicitVersion bool          // request the version explicitly instead of the live one
+	AnyVersion      bool          // the live version may change: the response is checked against the version in its header
+	Duplicate       bool          // send each request that has a key twice, concurrently, through random gateways
 }
 
-// arrival is one request of a plan.
+// arrival is a scheduled request of a plan.
 type arrival struct {
-	at      time.Duration // from the begin
-	gateway string
-	adapter string
-	kind    Mix
-	tokens  int
-	talk    int    // conversation
-	again   string // gateway of a second sending; "" for none
-	version string // asked for; "" leaves it to the alias
-	any     bool   // any version may answer
+	at               time.Duration // since the start
+	gateway          string
+	adapter          string
+	kind             RequestKind
+	tokens           int
+	conversation     int
+	duplicateGateway string // gateway for the duplicate; "" for none
+	version          string // "@" and version to request; "" for the live one
+	anyVersion       bool   // any version may be used
 }
 
 const (
-	wakingAdapters = 0.24 // of all adapters wake
-	wakingRequests = 0.25 // of the requests are then for them
+	activatedAdapters = 0.24 // share of the adapters
+	activatedRequests = 0.25 // share of the requests
 )
 
-// arrivals draws the whole plan.
+// arrivals returns all requests of the plan, in order.
 func (p Plan) arrivals() []arrival {
 	r := rand.New(rand.NewPCG(p.Seed, p.Seed+1))
 	zipf := rand.NewZipf(r, p.Skew, 1, uint64(p.Adapters-1))
@@ -76,26 +76,26 @@
 			kind:    k,
 			tokens:  max(1, k.Tokens/2+r.IntN(k.Tokens+1)),
 		}
-		if p.Twice && k.Keyed {
-			a.again = p.Gateways[r.IntN(len(p.Gateways))]
+		if p.Duplicate && k.WithKey {
+			a.duplicateGateway = p.Gateways[r.IntN(len(p.Gateways))]
 		}
-		a.any = p.Alias
-		if p.Explicit {
+		a.anyVersion = p.AnyVersion
+		if p.ExplicitVersion {
 			a.version = "@2"
 		}
 		a.adapter = fleet.AdapterName(1 + p.adapter(int(zipf.Uint64()), a.at))
-		if p.Wake > 0 && a.at >= p.Wake && r.Float64() < wakingRequests {
-			a.adapter = fleet.AdapterName(1 + r.IntN(max(1, int(wakingAdapters*float64(p.Adapters)))))
+		if p.ActivateAfter > 0 && a.at >= p.ActivateAfter && r.Float64() < activatedRequests {
+			a.adapter = fleet.AdapterName(1 + r.IntN(max(1, int(activatedAdapters*float64(p.Adapters)))))
 		}
-		if p.Talks > 0 {
-			a.talk = r.IntN(p.Talks)
+		if p.Conversations > 0 {
+			a.conversation = r.IntN(p.Conversations)
 		}
 		list = append(list, a)
 	}
 	return list
 }
 
-// Sequence returns the adapters that the plan asks for, in order.
+// Sequence returns the adapters of the plan's requests, in order.
 func (p Plan) Sequence() []string {
 	list := p.arrivals()
 	names := make([]string, len(list))
@@ -105,58 +105,58 @@
 	return names
 }
 
-// adapter turns a rank of popularity into an adapter: ranks are spread over the
-// adapters, and spread otherwise after a shift.
+// adapter returns the index of the adapter with a popularity rank. After a shift, the
+// ranks are rotated by half of the adapters.
 func (p Plan) adapter(rank int, at time.Duration) int {
-	if p.Shift > 0 && at >= p.Shift {
+	if p.ShiftAfter > 0 && at >= p.ShiftAfter {
 		return (rank + p.Adapters/2) % p.Adapters
 	}
 	return rank
 }
 
-func (p Plan) kind(r *rand.Rand) Mix {
-	whole := 0.0
+func (p Plan) kind(r *rand.Rand) RequestKind {
+	total := 0.0
 	for _, k := range p.Kinds {
-		whole += k.Share
+		total += k.Weight
 	}
-	x := r.Float64() * whole
+	x := r.Float64() * total
 	for _, k := range p.Kinds {
-		if x -= k.Share; x < 0 {
+		if x -= k.Weight; x < 0 {
 			return k
 		}
 	}
 	return p.Kinds[len(p.Kinds)-1]
 }
 
-// ask is the request as a caller sends it.
-func (a arrival) ask() fleet.Ask {
-	q := fleet.Ask{
-		Address: a.gateway,
-		Model:   a.adapter + a.version,
-		Expect:  a.adapter + "@2",
-		Tokens:  a.tokens,
-		Talk:    a.talk,
-		Stream:  a.kind.Stream,
-		Header:  map[string]string{"Cairn-Class": a.kind.Class, "Cairn-Caller": a.kind.Caller},
+// request returns the request to send.
+func (a arrival) request() fleet.Request {
+	q := fleet.Request{
+		Address:      a.gateway,
+		Model:        a.adapter + a.version,
+		Expect:       a.adapter + "@2",
+		Tokens:       a.tokens,
+		Conversation: a.conversation,
+		Stream:       a.kind.Stream,
+		Header:       map[string]string{"Cairn-Class": a.kind.Class, "Cairn-Caller": a.kind.Caller},
 	}
-	if a.any {
+	if a.anyVersion {
 		q.Expect = ""
 	}
 	if a.kind.Deadline > 0 {
 		q.Header["Cairn-Deadline"] = a.kind.Deadline.String()
 	}
-	if a.kind.Keyed {
+	if a.kind.WithKey {
 		q.Header["Cairn-Repeatable"] = "no"
 		q.Header["Idempotency-Key"] = NewKey()
 	}
 	return q
 }
 
-// NewKey returns a key for a request that is not repeatable.
+// NewKey returns an idempotency key for a request that is not repeatable.
 func NewKey() string {
 	u, err := uuid.NewV7()
 	if err != nil {
-		panic(fmt.Sprintf("load: no randomness: %v", err))
+		panic(fmt.Sprintf("load: generate key: %v", err))
 	}
 	return u.String()
 }
--- a/load/run.go
+++ b/load/run.go
@@ -12,98 +12,98 @@
 	"cairnwick.example/metrics"
 )
 
-// Report accounts for every request of a load.
+// Report is the result of a load, with the outcome of every request.
 type Report struct {
-	Sent    int
-	Whole   int // answered whole, each token checked
-	NotRun  int // refused, saying that it did not run
-	Unknown int // failed, saying that it may have run
-	Broken  int // the connection ended without a final answer
-	Wrong   int // an answer that was not the request's own, or not whole
-	Codes   map[string]int
-	Back    int // refused requests whose callers came back when they were told to
-	Honest  int // of those, answered whole then
-
-	First *metrics.Family // time to the first byte of whole answers, by class
-	Total *metrics.Family // time to the end of whole answers, by class
-	Gap   time.Duration   // longest time without a whole answer ending
-
-	Ends       []End    // of every request
-	NotRunIDs  []string // of the requests refused as not run
-	Complaints []string // what was wrong, the first few
+	Sent            int
+	Complete        int // complete responses with correct tokens
+	NotRun          int // rejected as not executed
+	Unknown         int // failed, possibly after execution
+	Broken          int // connection ended without a complete response or an error
+	Incorrect       int // complete response with tokens that are missing or of another request
+	Codes           map[string]int
+	Retried         int // rejected requests that were sent once more after the suggested time
+	RetriedComplete int // of these, those with a complete response then
+
+	TimeToHeader *metrics.Family // time to the response header of complete responses, by class
+	Total        *metrics.Family // duration of complete responses, by class
+	LongestGap   time.Duration   // longest interval between the ends of complete responses
+
+	Outcomes  []Outcome // one entry per request
+	NotRunIDs []string  // IDs of the requests rejected as not executed
+	Errors    []string  // first errors, at most maxErrors
 }
 
-// End is how one request ended.
-type End struct {
-	Gateway string
-	Begun   time.Time
-	At      time.Time
-	Whole   bool
-	Broken  bool // without a final answer
-	Class   string
-	Caller  string
-	Code    string        // of a failure
-	Retry   time.Duration // said by a failure
-	Adapter string
-	Stall   time.Duration // spent waiting for a load
+// Outcome is the outcome of a request.
+type Outcome struct {
+	Gateway    string
+	Started    time.Time
+	Ended      time.Time
+	Complete   bool
+	Broken     bool // no complete response and no error code
+	Class      string
+	Caller     string
+	Code       string        // error code
+	RetryAfter time.Duration // delay suggested by an error response
+	Adapter    string
+	LoadStall  time.Duration // time spent waiting for the adapter to load
 }
 
-const maxComplaints = 10
+const maxErrors = 10
 
-// book gathers a report; it is safe for concurrent use.
-type book struct {
+// recorder collects a report. It is safe for concurrent use.
+type recorder struct {
 	mu     sync.Mutex
 	report Report
-	last   time.Time // when a whole answer ended last
+	last   time.Time // end of the latest complete response
 }
 
-// Run sends the plan's requests and returns when all have ended.
+// Run sends the plan's requests and returns when all of them have ended.
 func Run(ctx context.Context, p Plan) Report {
 	list := p.arrivals()
-	b := &book{report: Report{
-		Codes: make(map[string]int),
-		First: metrics.NewFamily(classesKept),
-		Total: metrics.NewFamily(classesKept),
+	rec := &recorder{report: Report{
+		Codes:        make(map[string]int),
+		TimeToHeader: metrics.NewFamily(maxClasses),
+		Total:        metrics.NewFamily(maxClasses),
 	}}
-	c := &fleet.Caller{HTTP: http.Client{
-		Transport: &http.Transport{MaxIdleConnsPerHost: idlePerGateway},
-		Timeout:   p.Patience,
+	c := &fleet.Client{HTTP: http.Client{
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerGateway},
+		Timeout:   p.Timeout,
 	}}
 	defer c.HTTP.CloseIdleConnections()
-	begun := time.Now()
-	b.last = begun
-	front := &balancer{health: p.Health, ready: make(map[string]bool)}
-	balanced, stop := context.WithCancel(ctx)
+	started := time.Now()
+	rec.last = started
+	lb := &loadBalancer{health: p.Health, ready: make(map[string]bool)}
+	lbCtx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- front.run(balanced) }()
+	go func() { ended <- lb.run(lbCtx) }()
 	defer func() {
 		stop()
 		<-ended
 	}()
 	var all sync.WaitGroup
 	for _, a := range list {
-		if !sleepUntil(ctx, begun.Add(a.at)) {
+		if !sleepUntil(ctx, started.Add(a.at)) {
 			break
 		}
 		if len(p.Health) > 0 {
-			a.gateway = front.choose(a.gateway, p.Gateways)
+			a.gateway = lb.choose(a.gateway, p.Gateways)
 		}
 		all.Go(func() {
-			begun := time.Now()
+			started := time.Now()
 			r := send(ctx, c, a)
-			b.note(a, r, begun)
-			if p.ComeBack && r.reply.Ran == "not_run" && r.reply.Retry > 0 {
-				b.noteBack(ctx, c, a, r.reply.Retry)
+			rec.record(a, r, started)
+			if p.RetryRejected && r.response.Execution == "not_run" && r.response.RetryAfter > 0 {
+				rec.retryOnce(ctx, c, a, r.response.RetryAfter)
 			}
 		})
 	}
 	all.Wait()
-	return b.report
+	return rec.report
 }
 
 const (
-	classesKept    = 16
-	idlePerGateway = 1024
+	maxClasses        = 16
+	maxIdlePerGateway = 1024
 )
 
 func sleepUntil(ctx context.Context, at time.Time) bool {
@@ -119,104 +119,104 @@
 	}
 }
 
-// result is what became of one request.
+// result is the response to a request, or its error.
 type result struct {
-	reply fleet.Reply
-	err   error // no final answer
-	wrong error // an answer that is not right
+	response   fleet.Response
+	err        error // no valid response
+	contentErr error // incorrect content of a complete response
 }
 
-func send(ctx context.Context, c *fleet.Caller, a arrival) result {
-	q := a.ask()
-	if a.again != "" {
-		defer sendAgain(ctx, c, q, a.again)()
+func send(ctx context.Context, c *fleet.Client, a arrival) result {
+	q := a.request()
+	if a.duplicateGateway != "" {
+		defer sendDuplicate(ctx, c, q, a.duplicateGateway)()
 	}
 	r, err := c.Do(ctx, q)
 	if err != nil {
 		return result{err: err}
 	}
-	if !r.Whole {
-		return result{reply: r}
+	if !r.Complete {
+		return result{response: r}
 	}
 	want := q.Expect
-	if a.any {
+	if a.anyVersion {
 		want = r.Header.Get("Cairn-Model")
 	}
-	return result{reply: r, wrong: r.Check(want, a.tokens)}
+	return result{response: r, contentErr: r.Validate(want, a.tokens)}
 }
 
-// sendAgain sends the same request at the same time through another gateway, as
-// a balancer or an impatient caller may. The function it returns waits for it.
-func sendAgain(ctx context.Context, c *fleet.Caller, q fleet.Ask, gateway string) func() {
+// sendDuplicate sends a duplicate of a request concurrently through another gateway, as
+// a retrying load balancer or client may. The returned function waits for its end.
+func sendDuplicate(ctx context.Context, c *fleet.Client, q fleet.Request, gateway string) func() {
 	q.Address = gateway
 	done := make(chan struct{})
 	go func() {
-		_, _ = c.Do(ctx, q) // the engines' witness tells whether both ran
+		_, _ = c.Do(ctx, q) // the engines count whether both ran
 		close(done)
 	}()
 	return func() { <-done }
 }
 
-func (b *book) note(a arrival, r result, begun time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := &b.report
+func (rec *recorder) record(a arrival, r result, started time.Time) {
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	p := &rec.report
 	p.Sent++
-	right := r.err == nil && r.wrong == nil && r.reply.Whole
-	broken := r.err != nil || (r.wrong == nil && !r.reply.Whole && r.reply.Code == "")
-	p.Ends = append(p.Ends, End{
-		Gateway: a.gateway, Begun: begun, At: time.Now(), Whole: right, Broken: broken,
-		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.reply.Code, Retry: r.reply.Retry, Adapter: a.adapter,
-		Stall: r.reply.Stall(),
+	complete := r.err == nil && r.contentErr == nil && r.response.Complete
+	broken := r.err != nil || (r.contentErr == nil && !r.response.Complete && r.response.Code == "")
+	p.Outcomes = append(p.Outcomes, Outcome{
+		Gateway: a.gateway, Started: started, Ended: time.Now(), Complete: complete, Broken: broken,
+		Class: a.kind.Class, Caller: a.kind.Caller, Code: r.response.Code, RetryAfter: r.response.RetryAfter, Adapter: a.adapter,
+		LoadStall: r.response.LoadStall(),
 	})
 	switch {
 	case r.err != nil:
 		p.Broken++
-		b.complainLocked(r.err)
-	case r.wrong != nil:
-		p.Wrong++
-		b.complainLocked(r.wrong)
-	case r.reply.Whole:
-		p.Whole++
-		b.wholeLocked(a, r.reply)
-	case r.reply.Code == "":
-		p.Broken++ // a stream without its end and without an error
-	case r.reply.Ran == "not_run":
+		rec.recordErrorLocked(r.err)
+	case r.contentErr != nil:
+		p.Incorrect++
+		rec.recordErrorLocked(r.contentErr)
+	case r.response.Complete:
+		p.Complete++
+		rec.recordCompleteLocked(a, r.response)
+	case r.response.Code == "":
+		p.Broken++ // the stream ended without a final event or an error
+	case r.response.Execution == "not_run":
 		p.NotRun++
-		p.NotRunIDs = append(p.NotRunIDs, r.reply.Request)
-		p.Codes[r.reply.Code]++
+		p.NotRunIDs = append(p.NotRunIDs, r.response.RequestID)
+		p.Codes[r.response.Code]++
 	default:
 		p.Unknown++
-		p.Codes[r.reply.Code]++
+		p.Codes[r.response.Code]++
 	}
 }
 
-const longestBack = 10 * time.Second // callers told to come back later are not followed
+const maxRetryDelay = 10 * time.Second // longer suggested delays are not waited for
 
-// noteBack lets a refused caller come back when it was told to.
-func (b *book) noteBack(ctx context.Context, c *fleet.Caller, a arrival, retry time.Duration) {
-	if retry > longestBack || !sleepUntil(ctx, time.Now().Add(retry)) {
+// retryOnce sends a rejected request once more after the suggested delay and records the result.
+func (rec *recorder) retryOnce(ctx context.Context, c *fleet.Client, a arrival, delay time.Duration) {
+	if delay > maxRetryDelay || !sleepUntil(ctx, time.Now().Add(delay)) {
 		return
 	}
 	r := send(ctx, c, a)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.report.Back++
-	if r.err == nil && r.reply.Whole {
-		b.report.Honest++
+	rec.mu.Lock()
+	defer rec.mu.Unlock()
+	rec.report.Retried++
+	if r.err == nil && r.response.Complete {
+		rec.report.RetriedComplete++
 	}
 }
 
-func (b *book) wholeLocked(a arrival, r fleet.Reply) {
+func (rec *recorder) recordCompleteLocked(a arrival, r fleet.Response) {
 	now := time.Now()
-	b.report.Gap = max(b.report.Gap, now.Sub(b.last))
-	b.last = now
-	b.report.First.Observe(a.kind.Class, r.First)
-	b.report.Total.Observe(a.kind.Class, r.Duration)
+	rec.report.LongestGap = max(rec.report.LongestGap, now.Sub(rec.last))
+	rec.last = now
+	rec.report.TimeToHeader.Observe(a.kind.Class, r.TimeToHeader)
+	rec.report.Total.Observe(a.kind.Class, r.Duration)
 }
 
-func (b *book) complainLocked(err error) {
-	if len(b.report.Complaints) < maxComplaints {
-		b.report.Complaints = append(b.report.Complaints, err.Error())
+func (rec *recorder) recordErrorLocked(err error) {
+	if len(rec.report.Errors) < maxErrors {
+		rec.report.Errors = append(rec.report.Errors, err.Error())
 	}
 }
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -44,7 +44,7 @@
 	case 6:
 		return r.link(fmt.Sprintf("cut off box%d.%d from its boxes", c, b), standin.Rule{Mode: standin.ModeHold}, fmt.Sprintf("box%d.%d", c, b), fmt.Sprintf("boxes%d", c))
 	case 7:
-		return r.link(fmt.Sprintf("break connections to engine%d.%d", c, e), standin.Rule{Mode: standin.ModePass, CutReply: 400}, "all", fmt.Sprintf("engine%d.%d", c, e))
+		return r.link(fmt.Sprintf("break connections to engine%d.%d", c, e), standin.Rule{Mode: standin.ModePass, CutResponse: 400}, "all", fmt.Sprintf("engine%d.%d", c, e))
 	case 8:
 		return r.control("platform "+[]string{standin.ModeDown, standin.ModeStale}[r.rand.IntN(2)], "/control/mode?mode=")
 	case 9:
@@ -80,7 +80,7 @@
 	return fault{
 		name: "kill " + name,
 		inject: func(context.Context, int) error {
-			_ = r.fleet.End(name, syscall.SIGKILL) // a killed process ends with an error
+			_ = r.fleet.Terminate(name, syscall.SIGKILL) // a killed process ends with an error
 			return nil
 		},
 		calm: func(context.Context, int) error { return r.fleet.StartDaemon(c, b, role) },
@@ -104,7 +104,7 @@
 			if err != nil {
 				return err
 			}
-			rule.CutReply = like.CutReply
+			rule.CutResponse = like.CutResponse
 			delete(r.rules, 2*n+i)
 			if on {
 				r.rules[2*n+i] = rule
@@ -190,7 +190,7 @@
 // ended while they held them, or that were not started again yet.
 func (r *storm) killed(p load.Report) int {
 	n := 0
-	for _, e := range p.Ends {
+	for _, e := range p.Outcomes {
 		if !e.Broken {
 			continue
 		}
@@ -204,11 +204,11 @@
 	return n
 }
 
-func (r *storm) downAt(f struckFault, e load.End) bool {
+func (r *storm) downAt(f struckFault, e load.Outcome) bool {
 	for c := 1; c <= stormCentres; c++ {
 		for b := 1; b <= stormBoxes; b++ {
 			down := f.name == "kill "+fleet.DaemonName(c, b, member.Gateway) && e.Gateway == r.fleet.CallersAddress(c, b)
-			if down && e.At.After(f.begun) && e.Begun.Before(f.ended.Add(startTime)) {
+			if down && e.Ended.After(f.begun) && e.Started.Before(f.ended.Add(startTime)) {
 				return true
 			}
 		}
--- a/standin/backoff.go
+++ b/standin/backoff.go
@@ -11,61 +11,61 @@
 	"cairnwick.example/backoff"
 )
 
-// backoffHeard is after which a caller that was asked for a back-off keeps to it.
-const backoffHeard = 500 * time.Millisecond
+// backoffReactionTime is how long a caller has to react to a Retry-After before further requests count as ignoring it.
+const backoffReactionTime = 500 * time.Millisecond
 
-// backoffs is what an engine asks for that turns requests away, and what came in all the same.
-type backoffs struct {
-	mu     sync.Mutex
-	asks   string    // seconds, as its answers say; empty: it turns nothing away for this
-	since  time.Time // the first answer of the present back-off
-	came   int       // requests since the command
-	during int       // of these, those that came while it wanted none
-	asked  int       // back-offs that began
+// backoffState holds the Retry-After value of an engine that rejects requests, and counts the requests that arrive nevertheless.
+type backoffState struct {
+	mu            sync.Mutex
+	retryAfter    string    // Retry-After value in seconds; empty: requests are accepted
+	periodStart   time.Time // first rejection of the current back-off period
+	requests      int       // requests since the setting was last changed
+	duringBackoff int       // of these, requests within a back-off period
+	periods       int       // back-off periods started
 }
 
-// arrive notes a request, and returns what its answer asks for; empty: it may run.
-func (b *backoffs) arrive(now time.Time) string {
+// record records a request and returns the Retry-After value to reject it with; empty: it may run.
+func (b *backoffState) record(now time.Time) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.asks == "" {
+	if b.retryAfter == "" {
 		return ""
 	}
-	b.came++
-	d, _ := backoff.Parse([]string{b.asks}) // what can't be read asks for nothing
-	switch ago := now.Sub(b.since); {
-	case ago >= d:
-		b.since = now
-		b.asked++
-	case ago > backoffHeard:
-		b.during++
+	b.requests++
+	d, _ := backoff.Parse([]string{b.retryAfter}) // an unreadable value counts as zero seconds
+	switch elapsed := now.Sub(b.periodStart); {
+	case elapsed >= d:
+		b.periodStart = now
+		b.periods++
+	case elapsed > backoffReactionTime:
+		b.duringBackoff++
 	}
-	return b.asks
+	return b.retryAfter
 }
 
-// Backoff returns for how many seconds the engine wants nothing more from the caller of a request that
-// comes now, and turns away, for another dialect; empty: it may run.
-func (e *Engine) Backoff() string { return e.backoffs.arrive(time.Now()) }
+// RetryAfter records a request and returns the Retry-After value, in seconds, to reject it with; empty: it
+// may run. Handlers of other protocols call it once per request.
+func (e *Engine) RetryAfter() string { return e.backoff.record(time.Now()) }
 
-// setBackoff serves the command to turn requests away and ask for back-offs.
+// setBackoff handles POST /control/backoff: with seconds=N, requests are rejected with Retry-After: N.
 func (e *Engine) setBackoff(w http.ResponseWriter, q *http.Request) {
-	e.backoffs.mu.Lock()
-	defer e.backoffs.mu.Unlock()
-	e.backoffs.asks, e.backoffs.since = q.URL.Query().Get("seconds"), time.Time{}
-	e.backoffs.came, e.backoffs.during, e.backoffs.asked = 0, 0, 0
+	e.backoff.mu.Lock()
+	defer e.backoff.mu.Unlock()
+	e.backoff.retryAfter, e.backoff.periodStart = q.URL.Query().Get("seconds"), time.Time{}
+	e.backoff.requests, e.backoff.duringBackoff, e.backoff.periods = 0, 0, 0
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// BackoffCounts is what an engine saw since it was told to ask for back-offs.
+// BackoffCounts counts the requests that arrived since the back-off setting was last changed.
 type BackoffCounts struct {
-	Came   int `json:"came"`
-	During int `json:"during"` // while it wanted nothing, whoever sent it
-	Asked  int `json:"asked"`  // back-offs, one after the other
+	Requests      int `json:"came"`
+	DuringBackoff int `json:"during"` // within a back-off period, from any caller
+	Periods       int `json:"asked"`  // back-off periods started
 }
 
 func (e *Engine) showBackoff(w http.ResponseWriter, _ *http.Request) {
-	e.backoffs.mu.Lock()
-	c := BackoffCounts{Came: e.backoffs.came, During: e.backoffs.during, Asked: e.backoffs.asked}
-	e.backoffs.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(c) // the reader may be gone
+	e.backoff.mu.Lock()
+	c := BackoffCounts{Requests: e.backoff.requests, DuringBackoff: e.backoff.duringBackoff, Periods: e.backoff.periods}
+	e.backoff.mu.Unlock()
+	_ = json.NewEncoder(w).Encode(c) // the client may have disconnected
 }
--- a/standin/complete.go
+++ b/standin/complete.go
@@ -16,13 +16,13 @@
 	"github.com/google/uuid"
 )
 
-// ExpectMark stands in a prompt before the adapter@version that the caller
-// means, so that the engine can witness a wrong version.
+// ExpectMark precedes, in a prompt, the adapter@version that the client
+// expects, so that the engine can detect a run on the wrong version.
 const ExpectMark = "expect:"
 
 const defaultTokens = 16
 
-// completion is the part of a request body that the stand-in reads.
+// completion holds the fields of a request body that the engine uses.
 type completion struct {
 	Model    string          `json:"model"`
 	Prompt   string          `json:"prompt"`
@@ -32,7 +32,7 @@
 	Priority int             `json:"priority"`
 }
 
-// expected returns the adapter@version after ExpectMark, or "".
+// expected returns the adapter@version after ExpectMark, or "" if there is none.
 func (q completion) expected() string {
 	_, rest, found := strings.Cut(q.Prompt+string(q.Messages), ExpectMark)
 	if !found {
@@ -46,37 +46,37 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
-	for _, l := range e.Limit() {
+	for _, l := range e.LimitHeader() {
 		w.Header().Add(engine.RateLimitHeader, l)
 	}
 	var body completion
 	if err := json.NewDecoder(io.LimitReader(q.Body, 8<<20)).Decode(&body); err != nil {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, err.Error())
 		return
 	}
 	if body.Tokens <= 0 {
 		body.Tokens = defaultTokens
 	}
-	if seconds := e.Backoff(); seconds != "" {
+	if seconds := e.RetryAfter(); seconds != "" {
 		w.Header().Set("Retry-After", seconds)
-		refuse(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine wants no more requests for a while.")
+		writeError(w, http.StatusServiceUnavailable, engine.CodeBusy, "The engine is overloaded; retry after the time in Retry-After.")
 		return
 	}
 	r, code := e.admit(q, body)
 	if r == nil {
-		refuse(w, statusOf(code), code, fmt.Sprintf("The model `%s` was refused: %s.", body.Model, code))
+		writeError(w, httpStatus(code), code, fmt.Sprintf("Request for model `%s` rejected: %s.", body.Model, code))
 		return
 	}
-	r.join()
-	defer r.part()
+	r.addReader()
+	defer r.removeReader()
 	if body.Stream {
 		stream(q.Context(), w, r, 0)
 		return
 	}
-	whole(q.Context(), w, r)
+	writeFinal(q.Context(), w, r)
 }
 
-// admit queues a run, or says why not.
+// admit queues a run, or returns the code to reject the request with.
 func (e *Engine) admit(q *http.Request, body completion) (*run, engine.Code) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -95,21 +95,21 @@
 		request = uuid.NewString()
 	}
 	r := newRun(request, body.Model, s.content, body.Priority, body.Tokens)
-	e.witnessLocked(q, body, s)
+	e.observeLocked(q, body, s)
 	if e.prefixes.touch(body.Model, body.Prompt+string(body.Messages), time.Now()) {
 		e.counts.PrefixHits++
 	} else {
-		r.prefill = e.Prefill
+		r.prefill = e.PrefillSteps
 	}
 	e.runs[request] = r
 	e.waiting = append(e.waiting, r)
 	return r, ""
 }
 
-// witnessLocked counts the run and every breach that it shows.
-func (e *Engine) witnessLocked(q *http.Request, body completion, s *slot) {
+// observeLocked counts the run and the invariant violations that it reveals.
+func (e *Engine) observeLocked(q *http.Request, body completion, s *slot) {
 	e.counts.Runs++
-	e.ran = append(e.ran, q.Header.Get(engine.RequestIDHeader))
+	e.requestIDs = append(e.requestIDs, q.Header.Get(engine.RequestIDHeader))
 	if want := body.expected(); want != "" && want != s.content {
 		e.counts.WrongVersion++
 	}
@@ -119,12 +119,12 @@
 	if key := q.Header.Get(engine.KeyHeader); key != "" {
 		e.keys[key]++
 		if e.keys[key] > 1 {
-			e.counts.KeyTwice++
+			e.counts.RepeatedKeys++
 		}
 	}
 }
 
-// stream writes the run's tokens as server-sent events, from the given one on.
+// stream writes the run's tokens as server-sent events, starting with token from.
 func stream(ctx context.Context, w http.ResponseWriter, r *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.EventsHeader, strconv.Itoa(from))
@@ -132,8 +132,8 @@
 	flush := http.NewResponseController(w)
 	_ = flush.Flush()
 	for n := from; ; {
-		have, changed, state := r.progress()
-		for ; n < have; n++ {
+		produced, changed, state := r.progress()
+		for ; n < produced; n++ {
 			writeEvent(w, r, n)
 		}
 		if state == nil {
@@ -141,7 +141,7 @@
 			return
 		}
 		if state != errRunning {
-			panic(http.ErrAbortHandler) // cut, so that the reader sees no clean end
+			panic(http.ErrAbortHandler) // reset the connection, so that the client does not see a complete response
 		}
 		_ = flush.Flush()
 		select {
@@ -157,16 +157,16 @@
 		r.request, r.model, r.token(n))
 }
 
-// whole waits for the run's end and writes one answer.
-func whole(ctx context.Context, w http.ResponseWriter, r *run) {
+// writeFinal waits for the run to end and writes a single JSON response.
+func writeFinal(ctx context.Context, w http.ResponseWriter, r *run) {
 	for {
-		have, changed, state := r.progress()
+		produced, changed, state := r.progress()
 		if state == nil {
-			writeWhole(w, r, have)
+			writeCompletion(w, r, produced)
 			return
 		}
 		if state != errRunning {
-			refuse(w, http.StatusInternalServerError, engine.CodeFailed, state.Error())
+			writeError(w, http.StatusInternalServerError, engine.CodeFailed, state.Error())
 			return
 		}
 		select {
@@ -177,29 +177,29 @@
 	}
 }
 
-func writeWhole(w http.ResponseWriter, r *run, have int) {
+func writeCompletion(w http.ResponseWriter, r *run, produced int) {
 	var text strings.Builder
-	for n := range have {
+	for n := range produced {
 		text.WriteString(r.token(n))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"id\":%q,\"object\":\"text_completion\",\"model\":%q,\"choices\":[{\"index\":0,\"text\":%q,\"finish_reason\":\"stop\"}],\"usage\":{\"completion_tokens\":%d}}\n",
-		r.request, r.model, text.String(), have)
+		r.request, r.model, text.String(), produced)
 }
 
 func (e *Engine) resume(w http.ResponseWriter, q *http.Request) {
 	from, err := strconv.Atoi(q.URL.Query().Get("from"))
 	if err != nil || from < 0 {
-		refuse(w, http.StatusBadRequest, engine.CodeBadRequest, "from: write a whole number, zero or more")
+		writeError(w, http.StatusBadRequest, engine.CodeBadRequest, "from: must be a non-negative integer")
 		return
 	}
 	r := e.find(q.PathValue("request"))
 	if r == nil {
-		refuse(w, http.StatusNotFound, engine.CodeNotLoaded, "no such run")
+		writeError(w, http.StatusNotFound, engine.CodeNotLoaded, "no run with this request ID")
 		return
 	}
-	r.join()
-	defer r.part()
+	r.addReader()
+	defer r.removeReader()
 	e.mu.Lock()
 	e.counts.Resumed++
 	e.mu.Unlock()
@@ -212,7 +212,7 @@
 		e.mu.Lock()
 		e.counts.Cancelled++
 		e.mu.Unlock()
-		r.finish(errRunCancelled)
+		r.abort(errCancelled)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/proxy.go
+++ b/standin/proxy.go
@@ -14,34 +14,34 @@
 	"github.com/pkg/errors"
 )
 
-// Route is one address that the proxy takes connections at, and where it hands
-// them to.
+// Route maps an address on which the proxy listens to the address that it
+// forwards to.
 type Route struct {
 	Listen string `json:"listen"`
 	Target string `json:"target"`
 }
 
-// The modes of a rule.
+// The modes of a Rule.
 const (
 	ModePass = "pass"
-	ModeHold = "hold" // bytes wait, as behind a cut cable
-	ModeCut  = "cut"  // connections are broken, new ones too
+	ModeHold = "hold" // data is held back without a reset, as in a network partition
+	ModeCut  = "cut"  // open and new connections are reset
 )
 
-// Rule says what happens to bytes from some addresses to some addresses. Both
-// ranges are inclusive; a rule covers both directions of a connection unless
-// OneWay is set, which leaves the answers alone.
+// Rule applies a mode to connections from one range of addresses to another. Both
+// ranges are inclusive. A rule covers both directions of a connection unless
+// OneWay is set, which exempts the responses.
 type Rule struct {
-	FromLow  netip.Addr    `json:"from_low"`
-	FromHigh netip.Addr    `json:"from_high"`
-	ToLow    netip.Addr    `json:"to_low"`
-	ToHigh   netip.Addr    `json:"to_high"`
-	Mode     string        `json:"mode"`
-	OneWay   bool          `json:"one_way,omitempty"`
-	Delay    time.Duration `json:"delay,omitempty"`      // of each piece of bytes
-	CutAfter int           `json:"cut_after,omitempty"`  // bytes of the request that pass before a cut; zero: no cut
-	CutReply int           `json:"cut_answer,omitempty"` // bytes of the answer that pass before a cut; zero: no cut
-	Times    int           `json:"times,omitempty"`      // connections cut by CutAfter and CutReply; zero: all
+	FromLow     netip.Addr    `json:"from_low"`
+	FromHigh    netip.Addr    `json:"from_high"`
+	ToLow       netip.Addr    `json:"to_low"`
+	ToHigh      netip.Addr    `json:"to_high"`
+	Mode        string        `json:"mode"`
+	OneWay      bool          `json:"one_way,omitempty"`
+	Delay       time.Duration `json:"delay,omitempty"`      // before each forwarded chunk of data
+	CutAfter    int           `json:"cut_after,omitempty"`  // reset the connection after this many bytes of the request; zero: never
+	CutResponse int           `json:"cut_answer,omitempty"` // reset the connection after this many bytes of the response; zero: never
+	Times       int           `json:"times,omitempty"`      // how many connections CutAfter and CutReply apply to; zero: all
 }
 
 func (r Rule) matches(from, to netip.Addr) bool {
@@ -50,21 +50,21 @@
 
 func inRange(a, low, high netip.Addr) bool { return !a.Less(low) && !high.Less(a) }
 
-// Proxy passes TCP connections on and injects faults by rules. A later rule
-// goes before an earlier one. Set Routes before Run.
+// Proxy forwards TCP connections and injects faults by rules, of which the last
+// matching one applies. Set Routes before calling Run.
 type Proxy struct {
 	Routes []Route
 
-	mu      sync.Mutex
-	rules   []Rule
-	links   map[*link]struct{}
-	changed chan struct{} // closed when the rules change
+	mu          sync.Mutex
+	rules       []Rule
+	connections map[*connection]struct{}
+	changed     chan struct{} // closed when the rules change
 }
 
-// Handler serves PUT /rules, which replaces the rules by a JSON list.
+// Handler serves PUT /rules, which replaces the rules with a JSON list.
 func (p *Proxy) Handler() http.Handler {
 	p.changed = make(chan struct{})
-	p.links = make(map[*link]struct{})
+	p.connections = make(map[*connection]struct{})
 	m := http.NewServeMux()
 	m.HandleFunc("PUT /rules", func(w http.ResponseWriter, q *http.Request) {
 		var rules []Rule
@@ -83,10 +83,10 @@
 	p.rules = rules
 	close(p.changed)
 	p.changed = make(chan struct{})
-	for k := range p.links {
-		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutReply > 0 {
-			abort(k.caller) // idle ones too
-			abort(k.target)
+	for k := range p.connections {
+		if r := p.ruleLocked(k.from, k.to); r.Mode == ModeCut || r.CutAfter > 0 || r.CutResponse > 0 {
+			reset(k.caller) // also idle connections
+			reset(k.target)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 	return Rule{Mode: ModePass}
 }
 
-// rule returns the rule for a connection and a channel that closes when the
+// rule returns the rule for a connection and a channel that is closed when the
 // rules change.
 func (p *Proxy) rule(from, to netip.Addr) (Rule, <-chan struct{}) {
 	p.mu.Lock()
@@ -108,19 +108,20 @@
 	return p.ruleLocked(from, to), p.changed
 }
 
-// keep registers a connection, or takes it out.
-func (p *Proxy) keep(k *link, on bool) {
+// track adds a connection to the open ones, or removes it if on is false.
+func (p *Proxy) track(k *connection, on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if on {
-		p.links[k] = struct{}{}
+		p.connections[k] = struct{}{}
 		return
 	}
-	delete(p.links, k)
+	delete(p.connections, k)
 }
 
-// takeCut tells whether a connection shall be cut by byte counts, and counts it.
-func (p *Proxy) takeCut(from, to netip.Addr) Rule {
+// consumeCut returns the rule that resets a new connection after a number of bytes, or the zero Rule, and
+// decrements the rule's Times.
+func (p *Proxy) consumeCut(from, to netip.Addr) Rule {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i := len(p.rules) - 1; i >= 0; i-- {
@@ -128,7 +129,7 @@
 		if !r.matches(from, to) {
 			continue
 		}
-		if r.CutAfter == 0 && r.CutReply == 0 {
+		if r.CutAfter == 0 && r.CutResponse == 0 {
 			return Rule{}
 		}
 		if r.Times < 0 {
@@ -145,13 +146,13 @@
 	return Rule{}
 }
 
-// Run takes connections at every route until ctx ends.
+// Run forwards the connections of all routes until ctx is done.
 func (p *Proxy) Run(ctx context.Context) error {
 	ended := make(chan error, len(p.Routes))
 	for _, r := range p.Routes {
 		l, err := net.Listen("tcp", r.Listen)
 		if err != nil {
-			return errors.Wrap(err, "standin: proxy")
+			return errors.Wrap(err, "standin: listen for proxy route")
 		}
 		context.AfterFunc(ctx, func() { l.Close() })
 		go func() { ended <- p.accept(ctx, l, r) }()
@@ -168,23 +169,23 @@
 		if err != nil {
 			return err
 		}
-		go p.carry(ctx, c, r)
+		go p.forward(ctx, c, r)
 	}
 }
 
-// link is one connection through the proxy.
-type link struct {
+// connection is a connection through the proxy.
+type connection struct {
 	proxy  *Proxy
 	from   netip.Addr
 	to     netip.Addr
-	cut    Rule // by byte counts; zero: none
+	cut    Rule // resets after a number of bytes; zero: none
 	caller net.Conn
 	target net.Conn
 }
 
-// carry passes one connection on until either side ends or a rule cuts it.
-func (p *Proxy) carry(ctx context.Context, c net.Conn, r Route) {
-	defer abort(c)
+// forward forwards a connection until either side closes it or a rule resets it.
+func (p *Proxy) forward(ctx context.Context, c net.Conn, r Route) {
+	defer reset(c)
 	target := netip.MustParseAddrPort(r.Target)
 	from := netip.MustParseAddrPort(c.RemoteAddr().String()).Addr()
 	if rule, _ := p.rule(from, target.Addr()); rule.Mode == ModeCut {
@@ -194,48 +195,48 @@
 	if err != nil {
 		return
 	}
-	defer abort(t)
-	k := &link{proxy: p, from: from, to: target.Addr(), cut: p.takeCut(from, target.Addr()), caller: c, target: t}
-	p.keep(k, true)
-	defer p.keep(k, false)
+	defer reset(t)
+	k := &connection{proxy: p, from: from, to: target.Addr(), cut: p.consumeCut(from, target.Addr()), caller: c, target: t}
+	p.track(k, true)
+	defer p.track(k, false)
 	ended := make(chan struct{}, 2)
 	go func() {
 		k.relay(ctx, t, c, false, k.cut.CutAfter)
 		ended <- struct{}{}
 	}()
 	go func() {
-		k.relay(ctx, c, t, true, k.cut.CutReply)
+		k.relay(ctx, c, t, true, k.cut.CutResponse)
 		ended <- struct{}{}
 	}()
 	<-ended
 }
 
-// abort ends a connection so that the other side sees a break.
-func abort(c net.Conn) {
+// reset closes a connection with a reset.
+func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// relay copies bytes as the rules allow; most bounds them when it is not zero.
-func (k *link) relay(ctx context.Context, to, from net.Conn, answer bool, most int) {
+// relay copies data as the rules allow; if limit is not zero, it stops after that many bytes.
+func (k *connection) relay(ctx context.Context, to, from net.Conn, response bool, limit int) {
 	buffer := make([]byte, 16<<10)
-	for passed := 0; ; {
+	for forwarded := 0; ; {
 		n, err := from.Read(buffer)
-		if n > 0 && !k.allow(ctx, answer) {
+		if n > 0 && !k.waitAllowed(ctx, response) {
 			return
 		}
-		if most > 0 && passed+n >= most {
-			_, _ = to.Write(buffer[:most-passed]) // the cut follows in any case
-			time.Sleep(cutPause)
+		if limit > 0 && forwarded+n >= limit {
+			_, _ = to.Write(buffer[:limit-forwarded]) // the connection is reset in any case
+			time.Sleep(resetDelay)
 			return
 		}
 		if n > 0 {
 			if _, werr := to.Write(buffer[:n]); werr != nil {
 				return
 			}
-			passed += n
+			forwarded += n
 		}
 		if err != nil {
 			return
@@ -243,13 +244,13 @@
 	}
 }
 
-const cutPause = 20 * time.Millisecond // lets the last bytes arrive before the break
+const resetDelay = 20 * time.Millisecond // lets the last bytes arrive before the reset
 
-// allow waits until the rules let bytes pass; false ends the connection.
-func (k *link) allow(ctx context.Context, answer bool) bool {
+// waitAllowed waits until the rules let data pass; false means that the connection must be closed.
+func (k *connection) waitAllowed(ctx context.Context, response bool) bool {
 	for {
 		r, changed := k.proxy.rule(k.from, k.to)
-		held := r.Mode == ModeHold && !(answer && r.OneWay)
+		held := r.Mode == ModeHold && !(response && r.OneWay)
 		switch {
 		case r.Mode == ModeCut:
 			return false
--- a/standin/service.go
+++ b/standin/service.go
@@ -12,32 +12,32 @@
 	"cairnwick.example/engine"
 )
 
-// Service is a stand-in plain service: it echoes each call and counts the runs
-// of each key. Set the exported field before Handler.
+// Service simulates a plain HTTP service. It echoes requests and counts them by
+// idempotency key. Set Time before calling Handler.
 type Service struct {
-	Time time.Duration // of one call
+	Latency time.Duration // latency of a request
 
 	mu   sync.Mutex
-	keys map[string]int // runs by key
+	keys map[string]int // requests by idempotency key
 }
 
-// Handler serves every path, and its control paths.
+// Handler serves all paths, with the test controls under /control/.
 func (s *Service) Handler() http.Handler {
 	s.keys = make(map[string]int)
 	m := http.NewServeMux()
-	m.HandleFunc("/", s.answer)
+	m.HandleFunc("/", s.echo)
 	m.HandleFunc("GET /control/keys", s.showKeys)
 	return m
 }
 
-func (s *Service) answer(w http.ResponseWriter, q *http.Request) {
+func (s *Service) echo(w http.ResponseWriter, q *http.Request) {
 	key := q.Header.Get(engine.KeyHeader)
 	if key != "" {
 		s.mu.Lock()
 		s.keys[key]++
 		s.mu.Unlock()
 	}
-	time.Sleep(s.Time)
+	time.Sleep(s.Latency)
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, "{\"method\":%q,\"path\":%q,\"key\":%q}\n", q.Method, q.URL.Path, key)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -16,34 +16,34 @@
 	"golang.org/x/time/rate"
 )
 
-// Store is a stand-in weight store: so many loads a second, so many at once at
-// full speed. Set the exported fields before Handler.
+// Store simulates a weight store with a rate limit and a shared bandwidth. Set the
+// exported fields before calling Handler.
 type Store struct {
-	Rate     float64       // loads begun a second
-	AtOnce   int           // loads at full speed; more share the speed
-	LoadTime time.Duration // of one load at full speed
+	Rate           float64       // loads started per second
+	FullSpeedLoads int           // concurrent loads at full speed; more share the bandwidth
+	LoadTime       time.Duration // duration of a load at full speed
 
 	mu       sync.Mutex
 	limiter  *rate.Limiter
 	active   int
 	failEach int // every n-th load fails; zero: none
-	begun    int
+	started  int
 	refused  int
 }
 
-// StoreBusyError says that the store's rate is used up.
+// StoreBusyError means that the store's rate limit is exceeded.
 type StoreBusyError struct{ Retry time.Duration }
 
-func (e *StoreBusyError) Error() string { return "store: rate used up" }
+func (e *StoreBusyError) Error() string { return "store: rate limit exceeded" }
 
-// Handler serves GET /store/PATH: the content is named by the path,
-// adapters/NAME/VERSION gives NAME@VERSION.
+// Handler serves GET /store/PATH, whose content is derived from the path:
+// adapters/NAME/VERSION yields NAME@VERSION.
 func (s *Store) Handler() http.Handler {
 	s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(1, int(s.Rate)))
 	m := http.NewServeMux()
 	m.HandleFunc("GET /store/{path...}", s.get)
-	m.HandleFunc("POST /control/store", s.control)
-	m.HandleFunc("GET /control/store", s.show)
+	m.HandleFunc("POST /control/store", s.setFailEach)
+	m.HandleFunc("GET /control/store", s.showCounts)
 	return m
 }
 
@@ -53,44 +53,44 @@
 		s.refused++
 		s.mu.Unlock()
 		w.Header().Set("Retry-After", "1")
-		http.Error(w, "rate used up", http.StatusTooManyRequests)
+		http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 		return
 	}
-	if s.begin() {
-		http.Error(w, "failed on command", http.StatusInternalServerError)
+	if s.startLoad() {
+		http.Error(w, "load failed by test control", http.StatusInternalServerError)
 		return
 	}
-	defer s.end()
+	defer s.endLoad()
 	if err := s.transfer(q.Context()); err != nil {
 		return
 	}
-	fmt.Fprint(w, contentOf(q.PathValue("path")))
+	fmt.Fprint(w, contentFor(q.PathValue("path")))
 }
 
-// begin counts a load and tells whether it shall fail.
-func (s *Store) begin() bool {
+// startLoad counts a load and reports whether it must fail.
+func (s *Store) startLoad() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.begun++
-	if s.failEach > 0 && s.begun%s.failEach == 0 {
+	s.started++
+	if s.failEach > 0 && s.started%s.failEach == 0 {
 		return true
 	}
 	s.active++
 	return false
 }
 
-func (s *Store) end() {
+func (s *Store) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active--
 }
 
-// transfer takes LoadTime, longer while more than AtOnce share the speed.
+// transfer sleeps for LoadTime, longer while more than FullSpeedLoads loads share the bandwidth.
 func (s *Store) transfer(ctx context.Context) error {
 	const parts = 10
 	for range parts {
 		s.mu.Lock()
-		share := max(1, float64(s.active)/float64(s.AtOnce))
+		share := max(1, float64(s.active)/float64(s.FullSpeedLoads))
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func contentOf(path string) string {
+func contentFor(path string) string {
 	parts := strings.Split(path, "/")
 	if len(parts) < 2 {
 		return path
@@ -109,10 +109,10 @@
 	return parts[len(parts)-2] + "@" + parts[len(parts)-1]
 }
 
-func (s *Store) control(w http.ResponseWriter, q *http.Request) {
+func (s *Store) setFailEach(w http.ResponseWriter, q *http.Request) {
 	n, err := strconv.Atoi(q.URL.Query().Get("fail-each"))
 	if err != nil || n < 0 {
-		http.Error(w, "fail-each: write a whole number, zero or more", http.StatusBadRequest)
+		http.Error(w, "fail-each: must be a non-negative integer", http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
@@ -121,31 +121,31 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Store) show(w http.ResponseWriter, _ *http.Request) {
+func (s *Store) showCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.begun, s.refused)
+	fmt.Fprintf(w, "{\"begun\":%d,\"refused\":%d}\n", s.started, s.refused)
 }
 
-// FetchFrom returns a reader of the store at the URL, for Engine.Store.
-func FetchFrom(address string) func(context.Context, string) (string, error) {
+// StoreFetcher returns a function for Engine.Store that reads from the store at a base URL.
+func StoreFetcher(baseURL string) func(context.Context, string) (string, error) {
 	return func(ctx context.Context, path string) (string, error) {
-		r, err := http.NewRequestWithContext(ctx, http.MethodGet, address+"/store/"+path, nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+"/store/"+path, nil)
 		if err != nil {
-			return "", errors.Wrap(err, "standin: store request")
+			return "", errors.Wrap(err, "standin: create store request")
 		}
-		a, err := http.DefaultClient.Do(r)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			return "", errors.Wrap(err, "standin: store")
+			return "", errors.Wrap(err, "standin: fetch from store")
 		}
-		defer a.Body.Close()
-		if a.StatusCode == http.StatusTooManyRequests {
+		defer resp.Body.Close()
+		if resp.StatusCode == http.StatusTooManyRequests {
 			return "", &StoreBusyError{Retry: time.Second}
 		}
-		if a.StatusCode != http.StatusOK {
-			return "", errors.Errorf("standin: store: status %d", a.StatusCode)
+		if resp.StatusCode != http.StatusOK {
+			return "", errors.Errorf("standin: fetch from store: status %d", resp.StatusCode)
 		}
-		body, err := io.ReadAll(a.Body)
-		return string(body), errors.Wrap(err, "standin: store answer")
+		body, err := io.ReadAll(resp.Body)
+		return string(body), errors.Wrap(err, "standin: read store response")
 	}
 }
