--- a/measure/blocked.go
+++ b/measure/blocked.go
@@ -22,32 +22,34 @@
 	"github.com/pkg/errors"
 )
 
-// Blocked compares the requests of one box while the reader of its standard output reads
-// with those while it stands still, in turn within one run. Set the fields before Run.
+// Blocked compares request latency at one box while the process reading its standard output
+// keeps reading with latency while that process is blocked. Both phases alternate within one
+// run. Set the fields before Run.
 type Blocked struct {
 	Bin    string
 	Dir    string
-	Rate   int           // requests a second, every second one refused
-	Each   time.Duration // of one turn
-	Rounds int           // turns of each kind
+	Rate   int           // requests per second; every second one is refused
+	Each   time.Duration // duration of one phase
+	Rounds int           // phases of each kind
 }
 
 const (
-	// floodRequests are sent before each turn, so that a reader that stands still has the
-	// pipe's 64 KB and the queue's 2,048 lines full: each is refused and writes a line.
+	// floodRequests is how many requests are sent before each phase. Each is refused and
+	// writes a log line, which fills the pipe (64 KB) and the log queue (2,048 lines) when
+	// the reader is blocked.
 	floodRequests = 3072
 	floodAtOnce   = 16
-	blockedLimit  = 10 * time.Second       // for one answer; some take 50 ms
-	settleLines   = 300 * time.Millisecond // for the lines of a turn to arrive
+	blockedLimit  = 10 * time.Second       // timeout of one request; responses take up to about 50 ms
+	settleLines   = 300 * time.Millisecond // time for the log lines of a phase to arrive
 )
 
-// blockedSide is what the requests saw while the reader read, or while it stood still.
+// blockedSide holds the measurements of all phases of one kind: reader reading or blocked.
 type blockedSide struct {
 	name            string
 	served, refused *metrics.Histogram
 	lost            atomic.Int64
-	lines, bytes    int64 // that were read in its turns
-	leftOut         int64 // lines, floods included
+	lines, bytes    int64 // read during the phases
+	leftOut         int64 // dropped log lines, including those of the floods
 	took            time.Duration
 }
 
@@ -55,13 +57,13 @@
 	return &blockedSide{name: name, served: metrics.NewHistogram(), refused: metrics.NewHistogram()}
 }
 
-// gatedReader reads a pipe and counts. Who holds its gate keeps it from reading on.
+// gatedReader reads a pipe and counts lines and bytes. Holding the gate blocks it.
 type gatedReader struct {
 	gate         sync.Mutex
 	lines, bytes atomic.Int64
 }
 
-// run reads until the pipe ends.
+// run reads until the pipe is closed.
 func (r *gatedReader) run(from io.Reader) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -76,7 +78,7 @@
 	}
 }
 
-// Run writes the comparison to w.
+// Run runs the comparison and writes the results to w.
 func (b Blocked) Run(ctx context.Context, w io.Writer) error {
 	f := fleet.New(fleet.Spec{Bin: b.Bin, Dir: b.Dir, Centres: 1, Engines: 1, Slots: 4, Batch: 64})
 	defer f.Stop()
@@ -107,7 +109,7 @@
 	return err
 }
 
-// compare takes the turns and prints what came of them.
+// compare runs the alternating phases and prints the results.
 func (b Blocked) compare(ctx context.Context, w io.Writer, f *fleet.Fleet, r *gatedReader) error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: blockedLimit}
 	defer c.CloseIdleConnections()
@@ -131,7 +133,7 @@
 	return printBlocked(w, reads, stands)
 }
 
-// blockedRun is one run.
+// blockedRun holds the state of one run of Blocked.
 type blockedRun struct {
 	Blocked
 
@@ -140,7 +142,7 @@
 	reader *gatedReader
 }
 
-// warm asks until the adapter is loaded.
+// warm sends requests until the adapter is loaded.
 func (u *blockedRun) warm(ctx context.Context) error {
 	deadline := time.Now().Add(blockedLimit)
 	for {
@@ -149,13 +151,14 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Errorf("measure: the box serves nothing: status %d, %v", status, err)
+			return errors.Errorf("measure: box served no request within %s: status %d, error %v", blockedLimit, status, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// ask sends one request that is served, or one that is refused since it has no route.
+// ask sends one request: to a configured route if served is true, otherwise to a path
+// without a route, which is refused.
 func (u *blockedRun) ask(ctx context.Context, served bool) (int, error) {
 	path := "/no-route/"
 	if served {
@@ -177,7 +180,7 @@
 	return a.StatusCode, err
 }
 
-// turn floods the log, and then sends requests at the steady rate for a while.
+// turn runs one phase: it floods the log, then sends requests at the configured rate.
 func (u *blockedRun) turn(ctx context.Context, s *blockedSide) error {
 	before, err := u.leftOut(ctx)
 	if err != nil {
@@ -196,7 +199,8 @@
 	return err
 }
 
-// flood sends many requests that are refused, as fast as they are answered.
+// flood sends requests that are refused, each worker sending the next one as soon as the
+// previous one is answered.
 func (u *blockedRun) flood(ctx context.Context, s *blockedSide) {
 	var all sync.WaitGroup
 	for range floodAtOnce {
@@ -211,7 +215,7 @@
 	all.Wait()
 }
 
-// steady sends requests at the rate, every second one refused.
+// steady sends requests at the configured rate; every second one is refused.
 func (u *blockedRun) steady(ctx context.Context, s *blockedSide) {
 	var all sync.WaitGroup
 	begun := time.Now()
@@ -236,7 +240,7 @@
 	times.Observe(time.Since(begun))
 }
 
-// leftOut reads how many lines the box has left out.
+// leftOut reads the number of log lines that the box has dropped so far.
 func (u *blockedRun) leftOut(ctx context.Context) (int64, error) {
 	raw, err := fleet.Get(ctx, "http://"+u.fleet.OperatorsAddress(1, 1, "gateway")+"/metrics")
 	if err != nil {
@@ -248,8 +252,8 @@
 	return v.LeftOut, errors.Wrap(json.Unmarshal(raw, &v), "measure: metrics")
 }
 
-// printBlocked prints both sides and their ratios. A side that lost a request is a failure,
-// and so is a reader that did not stand still.
+// printBlocked prints both kinds of phase and their ratios. It returns an error if any request
+// got an unexpected answer, or if no line was dropped, since the reader was then not blocked.
 func printBlocked(w io.Writer, reads, stands *blockedSide) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "reader\trequests\tserved p50 ms\tp99 ms\trefused p50 ms\tp99 ms\tlines/s\tbytes/s\tleft out\t\n")
@@ -266,10 +270,10 @@
 		return err
 	}
 	if lost := reads.lost.Load() + stands.lost.Load(); lost > 0 {
-		return errors.Errorf("measure: %d requests got not the answer that was due", lost)
+		return errors.Errorf("measure: %d requests did not get the expected status", lost)
 	}
 	if stands.leftOut == 0 {
-		return errors.New("measure: no line was left out while the reader stood still")
+		return errors.New("measure: no log line was dropped while the reader was blocked")
 	}
 	return nil
 }
--- a/measure/bound.go
+++ b/measure/bound.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// fewestLoads returns how many loads a policy that knows the future needs for a
-// sequence of adapters with so many slots in all: it always evicts what is asked
-// for the latest. Only loads from the request called first on count; those before
-// warm the slots.
+// fewestLoads returns the minimum number of loads for a sequence of requested adapters with
+// the given total number of slots. It applies Bélády's offline optimal algorithm: evict the
+// adapter whose next request is furthest away. Loads are counted from the request with index
+// first; earlier requests only warm the slots.
 func fewestLoads(asked []string, slots, first int) int {
 	loads := 0
 	for i, m := range missed(asked, slots) {
@@ -21,10 +21,10 @@
 	return loads
 }
 
-// missed tells of each request whether that policy has to load its adapter.
+// missed reports for each request whether the offline optimal policy has to load its adapter.
 func missed(asked []string, slots int) []bool {
 	next := nextUse(asked)
-	held := make(map[string]int) // when each adapter in a slot is asked for again
+	held := make(map[string]int) // adapter in a slot -> index of its next request
 	list := make([]bool, len(asked))
 	for i, a := range asked {
 		if _, ok := held[a]; !ok {
@@ -38,7 +38,8 @@
 	return list
 }
 
-// nextUse returns, for each request, when its adapter is asked for again.
+// nextUse returns, for each request, the index of the next request for the same adapter,
+// or math.MaxInt if there is none.
 func nextUse(asked []string) []int {
 	next := make([]int, len(asked))
 	seen := make(map[string]int)
@@ -52,6 +53,7 @@
 	return next
 }
 
+// latest returns the adapter whose next request is furthest away.
 func latest(held map[string]int) string {
 	best, most := "", -1
 	for a, n := range held {
@@ -62,8 +64,8 @@
 	return best
 }
 
-// stallBound is the least mean stall: the fewest loads, each waited for by one
-// request alone and never queued behind another.
+// stallBound returns a lower bound of the mean load stall in milliseconds. It assumes that
+// exactly one request waits for each load and that loads never queue.
 func stallBound(loads, requests int, loadTime time.Duration) float64 {
 	if requests == 0 {
 		return 0
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -20,42 +20,42 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Capacity measures how what a daemon uses grows: with the daemons of its data
-// centre, with endpoints, with adapters, with requests and with tokens. Each is
-// varied over four points with real processes, the rest held.
+// Capacity measures how the resource usage of a daemon scales with the number of daemons in
+// its data centre, endpoints, adapters, configuration changes, requests and tokens. Each is
+// varied over four points with real processes while the others stay fixed.
 type Capacity struct {
 	Bin  string
 	Dir  string
-	Time time.Duration // of one point
-	Only string        // one sweep; "" for all
+	Time time.Duration // measuring time of one point
+	Only string        // name of the only sweep to run; "" for all
 }
 
-// sample is what one daemon of a role used at one point, on average.
+// sample is the mean resource usage of the daemons of one role at one point.
 type sample struct {
-	cpu    float64 // share of a core
+	cpu    float64 // fraction of a core
 	memory float64 // MB
-	peers  float64 // bytes a second to and from peers
-	ends   float64 // bytes a second to and from endpoints
-	writes float64 // messages a second to and from peers and endpoints
+	peers  float64 // bytes per second to and from peers
+	ends   float64 // bytes per second to and from endpoints
+	writes float64 // writes per second to peers and endpoints
 }
 
-// sweep varies one thing.
+// sweep varies one parameter.
 type sweep struct {
 	name   string
 	unit   string
 	points []int
 	spec   func(n int) fleet.Spec
-	load   func(f *fleet.Fleet, n int) *load.Plan // nil: idle
+	load   func(f *fleet.Fleet, n int) *load.Plan // nil: no load
 	during func(ctx context.Context, f *fleet.Fleet, n int)
 }
 
 const (
 	settleTime = 3 * time.Second
-	idleSettle = 12 * time.Second // until the news of the start have been told
+	idleSettle = 12 * time.Second // until the membership updates of the start have spread
 	sweepSeed  = 11
 )
 
-// base is the fleet that every sweep starts from.
+// base returns the fleet specification that every sweep modifies.
 func (c Capacity) base() fleet.Spec {
 	return fleet.Spec{
 		Bin: c.Bin, Dir: c.Dir,
@@ -81,17 +81,17 @@
 			s.Adapters = n
 			return s
 		}},
-		{name: "changes", unit: "changes of configuration a minute, with 11,000 adapters", points: []int{3, 6, 12, 24}, spec: func(int) fleet.Spec {
+		{name: "changes", unit: "configuration changes per minute, with 11,000 adapters", points: []int{3, 6, 12, 24}, spec: func(int) fleet.Spec {
 			s := c.base()
 			s.Adapters = 11000
 			return s
 		}, during: changes},
-		{name: "requests", unit: "requests a second at a gateway and scheduler", points: []int{25, 50, 100, 200}, spec: func(int) fleet.Spec {
+		{name: "requests", unit: "requests per second at a gateway and scheduler", points: []int{25, 50, 100, 200}, spec: func(int) fleet.Spec {
 			s := c.base()
 			s.Boxes, s.Engines = 1, 2
 			return s
 		}, load: func(f *fleet.Fleet, n int) *load.Plan { return c.plan(f, float64(n), 4) }},
-		{name: "tokens", unit: "tokens a second streamed by a gateway", points: []int{500, 1000, 2000, 4000}, spec: func(int) fleet.Spec {
+		{name: "tokens", unit: "tokens per second streamed by a gateway", points: []int{500, 1000, 2000, 4000}, spec: func(int) fleet.Spec {
 			s := c.base()
 			s.Boxes, s.Engines = 1, 2
 			return s
@@ -99,7 +99,7 @@
 	}
 }
 
-// changes publishes one adapter's live version so many times a minute.
+// changes publishes another live version of one adapter n times per minute until ctx ends.
 func changes(ctx context.Context, f *fleet.Fleet, n int) {
 	tick := time.NewTicker(time.Minute / time.Duration(n))
 	defer tick.Stop()
@@ -110,14 +110,14 @@
 		case <-tick.C:
 			shards := f.Shards()
 			shards["adapters-00001"].Adapters[0].Aliases[catalog.LiveAlias] = fmt.Sprint(1 + version%2)
-			_ = f.Publish(ctx, shards) // one that is missed shows as less traffic
+			_ = f.Publish(ctx, shards) // a failed publish only shows as less traffic
 		}
 	}
 }
 
 const tokensEach = 200
 
-// plan loads the first gateway with requests on a few adapters.
+// plan returns a load on the first gateway, spread over eight adapters.
 func (c Capacity) plan(f *fleet.Fleet, rate float64, tokens int) *load.Plan {
 	return &load.Plan{
 		Gateways: []string{f.CallersAddress(1, 1)},
@@ -131,7 +131,7 @@
 	}
 }
 
-// Run measures every sweep, or the one called Only, and writes the tables to w, in Markdown.
+// Run runs every sweep, or the one named by Only, and writes Markdown tables to w.
 func (c Capacity) Run(ctx context.Context, w io.Writer) error {
 	for _, s := range c.sweeps() {
 		if c.Only != "" && c.Only != s.name {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// point starts a fleet, lets it settle and measures it for a while.
+// point starts a fleet for one point of a sweep, waits until it has settled and measures it.
 func (c Capacity) point(ctx context.Context, s sweep, n int) (map[string]sample, error) {
 	spec := s.spec(n)
 	spec.Dir = filepath.Join(c.Dir, fmt.Sprintf("%s-%d", s.name, n))
@@ -193,13 +193,13 @@
 	took := time.Since(begun)
 	if s.load != nil {
 		if r := <-done; r.Whole != r.Sent {
-			return nil, errors.Errorf("%d of %d requests were answered whole: %v", r.Whole, r.Sent, r.Codes)
+			return nil, errors.Errorf("only %d of %d requests got a complete answer: %v", r.Whole, r.Sent, r.Codes)
 		}
 	}
 	return average(before, after, took), nil
 }
 
-// reading is what one daemon has used so far.
+// reading holds the cumulative usage counters of one daemon.
 type reading struct {
 	role  string
 	usage fleet.Usage
@@ -207,7 +207,7 @@
 	ends  traffic
 }
 
-// traffic is what daemons export of their connections.
+// traffic holds the connection counters that daemons export.
 type traffic struct {
 	In     float64 `json:"in"`
 	Out    float64 `json:"out"`
@@ -242,7 +242,7 @@
 	return list, nil
 }
 
-// average returns what a daemon of each role used a second.
+// average returns, per role, the mean usage per second of its daemons between two readings.
 func average(before, after []reading, took time.Duration) map[string]sample {
 	sum := make(map[string]sample)
 	count := make(map[string]float64)
@@ -264,7 +264,7 @@
 	return sum
 }
 
-// column is one figure of a table.
+// column is one column of a table.
 type column struct {
 	name string
 	of   func(sample) float64
@@ -278,7 +278,7 @@
 	{"writes/s", func(s sample) float64 { return s.writes }},
 }
 
-// printSweep writes the points, the fitted line and the largest residual.
+// printSweep writes a table with the measured points, the fitted line and the largest residual.
 func printSweep(w io.Writer, s sweep, role string, list []sample) {
 	fmt.Fprintf(w, "\n%s, by %s\n\n| %s |", role, s.unit, s.name)
 	for _, c := range columns {
@@ -301,7 +301,7 @@
 	}
 }
 
-// fit returns the least squares line and its largest residual.
+// fit returns the least-squares line and the largest absolute residual.
 func fit(points []int, list []sample, of func(sample) float64) map[string]float64 {
 	x, y := make([]float64, len(points)), make([]float64, len(points))
 	for i, n := range points {
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -17,14 +17,14 @@
 	"github.com/pkg/errors"
 )
 
-// fault is one kind of failure at one place. Inject begins it and calm ends it.
+// fault is one kind of failure at one place. Inject starts it and calm reverts it.
 type fault struct {
 	name   string
 	inject func(context.Context, int) error
 	calm   func(context.Context, int) error
 }
 
-// draw chooses a fault and a place.
+// draw picks a random fault and a random place for it.
 func (r *storm) draw() fault {
 	c, b, e := 1+r.rand.IntN(stormCentres), 1+r.rand.IntN(stormBoxes), 1+r.rand.IntN(stormEngines)
 	other := 1 + c%stormCentres
@@ -55,13 +55,13 @@
 	return r.drain(c, e)
 }
 
-// inject begins a fault and notes when.
+// inject starts a fault and records the time.
 func (r *storm) inject(ctx context.Context, n int, f fault) error {
 	r.done = append(r.done, struckFault{name: f.name, begun: time.Now()})
 	return errors.Wrapf(f.inject(ctx, n), "measure: fault %q", f.name)
 }
 
-// calm ends a fault and notes when.
+// calm reverts a fault and records the time.
 func (r *storm) calm(ctx context.Context, n int, f fault) error {
 	err := f.calm(ctx, n)
 	for i := len(r.done) - 1; i >= 0; i-- {
@@ -96,7 +96,7 @@
 	}
 }
 
-// link puts a rule on what passes between two parts, both ways.
+// link applies a proxy rule to the connections between two parts, in both directions.
 func (r *storm) link(name string, like standin.Rule, a, b string) fault {
 	set := func(ctx context.Context, n int, on bool) error {
 		for i, pair := range [][2]string{{a, b}, {b, a}} {
@@ -134,10 +134,11 @@
 	}
 }
 
+// emptied restarts an engine without its adapters and makes its next two loads fail.
 func (r *storm) emptied(c, e int) fault {
 	url := "http://" + r.fleet.EngineAddress(c, e)
 	return fault{
-		name: "restart empty, fail two loads of " + fleet.EndpointName(c, e),
+		name: "restart without adapters and fail two loads of " + fleet.EndpointName(c, e),
 		inject: func(ctx context.Context, _ int) error {
 			if err := fleet.Post(ctx, url+"/control/fail-loads?count=2"); err != nil {
 				return err
@@ -148,7 +149,7 @@
 	}
 }
 
-// change publishes another live version of one adapter.
+// change publishes another live version of one adapter. It has nothing to revert.
 func (r *storm) change() fault {
 	return fault{
 		name: "publish a live version",
@@ -162,7 +163,7 @@
 	}
 }
 
-// drain takes an endpoint out of use, and back into use at its end.
+// drain publishes an endpoint as draining, and publishes it as in use to revert.
 func (r *storm) drain(c, e int) fault {
 	name := fleet.EndpointName(c, e)
 	return fault{
@@ -186,8 +187,8 @@
 	return r.fleet.Publish(ctx, shards)
 }
 
-// killed counts the requests without a final answer at gateways that a kill
-// ended while they held them, or that were not started again yet.
+// killed counts the requests without a final answer that are explained by a killed gateway:
+// they were held by it when it was killed, or sent to it before it had started again.
 func (r *storm) killed(p load.Report) int {
 	n := 0
 	for _, e := range p.Ends {
@@ -204,6 +205,8 @@
 	return n
 }
 
+// downAt reports whether a fault is the kill of the gateway that the request was sent to, and
+// overlaps with the request.
 func (r *storm) downAt(f struckFault, e load.End) bool {
 	for c := 1; c <= stormCentres; c++ {
 		for b := 1; b <= stormBoxes; b++ {
@@ -216,4 +219,4 @@
 	return false
 }
 
-const startTime = 2 * time.Second // until a started gateway takes callers
+const startTime = 2 * time.Second // until a started gateway accepts requests
