--- a/measure/future.go
+++ b/measure/future.go
@@ -12,14 +12,15 @@
 	"github.com/pkg/errors"
 )
 
-// Future computes, from the debug logs of all boxes, what a policy that knew the future
-// could have had on the same requests: it loads each adapter just before it is needed and
-// evicts the one that is needed again the latest, as fast as the store gives adapters.
+// Future computes, from the debug logs of all boxes, a bound that no online placement policy
+// can beat on the same requests. The bound comes from an offline policy that knows all future
+// requests: it loads each adapter just before it is needed, no faster than the store allows,
+// and evicts the adapter whose next request is furthest away.
 type Future struct {
-	Logs  []string      // paths; none: standard input
-	Slots int           // adapters that all endpoints hold together
-	Rate  float64       // loads a second that the store gives
-	Lead  time.Duration // loads may begin so long before the first request
+	Logs  []string      // paths of the logs; empty: standard input
+	Slots int           // adapter slots of all endpoints together
+	Rate  float64       // loads per second that the store allows
+	Lead  time.Duration // how long before the first request loads may start
 }
 
 // need is one request for an adapter.
@@ -28,7 +29,7 @@
 	adapter string
 }
 
-// Run prints the bound beside what the boxes did.
+// Run prints the bound and, for comparison, what the boxes did.
 func (f Future) Run(out io.Writer) error {
 	if f.Slots <= 0 || f.Rate <= 0 {
 		return errors.New("measure: --slots and --rate must be above zero")
@@ -39,7 +40,7 @@
 	}
 	needs, loads, refused := gather(log)
 	if len(needs) == 0 {
-		return errors.New("measure: no line says that an adapter is needed: run the boxes with --debug")
+		return errors.New("measure: the logs contain no adapter requests: run the boxes with --debug")
 	}
 	asked := make([]string, len(needs))
 	kinds := make(map[string]bool)
@@ -59,8 +60,8 @@
 	return errors.Wrap(w.Flush(), "measure")
 }
 
-// gather returns the requests for adapters by time, the loads that were begun from the
-// store and the requests that were refused for a load.
+// gather returns the requests for adapters in order of time, the number of loads started from
+// the store and the number of requests refused because their adapter was not loaded.
 func gather(log *logging.Log) (needs []need, loads, refused int) {
 	for _, l := range log.Lines() {
 		switch l.Message() {
@@ -79,8 +80,8 @@
 	return needs, loads, refused
 }
 
-// lateAtLeast is how many loads cannot be done before they are needed: by each moment the
-// store has given no more than its rate.
+// lateAtLeast returns a lower bound of the loads that cannot complete before they are needed,
+// given that the store never exceeds its rate.
 func (f Future) lateAtLeast(needs []need, missed []bool) int {
 	begun := needs[0].at.Add(-f.Lead)
 	loads, late := 0, 0
--- a/measure/logs.go
+++ b/measure/logs.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// readLogs reads the logs of several boxes; standard input where no path is given.
+// readLogs reads the logs of several boxes, or standard input if no path is given.
 func readLogs(paths []string) (*logging.Log, error) {
 	var log logging.Log
 	if len(paths) == 0 {
--- a/measure/path.go
+++ b/measure/path.go
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package measure gives the figures of the documents, each by one command. Those of
-// speed and cost come from real processes on loopback and are compared within one run;
-// where and future read logs of boxes, and scarce is a simulation.
+// Package measure implements the benchmarks, fault-injection runs and log analyses of the
+// cairn-measure command. Benchmarks run real processes on loopback and compare variants
+// within one run; the subcommands where and future analyse logs of boxes, and scarce is a
+// simulation.
 package measure
 
 import (
@@ -23,17 +24,18 @@
 	"github.com/pkg/errors"
 )
 
-// Path compares requests through one gateway and one scheduler with requests
-// straight to the engine, in turn within one run. Set the fields before Run.
+// Path compares the latency of requests through one gateway and one scheduler with that of
+// requests sent directly to the engine. The variants alternate within one run. Set the fields
+// before Run.
 type Path struct {
 	Bin    string
 	Dir    string
-	Rate   int           // requests a second
-	Each   time.Duration // of one turn
-	Rounds int           // turns of each kind
+	Rate   int           // requests per second
+	Each   time.Duration // duration of one phase
+	Rounds int           // phases of each variant
 }
 
-// pathSide is one of the two ways.
+// pathSide is one variant of the path to the engine.
 type pathSide struct {
 	url   string
 	model string
@@ -41,7 +43,7 @@
 	lost  atomic.Int64
 }
 
-// Run writes the comparison to w.
+// Run runs the comparison and writes the results to w.
 func (p Path) Run(ctx context.Context, w io.Writer) error {
 	f := fleet.New(fleet.Spec{
 		Bin: p.Bin, Dir: p.Dir,
@@ -72,7 +74,7 @@
 	return printUsage(w, f, through.times.Count())
 }
 
-// printUsage says what one request costs each daemon.
+// printUsage prints the processor time per request and the memory of each daemon.
 func printUsage(w io.Writer, f *fleet.Fleet, requests int64) error {
 	for _, role := range []string{member.Gateway, member.Scheduler} {
 		u, err := f.Usage(fleet.DaemonName(1, 1, role))
@@ -85,18 +87,19 @@
 	return nil
 }
 
-// warm loads the adapter and opens connections.
+// warm sends one request through each variant, so that the adapter is loaded, and resets the
+// measurements.
 func warm(ctx context.Context, sides ...*pathSide) error {
 	for _, s := range sides {
 		if !s.ask(ctx, http.DefaultClient) {
-			return errors.Errorf("measure: %s gives no answer", s.url)
+			return errors.Errorf("measure: warm-up request to %s failed", s.url)
 		}
 		s.times = metrics.NewHistogram()
 	}
 	return nil
 }
 
-// turn sends requests at the steady rate for a while.
+// turn runs one phase: it sends requests at the configured rate.
 func (p Path) turn(ctx context.Context, s *pathSide) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: 30 * time.Second}
 	defer c.CloseIdleConnections()
@@ -113,7 +116,7 @@
 	all.Wait()
 }
 
-// ask sends one request and tells whether it was answered.
+// ask sends one request, records its latency and reports whether it succeeded.
 func (s *pathSide) ask(ctx context.Context, c *http.Client) bool {
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":1,"prompt":"x"}`, s.model)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/v1/completions", bytes.NewReader([]byte(body)))
@@ -131,8 +134,8 @@
 	return err == nil && a.StatusCode == http.StatusOK
 }
 
-// bareHop forwards each request and does nothing else: what any program
-// between callers and engines costs on this machine.
+// bareHop returns a proxy that only forwards requests. It measures the minimum cost of any
+// process between callers and engines on this machine.
 func bareHop(url string) http.Handler {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -148,22 +151,22 @@
 		}
 		defer a.Body.Close()
 		w.WriteHeader(a.StatusCode)
-		_, _ = io.Copy(w, a.Body) // a break shows as a lost answer
+		_, _ = io.Copy(w, a.Body) // a broken stream is counted by the client as a lost request
 	})
 }
 
 func (p Path) print(w io.Writer, straight, bare, through *pathSide) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "way\trequests\tlost\tp50 ms\tp95 ms\tp99 ms\t\n")
+	fmt.Fprintf(t, "path\trequests\tlost\tp50 ms\tp95 ms\tp99 ms\t\n")
 	for _, s := range []struct {
 		name string
 		side *pathSide
-	}{{"straight to the engine", straight}, {"through an empty hop", bare}, {"through cairnwick", through}} {
+	}{{"directly to the engine", straight}, {"through a bare proxy", bare}, {"through cairnwick", through}} {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n", s.name, s.side.times.Count(), s.side.lost.Load(),
 			millis(s.side.times.Quantile(50)), millis(s.side.times.Quantile(95)), millis(s.side.times.Quantile(99)))
 	}
 	added := func(s *pathSide, q float64) float64 { return millis(s.times.Quantile(q) - straight.times.Quantile(q)) }
-	fmt.Fprintf(t, "added by an empty hop\t\t\t%.2f\t%.2f\t%.2f\t\n", added(bare, 50), added(bare, 95), added(bare, 99))
+	fmt.Fprintf(t, "added by a bare proxy\t\t\t%.2f\t%.2f\t%.2f\t\n", added(bare, 50), added(bare, 95), added(bare, 99))
 	fmt.Fprintf(t, "added by cairnwick\t\t\t%.2f\t%.2f\t%.2f\t\n", added(through, 50), added(through, 95), added(through, 99))
 	return t.Flush()
 }
--- a/measure/plot.go
+++ b/measure/plot.go
@@ -18,8 +18,8 @@
 
 const seriesWindow = 2 * time.Second
 
-// stallSeries is the mean stall of the whole answers begun in each window, in
-// milliseconds.
+// stallSeries returns, for each window, the mean load stall in milliseconds of the requests that
+// began in it and got a complete answer.
 func stallSeries(ends []load.End, begun time.Time, whole time.Duration) []float64 {
 	windows := make([][]time.Duration, int(whole/seriesWindow))
 	for _, e := range ends {
@@ -35,7 +35,7 @@
 	return series
 }
 
-// drawStalls writes one workload's stalls over time as an SVG to dir.
+// drawStalls plots the load stalls of one workload over time, as an SVG file in dir.
 func drawStalls(dir string, list []Figures) error {
 	if len(list) == 0 {
 		return nil
--- a/measure/policies.go
+++ b/measure/policies.go
@@ -19,42 +19,42 @@
 	"github.com/pkg/errors"
 )
 
-// Policies compares the chosen policies with the baselines, with real daemons
-// on stand-ins in the users' sizes. Set the fields before Run.
+// Policies compares the default policies with the baselines. It runs real daemons on stand-in
+// engines, sized like the users' deployments. Set the fields before Run.
 type Policies struct {
 	Bin      string
 	Dir      string
-	Time     time.Duration // of one run, after the warming up
-	Warm     time.Duration
+	Time     time.Duration // duration of one run, without the warm-up
+	Warm     time.Duration // duration of the warm-up
 	Seed     uint64
 	User     string   // "" for both
 	Workload string   // "" for all
-	Only     []string // contenders; none for all
+	Only     []string // names of contenders; empty for all
 	Report   string   // path of the JSON report; "" for none
-	Plots    string   // folder for the plots; "" for none
+	Plots    string   // directory for the plots; "" for none
 }
 
-// Figures are what one run gave.
+// Figures are the results of one run.
 type Figures struct {
 	User      string    `json:"user"`
 	Workload  string    `json:"workload"`
 	Policies  string    `json:"policies"`
 	Sent      int       `json:"sent"`
-	InTime    int       `json:"in_time"` // whole within the deadline
+	InTime    int       `json:"in_time"` // complete answers within the deadline
 	Refused   int       `json:"refused"`
-	Lost      int       `json:"lost"`      // unknown or without an answer
-	Back      int       `json:"came_back"` // refused callers who came back when told to
-	Honest    int       `json:"served_then"`
+	Lost      int       `json:"lost"`        // unknown, broken or wrong outcome
+	Back      int       `json:"came_back"`   // refused requests that were retried after Retry-After
+	Honest    int       `json:"served_then"` // retries among them that were served
 	StallMean float64   `json:"stall_mean_ms"`
 	StallP95  float64   `json:"stall_p95_ms"`
 	StallP99  float64   `json:"stall_p99_ms"`
-	Fullness  float64   `json:"batch_fullness"` // of the steps with work, 0 to 1
-	Prefixes  float64   `json:"prefix_hits"`    // share of runs whose prefix was cached
+	Fullness  float64   `json:"batch_fullness"` // mean over engine steps with work, 0 to 1
+	Prefixes  float64   `json:"prefix_hits"`    // share of runs whose prompt prefix was cached
 	Loads     int       `json:"loads"`
-	Worst     float64   `json:"worst_class_share"`  // share in time of the class that fares worst
-	Fair      float64   `json:"fairness"`           // Jain's index over callers' shares in time
-	Recovery  float64   `json:"recovery_s"`         // after a shift: until the stall is within 10% again; 0: none
-	Series    []float64 `json:"stall_by_window_ms"` // mean stall of each window of two seconds
+	Worst     float64   `json:"worst_class_share"`  // lowest share of requests answered in time of any class
+	Fair      float64   `json:"fairness"`           // Jain's index over the callers' shares of requests answered in time
+	Recovery  float64   `json:"recovery_s"`         // time after a shift until the stall is within 10% of its previous mean; 0 without a shift
+	Series    []float64 `json:"stall_by_window_ms"` // mean stall of each two-second window
 }
 
 var workloads = []workload{
@@ -67,7 +67,7 @@
 	{name: "half the daemons replaced", times: 1, disturb: replaceHalf},
 }
 
-// Run writes the tables to w, and the report when one is wanted.
+// Run runs the comparison and writes the tables to w, and the report and plots if configured.
 func (p Policies) Run(ctx context.Context, w io.Writer) error {
 	var all []Figures
 	for _, u := range []user{nursery(), boundaries()} {
@@ -135,7 +135,7 @@
 		return Figures{}, err
 	}
 	if l.disturb != nil {
-		time.AfterFunc(p.Time/2, func() { _ = l.disturb(f)() }) // a failure shows in the figures
+		time.AfterFunc(p.Time/2, func() { _ = l.disturb(f)() }) // a failed disturbance is visible in the results
 	}
 	begun := time.Now()
 	r := load.Run(ctx, u.plan(f, l, p.Time, p.Seed))
@@ -152,18 +152,19 @@
 	return g, nil
 }
 
-// printBound says what no policy could beat on a workload: with every slot of the
-// region, and knowing the future.
+// printBound prints the bound that no policy can beat on a workload: that of the offline
+// optimal policy, which knows all requests and uses every slot of the region.
 func (p Policies) printBound(w io.Writer, u user, l workload) {
 	f := fleet.New(u.spec)
 	warm := u.plan(f, workload{times: 1}, p.Warm, p.Seed+1).Sequence()
 	asked := append(warm, u.plan(f, l, p.Time, p.Seed).Sequence()...)
 	slots := u.spec.Centres * u.spec.Engines * u.spec.Slots
 	loads := fewestLoads(asked, slots, len(warm))
-	fmt.Fprintf(w, "no policy could do with fewer than %d loads, a mean stall of %.1f ms; the store allows %.0f loads in this time\n",
+	fmt.Fprintf(w, "lower bound for any policy: %d loads, mean stall %.1f ms; the store allows %.0f loads in this time\n",
 		loads, stallBound(loads, len(asked)-len(warm), loadTime), u.store*p.Time.Seconds())
 }
 
+// restartEngines restarts the first engine of every data centre.
 func restartEngines(f *fleet.Fleet) disturbance {
 	return func() error {
 		for c := 1; c <= f.Spec.Centres; c++ {
@@ -175,7 +176,7 @@
 	}
 }
 
-// figures sums up a run.
+// figures summarises a run.
 func figures(r load.Report, before, after standin.Counts, batch int) Figures {
 	g := Figures{Sent: r.Sent, Refused: r.NotRun, Back: r.Back, Honest: r.Honest, Lost: r.Unknown + r.Broken + r.Wrong, Loads: after.Loads - before.Loads}
 	var stalls []time.Duration
@@ -207,14 +208,14 @@
 	return g
 }
 
-// deadlines are those of the fleet's classes.
+// deadlines are the deadlines of the fleet's priority classes.
 var deadlines = map[string]time.Duration{
 	fleet.CounterClass: 20 * time.Second,
 	fleet.UrgentClass:  10 * time.Second,
 	fleet.NightClass:   time.Hour,
 }
 
-// share counts requests and those of them that were answered in time.
+// share counts requests and how many of them were answered in time.
 type share struct{ sent, inTime int }
 
 func (s share) part() float64 { return float64(s.inTime) / float64(s.sent) }
@@ -229,7 +230,7 @@
 	}
 }
 
-// jain is Jain's index of fairness: 1 when all have the same share.
+// jain returns Jain's fairness index: 1 when all shares are equal.
 func jain(m map[string]*share) float64 {
 	sum, squares := 0.0, 0.0
 	for _, s := range m {
@@ -260,8 +261,8 @@
 	return millis(sorted[min(len(sorted)-1, int(q*float64(len(sorted))))])
 }
 
-// recovery is how long after a shift at half-time the mean stall of a second is
-// within a tenth, or 5 ms, of what it was before.
+// recovery returns how long after a popularity shift at half-time the mean stall of a two-second
+// window first comes within 10%, or 5 ms, of the mean before the shift.
 func recovery(ends []load.End, begun time.Time, whole time.Duration) time.Duration {
 	const window = 2 * time.Second
 	stallIn := func(from, to time.Duration) float64 {
@@ -293,5 +294,5 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d/%d\t%d\t%.1f\t%.0f\t%.0f\t%.3f\t%.2f\t%d\t%.2f\t%.3f\t%.0f\t\n", g.Policies, g.Sent, g.InTime, g.Refused, g.Honest, g.Back, g.Lost,
 			g.StallMean, g.StallP95, g.StallP99, g.Fullness, g.Prefixes, g.Loads, g.Worst, g.Fair, g.Recovery)
 	}
-	_ = t.Flush() // to the standard output
+	_ = t.Flush() // errors of standard output are ignored, as for fmt.Fprintf above
 }
--- a/measure/replace.go
+++ b/measure/replace.go
@@ -9,8 +9,7 @@
 	"cairnwick.example/member"
 )
 
-// replaceHalf ends the second box of every data centre in order and starts it
-// again.
+// replaceHalf restarts the daemons of the second box of every data centre, one after the other.
 func replaceHalf(f *fleet.Fleet) disturbance {
 	return func() error {
 		for c := 1; c <= f.Spec.Centres; c++ {
--- a/measure/users.go
+++ b/measure/users.go
@@ -9,37 +9,37 @@
 	"cairnwick.example/load"
 )
 
-// user is one of the two users' systems, at the size of today.
+// user describes one of the two users' deployments at its present size.
 type user struct {
 	name      string
 	spec      fleet.Spec
-	rate      float64 // requests a second that are steady
-	store     float64 // loads a second that the store allows
+	rate      float64 // steady request rate, per second
+	store     float64 // loads per second that the store allows
 	scheduler []string
 	kinds     []load.Mix
 }
 
-// workload is one way of asking.
+// workload is a traffic pattern, with a disturbance if there is one.
 type workload struct {
 	name     string
-	times    float64                          // of the user's steady rate
-	wake     bool                             // half-way a quarter of all adapters wakes
-	shift    bool                             // half-way other adapters become the popular ones
-	disturb  func(f *fleet.Fleet) disturbance // what happens at half-time; nil: nothing
-	failEach int                              // the store fails one load in so many
+	times    float64                          // multiple of the user's steady rate
+	wake     bool                             // at half-time a quarter of all adapters starts to get requests
+	shift    bool                             // at half-time other adapters become the popular ones
+	disturb  func(f *fleet.Fleet) disturbance // returns what happens at half-time; nil: nothing
+	failEach int                              // the store fails one load in failEach; 0: none
 }
 
-// disturbance happens once, at half-time.
+// disturbance is an action that is run once, at half-time.
 type disturbance func() error
 
-// contender is one choice of policies.
+// contender is a set of policies, as settings of the daemons.
 type contender struct {
 	name      string
 	gateway   []string
 	scheduler []string
 }
 
-// contenders are ours first, then the baselines.
+// contenders lists the default policies first, then the baselines.
 var contenders = []contender{
 	{name: "cairnwick"},
 	{name: "cairnwick without warm prefixes", gateway: []string{"warm_prefixes=0"}},
@@ -51,11 +51,11 @@
 
 const (
 	userAdapters = 5000
-	talks        = 20                     // conversations of each adapter at a time
+	talks        = 20                     // concurrent conversations per adapter
 	loadTime     = 400 * time.Millisecond // at the store's full speed
 )
 
-// nursery is the family nursery: callers at the till, load stalls first.
+// nursery is the family nursery's deployment: interactive callers, for whom load stalls matter most.
 func nursery() user {
 	return user{
 		name: "nursery",
@@ -75,7 +75,7 @@
 	}
 }
 
-// boundaries is the boundary practice: much may wait, batch fullness first.
+// boundaries is the boundary practice's deployment: most work may wait, so batch fullness matters most.
 func boundaries() user {
 	return user{
 		name: "boundaries",
@@ -97,7 +97,7 @@
 
 const userSkew = 1.35
 
-// plan asks as the user does.
+// plan returns the load of a workload on the user's deployment.
 func (u user) plan(f *fleet.Fleet, l workload, d time.Duration, seed uint64) load.Plan {
 	p := load.Plan{
 		Rate:     u.rate * l.times,
