--- a/measure/scarce_test.go
+++ b/measure/scarce_test.go
@@ -10,8 +10,9 @@
 	"github.com/frankban/quicktest"
 )
 
-// Where loads go must pay on a load that no user gave: more requests in time than with a
-// fixed endpoint for each adapter, on every seed and whether slots or reading binds.
+// Guards against a cost model that only pays off on the users' own workloads. On a synthetic load,
+// cost-based placement must answer more requests in time than a fixed endpoint for each adapter,
+// on every seed and whether slots or prompt processing is the bottleneck.
 func TestLoadsWhereTheyCostLeastServeMoreInTime(t *testing.T) {
 	c := quicktest.New(t)
 	for seed := range uint64(3) {
