--- a/cmd/cairn-demo/main.go
+++ b/cmd/cairn-demo/main.go
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairn-demo shows a request from end to end on stand-ins.
+// Command cairn-demo sends requests through a complete system of real daemons and stand-in engines
+// and explains the routing of one of them.
 package main
 
 import (
@@ -13,7 +14,7 @@
 )
 
 type arguments struct {
-	Bin  string `arg:"--bin" default:"bin" help:"folder of the programs"`
+	Bin  string `arg:"--bin" default:"bin" help:"directory of the programs"`
 	Keep bool   `arg:"--keep" help:"start a system for the walk-through and keep it until interrupted"`
 }
 
@@ -30,8 +31,8 @@
 	}
 }
 
-// withFleet starts a fleet of the programs in bin, with a folder of its own, hands it
-// over when it is ready, and removes both afterwards.
+// withFleet starts a fleet of the programs in bin in a temporary directory, calls use when the
+// fleet is ready, and stops the fleet and removes the directory afterwards.
 func withFleet(ctx context.Context, bin string, s fleet.Spec, use func(*fleet.Fleet) error) error {
 	dir, err := os.MkdirTemp("", "cairn-demo-")
 	if err != nil {
--- a/cmd/cairn-demo/show.go
+++ b/cmd/cairn-demo/show.go
@@ -16,8 +16,7 @@
 
 const demoTimeout = 2 * time.Minute
 
-// show starts three data centres, sends requests and tells one decision as a
-// story.
+// show starts three data centres, sends requests and explains the routing of the last one.
 func show(w io.Writer, bin string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
@@ -32,7 +31,7 @@
 	})
 }
 
-// askSome sends requests of several kinds and returns the id of the last one.
+// askSome sends requests of several kinds and returns the id of the last one served.
 func askSome(ctx context.Context, w io.Writer, f *fleet.Fleet) (string, error) {
 	var c fleet.Caller
 	adapter := fleet.AdapterName(7)
@@ -48,7 +47,7 @@
 		if err != nil {
 			return "", err
 		}
-		fmt.Fprintf(w, "\nasked %s for %s\n", a.Address, a.Model)
+		fmt.Fprintf(w, "\nrequest to %s for %s\n", a.Address, a.Model)
 		if r.Code != "" {
 			fmt.Fprintf(w, "refused with status %d: %s, %s\n", r.Status, r.Code, r.Ran)
 			continue
@@ -57,15 +56,15 @@
 			return "", err
 		}
 		request = r.Request
-		fmt.Fprintf(w, "answered in %s by %s on %s: %s\n", r.Duration.Round(time.Millisecond),
+		fmt.Fprintf(w, "served in %s by %s with %s: %s\n", r.Duration.Round(time.Millisecond),
 			r.Header.Get("Cairn-Endpoint"), r.Header.Get("Cairn-Model"), r.Text)
 	}
 	return request, nil
 }
 
-// tell prints the story of one request.
+// tell prints the decisions that were made about one request.
 func tell(ctx context.Context, w io.Writer, f *fleet.Fleet, request string) error {
-	fmt.Fprintf(w, "\nWhy request %s went where it did:\n", request)
+	fmt.Fprintf(w, "\nRouting of request %s:\n", request)
 	c, err := operator.New(&daemon.Identity{})
 	if err != nil {
 		return err
@@ -73,7 +72,7 @@
 	defer c.Close()
 	found, _ := c.Explain(ctx, f.Daemons(), request)
 	if len(found) == 0 {
-		return errors.New("demo: no daemon remembers the request")
+		return errors.Errorf("demo: request %s not found on any daemon", request)
 	}
 	operator.Tell(w, found)
 	return nil
--- a/cmd/cairn-gateway/main.go
+++ b/cmd/cairn-gateway/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairn-gateway faces the callers.
+// Command cairn-gateway accepts callers' requests and forwards them to endpoints.
 package main
 
 import (
@@ -11,6 +11,6 @@
 )
 
 func main() {
-	os.Exit(daemon.Main("cairn-gateway", "holds callers' requests and streams their answers",
+	os.Exit(daemon.Main("cairn-gateway", "accepts callers' requests and streams the responses",
 		gateway.Options, os.Args[1:], gateway.Serve))
 }
--- a/cmd/cairn-measure/command.go
+++ b/cmd/cairn-measure/command.go
@@ -15,84 +15,84 @@
 )
 
 type pathCommand struct {
-	Rate   int           `arg:"--rate" default:"500" help:"requests a second"`
-	Each   time.Duration `arg:"--each" default:"4s" help:"time of one turn"`
-	Rounds int           `arg:"--rounds" default:"3" help:"turns of each kind"`
+	Rate   int           `arg:"--rate" default:"500" help:"requests per second"`
+	Each   time.Duration `arg:"--each" default:"4s" help:"duration of one phase"`
+	Rounds int           `arg:"--rounds" default:"3" help:"phases of each variant"`
 }
 
 type capacityCommand struct {
-	Time time.Duration `arg:"--time" default:"8s" help:"time of one point"`
-	Only string        `arg:"--sweep" help:"one sweep; all when not given"`
+	Time time.Duration `arg:"--time" default:"8s" help:"measuring time of one point"`
+	Only string        `arg:"--sweep" help:"run only this sweep; default: all"`
 }
 
 type stormCommand struct {
-	Time time.Duration `arg:"--time" default:"3m" help:"time of the load"`
-	Seed uint64        `arg:"--seed" default:"1" help:"of faults and load"`
-	Rate float64       `arg:"--rate" default:"40" help:"requests a second"`
+	Time time.Duration `arg:"--time" default:"3m" help:"duration of the load"`
+	Seed uint64        `arg:"--seed" default:"1" help:"seed of faults and load"`
+	Rate float64       `arg:"--rate" default:"40" help:"requests per second"`
 
-	Limit   float64 `arg:"--limit" default:"0" help:"requests a second that one engine of each data centre says that it takes; 0: all take all"`
-	Backoff float64 `arg:"--backoff" default:"0" help:"seconds for which one engine of each data centre wants nothing, each time that it turns a request away; 0: none does"`
+	Limit   float64 `arg:"--limit" default:"0" help:"requests per second that one engine of each data centre announces as its limit; 0: no limit"`
+	Backoff float64 `arg:"--backoff" default:"0" help:"back-off in seconds that one engine of each data centre asks for whenever it rejects a request; it rejects all; 0: none does"`
 }
 
 type restoresCommand struct {
-	Time time.Duration `arg:"--time" default:"1m" help:"time of the run"`
-	Seed uint64        `arg:"--seed" default:"1" help:"of what happens"`
+	Time time.Duration `arg:"--time" default:"1m" help:"duration of the run"`
+	Seed uint64        `arg:"--seed" default:"1" help:"seed of the steps"`
 }
 
 type policiesCommand struct {
-	Time     time.Duration `arg:"--time" default:"30s" help:"time of one run"`
-	Warm     time.Duration `arg:"--warm" default:"15s" help:"time of warming up before it"`
-	Seed     uint64        `arg:"--seed" default:"1" help:"of the load"`
-	User     string        `arg:"--user" help:"nursery or boundaries; both when not given"`
-	Workload string        `arg:"--workload" help:"one workload; all when not given"`
-	Only     []string      `arg:"--policies,separate" help:"one choice of policies, can be given again; all when not given"`
+	Time     time.Duration `arg:"--time" default:"30s" help:"duration of one run"`
+	Warm     time.Duration `arg:"--warm" default:"15s" help:"duration of the warm-up before each run"`
+	Seed     uint64        `arg:"--seed" default:"1" help:"seed of the load"`
+	User     string        `arg:"--user" help:"nursery or boundaries; default: both"`
+	Workload string        `arg:"--workload" help:"run only this workload; default: all"`
+	Only     []string      `arg:"--policies,separate" help:"run only this set of policies; can be repeated; default: all"`
 	Report   string        `arg:"--report" help:"file for the JSON report"`
-	Plots    string        `arg:"--plots" help:"folder for a plot of each workload, SVG"`
+	Plots    string        `arg:"--plots" help:"directory for an SVG plot of each workload"`
 }
 
 type futureCommand struct {
-	Logs  []string      `arg:"positional" help:"debug logs of all boxes; standard input when none is given"`
-	Slots int           `arg:"--slots,required" help:"adapters that all endpoints hold together"`
-	Rate  float64       `arg:"--rate,required" help:"loads a second that the store gives"`
-	Lead  time.Duration `arg:"--lead" default:"10s" help:"loads may begin so long before the first request"`
+	Logs  []string      `arg:"positional" help:"debug logs of all boxes; default: standard input"`
+	Slots int           `arg:"--slots,required" help:"adapter slots of all endpoints together"`
+	Rate  float64       `arg:"--rate,required" help:"loads per second that the store allows"`
+	Lead  time.Duration `arg:"--lead" default:"10s" help:"how long before the first request loads may start"`
 }
 
 type whereCommand struct {
-	Logs    []string `arg:"positional" help:"debug logs of all boxes; standard input when none is given"`
-	Seconds bool     `arg:"--seconds" help:"by second too"`
+	Logs    []string `arg:"positional" help:"debug logs of all boxes; default: standard input"`
+	Seconds bool     `arg:"--seconds" help:"also print a table by second"`
 }
 
 type scarceCommand struct {
-	Seed uint64        `arg:"--seed" default:"1" help:"of the requests"`
+	Seed uint64        `arg:"--seed" default:"1" help:"seed of the requests"`
 	Time time.Duration `arg:"--time" default:"40s" help:"simulated time"`
-	Rate float64       `arg:"--rate" default:"55" help:"requests a second"`
+	Rate float64       `arg:"--rate" default:"55" help:"requests per second"`
 }
 
 type blockedCommand struct {
-	Rate   int           `arg:"--rate" default:"27" help:"requests a second, every second one refused: twice what a box has at the peak"`
-	Each   time.Duration `arg:"--each" default:"10s" help:"time of one turn"`
-	Rounds int           `arg:"--rounds" default:"3" help:"turns of each kind"`
+	Rate   int           `arg:"--rate" default:"27" help:"requests per second, every second one refused; the default is twice the peak rate of a box"`
+	Each   time.Duration `arg:"--each" default:"10s" help:"duration of one phase"`
+	Rounds int           `arg:"--rounds" default:"3" help:"phases of each kind"`
 }
 
 type arguments struct {
-	Blocked  *blockedCommand  `arg:"subcommand:blocked" help:"requests while the reader of the log reads, and while it stands still"`
-	Scarce   *scarceCommand   `arg:"subcommand:scarce" help:"where loads go when slots are scarce and prompts long, simulated"`
-	Where    *whereCommand    `arg:"subcommand:where" help:"where the time of requests went, from logs"`
-	Future   *futureCommand   `arg:"subcommand:future" help:"what a policy that knew the future could have had, from logs"`
-	Policies *policiesCommand `arg:"subcommand:policies" help:"the chosen policies and the baselines, in the users' sizes"`
-	Storm    *stormCommand    `arg:"subcommand:storm" help:"mixed failures under load, with the stand-ins as witnesses"`
-	Restores *restoresCommand `arg:"subcommand:restores" help:"a store that comes back from older copies, while boxes come and go"`
-	Path     *pathCommand     `arg:"subcommand:path" help:"latency through cairnwick and straight to the engine"`
-	Capacity *capacityCommand `arg:"subcommand:capacity" help:"how what a daemon uses grows"`
-	Bin      string           `arg:"--bin" default:"bin" help:"folder of the programs"`
+	Blocked  *blockedCommand  `arg:"subcommand:blocked" help:"compare latency while the log's reader reads and while it is blocked"`
+	Scarce   *scarceCommand   `arg:"subcommand:scarce" help:"simulate adapter placement with few slots and long prompts"`
+	Where    *whereCommand    `arg:"subcommand:where" help:"break down request latency by cause, from logs"`
+	Future   *futureCommand   `arg:"subcommand:future" help:"compute the bound of an offline optimal policy, from logs"`
+	Policies *policiesCommand `arg:"subcommand:policies" help:"compare the default policies with baselines on the users' deployments"`
+	Storm    *stormCommand    `arg:"subcommand:storm" help:"inject mixed faults under load and check the guarantees at the stand-ins"`
+	Restores *restoresCommand `arg:"subcommand:restores" help:"restore the store from older backups while boxes fail and restart"`
+	Path     *pathCommand     `arg:"subcommand:path" help:"compare latency through cairnwick with direct requests to the engine"`
+	Capacity *capacityCommand `arg:"subcommand:capacity" help:"measure how the resource usage of daemons scales"`
+	Bin      string           `arg:"--bin" default:"bin" help:"directory of the programs"`
 }
 
 // Description implements go-arg.
 func (arguments) Description() string {
-	return "cairn-measure: the figures of the documents, with real processes on loopback"
+	return "cairn-measure: benchmarks, fault-injection runs and log analyses; runs real processes on loopback"
 }
 
-// run parses the command line and carries it out; it returns the exit code.
+// run parses the command line, runs the subcommand and returns the exit code.
 func run(args []string) int {
 	var a arguments
 	p, err := arg.NewParser(arg.Config{Program: "cairn-measure"}, &a)
--- a/cmd/cairn-measure/main.go
+++ b/cmd/cairn-measure/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairn-measure gives the figures of the documents.
+// Command cairn-measure runs benchmarks, fault-injection runs and log analyses.
 package main
 
 import "os"
--- a/cmd/cairn-scheduler/main.go
+++ b/cmd/cairn-scheduler/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairn-scheduler owns endpoints.
+// Command cairn-scheduler manages endpoints: it loads adapters and admits requests.
 package main
 
 import (
@@ -11,6 +11,6 @@
 )
 
 func main() {
-	os.Exit(daemon.Main("cairn-scheduler", "decides what endpoints hold and who runs on them",
+	os.Exit(daemon.Main("cairn-scheduler", "decides which adapters endpoints load and which requests they run",
 		scheduler.Options, os.Args[1:], scheduler.Serve))
 }
--- a/cmd/cairnctl/command.go
+++ b/cmd/cairnctl/command.go
@@ -20,27 +20,27 @@
 const (
 	exitDone        = 0
 	exitFailed      = 1
-	exitUsage       = 2 // the command line does not hold
-	exitUnreachable = 3 // a daemon gave no answer
-	exitNotFound    = 4 // nobody knows what was asked for
-	exitRefused     = 5 // the intent or the plan does not hold
-	exitStale       = 6 // the configuration has moved on since the plan
-	exitBehind      = 7 // not in force everywhere in time
+	exitUsage       = 2 // invalid command line
+	exitUnreachable = 3 // a daemon did not answer
+	exitNotFound    = 4 // the request, or anything matching, was not found
+	exitRefused     = 5 // the intent or the plan is invalid
+	exitStale       = 6 // the configuration has changed since the plan was made
+	exitBehind      = 7 // the plan did not take effect everywhere in time
 )
 
 type arguments struct {
-	Status  *statusCommand  `arg:"subcommand:status" help:"show boxes, owners, endpoints and slots"`
-	Explain *explainCommand `arg:"subcommand:explain" help:"tell why a request went where it did"`
-	Plan    *planCommand    `arg:"subcommand:plan" help:"state an intent and see what it would move"`
-	Confirm *confirmCommand `arg:"subcommand:confirm" help:"write the documents of a plan, to be published"`
+	Status  *statusCommand  `arg:"subcommand:status" help:"show boxes, endpoints with their owners, and slots"`
+	Explain *explainCommand `arg:"subcommand:explain" help:"explain the routing of a request"`
+	Plan    *planCommand    `arg:"subcommand:plan" help:"plan a change and show its effects"`
+	Confirm *confirmCommand `arg:"subcommand:confirm" help:"write the documents of a plan for publishing"`
 	Follow  *followCommand  `arg:"subcommand:follow" help:"wait until a published plan is in force"`
-	Key     *keyCommand     `arg:"subcommand:key" help:"print a fresh key for a request that is not repeatable"`
-	Story   *storyCommand   `arg:"subcommand:story" help:"tell from logs what happened to a request, or count why requests failed"`
+	Key     *keyCommand     `arg:"subcommand:key" help:"print a new key for a non-idempotent request"`
+	Story   *storyCommand   `arg:"subcommand:story" help:"show from logs what happened to a request, or count the causes of failed requests"`
 	Watch   *watchCommand   `arg:"subcommand:watch" help:"follow decisions as they are made"`
 	Cert    string          `arg:"--tls-certificate" help:"file with the operator's certificate, PEM"`
 	CertKey string          `arg:"--tls-key" help:"file with its key, PEM"`
-	Root    string          `arg:"--tls-authority" help:"file with the authority of the daemons' certificates, PEM"`
-	Daemons string          `arg:"--daemons,env:CAIRN_DAEMONS" help:"peers' addresses of daemons, with commas" placeholder:"IP:PORT,..."`
+	Root    string          `arg:"--tls-authority" help:"file with the certificate authority of the daemons, PEM"`
+	Daemons string          `arg:"--daemons,env:CAIRN_DAEMONS" help:"comma-separated peer addresses of daemons" placeholder:"IP:PORT,..."`
 }
 
 // Version implements go-arg.
@@ -48,15 +48,15 @@
 
 // Description implements go-arg.
 func (arguments) Description() string {
-	return "cairnctl: see what the daemons of cairnwick hold and decide"
+	return "cairnctl: inspect the daemons of cairnwick and plan changes of their configuration"
 }
 
-// command is one subcommand.
+// command is a subcommand that contacts daemons. Its run returns the exit code.
 type command interface {
 	run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int
 }
 
-// run parses the command line and carries it out.
+// run parses the command line, runs the subcommand and returns the exit code.
 func run(args []string, out, errs io.Writer) int {
 	var a arguments
 	p, err := arg.NewParser(arg.Config{Program: "cairnctl"}, &a)
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// report names the daemons that gave no answer.
+// report prints the daemons that did not answer and returns the matching exit code.
 func report(errs io.Writer, silent []operator.Silence) int {
 	for _, s := range silent {
 		fmt.Fprintf(errs, "no answer from %s: %v\n", s.Address, s.Cause)
--- a/cmd/cairnctl/confirm.go
+++ b/cmd/cairnctl/confirm.go
@@ -19,17 +19,17 @@
 	"github.com/pkg/errors"
 )
 
-// confirmCommand writes the documents of a plan that still holds, for the users
-// to publish.
+// confirmCommand writes the documents of a plan for the users to publish, if the plan is still
+// based on the current configuration.
 type confirmCommand struct {
-	Plan string `arg:"positional,required" help:"file that plan --out wrote"`
-	Dir  string `arg:"--dir,required" help:"folder for the documents; each file's path is its key"`
+	Plan string `arg:"positional,required" help:"file written by plan --out"`
+	Dir  string `arg:"--dir,required" help:"directory for the documents; each file's path is its key"`
 }
 
-// followCommand waits until a published plan is in force.
+// followCommand waits until a published plan is in force on all daemons.
 type followCommand struct {
-	Plan  string        `arg:"positional,required" help:"file that plan --out wrote"`
-	Limit time.Duration `arg:"--limit" default:"12s" help:"longest wait"`
+	Plan  string        `arg:"positional,required" help:"file written by plan --out"`
+	Limit time.Duration `arg:"--limit" default:"12s" help:"maximum time to wait"`
 }
 
 func readPlan(path string) (plan.Plan, error) {
@@ -68,7 +68,7 @@
 		}
 		fmt.Fprintln(out, path)
 	}
-	fmt.Fprintln(out, "publish the shards first, then the head, each under its path as key; then: cairnctl follow", q.Plan)
+	fmt.Fprintln(out, "publish the shards first, then the head, each with its path as key; then run: cairnctl follow", q.Plan)
 	return report(errs, silent)
 }
 
@@ -106,7 +106,7 @@
 		}
 	}
 	if lost > 0 {
-		fmt.Fprintln(errs, "another configuration on the same base won; make the plan again")
+		fmt.Fprintln(errs, "another configuration on the same base won; make a new plan")
 		return exitStale
 	}
 	if code := report(errs, silent); code != exitDone {
--- a/cmd/cairnctl/explain.go
+++ b/cmd/cairnctl/explain.go
@@ -11,14 +11,14 @@
 )
 
 type explainCommand struct {
-	Request string `arg:"positional,required" help:"the request's id, as its answer gave it"`
+	Request string `arg:"positional,required" help:"the request's id, from its response"`
 }
 
 func (e *explainCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
 	found, silent := c.Explain(ctx, addresses, e.Request)
 	code := report(errs, silent)
 	if len(found) == 0 {
-		fmt.Fprintf(errs, "no daemon remembers request %s\n", e.Request)
+		fmt.Fprintf(errs, "request %s not found on any daemon\n", e.Request)
 		return exitNotFound
 	}
 	operator.Tell(out, found)
--- a/cmd/cairnctl/key.go
+++ b/cmd/cairnctl/key.go
@@ -11,7 +11,8 @@
 	"github.com/google/uuid"
 )
 
-// keyCommand prints a fresh key for a request that is not repeatable.
+// keyCommand prints a new key for a non-idempotent request. It is a UUIDv7, which contains the
+// time of its creation.
 type keyCommand struct{}
 
 func (*keyCommand) run(_ context.Context, _ *operator.Client, _ []string, out, errs io.Writer) int {
--- a/cmd/cairnctl/main.go
+++ b/cmd/cairnctl/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairnctl is the operators' client.
+// Command cairnctl is the command-line client for operators.
 package main
 
 import "os"
--- a/cmd/cairnctl/plan.go
+++ b/cmd/cairnctl/plan.go
@@ -15,19 +15,19 @@
 	"cairnwick.example/wire"
 )
 
-// planCommand states one intent and shows its plan. Nothing moves.
+// planCommand makes a plan for one intended change and prints it. It changes nothing.
 type planCommand struct {
 	Live     *liveArgs     `arg:"subcommand:live" help:"make a version live"`
 	Create   *createArgs   `arg:"subcommand:create" help:"create an adapter or a version"`
-	Retire   *retireArgs   `arg:"subcommand:retire" help:"take an adapter or a version out of use"`
-	Priority *priorityArgs `arg:"subcommand:priority" help:"set how much an adapter is worth keeping"`
-	Wait     *waitArgs     `arg:"subcommand:wait" help:"set how long a class may wait"`
+	Retire   *retireArgs   `arg:"subcommand:retire" help:"remove an adapter or a version"`
+	Priority *priorityArgs `arg:"subcommand:priority" help:"set an adapter's priority for staying loaded"`
+	Wait     *waitArgs     `arg:"subcommand:wait" help:"set the maximum wait of a class"`
 	Drain    *nameArgs     `arg:"subcommand:drain" help:"take an endpoint or a data centre out of use"`
-	Undrain  *nameArgs     `arg:"subcommand:undrain" help:"take it back into use"`
-	Move     *moveArgs     `arg:"subcommand:move" help:"give a drained endpoint another base model"`
+	Undrain  *nameArgs     `arg:"subcommand:undrain" help:"put an endpoint or a data centre back into use"`
+	Move     *moveArgs     `arg:"subcommand:move" help:"assign another base model to a drained endpoint"`
 	Out      string        `arg:"--out" help:"write the plan to this file, for confirm" placeholder:"FILE"`
 	JSON     bool          `arg:"--json" help:"print the plan as JSON"`
-	Rate     float64       `arg:"--store-rate" default:"9" help:"loads a second that the store allows"`
+	Rate     float64       `arg:"--store-rate" default:"9" help:"loads per second that the store allows"`
 }
 
 type liveArgs struct {
@@ -38,13 +38,13 @@
 type createArgs struct {
 	Adapter string `arg:"positional,required"`
 	Version string `arg:"positional,required"`
-	Path    string `arg:"positional,required" help:"where the store keeps it"`
+	Path    string `arg:"positional,required" help:"path of the version in the store"`
 	Base    string `arg:"--base" help:"base model of a new adapter"`
 }
 
 type retireArgs struct {
 	Adapter string `arg:"positional,required"`
-	Version string `arg:"positional" help:"one version; the whole adapter when not given"`
+	Version string `arg:"positional" help:"one version; default: the whole adapter"`
 }
 
 type priorityArgs struct {
@@ -66,7 +66,7 @@
 	Base     string `arg:"positional,required"`
 }
 
-// intent returns what was stated, or nil.
+// intent returns the intent given on the command line, or nil.
 func (p *planCommand) intent() plan.Intent {
 	switch {
 	case p.Live != nil:
@@ -92,7 +92,7 @@
 func (p *planCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
 	i := p.intent()
 	if i == nil {
-		fmt.Fprintln(errs, "state an intent: live, create, retire, priority, wait, drain, undrain or move")
+		fmt.Fprintln(errs, "no intent given: use live, create, retire, priority, wait, drain, undrain or move")
 		return exitUsage
 	}
 	head, shards, err := c.Configuration(ctx, addresses)
@@ -125,7 +125,7 @@
 	return report(errs, silent)
 }
 
-// loaded lists what each endpoint holds, by the word of its owner.
+// loaded returns the adapters held by each endpoint, as reported by its owner.
 func loaded(status []*wire.StatusReply) map[string][]string {
 	at := make(map[string][]string)
 	for _, a := range status {
--- a/cmd/cairnctl/request.go
+++ b/cmd/cairnctl/request.go
@@ -12,20 +12,20 @@
 	"cairnwick.example/logging"
 )
 
-// around is how long before and after a request's lines every change of belief that
-// concerns it is told; of what was before and came after, the nearest of each kind.
+// around is the context window: all related lines within this time before and after the
+// request's own lines are printed. Outside the window, only the nearest line of each kind is.
 const around = 2 * time.Second
 
-// requestStory is what the lines of several boxes tell of one request.
+// requestStory collects what the logs of several boxes say about one request.
 type requestStory struct {
 	request     string
-	names       map[string]bool // endpoints and adapters that its lines name
-	boxes       map[string]bool // that wrote them
-	first, last time.Time
-	own         int // lines of its own
+	names       map[string]bool // endpoints and adapters related to the request
+	boxes       map[string]bool // boxes that logged the request's own lines
+	first, last time.Time       // times of the first and the last own line
+	own         int             // number of own lines
 }
 
-// storyOf finds a request's own lines.
+// storyOf collects a request's own lines and the endpoints, adapters and boxes related to it.
 func storyOf(lines []logging.Line, request string) *requestStory {
 	s := &requestStory{request: request, names: make(map[string]bool), boxes: make(map[string]bool)}
 	for _, l := range lines {
@@ -46,8 +46,8 @@
 	return s
 }
 
-// loaders adds the endpoints that were ordered to load or unload the request's adapter
-// around it: a request that was refused names none.
+// loaders adds the endpoints that loaded or unloaded the request's adapter within the context
+// window, since the lines of a refused request name no endpoint.
 func (s *requestStory) loaders(lines []logging.Line) {
 	adapters := maps.Clone(s.names)
 	for _, l := range lines {
@@ -59,14 +59,14 @@
 	}
 }
 
-// concerns tells whether a line tells a change about the endpoints and adapters of the
-// request, or about its box: one that names neither, nor another request, is about what
-// the box itself believes.
+// concerns reports whether a line is related to the request: whether it names one of its
+// endpoints or adapters, or is about the state of one of its boxes. A line that names no
+// endpoint, adapter or request is about the box itself.
 func (s *requestStory) concerns(l logging.Line) bool {
 	endpoint, adapter := l.Text("endpoint"), l.Text("adapter")
 	switch {
 	case l.Message() == logging.LeftOut:
-		return true // the story may have a gap there, whichever box it is
+		return true // lines about the request may be missing there, whichever box dropped them
 	case l.Text("request") != "":
 		return false
 	case endpoint+adapter != "":
@@ -75,15 +75,16 @@
 	return s.boxes[l.Text("box")]
 }
 
-// kind is what a line tells about what, by whom.
+// kind returns a key that is equal for lines with the same message about the same things by the
+// same box.
 func kind(l logging.Line) string {
 	return strings.Join([]string{l.Message(), l.Text("box"), l.Text("endpoint"), l.Text("adapter"), l.Text("collection"), l.Text("led_data_centre")}, "\n")
 }
 
-// chosen returns which lines the story tells.
+// chosen returns the lines to print, in order.
 func (s *requestStory) chosen(lines []logging.Line) []logging.Line {
-	before := make(map[string]int) // the last of each kind before the request
-	after := make(map[string]int)  // and the first after it
+	before := make(map[string]int) // index of the last line of each kind before the window
+	after := make(map[string]int)  // index of the first line of each kind after the window
 	from, to := s.first.Add(-around), s.last.Add(around)
 	for i, l := range lines {
 		switch {
@@ -106,8 +107,8 @@
 	return list
 }
 
-// news names a change of the store; empty where the line is none. Each box tells it as it
-// hears it.
+// news returns a key of the store change that a line reports; empty if it reports none. Every
+// box logs a change when it learns of it, and these lines have the same key.
 func news(l logging.Line) string {
 	if l.Text("revision") == "" {
 		return ""
@@ -115,16 +116,16 @@
 	return strings.Join([]string{l.Message(), l.Text("endpoint"), l.Text("adapter"), l.Text("revision")}, "\n")
 }
 
-// tellRequest prints the request's own lines, and between them what changed about the
-// endpoints and adapters that they name and what its boxes believed. What other boxes heard
-// of the same change is told once. It returns how many lines are the request's.
+// tellRequest prints the request's own lines, marked ">", and between them the changes of its
+// endpoints and adapters and of the state of its boxes. A change that several other boxes
+// logged is printed once. It returns the number of the request's own lines.
 func tellRequest(out io.Writer, lines []logging.Line, request string) int {
 	s := storyOf(lines, request)
 	if s.own == 0 {
 		return 0
 	}
 	list := s.chosen(lines)
-	others := make(map[string][]time.Time) // when other boxes heard of a change
+	others := make(map[string][]time.Time) // store change -> times when other boxes logged it
 	for _, l := range list {
 		if n := news(l); n != "" && !s.boxes[l.Text("box")] {
 			others[n] = append(others[n], l.Time())
@@ -149,10 +150,10 @@
 	return s.own
 }
 
-// clock is how times are told.
+// clock is the format of times.
 const clock = "15:04:05.000"
 
-// also tells how many more boxes heard of a change, and until when.
+// also returns a note of how many more boxes logged a change, and until when.
 func also(heard []time.Time) string {
 	if len(heard) < 2 {
 		return ""
@@ -160,7 +161,7 @@
 	return fmt.Sprintf("  (and at %d more boxes until %s)", len(heard)-1, heard[len(heard)-1].Format(clock))
 }
 
-// sentence is a line in one line of text.
+// sentence formats a line as its message and fields.
 func sentence(l logging.Line) string {
 	var b strings.Builder
 	b.WriteString(l.Message())
--- a/cmd/cairnctl/request_test.go
+++ b/cmd/cairnctl/request_test.go
@@ -25,18 +25,20 @@
 {"time":"2026-05-01T10:01:00Z","msg":"Adapter is loaded","box":"lead","adapter":"m/a1","endpoint":"e1","took_ms":1000}
 `
 
-// A request was refused while its adapter was being loaded, the store was slow, and the load
-// had begun 3 s before and ended 3 s after: the story showed the refusal alone.
+// Guards against a story without the load that explains a refusal. With a slow store the load
+// began 3 s before the refusal and ended 3 s after it, outside the context of 2 s, so that only
+// the refusal was printed.
 func TestALoadThatTookLongIsTold(t *testing.T) {
 	c := quicktest.New(t)
 	told := tellOf(c, "r1", slowLoadLog)
 	c.Assert(told, quicktest.Contains, "10:00:00.000 Load begins")
 	c.Assert(told, quicktest.Contains, "took_ms=6000")
-	c.Assert(told, quicktest.Not(quicktest.Contains), "took_ms=1000") // long after, of another load
+	c.Assert(told, quicktest.Not(quicktest.Contains), "took_ms=1000") // a later load
 }
 
-// A request was refused while its adapter's endpoint was being taken over; it names no
-// endpoint itself, so the story told neither the owner nor the endpoint's draining.
+// Guards against a story without the endpoint that loads a refused request's adapter. The
+// request's own lines name no endpoint, so neither a change of its owner nor its draining was
+// printed.
 func TestTheEndpointThatLoadsTheAdapterIsTold(t *testing.T) {
 	c := quicktest.New(t)
 	told := tellOf(c, "r1", `{"time":"2026-05-01T10:00:00Z","msg":"Endpoint is owned","box":"lead","endpoint":"e1","fence":3}
@@ -62,8 +64,9 @@
 {"time":"2026-05-01T10:00:31Z","msg":"Endpoint is gone","box":"b1","endpoint":"e1","revision":9}
 `
 
-// A request was sent to an endpoint that had left, and the story did not show that its box
-// had not heard the store: lines about the box itself name no endpoint.
+// Guards against a story without the state of the request's box. A request was sent to an
+// endpoint that had left, because the box could not reach the store. Log lines about the box
+// itself name no endpoint, so they were not printed.
 func TestWhatABoxBelievedOfItsSourceIsTold(t *testing.T) {
 	c := quicktest.New(t)
 	told := tellOf(c, "r1", beliefLog)
@@ -71,23 +74,23 @@
 	c.Assert(told, quicktest.Contains, `source_age={"told_ms":1100}`)
 	c.Assert(told, quicktest.Contains, "Source does not answer")
 	c.Assert(told, quicktest.Contains, "Source answers again")
-	c.Assert(told, quicktest.Contains, "Log lines were left out  box=b7")  // any box's: it may have led
-	c.Assert(told, quicktest.Not(quicktest.Contains), "by itself  box=b2") // another box's beliefs of itself
-	c.Assert(strings.Count(told, "Attempt failed"), quicktest.Equals, 1)   // nor another request
+	c.Assert(told, quicktest.Contains, "Log lines were left out  box=b7")  // of any box, since it may have been the leader
+	c.Assert(told, quicktest.Not(quicktest.Contains), "by itself  box=b2") // state of another box
+	c.Assert(strings.Count(told, "Attempt failed"), quicktest.Equals, 1)   // lines of other requests are left out
 }
 
-// Each box tells of an endpoint that left as it hears of it: with tens of boxes the story
-// was theirs.
+// Guards against repeated lines: every box logs the removal of an endpoint when it learns of it,
+// which with tens of boxes hid the rest of the story.
 func TestTheSameChangeAtOtherBoxesIsToldOnce(t *testing.T) {
 	c := quicktest.New(t)
 	told := tellOf(c, "r1", beliefLog)
-	c.Assert(strings.Count(told, "Endpoint is gone"), quicktest.Equals, 2) // at others, and at its own box
+	c.Assert(strings.Count(told, "Endpoint is gone"), quicktest.Equals, 2) // once for the other boxes, once for its own
 	c.Assert(told, quicktest.Contains, "box=b2  endpoint=e1  revision=9  (and at 1 more boxes until 10:00:30.300)")
 	c.Assert(told, quicktest.Contains, "10:00:31.000 Endpoint is gone  box=b1")
 }
 
-// With --debug a box also tells what it was answered about an adapter: the counts took each
-// of these for a failure of its own.
+// Guards against counting debug lines as failures: with --debug a box also logs the answers to its
+// adapter requests, with a reason.
 func TestAnAnswerAboutAnAdapterIsNoFailure(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
--- a/cmd/cairnctl/story.go
+++ b/cmd/cairnctl/story.go
@@ -13,15 +13,15 @@
 	"cairnwick.example/logging"
 )
 
-// storyCommand reads logs; it asks no daemon.
+// storyCommand analyses logs, without contacting daemons.
 type storyCommand struct {
-	Request string   `arg:"--request" help:"tell what happened to the request with this id"`
-	From    string   `arg:"--from" help:"with no request: count failures from this time on, RFC 3339"`
-	To      string   `arg:"--to" help:"and up to this time"`
-	Files   []string `arg:"positional" help:"logs of one or more boxes; none, or -, for the standard input"`
+	Request string   `arg:"--request" help:"print what happened to the request with this id"`
+	From    string   `arg:"--from" help:"without --request: count failures from this time on, RFC 3339"`
+	To      string   `arg:"--to" help:"without --request: count failures up to this time, RFC 3339"`
+	Files   []string `arg:"positional" help:"logs of one or more boxes; default or -: standard input"`
 }
 
-// tell reads the files and prints the story or the counts.
+// tell reads the logs and prints the events of one request, or the counts of failures.
 func (s *storyCommand) tell(in io.Reader, out, errs io.Writer) int {
 	from, to, err := s.span()
 	if err != nil {
@@ -40,25 +40,26 @@
 		found = countFailures(out, g.Lines(), from, to)
 	}
 	if g.Foreign()+g.Doubled() > 0 {
-		fmt.Fprintf(errs, "passed over: %d lines that are not ours or are cut, %d that came twice\n", g.Foreign(), g.Doubled())
+		fmt.Fprintf(errs, "skipped: %d foreign or truncated lines, %d duplicates\n", g.Foreign(), g.Doubled())
 	}
 	if found == 0 {
-		fmt.Fprintln(errs, "nothing found in these logs")
+		fmt.Fprintln(errs, "no matching lines in these logs")
 		return exitNotFound
 	}
 	return exitDone
 }
 
+// span parses From and To.
 func (s *storyCommand) span() (from, to time.Time, err error) {
 	from, to = time.Time{}, time.Unix(1<<40, 0)
 	if s.From != "" {
 		if from, err = time.Parse(time.RFC3339Nano, s.From); err != nil {
-			return from, to, fmt.Errorf("--from %s: write a time such as 2026-05-01T10:00:00Z", s.From)
+			return from, to, fmt.Errorf("--from %s: want an RFC 3339 time such as 2026-05-01T10:00:00Z", s.From)
 		}
 	}
 	if s.To != "" {
 		if to, err = time.Parse(time.RFC3339Nano, s.To); err != nil {
-			return from, to, fmt.Errorf("--to %s: write a time such as 2026-05-01T10:00:00Z", s.To)
+			return from, to, fmt.Errorf("--to %s: want an RFC 3339 time such as 2026-05-01T10:00:00Z", s.To)
 		}
 	}
 	return from, to, nil
@@ -88,15 +89,14 @@
 	return g.Read(f)
 }
 
-// failedMessage is the sentence of a request's final answer where it got none of an
-// endpoint.
+// failedMessage is the log message of a request that was not answered by an endpoint.
 const failedMessage = "Request failed"
 
-// failure is a cause of failed requests.
+// failure is a reason and cause of failed requests.
 type failure struct{ reason, cause string }
 
-// countFailures prints the causes of failed requests in a time, the most frequent
-// first, each with one request to look at.
+// countFailures prints the causes of failed requests between from and to, most frequent first,
+// each with the id of one such request. It returns the number of causes.
 func countFailures(out io.Writer, lines []logging.Line, from, to time.Time) int {
 	counts := make(map[failure]int)
 	example := make(map[failure]string)
--- a/cmd/cairnctl/story_test.go
+++ b/cmd/cairnctl/story_test.go
@@ -26,7 +26,7 @@
 	c.Assert(out.String(), quicktest.Contains, "Load begins")
 	c.Assert(out.String(), quicktest.Contains, "> 10:00:00.200 Request failed")
 	c.Assert(out.String(), quicktest.Not(quicktest.Contains), "e2")
-	c.Assert(errs.String(), quicktest.Contains, "1 lines that are not ours")
+	c.Assert(errs.String(), quicktest.Contains, "1 foreign or truncated lines")
 }
 
 func TestFailuresAreCountedByCause(t *testing.T) {
@@ -45,8 +45,8 @@
 	c.Assert((&storyCommand{From: "noon"}).tell(strings.NewReader(storyLog), &out, &errs), quicktest.Equals, exitUsage)
 }
 
-// The same file given twice, a log that was cut while it was copied, and another program's
-// output must not change a story, and must be told.
+// Duplicate files, truncated lines and output of other programs must not change a story, and must
+// be reported.
 func TestWhatIsPassedOverIsCountedAndChangesNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var clean, out, errs bytes.Buffer
@@ -56,7 +56,7 @@
 	dirty := "panic: not ours\n" + whole + whole[:60] + "\n{\"time\":\"noon\",\"msg\":\"x\"}\n" + whole + whole[:40]
 	c.Assert((&storyCommand{Request: "r1"}).tell(strings.NewReader(dirty), &out, &errs), quicktest.Equals, exitDone)
 	c.Assert(out.String(), quicktest.Equals, clean.String())
-	c.Assert(errs.String(), quicktest.Equals, "passed over: 4 lines that are not ours or are cut, 5 that came twice\n")
+	c.Assert(errs.String(), quicktest.Equals, "skipped: 4 foreign or truncated lines, 5 duplicates\n")
 }
 
 func TestAFileThatCanNotBeReadIsNamed(t *testing.T) {
--- a/cmd/cairnctl/watch.go
+++ b/cmd/cairnctl/watch.go
@@ -13,10 +13,10 @@
 )
 
 type watchCommand struct {
-	Class    string `arg:"--class" help:"only this class"`
-	Adapter  string `arg:"--adapter" help:"only this adapter@version"`
-	Endpoint string `arg:"--endpoint" help:"only this endpoint"`
-	Reason   string `arg:"--reason" help:"only this reason, such as AFTER_LOAD"`
+	Class    string `arg:"--class" help:"show only this class"`
+	Adapter  string `arg:"--adapter" help:"show only this adapter@version"`
+	Endpoint string `arg:"--endpoint" help:"show only this endpoint"`
+	Reason   string `arg:"--reason" help:"show only this reason, such as AFTER_LOAD"`
 }
 
 func (q *watchCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
@@ -24,7 +24,7 @@
 	if q.Reason != "" {
 		r, ok := wire.Reason_value["REASON_"+q.Reason]
 		if !ok {
-			fmt.Fprintf(errs, "--reason %s: no such reason\n", q.Reason)
+			fmt.Fprintf(errs, "--reason %s: unknown reason\n", q.Reason)
 			return exitUsage
 		}
 		filter.Reason = wire.Reason(r)
@@ -45,7 +45,7 @@
 		case err := <-ended:
 			left--
 			if ctx.Err() == nil {
-				fmt.Fprintln(errs, "a daemon ended the watch:", err)
+				fmt.Fprintln(errs, "watch of a daemon ended:", err)
 			}
 		}
 	}
--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command cairnwick is one entry box on the users' platform.
+// Command cairnwick runs an entry box on the users' platform.
 package main
 
 import (
@@ -26,7 +26,7 @@
 
 func run() int {
 	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP) // first of all: a process that does not listen would end
+	signal.Notify(hangups, syscall.SIGHUP) // before anything else: without a handler SIGHUP ends the process
 	var c command
 	arg.MustParse(&c)
 	s, store, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
@@ -68,8 +68,7 @@
 	return daemon.ExitDone
 }
 
-// write writes the log until the function that it returns is called, which writes
-// what is left.
+// write starts writing queued log lines. The function that it returns flushes the queue and stops.
 func write(lines *logging.Bounded) func() {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -82,8 +81,8 @@
 	}
 }
 
-// reload reads the settings again at each SIGHUP, until ctx ends. What cannot be
-// read changes nothing.
+// reload reads the settings again on each SIGHUP, until ctx ends. Settings that cannot be read
+// change nothing.
 func reload(ctx context.Context, n *edge.Node, hangups <-chan os.Signal) {
 	for {
 		select {
@@ -93,7 +92,7 @@
 		}
 		s, _, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
 		if err != nil {
-			n.Log.Error(err, "Settings can't be read again; the old ones stay in force")
+			n.Log.Error(err, "Failed to reload settings; keeping the current ones")
 			continue
 		}
 		n.Reload(s)
--- a/cmd/standin-engine/main.go
+++ b/cmd/standin-engine/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command standin-engine is a small stand-in for a model server.
+// Command standin-engine simulates a model server.
 package main
 
 import (
@@ -18,21 +18,21 @@
 	Base         string        `arg:"--base" default:"base" help:"name of the base model"`
 	Slots        int           `arg:"--slots" default:"4" help:"adapters held at once"`
 	Batch        int           `arg:"--batch" default:"8" help:"requests in one step"`
-	Queue        int           `arg:"--queue" default:"64" help:"requests held back before it refuses"`
+	Queue        int           `arg:"--queue" default:"64" help:"requests queued before it rejects more"`
 	StepTime     time.Duration `arg:"--step" default:"10ms" help:"time of one step"`
-	ReportLag    time.Duration `arg:"--report-lag" default:"200ms" help:"age of what /metrics says"`
-	ResumeWindow time.Duration `arg:"--resume-window" default:"5s" help:"how long a run goes on without its reader"`
+	ReportLag    time.Duration `arg:"--report-lag" default:"200ms" help:"age of the values on /metrics"`
+	ResumeWindow time.Duration `arg:"--resume-window" default:"5s" help:"how long a run continues after its reader disconnects"`
 	Prefill      int           `arg:"--prefill" default:"0" help:"steps before the first token when the prefix is not cached"`
-	Prefixes     int           `arg:"--prefixes" default:"64" help:"prefixes cached"`
-	EventLag     time.Duration `arg:"--event-lag" default:"1s" help:"before a cache event can be read"`
-	EventGap     int           `arg:"--event-gap" default:"0" help:"every so many-th cache event is lost"`
-	NoFences     bool          `arg:"--no-fences" help:"take orders from anybody"`
-	RefusesNew   bool          `arg:"--refuses-new" help:"when leaving: refuse new work"`
-	EndsUnder    string        `arg:"--ends-under" help:"end when a request's body holds this text; empty: never"`
-	LeavingGrace time.Duration `arg:"--leaving-grace" default:"5s" help:"new work this long after leaving is a breach"`
+	Prefixes     int           `arg:"--prefixes" default:"64" help:"number of prefixes cached"`
+	EventLag     time.Duration `arg:"--event-lag" default:"1s" help:"delay until a cache event can be read"`
+	EventGap     int           `arg:"--event-gap" default:"0" help:"every n-th cache event is lost; 0: none"`
+	NoFences     bool          `arg:"--no-fences" help:"accept orders without checking their fence"`
+	RefusesNew   bool          `arg:"--refuses-new" help:"reject new requests when leaving"`
+	EndsUnder    string        `arg:"--ends-under" help:"exit when a request's body contains this text; empty: never"`
+	LeavingGrace time.Duration `arg:"--leaving-grace" default:"5s" help:"new requests this long after leaving count as breaches"`
 }
 
-// endedUnder is the exit code of an engine that ended under a request.
+// endedUnder is the exit code of an engine that exited because of a request (--ends-under).
 const endedUnder = 3
 
 func main() {
--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command standin-platform is a small stand-in for the platform: the key-value
-// service and the weight store.
+// Command standin-platform simulates the users' platform: the key-value service and the weight
+// store.
 package main
 
 import (
@@ -16,10 +16,10 @@
 
 type arguments struct {
 	Listen   string        `arg:"--listen,required" help:"IP:port"`
-	Lag      time.Duration `arg:"--lag" default:"0s" help:"before a put is seen by readers"`
-	Rate     float64       `arg:"--store-rate" default:"9" help:"loads a second that the store allows"`
-	AtOnce   int           `arg:"--store-at-once" default:"6" help:"loads at full speed"`
-	LoadTime time.Duration `arg:"--load-time" default:"300ms" help:"time of one load at full speed"`
+	Lag      time.Duration `arg:"--lag" default:"0s" help:"delay until readers see a write"`
+	Rate     float64       `arg:"--store-rate" default:"9" help:"loads per second that the store allows"`
+	AtOnce   int           `arg:"--store-at-once" default:"6" help:"concurrent loads at full speed"`
+	LoadTime time.Duration `arg:"--load-time" default:"300ms" help:"duration of one load at full speed"`
 }
 
 func main() {
--- a/cmd/standin-proxy/main.go
+++ b/cmd/standin-proxy/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command standin-proxy passes TCP connections on and injects faults.
+// Command standin-proxy forwards TCP connections and injects faults.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	for _, r := range a.Routes {
 		listen, target, found := strings.Cut(r, "=")
 		if !found {
-			p.Fail("--route: write LISTEN=TARGET")
+			p.Fail("--route: want LISTEN=TARGET")
 		}
 		proxy.Routes = append(proxy.Routes, standin.Route{Listen: listen, Target: target})
 	}
--- a/cmd/standin-service/main.go
+++ b/cmd/standin-service/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command standin-service is a small stand-in for a plain service.
+// Command standin-service simulates a plain HTTP service.
 package main
 
 import (
@@ -13,7 +13,7 @@
 
 type arguments struct {
 	Listen string        `arg:"--listen,required" help:"IP:port"`
-	Time   time.Duration `arg:"--time" default:"1ms" help:"time of one call"`
+	Time   time.Duration `arg:"--time" default:"1ms" help:"duration of one call"`
 }
 
 func main() {
