--- a/measure/blocked.go
+++ b/measure/blocked.go
@@ -117,7 +117,7 @@
 	if err := u.warm(ctx); err != nil {
 		return err
 	}
-	reads, stands := newBlockedSide("reads"), newBlockedSide("stands still")
+	reads, stands := newBlockedSide("reading"), newBlockedSide("blocked")
 	for range b.Rounds {
 		if err := u.turn(ctx, reads); err != nil {
 			return err
@@ -263,7 +263,7 @@
 			float64(s.lines)/s.took.Seconds(), float64(s.bytes)/s.took.Seconds(), s.leftOut)
 	}
 	ratio := func(a, b *metrics.Histogram, q float64) float64 { return millis(a.Quantile(q)) / millis(b.Quantile(q)) }
-	fmt.Fprintf(t, "stands still / reads\t\t%.2f\t%.2f\t%.2f\t%.2f\t\t\t\t\n",
+	fmt.Fprintf(t, "blocked / reading\t\t%.2f\t%.2f\t%.2f\t%.2f\t\t\t\t\n",
 		ratio(stands.served, reads.served, 50), ratio(stands.served, reads.served, 99),
 		ratio(stands.refused, reads.refused, 50), ratio(stands.refused, reads.refused, 99))
 	if err := t.Flush(); err != nil {
