--- a/cmd/cairn-measure/command.go
+++ b/cmd/cairn-measure/command.go
@@ -111,25 +111,25 @@
 	defer stop()
 	switch {
 	case a.Path != nil:
-		err = measure.Path{Bin: a.Bin, Dir: dir, Rate: a.Path.Rate, Each: a.Path.Each, Rounds: a.Path.Rounds}.Run(ctx, os.Stdout)
+		err = measure.Path{Bin: a.Bin, Dir: dir, Rate: a.Path.Rate, PhaseDuration: a.Path.Each, Rounds: a.Path.Rounds}.Run(ctx, os.Stdout)
 	case a.Blocked != nil:
-		err = measure.Blocked{Bin: a.Bin, Dir: dir, Rate: a.Blocked.Rate, Each: a.Blocked.Each, Rounds: a.Blocked.Rounds}.Run(ctx, os.Stdout)
+		err = measure.BlockedOutput{Bin: a.Bin, Dir: dir, Rate: a.Blocked.Rate, PhaseDuration: a.Blocked.Each, Rounds: a.Blocked.Rounds}.Run(ctx, os.Stdout)
 	case a.Capacity != nil:
 		err = measure.Capacity{Bin: a.Bin, Dir: dir, Time: a.Capacity.Time, Only: a.Capacity.Only}.Run(ctx, os.Stdout)
 	case a.Storm != nil:
-		err = measure.Storm{Bin: a.Bin, Dir: dir, Time: a.Storm.Time, Seed: a.Storm.Seed, Rate: a.Storm.Rate, Limit: a.Storm.Limit, Backoff: a.Storm.Backoff}.Run(ctx, os.Stdout)
+		err = measure.FaultInjection{Bin: a.Bin, Dir: dir, Time: a.Storm.Time, Seed: a.Storm.Seed, Rate: a.Storm.Rate, Limit: a.Storm.Limit, Backoff: a.Storm.Backoff}.Run(ctx, os.Stdout)
 	case a.Restores != nil:
-		err = measure.Restores{Bin: a.Bin, Dir: dir, Time: a.Restores.Time, Seed: a.Restores.Seed}.Run(ctx, os.Stdout)
+		err = measure.StoreRestores{Bin: a.Bin, Dir: dir, Time: a.Restores.Time, Seed: a.Restores.Seed}.Run(ctx, os.Stdout)
 	case a.Scarce != nil:
-		err = measure.Scarce{Seed: a.Scarce.Seed, Time: a.Scarce.Time, Rate: a.Scarce.Rate}.Run(os.Stdout)
+		err = measure.PlacementSimulation{Seed: a.Scarce.Seed, Time: a.Scarce.Time, Rate: a.Scarce.Rate}.Run(os.Stdout)
 	case a.Where != nil:
-		err = measure.Where{Logs: a.Where.Logs, Seconds: a.Where.Seconds}.Run(os.Stdout)
+		err = measure.LatencyBreakdown{Logs: a.Where.Logs, Seconds: a.Where.Seconds}.Run(os.Stdout)
 	case a.Future != nil:
-		err = measure.Future{Logs: a.Future.Logs, Slots: a.Future.Slots, Rate: a.Future.Rate, Lead: a.Future.Lead}.Run(os.Stdout)
+		err = measure.OfflineBound{Logs: a.Future.Logs, Slots: a.Future.Slots, Rate: a.Future.Rate, Lead: a.Future.Lead}.Run(os.Stdout)
 	case a.Policies != nil:
 		q := a.Policies
 		err = measure.Policies{
-			Bin: a.Bin, Dir: dir, Time: q.Time, Warm: q.Warm, Seed: q.Seed,
+			Bin: a.Bin, Dir: dir, Time: q.Time, WarmUp: q.Warm, Seed: q.Seed,
 			User: q.User, Workload: q.Workload, Only: q.Only, Report: q.Report, Plots: q.Plots,
 		}.Run(ctx, os.Stdout)
 	default:
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -32,11 +32,11 @@
 
 // sample is the mean resource usage of the daemons of one role at one point.
 type sample struct {
-	cpu    float64 // fraction of a core
-	memory float64 // MB
-	peers  float64 // bytes per second to and from peers
-	ends   float64 // bytes per second to and from endpoints
-	writes float64 // writes per second to peers and endpoints
+	cpu       float64 // fraction of a core
+	memory    float64 // MB
+	peers     float64 // bytes per second to and from peers
+	endpoints float64 // bytes per second to and from endpoints
+	writes    float64 // writes per second to peers and endpoints
 }
 
 // sweep varies one parameter.
@@ -50,13 +50,13 @@
 }
 
 const (
-	settleTime = 3 * time.Second
-	idleSettle = 12 * time.Second // until the membership updates of the start have spread
-	sweepSeed  = 11
+	settleTime     = 3 * time.Second
+	idleSettleTime = 12 * time.Second // until the membership updates of the start have spread
+	sweepSeed      = 11
 )
 
-// base returns the fleet specification that every sweep modifies.
-func (c Capacity) base() fleet.Spec {
+// baseSpec returns the fleet specification that every sweep modifies.
+func (c Capacity) baseSpec() fleet.Spec {
 	return fleet.Spec{
 		Bin: c.Bin, Dir: c.Dir,
 		Centres: 1, Boxes: 2, Engines: 2, Adapters: 100, Slots: 8, Batch: 256,
@@ -67,40 +67,42 @@
 func (c Capacity) sweeps() []sweep {
 	return []sweep{
 		{name: "daemons", unit: "daemons in the data centre", points: []int{4, 8, 16, 32}, spec: func(n int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Boxes, s.Engines = n/2, n/2
 			return s
 		}},
 		{name: "endpoints", unit: "endpoints of a scheduler", points: []int{1, 4, 8, 16}, spec: func(n int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Boxes, s.Engines = 1, n
 			return s
 		}},
 		{name: "adapters", unit: "adapters configured", points: []int{100, 3000, 7000, 11000}, spec: func(n int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Adapters = n
 			return s
 		}},
 		{name: "changes", unit: "configuration changes per minute, with 11,000 adapters", points: []int{3, 6, 12, 24}, spec: func(int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Adapters = 11000
 			return s
-		}, during: changes},
+		}, during: publishChanges},
 		{name: "requests", unit: "requests per second at a gateway and scheduler", points: []int{25, 50, 100, 200}, spec: func(int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Boxes, s.Engines = 1, 2
 			return s
 		}, load: func(f *fleet.Fleet, n int) *load.Plan { return c.plan(f, float64(n), 4) }},
 		{name: "tokens", unit: "tokens per second streamed by a gateway", points: []int{500, 1000, 2000, 4000}, spec: func(int) fleet.Spec {
-			s := c.base()
+			s := c.baseSpec()
 			s.Boxes, s.Engines = 1, 2
 			return s
-		}, load: func(f *fleet.Fleet, n int) *load.Plan { return c.plan(f, float64(n)/tokensEach, tokensEach) }},
+		}, load: func(f *fleet.Fleet, n int) *load.Plan {
+			return c.plan(f, float64(n)/tokensPerRequest, tokensPerRequest)
+		}},
 	}
 }
 
-// changes publishes another live version of one adapter n times per minute until ctx ends.
-func changes(ctx context.Context, f *fleet.Fleet, n int) {
+// publishChanges publishes another live version of one adapter n times per minute until ctx ends.
+func publishChanges(ctx context.Context, f *fleet.Fleet, n int) {
 	tick := time.NewTicker(time.Minute / time.Duration(n))
 	defer tick.Stop()
 	for version := 1; ; version++ {
@@ -115,9 +117,9 @@
 	}
 }
 
-const tokensEach = 200
+const tokensPerRequest = 200
 
-// plan returns a load on the first gateway, spread over eight adapters.
+// loadPlan returns a load on the first gateway, spread over eight adapters.
 func (c Capacity) plan(f *fleet.Fleet, rate float64, tokens int) *load.Plan {
 	return &load.Plan{
 		Gateways: []string{f.CallersAddress(1, 1)},
@@ -137,25 +139,25 @@
 		if c.Only != "" && c.Only != s.name {
 			continue
 		}
-		found := make(map[string][]sample)
+		samples := make(map[string][]sample)
 		for _, n := range s.points {
-			at, err := c.point(ctx, s, n)
+			point, err := c.measurePoint(ctx, s, n)
 			if err != nil {
 				return errors.Wrapf(err, "measure: %s at %d", s.name, n)
 			}
-			for role, x := range at {
-				found[role] = append(found[role], x)
+			for role, x := range point {
+				samples[role] = append(samples[role], x)
 			}
 		}
 		for _, role := range []string{member.Gateway, member.Scheduler} {
-			printSweep(w, s, role, found[role])
+			printSweep(w, s, role, samples[role])
 		}
 	}
 	return nil
 }
 
-// point starts a fleet for one point of a sweep, waits until it has settled and measures it.
-func (c Capacity) point(ctx context.Context, s sweep, n int) (map[string]sample, error) {
+// measurePoint starts a fleet for one point of a sweep, waits until it has settled and measures it.
+func (c Capacity) measurePoint(ctx context.Context, s sweep, n int) (map[string]sample, error) {
 	spec := s.spec(n)
 	spec.Dir = filepath.Join(c.Dir, fmt.Sprintf("%s-%d", s.name, n))
 	if err := os.MkdirAll(spec.Dir, 0o700); err != nil {
@@ -172,7 +174,7 @@
 	}
 	settle := settleTime
 	if s.load == nil {
-		settle = idleSettle
+		settle = idleSettleTime
 	}
 	time.Sleep(settle)
 	if s.during != nil {
@@ -180,31 +182,31 @@
 		defer stop()
 		go s.during(active, f, n)
 	}
-	before, err := readAll(ctx, f)
+	before, err := readUsage(ctx, f)
 	if err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	start := time.Now()
 	time.Sleep(c.Time)
-	after, err := readAll(ctx, f)
+	after, err := readUsage(ctx, f)
 	if err != nil {
 		return nil, err
 	}
-	took := time.Since(begun)
+	elapsed := time.Since(start)
 	if s.load != nil {
 		if r := <-done; r.Whole != r.Sent {
 			return nil, errors.Errorf("only %d of %d requests got a complete answer: %v", r.Whole, r.Sent, r.Codes)
 		}
 	}
-	return average(before, after, took), nil
+	return average(before, after, elapsed), nil
 }
 
 // reading holds the cumulative usage counters of one daemon.
 type reading struct {
-	role  string
-	usage fleet.Usage
-	peers traffic
-	ends  traffic
+	role      string
+	usage     fleet.Usage
+	peers     traffic
+	endpoints traffic
 }
 
 // traffic holds the connection counters that daemons export.
@@ -220,7 +222,7 @@
 	Endpoints traffic `json:"cairn_traffic_endpoints"`
 }
 
-func readAll(ctx context.Context, f *fleet.Fleet) ([]reading, error) {
+func readUsage(ctx context.Context, f *fleet.Fleet) ([]reading, error) {
 	var list []reading
 	for b := 1; b <= f.Spec.Boxes; b++ {
 		for _, role := range []string{member.Gateway, member.Scheduler} {
@@ -236,45 +238,45 @@
 			if err := json.Unmarshal(raw, &e); err != nil {
 				return nil, err
 			}
-			list = append(list, reading{role: role, usage: u, peers: e.Peers, ends: e.Endpoints})
+			list = append(list, reading{role: role, usage: u, peers: e.Peers, endpoints: e.Endpoints})
 		}
 	}
 	return list, nil
 }
 
 // average returns, per role, the mean usage per second of its daemons between two readings.
-func average(before, after []reading, took time.Duration) map[string]sample {
+func average(before, after []reading, elapsed time.Duration) map[string]sample {
 	sum := make(map[string]sample)
 	count := make(map[string]float64)
 	for i, a := range after {
 		b := before[i]
 		x := sum[a.role]
-		x.cpu += (a.usage.CPU - b.usage.CPU).Seconds() / took.Seconds()
+		x.cpu += (a.usage.CPU - b.usage.CPU).Seconds() / elapsed.Seconds()
 		x.memory += float64(a.usage.Memory) / (1 << 20)
-		x.peers += (a.peers.In + a.peers.Out - b.peers.In - b.peers.Out) / took.Seconds()
-		x.ends += (a.ends.In + a.ends.Out - b.ends.In - b.ends.Out) / took.Seconds()
-		x.writes += (a.peers.Writes + a.ends.Writes - b.peers.Writes - b.ends.Writes) / took.Seconds()
+		x.peers += (a.peers.In + a.peers.Out - b.peers.In - b.peers.Out) / elapsed.Seconds()
+		x.endpoints += (a.endpoints.In + a.endpoints.Out - b.endpoints.In - b.endpoints.Out) / elapsed.Seconds()
+		x.writes += (a.peers.Writes + a.endpoints.Writes - b.peers.Writes - b.endpoints.Writes) / elapsed.Seconds()
 		sum[a.role] = x
 		count[a.role]++
 	}
 	for role, x := range sum {
 		n := count[role]
-		sum[role] = sample{cpu: x.cpu / n, memory: x.memory / n, peers: x.peers / n, ends: x.ends / n, writes: x.writes / n}
+		sum[role] = sample{cpu: x.cpu / n, memory: x.memory / n, peers: x.peers / n, endpoints: x.endpoints / n, writes: x.writes / n}
 	}
 	return sum
 }
 
 // column is one column of a table.
 type column struct {
-	name string
-	of   func(sample) float64
+	name  string
+	value func(sample) float64
 }
 
 var columns = []column{
 	{"% of a core", func(s sample) float64 { return 100 * s.cpu }},
 	{"MB", func(s sample) float64 { return s.memory }},
 	{"peers B/s", func(s sample) float64 { return s.peers }},
-	{"endpoints B/s", func(s sample) float64 { return s.ends }},
+	{"endpoints B/s", func(s sample) float64 { return s.endpoints }},
 	{"writes/s", func(s sample) float64 { return s.writes }},
 }
 
@@ -288,29 +290,29 @@
 	for i, n := range s.points {
 		fmt.Fprintf(w, "| %d |", n)
 		for _, c := range columns {
-			fmt.Fprintf(w, " %.2f |", c.of(list[i]))
+			fmt.Fprintf(w, " %.2f |", c.value(list[i]))
 		}
 		fmt.Fprintln(w)
 	}
 	for _, line := range []string{"slope", "at zero", "residual"} {
 		fmt.Fprintf(w, "| %s |", line)
 		for _, c := range columns {
-			fmt.Fprintf(w, " %.4g |", fit(s.points, list, c.of)[line])
+			fmt.Fprintf(w, " %.4g |", fit(s.points, list, c.value)[line])
 		}
 		fmt.Fprintln(w)
 	}
 }
 
 // fit returns the least-squares line and the largest absolute residual.
-func fit(points []int, list []sample, of func(sample) float64) map[string]float64 {
+func fit(points []int, list []sample, value func(sample) float64) map[string]float64 {
 	x, y := make([]float64, len(points)), make([]float64, len(points))
 	for i, n := range points {
-		x[i], y[i] = float64(n), of(list[i])
+		x[i], y[i] = float64(n), value(list[i])
 	}
-	zero, slope := stat.LinearRegression(x, y, nil, false)
-	most := 0.0
+	intercept, slope := stat.LinearRegression(x, y, nil, false)
+	largest := 0.0
 	for i := range x {
-		most = max(most, math.Abs(y[i]-zero-slope*x[i]))
+		largest = max(largest, math.Abs(y[i]-intercept-slope*x[i]))
 	}
-	return map[string]float64{"slope": slope, "at zero": zero, "residual": most}
+	return map[string]float64{"slope": slope, "at zero": intercept, "residual": largest}
 }
--- a/measure/where.go
+++ b/measure/latency_breakdown.go
@@ -16,46 +16,46 @@
 	"github.com/pkg/errors"
 )
 
-// Where analyses the latency of requests from the boxes' debug logs. By route, and by second if
+// LatencyBreakdown analyses the latency of requests from the boxes' debug logs. By route, and by second if
 // Seconds is set, it counts the requests answered in time, the late ones by the phase that took
 // longest, and the failed ones by reason.
-type Where struct {
+type LatencyBreakdown struct {
 	Logs    []string // paths of the logs; empty: standard input
 	Seconds bool     // also print a table by second since the first line
 }
 
 // The causes of late answers. Failed requests are counted under the reason that the log gives.
 const (
-	lostNothing = "in time"
-	lostSlot    = "late: waited for a slot"
-	lostLoad    = "late: waited for a load"
-	lostOther   = "late: other delay before it was sent"
-	lostPrompt  = "late: until the first token"
-	lostRetry   = "late: retried"
+	causeInTime = "in time"
+	causeSlot   = "late: waited for a slot"
+	causeLoad   = "late: waited for a load"
+	causeOther  = "late: other delay before it was sent"
+	causePrompt = "late: until the first token"
+	causeRetry  = "late: retried"
 )
 
 // tally counts requests by cause.
 type tally map[string]int
 
 // Run prints the tables.
-func (w Where) Run(out io.Writer) error {
+func (w LatencyBreakdown) Run(out io.Writer) error {
 	log, err := readLogs(w.Logs)
 	if err != nil {
 		return err
 	}
 	routes, seconds, requests := make(map[string]tally), make(map[string]tally), 0
-	var begun time.Time
+	var start time.Time
 	for _, l := range log.Lines() {
-		if begun.IsZero() {
-			begun = l.Time()
+		if start.IsZero() {
+			start = l.Time()
 		}
-		cause, ok := causeOf(l)
+		cause, ok := requestCause(l)
 		if !ok {
 			continue
 		}
 		requests++
-		add(routes, l.Text("route"), cause)
-		add(seconds, fmt.Sprintf("%4d", int(l.Time().Sub(begun).Seconds())), cause)
+		increment(routes, l.Text("route"), cause)
+		increment(seconds, fmt.Sprintf("%4d", int(l.Time().Sub(start).Seconds())), cause)
 	}
 	if requests == 0 {
 		return errors.New("measure: the logs contain no requests")
@@ -68,16 +68,16 @@
 	return printTallies(out, "second", seconds)
 }
 
-func add(t map[string]tally, key, cause string) {
+func increment(t map[string]tally, key, cause string) {
 	if t[key] == nil {
 		t[key] = make(tally)
 	}
 	t[key][cause]++
 }
 
-// causeOf returns the cause to count a request under; false if the line is not the end of a
+// requestCause returns the cause to count a request under; false if the line is not the end of a
 // request, or if no route was found for it.
-func causeOf(l logging.Line) (string, bool) {
+func requestCause(l logging.Line) (string, bool) {
 	switch l.Message() {
 	case "Request failed":
 		if l.Text("reason") == "no_route" {
@@ -85,30 +85,30 @@
 		}
 		return "not served: " + l.Text("reason"), true
 	case "Request was answered":
-		return lateFor(l), true
+		return latenessCause(l), true
 	}
 	return "", false
 }
 
-// lateFor returns the phase that took the longest in an answered request, or lostNothing if its
+// latenessCause returns the phase that took the longest in an answered request, or causeInTime if its
 // first token came within the target. A request with several attempts counts as retried.
-func lateFor(l logging.Line) string {
+func latenessCause(l logging.Line) string {
 	first, target := milliseconds(l, "first_ms"), milliseconds(l, "target_ms")
 	if target <= 0 || first <= target {
-		return lostNothing
+		return causeInTime
 	}
 	if milliseconds(l, "attempts") > 1 {
-		return lostRetry
+		return causeRetry
 	}
 	queued, waited, sent := milliseconds(l, "queued_ms"), milliseconds(l, "waited_ms"), milliseconds(l, "sent_ms")
-	parts := map[string]int{lostSlot: queued, lostLoad: waited - queued, lostOther: sent - waited, lostPrompt: first - sent}
-	most := lostPrompt
-	for _, p := range slices.Sorted(maps.Keys(parts)) {
-		if parts[p] > parts[most] {
-			most = p
+	phases := map[string]int{causeSlot: queued, causeLoad: waited - queued, causeOther: sent - waited, causePrompt: first - sent}
+	longest := causePrompt
+	for _, p := range slices.Sorted(maps.Keys(phases)) {
+		if phases[p] > phases[longest] {
+			longest = p
 		}
 	}
-	return most
+	return longest
 }
 
 // milliseconds reads a numeric field; zero if the line lacks it.
--- a/measure/where_test.go
+++ b/measure/latency_breakdown_test.go
@@ -11,7 +11,7 @@
 	"github.com/frankban/quicktest"
 )
 
-const whereLog = `0.1 box-a {"time":"2026-05-01T10:00:00Z","msg":"Request was answered","request":"1","route":"r","attempts":1,"queued_ms":0,"waited_ms":0,"sent_ms":0,"first_ms":90,"target_ms":100}
+const latencyLog = `0.1 box-a {"time":"2026-05-01T10:00:00Z","msg":"Request was answered","request":"1","route":"r","attempts":1,"queued_ms":0,"waited_ms":0,"sent_ms":0,"first_ms":90,"target_ms":100}
 0.2 box-a {"time":"2026-05-01T10:00:00.1Z","msg":"Request was answered","request":"2","route":"r","attempts":1,"queued_ms":300,"waited_ms":400,"sent_ms":400,"first_ms":490,"target_ms":100}
 0.3 box-b {"time":"2026-05-01T10:00:00.2Z","msg":"Request was answered","request":"3","route":"r","attempts":1,"queued_ms":10,"waited_ms":300,"sent_ms":300,"first_ms":490,"target_ms":100}
 0.4 box-b {"time":"2026-05-01T10:00:01.2Z","msg":"Request was answered","request":"4","route":"s","attempts":1,"queued_ms":0,"waited_ms":0,"sent_ms":0,"first_ms":490,"target_ms":100}
@@ -21,12 +21,12 @@
 0.8 box-b {"time":"2026-05-01T10:00:01.5Z","msg":"Request fai
 `
 
-func TestWhereTheTimeOfRequestsWentIsTold(t *testing.T) {
+func TestLatencyBreakdown(t *testing.T) {
 	c := quicktest.New(t)
 	path := filepath.Join(t.TempDir(), "box.log")
-	c.Assert(os.WriteFile(path, []byte(whereLog), 0o600), quicktest.IsNil)
+	c.Assert(os.WriteFile(path, []byte(latencyLog), 0o600), quicktest.IsNil)
 	var out strings.Builder
-	c.Assert(Where{Logs: []string{path}, Seconds: true}.Run(&out), quicktest.IsNil)
+	c.Assert(LatencyBreakdown{Logs: []string{path}, Seconds: true}.Run(&out), quicktest.IsNil)
 	text := strings.Join(strings.Fields(out.String()), " ")
 	for _, want := range []string{
 		"6 requests; 1 lines skipped", "in time: 1", "late: waited for a slot: 1", "late: waited for a load: 1",
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestWhereWithoutRequestsIsAnError(t *testing.T) {
+func TestLatencyBreakdownWithoutRequestsIsAnError(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "box.log")
 	quicktest.Assert(t, os.WriteFile(path, []byte("not ours\n"), 0o600), quicktest.IsNil)
-	quicktest.Assert(t, Where{Logs: []string{path}}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*the logs contain no requests.*")
+	quicktest.Assert(t, LatencyBreakdown{Logs: []string{path}}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*the logs contain no requests.*")
 }
--- a/measure/bound.go
+++ b/measure/load_bound.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// fewestLoads returns the minimum number of loads for a sequence of requested adapters with
+// minLoads returns the minimum number of loads for a sequence of requested adapters with
 // the given total number of slots. It applies Bélády's offline optimal algorithm: evict the
 // adapter whose next request is furthest away. Loads are counted from the request with index
 // first; earlier requests only warm the slots.
-func fewestLoads(asked []string, slots, first int) int {
+func minLoads(requested []string, slots, first int) int {
 	loads := 0
-	for i, m := range missed(asked, slots) {
+	for i, m := range optimalMisses(requested, slots) {
 		if m && i >= first {
 			loads++
 		}
@@ -21,44 +21,44 @@
 	return loads
 }
 
-// missed reports for each request whether the offline optimal policy has to load its adapter.
-func missed(asked []string, slots int) []bool {
-	next := nextUse(asked)
+// optimalMisses reports for each request whether the offline optimal policy has to load its adapter.
+func optimalMisses(requested []string, slots int) []bool {
+	next := nextRequests(requested)
 	held := make(map[string]int) // adapter in a slot -> index of its next request
-	list := make([]bool, len(asked))
-	for i, a := range asked {
+	misses := make([]bool, len(requested))
+	for i, a := range requested {
 		if _, ok := held[a]; !ok {
-			list[i] = true
+			misses[i] = true
 			if len(held) >= slots {
-				delete(held, latest(held))
+				delete(held, furthest(held))
 			}
 		}
 		held[a] = next[i]
 	}
-	return list
+	return misses
 }
 
-// nextUse returns, for each request, the index of the next request for the same adapter,
+// nextRequests returns, for each request, the index of the next request for the same adapter,
 // or math.MaxInt if there is none.
-func nextUse(asked []string) []int {
-	next := make([]int, len(asked))
+func nextRequests(requested []string) []int {
+	next := make([]int, len(requested))
 	seen := make(map[string]int)
-	for i := len(asked) - 1; i >= 0; i-- {
+	for i := len(requested) - 1; i >= 0; i-- {
 		next[i] = math.MaxInt
-		if n, ok := seen[asked[i]]; ok {
+		if n, ok := seen[requested[i]]; ok {
 			next[i] = n
 		}
-		seen[asked[i]] = i
+		seen[requested[i]] = i
 	}
 	return next
 }
 
-// latest returns the adapter whose next request is furthest away.
-func latest(held map[string]int) string {
-	best, most := "", -1
+// furthest returns the adapter whose next request is furthest away.
+func furthest(held map[string]int) string {
+	best, index := "", -1
 	for a, n := range held {
-		if n > most {
-			best, most = a, n
+		if n > index {
+			best, index = a, n
 		}
 	}
 	return best
--- a/measure/bound_test.go
+++ b/measure/load_bound_test.go
@@ -11,19 +11,19 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestFewestLoadsKnowsTheFuture(t *testing.T) {
+func TestMinLoads(t *testing.T) {
 	c := quicktest.New(t)
 	asked := strings.Split("a b c a b d a b c", " ")
-	c.Assert(fewestLoads(asked, 9, 0), quicktest.Equals, 4)
-	c.Assert(fewestLoads(asked, 3, 0), quicktest.Equals, 5)
-	c.Assert(fewestLoads(asked, 9, 3), quicktest.Equals, 1)
+	c.Assert(minLoads(asked, 9, 0), quicktest.Equals, 4)
+	c.Assert(minLoads(asked, 3, 0), quicktest.Equals, 5)
+	c.Assert(minLoads(asked, 9, 3), quicktest.Equals, 1)
 }
 
-func TestTheBoundCountsEachLoadOnce(t *testing.T) {
+func TestStallBoundCountsEachLoadOnce(t *testing.T) {
 	quicktest.Assert(t, stallBound(5, 100, 400*time.Millisecond), quicktest.Equals, 20.0)
 }
 
-func TestRecoveryIsWhenTheStallIsAsBefore(t *testing.T) {
+func TestRecoveryEndsWhenStallIsBackToNormal(t *testing.T) {
 	c := quicktest.New(t)
 	begun := time.Unix(1000, 0)
 	var ends []load.End
@@ -37,8 +37,8 @@
 	c.Assert(recovery(ends, begun, 20*time.Second), quicktest.Equals, 4*time.Second)
 }
 
-func TestJainIsOneWhenAllHaveTheSame(t *testing.T) {
+func TestJainIndexIsOneForEqualShares(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(jain(map[string]*share{"a": {sent: 4, inTime: 2}, "b": {sent: 2, inTime: 1}}), quicktest.Equals, 1.0)
-	c.Assert(jain(map[string]*share{"a": {sent: 1, inTime: 1}, "b": {sent: 1}}), quicktest.Equals, 0.5)
+	c.Assert(jainIndex(map[string]*share{"a": {sent: 4, inTime: 2}, "b": {sent: 2, inTime: 1}}), quicktest.Equals, 1.0)
+	c.Assert(jainIndex(map[string]*share{"a": {sent: 1, inTime: 1}, "b": {sent: 1}}), quicktest.Equals, 0.5)
 }
--- a/measure/future_test.go
+++ b/measure/offline_bound_test.go
@@ -12,7 +12,7 @@
 	"github.com/frankban/quicktest"
 )
 
-const futureLog = `box-a {"time":"2026-05-01T10:00:00Z","msg":"Adapter is needed","adapter":"m/a"}
+const offlineBoundLog = `box-a {"time":"2026-05-01T10:00:00Z","msg":"Adapter is needed","adapter":"m/a"}
 box-a {"time":"2026-05-01T10:00:00Z","msg":"Load begins","adapter":"m/a","from_store":true}
 box-b {"time":"2026-05-01T10:00:00.1Z","msg":"Adapter is needed","adapter":"m/b"}
 box-b {"time":"2026-05-01T10:00:00.2Z","msg":"Adapter is needed","adapter":"m/c"}
@@ -21,22 +21,22 @@
 box-a {"time":"2026-05-01T10:00:09Z","msg":"Load begins","adapter":"m/a","from_store":false}
 `
 
-func TestTheFutureIsComputedFromLogs(t *testing.T) {
+func TestOfflineBoundFromLogs(t *testing.T) {
 	c := quicktest.New(t)
 	path := filepath.Join(t.TempDir(), "box.log")
-	c.Assert(os.WriteFile(path, []byte(futureLog), 0o600), quicktest.IsNil)
+	c.Assert(os.WriteFile(path, []byte(offlineBoundLog), 0o600), quicktest.IsNil)
 	var out strings.Builder
-	c.Assert(Future{Logs: []string{path}, Slots: 3, Rate: 1, Lead: time.Second}.Run(&out), quicktest.IsNil)
+	c.Assert(OfflineBound{Logs: []string{path}, Slots: 3, Rate: 1, Lead: time.Second}.Run(&out), quicktest.IsNil)
 	text := strings.Join(strings.Fields(out.String()), " ")
 	for _, want := range []string{"requests for adapters 4", "adapters 3", "loads at least 3", "from the store 1", "wait for a load at least 2", "refused for a load 1"} {
 		c.Assert(text, quicktest.Contains, want)
 	}
 }
 
-func TestAFutureWithoutDebugLinesIsAnError(t *testing.T) {
+func TestOfflineBoundRejectsMissingInput(t *testing.T) {
 	c := quicktest.New(t)
 	path := filepath.Join(t.TempDir(), "box.log")
 	c.Assert(os.WriteFile(path, nil, 0o600), quicktest.IsNil)
-	c.Assert(Future{Logs: []string{path}, Slots: 3, Rate: 1}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*--debug.*")
-	c.Assert(Future{Logs: []string{path}}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*--slots and --rate.*")
+	c.Assert(OfflineBound{Logs: []string{path}, Slots: 3, Rate: 1}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*--debug.*")
+	c.Assert(OfflineBound{Logs: []string{path}}.Run(&strings.Builder{}), quicktest.ErrorMatches, ".*--slots and --rate.*")
 }
--- a/measure/path.go
+++ b/measure/path.go
@@ -28,15 +28,15 @@
 // requests sent directly to the engine. The variants alternate within one run. Set the fields
 // before Run.
 type Path struct {
-	Bin    string
-	Dir    string
-	Rate   int           // requests per second
-	Each   time.Duration // duration of one phase
-	Rounds int           // phases of each variant
+	Bin           string
+	Dir           string
+	Rate          int           // requests per second
+	PhaseDuration time.Duration // duration of one phase
+	Rounds        int           // phases of each variant
 }
 
-// pathSide is one variant of the path to the engine.
-type pathSide struct {
+// pathVariant is one variant of the path to the engine.
+type pathVariant struct {
 	url   string
 	model string
 	times *metrics.Histogram
@@ -55,23 +55,23 @@
 		return err
 	}
 	model := fleet.AdapterName(1)
-	through := &pathSide{url: "http://" + f.CallersAddress(1, 1), model: model, times: metrics.NewHistogram()}
-	straight := &pathSide{url: "http://" + f.EngineAddress(1, 1), model: model + "@2", times: metrics.NewHistogram()}
-	hop := httptest.NewServer(bareHop(straight.url))
-	defer hop.Close()
-	bare := &pathSide{url: hop.URL, model: straight.model, times: metrics.NewHistogram()}
-	if err := warm(ctx, through, straight, bare); err != nil {
+	viaCairnwick := &pathVariant{url: "http://" + f.CallersAddress(1, 1), model: model, times: metrics.NewHistogram()}
+	direct := &pathVariant{url: "http://" + f.EngineAddress(1, 1), model: model + "@2", times: metrics.NewHistogram()}
+	proxy := httptest.NewServer(bareProxy(direct.url))
+	defer proxy.Close()
+	viaProxy := &pathVariant{url: proxy.URL, model: direct.model, times: metrics.NewHistogram()}
+	if err := warmUp(ctx, viaCairnwick, direct, viaProxy); err != nil {
 		return err
 	}
 	for range p.Rounds {
-		for _, s := range []*pathSide{straight, bare, through} {
-			p.turn(ctx, s)
+		for _, s := range []*pathVariant{direct, viaProxy, viaCairnwick} {
+			p.runPhase(ctx, s)
 		}
 	}
-	if err := p.print(w, straight, bare, through); err != nil {
+	if err := p.printResults(w, direct, viaProxy, viaCairnwick); err != nil {
 		return err
 	}
-	return printUsage(w, f, through.times.Count())
+	return printUsage(w, f, viaCairnwick.times.Count())
 }
 
 // printUsage prints the processor time per request and the memory of each daemon.
@@ -87,11 +87,11 @@
 	return nil
 }
 
-// warm sends one request through each variant, so that the adapter is loaded, and resets the
+// warmUp sends one request through each variant, so that the adapter is loaded, and resets the
 // measurements.
-func warm(ctx context.Context, sides ...*pathSide) error {
-	for _, s := range sides {
-		if !s.ask(ctx, http.DefaultClient) {
+func warmUp(ctx context.Context, variants ...*pathVariant) error {
+	for _, s := range variants {
+		if !s.send(ctx, http.DefaultClient) {
 			return errors.Errorf("measure: warm-up request to %s failed", s.url)
 		}
 		s.times = metrics.NewHistogram()
@@ -99,75 +99,75 @@
 	return nil
 }
 
-// turn runs one phase: it sends requests at the configured rate.
-func (p Path) turn(ctx context.Context, s *pathSide) {
+// runPhase runs one phase: it sends requests at the configured rate.
+func (p Path) runPhase(ctx context.Context, s *pathVariant) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: 30 * time.Second}
 	defer c.CloseIdleConnections()
-	var all sync.WaitGroup
-	begun := time.Now()
-	for i := range int(p.Each.Seconds() * float64(p.Rate)) {
-		time.Sleep(time.Until(begun.Add(time.Duration(i) * time.Second / time.Duration(p.Rate))))
-		all.Go(func() {
-			if !s.ask(ctx, c) {
+	var requests sync.WaitGroup
+	start := time.Now()
+	for i := range int(p.PhaseDuration.Seconds() * float64(p.Rate)) {
+		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(p.Rate))))
+		requests.Go(func() {
+			if !s.send(ctx, c) {
 				s.lost.Add(1)
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// ask sends one request, records its latency and reports whether it succeeded.
-func (s *pathSide) ask(ctx context.Context, c *http.Client) bool {
+// enqueue sends one request, records its latency and reports whether it succeeded.
+func (s *pathVariant) send(ctx context.Context, c *http.Client) bool {
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":1,"prompt":"x"}`, s.model)
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/v1/completions", bytes.NewReader([]byte(body)))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/v1/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return false
 	}
-	begun := time.Now()
-	a, err := c.Do(r)
+	start := time.Now()
+	resp, err := c.Do(req)
 	if err != nil {
 		return false
 	}
-	defer a.Body.Close()
-	_, err = io.Copy(io.Discard, a.Body)
-	s.times.Observe(time.Since(begun))
-	return err == nil && a.StatusCode == http.StatusOK
+	defer resp.Body.Close()
+	_, err = io.Copy(io.Discard, resp.Body)
+	s.times.Observe(time.Since(start))
+	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// bareHop returns a proxy that only forwards requests. It measures the minimum cost of any
+// bareProxy returns a proxy that only forwards requests. It measures the minimum cost of any
 // process between callers and engines on this machine.
-func bareHop(url string) http.Handler {
+func bareProxy(url string) http.Handler {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		q, err := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.Path, r.Body)
+		req, err := http.NewRequestWithContext(r.Context(), r.Method, url+r.URL.Path, r.Body)
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		a, err := c.Do(q)
+		resp, err := c.Do(req)
 		if err != nil {
 			w.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		defer a.Body.Close()
-		w.WriteHeader(a.StatusCode)
-		_, _ = io.Copy(w, a.Body) // a broken stream is counted by the client as a lost request
+		defer resp.Body.Close()
+		w.WriteHeader(resp.StatusCode)
+		_, _ = io.Copy(w, resp.Body) // a broken stream is counted by the client as a lost request
 	})
 }
 
-func (p Path) print(w io.Writer, straight, bare, through *pathSide) error {
+func (p Path) printResults(w io.Writer, direct, viaProxy, viaCairnwick *pathVariant) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "path\trequests\tlost\tp50 ms\tp95 ms\tp99 ms\t\n")
 	for _, s := range []struct {
 		name string
-		side *pathSide
-	}{{"directly to the engine", straight}, {"through a bare proxy", bare}, {"through cairnwick", through}} {
+		side *pathVariant
+	}{{"directly to the engine", direct}, {"through a bare proxy", viaProxy}, {"through cairnwick", viaCairnwick}} {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n", s.name, s.side.times.Count(), s.side.lost.Load(),
 			millis(s.side.times.Quantile(50)), millis(s.side.times.Quantile(95)), millis(s.side.times.Quantile(99)))
 	}
-	added := func(s *pathSide, q float64) float64 { return millis(s.times.Quantile(q) - straight.times.Quantile(q)) }
-	fmt.Fprintf(t, "added by a bare proxy\t\t\t%.2f\t%.2f\t%.2f\t\n", added(bare, 50), added(bare, 95), added(bare, 99))
-	fmt.Fprintf(t, "added by cairnwick\t\t\t%.2f\t%.2f\t%.2f\t\n", added(through, 50), added(through, 95), added(through, 99))
+	added := func(s *pathVariant, q float64) float64 { return millis(s.times.Quantile(q) - direct.times.Quantile(q)) }
+	fmt.Fprintf(t, "added by a bare proxy\t\t\t%.2f\t%.2f\t%.2f\t\n", added(viaProxy, 50), added(viaProxy, 95), added(viaProxy, 99))
+	fmt.Fprintf(t, "added by cairnwick\t\t\t%.2f\t%.2f\t%.2f\t\n", added(viaCairnwick, 50), added(viaCairnwick, 95), added(viaCairnwick, 99))
 	return t.Flush()
 }
 
--- a/measure/scarce.go
+++ b/measure/placement_simulation.go
@@ -14,11 +14,11 @@
 	"github.com/pkg/errors"
 )
 
-// Scarce simulates endpoints with few adapter slots and long prompts, and compares two placement
+// PlacementSimulation simulates endpoints with few adapter slots and long prompts, and compares two placement
 // policies for adapter loads: a fixed endpoint for each adapter, and the endpoint with the lowest
 // cost according to policy.SiteFacts. Both get the same requests. Time is simulated, so the
 // result depends only on the seed.
-type Scarce struct {
+type PlacementSimulation struct {
 	Seed uint64
 	Time time.Duration // simulated
 	Rate float64       // requests per second
@@ -26,79 +26,79 @@
 
 // The simulated site is a scaled-down version of the users' third customer.
 const (
-	simEndpoints = 12
-	simSlots     = 9
-	simMemory    = 54   // adapters cached in the memory of an endpoint
-	simAdapters  = 3000 // distinct adapters
-	simSkew      = 1.2  // exponent of the Zipf distribution of their popularity
-	simShift     = 7000 // ms between changes of the popular adapters
-	simReads     = 32   // prompt tokens that an endpoint processes per ms
-	simStore     = 250  // ms to load an adapter from the store
-	simStoreMost = 8    // concurrent loads that the store serves at full speed
-	simWarm      = 35   // ms to load an adapter from memory
-	simPatience  = 3000 // ms after which a caller gives up
+	simEndpoints     = 12
+	simSlots         = 9
+	simCacheSize     = 54   // adapters cached in the memory of an endpoint
+	simAdapters      = 3000 // distinct adapters
+	simSkew          = 1.2  // exponent of the Zipf distribution of their popularity
+	simShiftInterval = 7000 // ms between changes of the popular adapters
+	simPromptRate    = 32   // prompt tokens that an endpoint processes per ms
+	simStoreLoad     = 250  // ms to load an adapter from the store
+	simStoreParallel = 8    // concurrent loads that the store serves at full speed
+	simMemoryLoad    = 35   // ms to load an adapter from memory
+	simTimeout       = 3000 // ms after which a caller gives up
 )
 
 // simKind is one kind of request. Prompt length and run time after the first token are
 // exponentially distributed.
 type simKind struct {
-	share  float64 // of all requests
-	tokens float64 // mean prompt length
-	run    float64 // mean run time after the first token, ms
-	target int     // target time to the first token, ms
+	share   float64 // of all requests
+	tokens  float64 // mean prompt length
+	runTime float64 // mean run time after the first token, ms
+	target  int     // target time to the first token, ms
 }
 
 var simKinds = []simKind{
-	{share: 0.47, tokens: 9200, run: 600, target: 800},
-	{share: 0.53, tokens: 830, run: 2500, target: 600},
+	{share: 0.47, tokens: 9200, runTime: 600, target: 800},
+	{share: 0.53, tokens: 830, runTime: 2500, target: 600},
 }
 
 // simRequest is one request. Times are in milliseconds.
 type simRequest struct {
-	adapter, tokens, run, target, arrived int
+	adapter, tokens, runTime, target, arrival int
 }
 
 // simSlot is a slot with its adapter.
 type simSlot struct {
-	ready int // when its load ends
-	runs  int // active requests
-	used  int // when the last request ended
+	ready    int // when its load ends
+	runs     int // active requests
+	lastUsed int // when the last request ended
 }
 
 // simEndpoint is one endpoint.
 type simEndpoint struct {
-	slots  map[int]*simSlot
-	left   map[int]int   // evicted adapter -> sequence number of its eviction
-	count  int           // evictions so far
-	queue  []*simRequest // prompts to be processed; the first may be partly done
-	rest   int           // unprocessed tokens of the first prompt
-	ends   map[int][]int // time -> adapters with a run that ends then
-	wanted int           // prompt tokens of requests that wait for a load here
+	slots         map[int]*simSlot
+	evicted       map[int]int   // evicted adapter -> sequence number of its eviction
+	evictions     int           // evictions so far
+	queue         []*simRequest // prompts to be processed; the first may be partly done
+	headTokens    int           // unprocessed tokens of the first prompt
+	runEnds       map[int][]int // time -> adapters with a run that ends then
+	waitingTokens int           // prompt tokens of requests that wait for a load here
 }
 
-// simWant is a load that waits for a slot.
-type simWant struct {
+// pendingLoad is a load that waits for a slot.
+type pendingLoad struct {
 	adapter, endpoint int
 	waiting           []*simRequest
 }
 
 // simResult counts requests by outcome, and loads.
-type simResult struct{ inTime, late, lost, loads int }
+type simResult struct{ inTime, late, abandoned, loads int }
 
-// chooser returns the index of the endpoint where an adapter is to be loaded.
-type chooser func(s *simulation, adapter int) int
+// placementPolicy returns the index of the endpoint where an adapter is to be loaded.
+type placementPolicy func(s *simulation, adapter int) int
 
 type simulation struct {
-	choose    chooser
-	endpoints []*simEndpoint
-	wants     []*simWant
-	fetching  []int // end times of the loads from the store
-	now       int
-	result    simResult
+	choose     placementPolicy
+	endpoints  []*simEndpoint
+	pending    []*pendingLoad
+	storeLoads []int // end times of the loads from the store
+	now        int
+	result     simResult
 }
 
 // Run prints the results of both policies and the ratio of requests answered in time.
-func (s Scarce) Run(out io.Writer) error {
+func (s PlacementSimulation) Run(out io.Writer) error {
 	fixed, cost := s.results()
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "placement\tin time\tlate\tabandoned\tloads")
@@ -106,19 +106,19 @@
 		name string
 		simResult
 	}{{"fixed endpoint", fixed}, {"lowest cost", cost}} {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", r.name, r.inTime, r.late, r.lost, r.loads)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", r.name, r.inTime, r.late, r.abandoned, r.loads)
 	}
 	fmt.Fprintf(w, "in time, ratio\t%.2f\n", float64(cost.inTime)/float64(max(fixed.inTime, 1)))
 	return errors.Wrap(w.Flush(), "measure")
 }
 
-func (s Scarce) results() (fixed, cost simResult) {
+func (s PlacementSimulation) results() (fixed, cost simResult) {
 	list := s.requests()
 	return simulate(list, fixedEndpoint), simulate(list, cheapestEndpoint)
 }
 
 // requests returns the requests in order of arrival.
-func (s Scarce) requests() []*simRequest {
+func (s PlacementSimulation) requests() []*simRequest {
 	r := rand.New(rand.NewPCG(s.Seed, 1))
 	popular := newZipf(simAdapters, simSkew)
 	var list []*simRequest
@@ -128,11 +128,11 @@
 			k = simKinds[1]
 		}
 		list = append(list, &simRequest{
-			adapter: (popular.draw(r) + int(at)/simShift*17) % simAdapters,
+			adapter: (popular.sample(r) + int(at)/simShiftInterval*17) % simAdapters,
 			tokens:  1 + int(r.ExpFloat64()*k.tokens),
-			run:     1 + int(r.ExpFloat64()*k.run),
+			runTime: 1 + int(r.ExpFloat64()*k.runTime),
 			target:  k.target,
-			arrived: int(at),
+			arrival: int(at),
 		})
 	}
 	return list
@@ -151,7 +151,7 @@
 	return z
 }
 
-func (z zipf) draw(r *rand.Rand) int {
+func (z zipf) sample(r *rand.Rand) int {
 	x := r.Float64() * z.sums[len(z.sums)-1]
 	low, high := 0, len(z.sums)-1
 	for low < high {
@@ -180,13 +180,13 @@
 
 func (s *simulation) facts(e *simEndpoint, adapter int, usual bool) policy.SiteFacts {
 	f := policy.SiteFacts{
-		Load:    simWarm * time.Millisecond,
-		Read:    time.Duration((e.unread()+e.wanted)/simReads) * time.Millisecond,
-		Fetched: !e.remembers(adapter),
+		Load:    simMemoryLoad * time.Millisecond,
+		Read:    time.Duration((e.queuedTokens()+e.waitingTokens)/simPromptRate) * time.Millisecond,
+		Fetched: !e.cached(adapter),
 		Usual:   usual,
 	}
 	if f.Fetched {
-		f.Load = simStore * time.Millisecond
+		f.Load = simStoreLoad * time.Millisecond
 	}
 	taken := 0
 	for _, t := range e.slots {
--- a/measure/plot.go
+++ b/measure/plot.go
@@ -20,10 +20,10 @@
 
 // stallSeries returns, for each window, the mean load stall in milliseconds of the requests that
 // began in it and got a complete answer.
-func stallSeries(ends []load.End, begun time.Time, whole time.Duration) []float64 {
-	windows := make([][]time.Duration, int(whole/seriesWindow))
+func stallSeries(ends []load.End, start time.Time, duration time.Duration) []float64 {
+	windows := make([][]time.Duration, int(duration/seriesWindow))
 	for _, e := range ends {
-		i := int(e.Begun.Sub(begun) / seriesWindow)
+		i := int(e.Begun.Sub(start) / seriesWindow)
 		if e.Whole && i >= 0 && i < len(windows) {
 			windows[i] = append(windows[i], e.Stall)
 		}
@@ -36,18 +36,18 @@
 }
 
 // drawStalls plots the load stalls of one workload over time, as an SVG file in dir.
-func drawStalls(dir string, list []Figures) error {
-	if len(list) == 0 {
+func drawStalls(dir string, results []PolicyResult) error {
+	if len(results) == 0 {
 		return nil
 	}
-	p := plot.New()
-	p.Title.Text = list[0].User + ", " + list[0].Workload
-	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = "mean load stall, ms"
-	p.Legend.Top = true
-	for i, g := range list {
-		points := make(plotter.XYs, len(g.Series))
-		for n, y := range g.Series {
+	chart := plot.New()
+	chart.Title.Text = results[0].User + ", " + results[0].Workload
+	chart.X.Label.Text = "seconds"
+	chart.Y.Label.Text = "mean load stall, ms"
+	chart.Legend.Top = true
+	for i, result := range results {
+		points := make(plotter.XYs, len(result.StallByWindow))
+		for n, y := range result.StallByWindow {
 			points[n].X, points[n].Y = float64(n)*seriesWindow.Seconds(), y
 		}
 		line, err := plotter.NewLine(points)
@@ -55,9 +55,9 @@
 			return errors.Wrap(err, "measure: plot")
 		}
 		line.Color = plotutil.Color(i)
-		p.Add(line)
-		p.Legend.Add(g.Policies, line)
+		chart.Add(line)
+		chart.Legend.Add(result.Policies, line)
 	}
-	name := strings.ReplaceAll(fmt.Sprintf("%s-%s.svg", list[0].User, list[0].Workload), " ", "-")
-	return errors.Wrap(p.Save(6*vg.Inch, 4*vg.Inch, filepath.Join(dir, name)), "measure: plot")
+	name := strings.ReplaceAll(fmt.Sprintf("%s-%s.svg", results[0].User, results[0].Workload), " ", "-")
+	return errors.Wrap(chart.Save(6*vg.Inch, 4*vg.Inch, filepath.Join(dir, name)), "measure: plot")
 }
--- a/measure/policies.go
+++ b/measure/policies.go
@@ -25,7 +25,7 @@
 	Bin      string
 	Dir      string
 	Time     time.Duration // duration of one run, without the warm-up
-	Warm     time.Duration // duration of the warm-up
+	WarmUp   time.Duration // duration of the warm-up
 	Seed     uint64
 	User     string   // "" for both
 	Workload string   // "" for all
@@ -34,43 +34,43 @@
 	Plots    string   // directory for the plots; "" for none
 }
 
-// Figures are the results of one run.
-type Figures struct {
-	User      string    `json:"user"`
-	Workload  string    `json:"workload"`
-	Policies  string    `json:"policies"`
-	Sent      int       `json:"sent"`
-	InTime    int       `json:"in_time"` // complete answers within the deadline
-	Refused   int       `json:"refused"`
-	Lost      int       `json:"lost"`        // unknown, broken or wrong outcome
-	Back      int       `json:"came_back"`   // refused requests that were retried after Retry-After
-	Honest    int       `json:"served_then"` // retries among them that were served
-	StallMean float64   `json:"stall_mean_ms"`
-	StallP95  float64   `json:"stall_p95_ms"`
-	StallP99  float64   `json:"stall_p99_ms"`
-	Fullness  float64   `json:"batch_fullness"` // mean over engine steps with work, 0 to 1
-	Prefixes  float64   `json:"prefix_hits"`    // share of runs whose prompt prefix was cached
-	Loads     int       `json:"loads"`
-	Worst     float64   `json:"worst_class_share"`  // lowest share of requests answered in time of any class
-	Fair      float64   `json:"fairness"`           // Jain's index over the callers' shares of requests answered in time
-	Recovery  float64   `json:"recovery_s"`         // time after a shift until the stall is within 10% of its previous mean; 0 without a shift
-	Series    []float64 `json:"stall_by_window_ms"` // mean stall of each two-second window
+// PolicyResult are the results of one run.
+type PolicyResult struct {
+	User          string    `json:"user"`
+	Workload      string    `json:"workload"`
+	Policies      string    `json:"policies"`
+	Sent          int       `json:"sent"`
+	InTime        int       `json:"in_time"` // complete answers within the deadline
+	Refused       int       `json:"refused"`
+	Lost          int       `json:"lost"`        // unknown, broken or wrong outcome
+	CameBack      int       `json:"came_back"`   // refused requests that were retried after Retry-After
+	ServedThen    int       `json:"served_then"` // retries among them that were served
+	StallMean     float64   `json:"stall_mean_ms"`
+	StallP95      float64   `json:"stall_p95_ms"`
+	StallP99      float64   `json:"stall_p99_ms"`
+	BatchFullness float64   `json:"batch_fullness"` // mean over engine steps with work, 0 to 1
+	PrefixHits    float64   `json:"prefix_hits"`    // share of runs whose prompt prefix was cached
+	Loads         int       `json:"loads"`
+	WorstClass    float64   `json:"worst_class_share"`  // lowest share of requests answered in time of any class
+	Fairness      float64   `json:"fairness"`           // Jain's index over the callers' shares of requests answered in time
+	Recovery      float64   `json:"recovery_s"`         // time after a shift until the stall is within 10% of its previous mean; 0 without a shift
+	StallByWindow []float64 `json:"stall_by_window_ms"` // mean stall of each two-second window
 }
 
 var workloads = []workload{
-	{name: "steady", times: 1},
-	{name: "shift", times: 1, shift: true},
-	{name: "many wake", times: 1, wake: true},
-	{name: "overload", times: 4},
-	{name: "store fails 1 in 5", times: 1, failEach: 5},
-	{name: "engines restart", times: 1, disturb: restartEngines},
-	{name: "half the daemons replaced", times: 1, disturb: replaceHalf},
+	{name: "steady", rateFactor: 1},
+	{name: "shift", rateFactor: 1, shiftPopularity: true},
+	{name: "many wake", rateFactor: 1, wakeAdapters: true},
+	{name: "overload", rateFactor: 4},
+	{name: "store fails 1 in 5", rateFactor: 1, failEvery: 5},
+	{name: "engines restart", rateFactor: 1, disturb: restartEngines},
+	{name: "half the daemons replaced", rateFactor: 1, disturb: replaceHalf},
 }
 
 // Run runs the comparison and writes the tables to w, and the report and plots if configured.
 func (p Policies) Run(ctx context.Context, w io.Writer) error {
-	var all []Figures
-	for _, u := range []user{nursery(), boundaries()} {
+	var all []PolicyResult
+	for _, u := range []userProfile{nurseryProfile(), boundariesProfile()} {
 		if p.User != "" && p.User != u.name {
 			continue
 		}
@@ -78,25 +78,25 @@
 			if p.Workload != "" && p.Workload != l.name {
 				continue
 			}
-			var list []Figures
-			for _, c := range contenders {
-				if len(p.Only) > 0 && !slices.Contains(p.Only, c.name) {
+			var results []PolicyResult
+			for _, set := range policySets {
+				if len(p.Only) > 0 && !slices.Contains(p.Only, set.name) {
 					continue
 				}
-				f, err := p.one(ctx, u, l, c)
+				f, err := p.runOne(ctx, u, l, set)
 				if err != nil {
-					return errors.Wrapf(err, "measure: %s, %s, %s", u.name, l.name, c.name)
+					return errors.Wrapf(err, "measure: %s, %s, %s", u.name, l.name, set.name)
 				}
-				list = append(list, f)
+				results = append(results, f)
 			}
-			printFigures(w, list)
+			printResults(w, results)
 			p.printBound(w, u, l)
 			if p.Plots != "" {
-				if err := drawStalls(p.Plots, list); err != nil {
+				if err := drawStalls(p.Plots, results); err != nil {
 					return err
 				}
 			}
-			all = append(all, list...)
+			all = append(all, results...)
 		}
 	}
 	if p.Report == "" {
@@ -109,59 +109,59 @@
 	return os.WriteFile(p.Report, raw, 0o644)
 }
 
-// one runs one contender on one workload.
-func (p Policies) one(ctx context.Context, u user, l workload, c contender) (Figures, error) {
+// runOne runs one contender on one workload.
+func (p Policies) runOne(ctx context.Context, u userProfile, l workload, set policySet) (PolicyResult, error) {
 	spec := u.spec
 	spec.Bin = p.Bin
-	spec.Dir = filepath.Join(p.Dir, fmt.Sprintf("%s-%s-%s", u.name, l.name, c.name))
-	spec.Scheduler = slices.Concat(u.scheduler, c.scheduler)
-	spec.Gateway = c.gateway
+	spec.Dir = filepath.Join(p.Dir, fmt.Sprintf("%s-%s-%s", u.name, l.name, set.name))
+	spec.Scheduler = slices.Concat(u.schedulerSettings, set.schedulerSettings)
+	spec.Gateway = set.gatewaySettings
 	if err := os.MkdirAll(spec.Dir, 0o700); err != nil {
-		return Figures{}, err
+		return PolicyResult{}, err
 	}
 	f := fleet.New(spec)
 	defer f.Stop()
 	if err := f.Start(ctx); err != nil {
-		return Figures{}, err
+		return PolicyResult{}, err
 	}
-	load.Run(ctx, u.plan(f, workload{times: 1}, p.Warm, p.Seed+1))
-	if l.failEach > 0 {
-		if err := fleet.Post(ctx, fmt.Sprintf("http://%s/control/store?fail-each=%d", f.PlatformAddress(), l.failEach)); err != nil {
-			return Figures{}, err
+	load.Run(ctx, u.loadPlan(f, workload{rateFactor: 1}, p.WarmUp, p.Seed+1))
+	if l.failEvery > 0 {
+		if err := fleet.Post(ctx, fmt.Sprintf("http://%s/control/store?fail-each=%d", f.PlatformAddress(), l.failEvery)); err != nil {
+			return PolicyResult{}, err
 		}
 	}
 	before, err := f.Witness(ctx)
 	if err != nil {
-		return Figures{}, err
+		return PolicyResult{}, err
 	}
 	if l.disturb != nil {
 		time.AfterFunc(p.Time/2, func() { _ = l.disturb(f)() }) // a failed disturbance is visible in the results
 	}
-	begun := time.Now()
-	r := load.Run(ctx, u.plan(f, l, p.Time, p.Seed))
+	start := time.Now()
+	report := load.Run(ctx, u.loadPlan(f, l, p.Time, p.Seed))
 	after, err := f.Witness(ctx)
 	if err != nil {
-		return Figures{}, err
+		return PolicyResult{}, err
 	}
-	g := figures(r, before.Counts, after.Counts, spec.Batch)
-	g.User, g.Workload, g.Policies = u.name, l.name, c.name
-	g.Series = stallSeries(r.Ends, begun, p.Time)
-	if l.shift {
-		g.Recovery = recovery(r.Ends, begun, p.Time).Seconds()
+	result := summarise(report, before.Counts, after.Counts, spec.Batch)
+	result.User, result.Workload, result.Policies = u.name, l.name, set.name
+	result.StallByWindow = stallSeries(report.Ends, start, p.Time)
+	if l.shiftPopularity {
+		result.Recovery = recovery(report.Ends, start, p.Time).Seconds()
 	}
-	return g, nil
+	return result, nil
 }
 
 // printBound prints the bound that no policy can beat on a workload: that of the offline
 // optimal policy, which knows all requests and uses every slot of the region.
-func (p Policies) printBound(w io.Writer, u user, l workload) {
+func (p Policies) printBound(w io.Writer, u userProfile, l workload) {
 	f := fleet.New(u.spec)
-	warm := u.plan(f, workload{times: 1}, p.Warm, p.Seed+1).Sequence()
-	asked := append(warm, u.plan(f, l, p.Time, p.Seed).Sequence()...)
+	warm := u.loadPlan(f, workload{rateFactor: 1}, p.WarmUp, p.Seed+1).Sequence()
+	requested := append(warm, u.loadPlan(f, l, p.Time, p.Seed).Sequence()...)
 	slots := u.spec.Centres * u.spec.Engines * u.spec.Slots
-	loads := fewestLoads(asked, slots, len(warm))
+	loads := minLoads(requested, slots, len(warm))
 	fmt.Fprintf(w, "lower bound for any policy: %d loads, mean stall %.1f ms; the store allows %.0f loads in this time\n",
-		loads, stallBound(loads, len(asked)-len(warm), loadTime), u.store*p.Time.Seconds())
+		loads, stallBound(loads, len(requested)-len(warm), loadTime), u.storeRate*p.Time.Seconds())
 }
 
 // restartEngines restarts the first engine of every data centre.
@@ -176,40 +176,40 @@
 	}
 }
 
-// figures summarises a run.
-func figures(r load.Report, before, after standin.Counts, batch int) Figures {
-	g := Figures{Sent: r.Sent, Refused: r.NotRun, Back: r.Back, Honest: r.Honest, Lost: r.Unknown + r.Broken + r.Wrong, Loads: after.Loads - before.Loads}
+// summarise summarises a run.
+func summarise(report load.Report, before, after standin.Counts, batch int) PolicyResult {
+	result := PolicyResult{Sent: report.Sent, Refused: report.NotRun, CameBack: report.Back, ServedThen: report.Honest, Lost: report.Unknown + report.Broken + report.Wrong, Loads: after.Loads - before.Loads}
 	var stalls []time.Duration
 	classes, callers := make(map[string]*share), make(map[string]*share)
-	for _, e := range r.Ends {
-		inTime := e.Whole && e.At.Sub(e.Begun) <= deadlines[e.Class]
-		count(classes, e.Class, inTime)
-		count(callers, e.Caller, inTime)
+	for _, e := range report.Ends {
+		inTime := e.Whole && e.At.Sub(e.Begun) <= classDeadlines[e.Class]
+		countRequest(classes, e.Class, inTime)
+		countRequest(callers, e.Caller, inTime)
 		if inTime {
-			g.InTime++
+			result.InTime++
 		}
 		if e.Whole {
 			stalls = append(stalls, e.Stall)
 		}
 	}
 	slices.Sort(stalls)
-	g.StallMean, g.StallP95, g.StallP99 = meanMillis(stalls), quantile(stalls, 0.95), quantile(stalls, 0.99)
+	result.StallMean, result.StallP95, result.StallP99 = meanMillis(stalls), quantile(stalls, 0.95), quantile(stalls, 0.99)
 	if runs := after.Runs - before.Runs; runs > 0 {
-		g.Prefixes = float64(after.PrefixHits-before.PrefixHits) / float64(runs)
+		result.PrefixHits = float64(after.PrefixHits-before.PrefixHits) / float64(runs)
 	}
 	if steps := after.Steps - before.Steps; steps > 0 {
-		g.Fullness = float64(after.StepTokens-before.StepTokens) / float64(steps*batch)
+		result.BatchFullness = float64(after.StepTokens-before.StepTokens) / float64(steps*batch)
 	}
-	g.Worst = 1
+	result.WorstClass = 1
 	for _, s := range classes {
-		g.Worst = min(g.Worst, s.part())
+		result.WorstClass = min(result.WorstClass, s.ratio())
 	}
-	g.Fair = jain(callers)
-	return g
+	result.Fairness = jainIndex(callers)
+	return result
 }
 
-// deadlines are the deadlines of the fleet's priority classes.
-var deadlines = map[string]time.Duration{
+// classDeadlines are the deadlines of the fleet's priority classes.
+var classDeadlines = map[string]time.Duration{
 	fleet.CounterClass: 20 * time.Second,
 	fleet.UrgentClass:  10 * time.Second,
 	fleet.NightClass:   time.Hour,
@@ -218,29 +218,29 @@
 // share counts requests and how many of them were answered in time.
 type share struct{ sent, inTime int }
 
-func (s share) part() float64 { return float64(s.inTime) / float64(s.sent) }
+func (s share) ratio() float64 { return float64(s.inTime) / float64(s.sent) }
 
-func count(m map[string]*share, name string, inTime bool) {
-	if m[name] == nil {
-		m[name] = &share{}
+func countRequest(shares map[string]*share, name string, inTime bool) {
+	if shares[name] == nil {
+		shares[name] = &share{}
 	}
-	m[name].sent++
+	shares[name].sent++
 	if inTime {
-		m[name].inTime++
+		shares[name].inTime++
 	}
 }
 
-// jain returns Jain's fairness index: 1 when all shares are equal.
-func jain(m map[string]*share) float64 {
+// jainIndex returns Jain's fairness index: 1 when all shares are equal.
+func jainIndex(shares map[string]*share) float64 {
 	sum, squares := 0.0, 0.0
-	for _, s := range m {
-		sum += s.part()
-		squares += s.part() * s.part()
+	for _, s := range shares {
+		sum += s.ratio()
+		squares += s.ratio() * s.ratio()
 	}
 	if squares == 0 {
 		return 0
 	}
-	return sum * sum / (float64(len(m)) * squares)
+	return sum * sum / (float64(len(shares)) * squares)
 }
 
 func meanMillis(list []time.Duration) float64 {
@@ -263,36 +263,36 @@
 
 // recovery returns how long after a popularity shift at half-time the mean stall of a two-second
 // window first comes within 10%, or 5 ms, of the mean before the shift.
-func recovery(ends []load.End, begun time.Time, whole time.Duration) time.Duration {
+func recovery(ends []load.End, start time.Time, duration time.Duration) time.Duration {
 	const window = 2 * time.Second
 	stallIn := func(from, to time.Duration) float64 {
 		var list []time.Duration
 		for _, e := range ends {
-			if at := e.Begun.Sub(begun); e.Whole && at >= from && at < to {
+			if at := e.Begun.Sub(start); e.Whole && at >= from && at < to {
 				list = append(list, e.Stall)
 			}
 		}
 		return meanMillis(list)
 	}
-	steady := stallIn(0, whole/2)
-	for at := whole / 2; at+window <= whole; at += time.Second {
+	steady := stallIn(0, duration/2)
+	for at := duration / 2; at+window <= duration; at += time.Second {
 		if stallIn(at, at+window) <= max(1.1*steady, steady+5) {
-			return at - whole/2
+			return at - duration/2
 		}
 	}
-	return whole / 2
+	return duration / 2
 }
 
-func printFigures(w io.Writer, list []Figures) {
-	if len(list) == 0 {
+func printResults(w io.Writer, results []PolicyResult) {
+	if len(results) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\n%s, %s\n", list[0].User, list[0].Workload)
+	fmt.Fprintf(w, "\n%s, %s\n", results[0].User, results[0].Workload)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policies\tsent\tin time\trefused\tthen served\tlost\tstall mean ms\tp95\tp99\tfullness\tprefixes\tloads\tworst class\tfair\trecovery s\t")
-	for _, g := range list {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d/%d\t%d\t%.1f\t%.0f\t%.0f\t%.3f\t%.2f\t%d\t%.2f\t%.3f\t%.0f\t\n", g.Policies, g.Sent, g.InTime, g.Refused, g.Honest, g.Back, g.Lost,
-			g.StallMean, g.StallP95, g.StallP99, g.Fullness, g.Prefixes, g.Loads, g.Worst, g.Fair, g.Recovery)
+	for _, result := range results {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d/%d\t%d\t%.1f\t%.0f\t%.0f\t%.3f\t%.2f\t%d\t%.2f\t%.3f\t%.0f\t\n", result.Policies, result.Sent, result.InTime, result.Refused, result.ServedThen, result.CameBack, result.Lost,
+			result.StallMean, result.StallP95, result.StallP99, result.BatchFullness, result.PrefixHits, result.Loads, result.WorstClass, result.Fairness, result.Recovery)
 	}
 	_ = t.Flush() // errors of standard output are ignored, as for fmt.Fprintf above
 }
