--- a/measure/blocked_output.go
+++ b/measure/blocked_output.go
@@ -63,7 +63,7 @@
 	lines, bytes atomic.Int64
 }
 
-// runTime reads until the pipe is closed.
+// run reads until the pipe is closed.
 func (r *gatedReader) run(from io.Reader) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -133,7 +133,7 @@
 	return printBlocked(w, reading, blocked)
 }
 
-// blockedRun holds the state of one run of Blocked.
+// blockedRun holds the state of one run of BlockedOutput.
 type blockedRun struct {
 	BlockedOutput
 
@@ -157,7 +157,7 @@
 	}
 }
 
-// enqueue sends one request: to a configured route if served is true, otherwise to a path
+// send sends one request: to a configured route if served is true, otherwise to a path
 // without a route, which is refused.
 func (u *blockedRun) send(ctx context.Context, served bool) (int, error) {
 	path := "/no-route/"
@@ -188,12 +188,12 @@
 	}
 	u.flood(ctx, s)
 	time.Sleep(logSettleTime)
-	lines, bytes, start := u.reader.lines.Load(), u.reader.bytes.Load(), time.Now()
+	lines, size, start := u.reader.lines.Load(), u.reader.bytes.Load(), time.Now()
 	u.sendSteady(ctx, s)
 	s.duration += time.Since(start)
 	time.Sleep(logSettleTime)
 	s.lines += u.reader.lines.Load() - lines
-	s.bytes += u.reader.bytes.Load() - bytes
+	s.bytes += u.reader.bytes.Load() - size
 	after, err := u.droppedLines(ctx)
 	s.dropped += after - before
 	return err
@@ -202,9 +202,9 @@
 // flood sends requests that are refused, each worker sending the next one as soon as the
 // previous one is answered.
 func (u *blockedRun) flood(ctx context.Context, s *blockedPhase) {
-	var workers sync.WaitGroup
+	var wg sync.WaitGroup
 	for range floodWorkers {
-		workers.Go(func() {
+		wg.Go(func() {
 			for range floodRequests / floodWorkers {
 				if status, err := u.send(ctx, false); err != nil || status != http.StatusNotFound {
 					s.unexpected.Add(1)
@@ -212,18 +212,18 @@
 			}
 		})
 	}
-	workers.Wait()
+	wg.Wait()
 }
 
 // sendSteady sends requests at the configured rate; every second one is refused.
 func (u *blockedRun) sendSteady(ctx context.Context, s *blockedPhase) {
-	var requests sync.WaitGroup
+	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range int(u.PhaseDuration.Seconds() * float64(u.Rate)) {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(u.Rate))))
-		requests.Go(func() { u.observe(ctx, s, i%2 == 0) })
+		wg.Go(func() { u.observe(ctx, s, i%2 == 0) })
 	}
-	requests.Wait()
+	wg.Wait()
 }
 
 func (u *blockedRun) observe(ctx context.Context, s *blockedPhase, served bool) {
@@ -249,14 +249,14 @@
 	v := struct {
 		LeftOut int64 `json:"edge_log_lines_left_out"`
 	}{}
-	return v.LeftOut, errors.Wrap(json.Unmarshal(raw, &v), "measure: metrics")
+	return v.LeftOut, errors.Wrap(json.Unmarshal(raw, &v), "measure: decode box metrics")
 }
 
 // printBlocked prints both kinds of phase and their ratios. It returns an error if any request
 // got an unexpected answer, or if no line was dropped, since the reader was then not blocked.
 func printBlocked(w io.Writer, reading, blocked *blockedPhase) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(t, "reader\trequests\tserved p50 ms\tp99 ms\trefused p50 ms\tp99 ms\tlines/s\tbytes/s\tleft out\t\n")
+	fmt.Fprint(t, "reader\trequests\tserved p50 ms\tp99 ms\trefused p50 ms\tp99 ms\tlines/s\tbytes/s\tdropped\t\n")
 	for _, s := range []*blockedPhase{reading, blocked} {
 		fmt.Fprintf(t, "%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.1f\t%.0f\t%d\t\n", s.name, s.served.Count()+s.refused.Count(),
 			millis(s.served.Quantile(50)), millis(s.served.Quantile(99)), millis(s.refused.Quantile(50)), millis(s.refused.Quantile(99)),
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -119,7 +119,7 @@
 
 const tokensPerRequest = 200
 
-// loadPlan returns a load on the first gateway, spread over eight adapters.
+// plan returns a load on the first gateway, spread over eight adapters.
 func (c Capacity) plan(f *fleet.Fleet, rate float64, tokens int) *load.Plan {
 	return &load.Plan{
 		Gateways: []string{f.CallersAddress(1, 1)},
@@ -294,7 +294,7 @@
 		}
 		fmt.Fprintln(w)
 	}
-	for _, line := range []string{"slope", "at zero", "residual"} {
+	for _, line := range []string{"slope", "intercept", "residual"} {
 		fmt.Fprintf(w, "| %s |", line)
 		for _, c := range columns {
 			fmt.Fprintf(w, " %.4g |", fit(s.points, list, c.value)[line])
@@ -314,5 +314,5 @@
 	for i := range x {
 		largest = max(largest, math.Abs(y[i]-intercept-slope*x[i]))
 	}
-	return map[string]float64{"slope": slope, "at zero": intercept, "residual": largest}
+	return map[string]float64{"slope": slope, "intercept": intercept, "residual": largest}
 }
--- a/measure/fault_injection.go
+++ b/measure/fault_injection.go
@@ -45,7 +45,7 @@
 // ErrBreach is returned by a run in which the system broke one of its guarantees.
 var ErrBreach = errors.New("measure: a guarantee was broken")
 
-// faultRun holds the state of one run of Storm.
+// faultRun holds the state of one run of FaultInjection.
 type faultRun struct {
 	FaultInjection
 
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -17,7 +17,7 @@
 	"github.com/pkg/errors"
 )
 
-// addViolation is one kind of failure at one place. Inject starts it and calm reverts it.
+// fault is one kind of failure at one place. Inject starts it and calm reverts it.
 type fault struct {
 	name   string
 	inject func(context.Context, int) error
@@ -38,11 +38,11 @@
 	case 3:
 		return r.freezeDaemon(c, b, member.Gateway)
 	case 4:
-		return r.linkFault("cut off "+fleet.CentreName(c)+" and "+fleet.CentreName(other), standin.Rule{Mode: standin.ModeHold}, fleet.CentreName(c), fleet.CentreName(other))
+		return r.linkFault("partition "+fleet.CentreName(c)+" and "+fleet.CentreName(other), standin.Rule{Mode: standin.ModeHold}, fleet.CentreName(c), fleet.CentreName(other))
 	case 5:
-		return r.linkFault("cut off the platform from "+fleet.CentreName(c), standin.Rule{Mode: standin.ModeHold}, fleet.CentreName(c), "platform")
+		return r.linkFault("partition the platform from "+fleet.CentreName(c), standin.Rule{Mode: standin.ModeHold}, fleet.CentreName(c), "platform")
 	case 6:
-		return r.linkFault(fmt.Sprintf("cut off box%d.%d from its boxes", c, b), standin.Rule{Mode: standin.ModeHold}, fmt.Sprintf("box%d.%d", c, b), fmt.Sprintf("boxes%d", c))
+		return r.linkFault(fmt.Sprintf("partition box%d.%d from the boxes of its data centre", c, b), standin.Rule{Mode: standin.ModeHold}, fmt.Sprintf("box%d.%d", c, b), fmt.Sprintf("boxes%d", c))
 	case 7:
 		return r.linkFault(fmt.Sprintf("break connections to engine%d.%d", c, e), standin.Rule{Mode: standin.ModePass, CutReply: 400}, "all", fmt.Sprintf("engine%d.%d", c, e))
 	case 8:
--- a/measure/offline_bound.go
+++ b/measure/offline_bound.go
@@ -52,11 +52,11 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "requests for adapters\t%d\n", len(requests))
 	fmt.Fprintf(w, "adapters\t%d\n", len(distinct))
-	fmt.Fprintf(w, "loads at least\t%d\n", minLoads(sequence, f.Slots, 0))
-	fmt.Fprintf(w, "loads begun, from the store\t%d\n", loads)
-	fmt.Fprintf(w, "requests that wait for a load at least\t%d\n", late)
+	fmt.Fprintf(w, "minimum loads\t%d\n", minLoads(sequence, f.Slots, 0))
+	fmt.Fprintf(w, "loads started from the store\t%d\n", loads)
+	fmt.Fprintf(w, "minimum requests that wait for a load\t%d\n", late)
 	fmt.Fprintf(w, "share that need not wait\t%.3f\n", 1-float64(late)/float64(len(requests)))
-	fmt.Fprintf(w, "refused for a load\t%d\n", refused)
+	fmt.Fprintf(w, "refused because not loaded\t%d\n", refused)
 	return errors.Wrap(w.Flush(), "measure")
 }
 
--- a/measure/offline_bound_test.go
+++ b/measure/offline_bound_test.go
@@ -28,7 +28,7 @@
 	var out strings.Builder
 	c.Assert(OfflineBound{Logs: []string{path}, Slots: 3, Rate: 1, Lead: time.Second}.Run(&out), quicktest.IsNil)
 	text := strings.Join(strings.Fields(out.String()), " ")
-	for _, want := range []string{"requests for adapters 4", "adapters 3", "loads at least 3", "from the store 1", "wait for a load at least 2", "refused for a load 1"} {
+	for _, want := range []string{"requests for adapters 4", "adapters 3", "minimum loads 3", "loads started from the store 1", "minimum requests that wait for a load 2", "refused because not loaded 1"} {
 		c.Assert(text, quicktest.Contains, want)
 	}
 }
--- a/measure/path.go
+++ b/measure/path.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%s: %.0f us of processor time a request, %.1f MB\n", role,
+		fmt.Fprintf(w, "%s: %.0f us of processor time per request, %.1f MB\n", role,
 			float64(u.CPU.Microseconds())/float64(requests), float64(u.Memory)/(1<<20))
 	}
 	return nil
@@ -103,20 +103,20 @@
 func (p Path) runPhase(ctx context.Context, s *pathVariant) {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: 30 * time.Second}
 	defer c.CloseIdleConnections()
-	var requests sync.WaitGroup
+	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range int(p.PhaseDuration.Seconds() * float64(p.Rate)) {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(p.Rate))))
-		requests.Go(func() {
+		wg.Go(func() {
 			if !s.send(ctx, c) {
 				s.lost.Add(1)
 			}
 		})
 	}
-	requests.Wait()
+	wg.Wait()
 }
 
-// enqueue sends one request, records its latency and reports whether it succeeded.
+// send sends one request, records its latency and reports whether it succeeded.
 func (s *pathVariant) send(ctx context.Context, c *http.Client) bool {
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":1,"prompt":"x"}`, s.model)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+"/v1/completions", bytes.NewReader([]byte(body)))
@@ -159,11 +159,11 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "path\trequests\tlost\tp50 ms\tp95 ms\tp99 ms\t\n")
 	for _, s := range []struct {
-		name string
-		side *pathVariant
+		name    string
+		variant *pathVariant
 	}{{"directly to the engine", direct}, {"through a bare proxy", viaProxy}, {"through cairnwick", viaCairnwick}} {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n", s.name, s.side.times.Count(), s.side.lost.Load(),
-			millis(s.side.times.Quantile(50)), millis(s.side.times.Quantile(95)), millis(s.side.times.Quantile(99)))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t\n", s.name, s.variant.times.Count(), s.variant.lost.Load(),
+			millis(s.variant.times.Quantile(50)), millis(s.variant.times.Quantile(95)), millis(s.variant.times.Quantile(99)))
 	}
 	added := func(s *pathVariant, q float64) float64 { return millis(s.times.Quantile(q) - direct.times.Quantile(q)) }
 	fmt.Fprintf(t, "added by a bare proxy\t\t\t%.2f\t%.2f\t%.2f\t\n", added(viaProxy, 50), added(viaProxy, 95), added(viaProxy, 99))
--- a/measure/placement_simulation.go
+++ b/measure/placement_simulation.go
@@ -138,7 +138,7 @@
 	return list
 }
 
-// zipf samples ranks whose probability is proportional to a power of the rank.
+// zipf samples ranks whose probability is proportional to a negative power of the rank.
 type zipf struct{ sums []float64 }
 
 func newZipf(n int, skew float64) zipf {
--- a/measure/policies.go
+++ b/measure/policies.go
@@ -29,12 +29,12 @@
 	Seed     uint64
 	User     string   // "" for both
 	Workload string   // "" for all
-	Only     []string // names of contenders; empty for all
+	Only     []string // names of policy sets; empty for all
 	Report   string   // path of the JSON report; "" for none
 	Plots    string   // directory for the plots; "" for none
 }
 
-// PolicyResult are the results of one run.
+// PolicyResult holds the results of one run.
 type PolicyResult struct {
 	User          string    `json:"user"`
 	Workload      string    `json:"workload"`
@@ -109,7 +109,7 @@
 	return os.WriteFile(p.Report, raw, 0o644)
 }
 
-// runOne runs one contender on one workload.
+// runOne runs one policy set on one workload.
 func (p Policies) runOne(ctx context.Context, u userProfile, l workload, set policySet) (PolicyResult, error) {
 	spec := u.spec
 	spec.Bin = p.Bin
--- a/measure/store_restores.go
+++ b/measure/store_restores.go
@@ -34,7 +34,7 @@
 	maxRepublishDelay  = 600                   // maximum milliseconds until a configuration missing from the backup is republished
 )
 
-// restoreRun holds the state of one run of Restores.
+// restoreRun holds the state of one run of StoreRestores.
 type restoreRun struct {
 	StoreRestores
 
@@ -110,7 +110,7 @@
 	return r.fleet.PublishEdgeConfig(ctx, version)
 }
 
-// platformMode sends a control request to the stand-in platform: "copy" takes a backup of the store, "restore" restores it.
+// control sends a control request to the stand-in platform: "copy" takes a backup of the store, "restore" restores it.
 func (r *restoreRun) control(ctx context.Context, command string) error {
 	if command == "copy" {
 		r.backupVersion = r.storeVersion
@@ -196,7 +196,7 @@
 	return r.control(ctx, "mode?mode=up")
 }
 
-// lostToKills kills a box, starts it again and waits until it has the configuration that its peers know.
+// killBox kills a box, starts it again and waits until it has the configuration that its peers know.
 func (r *restoreRun) killBox(ctx context.Context, b *watchedBox) error {
 	name := fleet.DaemonName(b.dataCentre, b.box, "edge")
 	r.steps = append(r.steps, "kill "+name)
@@ -269,7 +269,7 @@
 	return fmt.Sprintf("%s has configuration %d in force, want at least %d", fleet.DaemonName(b.dataCentre, b.box, "edge"), b.version, version)
 }
 
-// waitUntil waits until wrong returns an empty text. A text that it still returns after the limit is recorded as a fault.
+// waitUntil waits until check returns an empty message. A message still returned after the timeout is recorded as a violation.
 func (r *restoreRun) waitUntil(ctx context.Context, check func() string) error {
 	for start := time.Now(); ; {
 		message := check()
@@ -304,8 +304,8 @@
 	}
 }
 
-// poll reads which configuration a box has in force and records a fault if it is older than before. A box that does not
-// answer is skipped, and so is an answer across a restart, since a box starts anew without a configuration.
+// poll reads which configuration a box has in force and records a violation if it is older than before. A box that does not
+// answer is skipped, and so is an answer from before a restart, since a restarted box has no configuration yet.
 func (r *restoreRun) poll(ctx context.Context, b *watchedBox) {
 	r.mu.Lock()
 	down, starts := b.down, b.starts
@@ -344,8 +344,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(w, "seed=%d steps=%d restores=%d newest_configuration=%d\n", r.Seed, len(r.steps), r.restores, r.newestVersion)
-	for _, f := range r.violations {
-		fmt.Fprintln(w, f)
+	for _, v := range r.violations {
+		fmt.Fprintln(w, v)
 	}
 	if len(r.violations) > 0 {
 		return ErrBreach
