--- a/cmd/cairn-demo/keep.go
+++ b/cmd/cairn-demo/keep.go
@@ -13,8 +13,8 @@
 	"cairnwick.example/fleet"
 )
 
-// keep starts the system for the walk-through and keeps it running until interrupted.
-func keep(w io.Writer, bin string) error {
+// keepRunning starts the system for the walk-through and keeps it running until interrupted.
+func keepRunning(w io.Writer, bin string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return withFleet(ctx, bin, fleet.Walkthrough(), func(f *fleet.Fleet) error {
--- a/cmd/cairn-demo/main.go
+++ b/cmd/cairn-demo/main.go
@@ -21,9 +21,9 @@
 func main() {
 	var a arguments
 	arg.MustParse(&a)
-	run := show
+	run := runDemo
 	if a.Keep {
-		run = keep
+		run = keepRunning
 	}
 	if err := run(os.Stdout, a.Bin); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/cairn-demo/show.go
+++ b/cmd/cairn-demo/show.go
@@ -16,54 +16,54 @@
 
 const demoTimeout = 2 * time.Minute
 
-// show starts three data centres, sends requests and explains the routing of the last one.
-func show(w io.Writer, bin string) error {
+// runDemo starts three data centres, sends requests and explains the routing of the last one.
+func runDemo(w io.Writer, bin string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), demoTimeout)
 	defer cancel()
 	spec := fleet.Spec{Centres: 3, Boxes: 1, Engines: 2, Services: 1, Adapters: 100, Slots: 4, Batch: 8}
 	fmt.Fprintln(w, "Starting three data centres: a gateway, a scheduler and two engines in each, the platform and a plain service.")
 	return withFleet(ctx, bin, spec, func(f *fleet.Fleet) error {
-		last, err := askSome(ctx, w, f)
+		last, err := sendRequests(ctx, w, f)
 		if err != nil {
 			return err
 		}
-		return tell(ctx, w, f, last)
+		return printDecisions(ctx, w, f, last)
 	})
 }
 
-// askSome sends requests of several kinds and returns the id of the last one served.
-func askSome(ctx context.Context, w io.Writer, f *fleet.Fleet) (string, error) {
+// sendRequests sends requests of several kinds and returns the id of the last one served.
+func sendRequests(ctx context.Context, w io.Writer, f *fleet.Fleet) (string, error) {
 	var c fleet.Caller
 	adapter := fleet.AdapterName(7)
-	asks := []fleet.Ask{
+	requests := []fleet.Ask{
 		{Address: f.CallersAddress(1, 1), Model: adapter, Expect: adapter + "@2", Tokens: 4},
 		{Address: f.CallersAddress(2, 1), Model: adapter + "@1", Expect: adapter + "@1", Tokens: 4, Stream: true},
 		{Address: f.CallersAddress(3, 1), Model: "no-such-adapter", Tokens: 4},
 		{Address: f.CallersAddress(1, 1), Model: adapter + "@live", Expect: adapter + "@2", Tokens: 4, Stream: true},
 	}
-	request := ""
-	for _, a := range asks {
-		r, err := c.Do(ctx, a)
+	lastID := ""
+	for _, ask := range requests {
+		reply, err := c.Do(ctx, ask)
 		if err != nil {
 			return "", err
 		}
-		fmt.Fprintf(w, "\nrequest to %s for %s\n", a.Address, a.Model)
-		if r.Code != "" {
-			fmt.Fprintf(w, "refused with status %d: %s, %s\n", r.Status, r.Code, r.Ran)
+		fmt.Fprintf(w, "\nrequest to %s for %s\n", ask.Address, ask.Model)
+		if reply.Code != "" {
+			fmt.Fprintf(w, "refused with status %d: %s, %s\n", reply.Status, reply.Code, reply.Ran)
 			continue
 		}
-		if err := r.Check(a.Expect, a.Tokens); err != nil {
+		if err := reply.Check(ask.Expect, ask.Tokens); err != nil {
 			return "", err
 		}
-		request = r.Request
-		fmt.Fprintf(w, "served in %s by %s with %s: %s\n", r.Duration.Round(time.Millisecond),
-			r.Header.Get("Cairn-Endpoint"), r.Header.Get("Cairn-Model"), r.Text)
+		lastID = reply.Request
+		fmt.Fprintf(w, "served in %s by %s with %s: %s\n", reply.Duration.Round(time.Millisecond),
+			reply.Header.Get("Cairn-Endpoint"), reply.Header.Get("Cairn-Model"), reply.Text)
 	}
-	return request, nil
+	return lastID, nil
 }
 
-// tell prints the decisions that were made about one request.
-func tell(ctx context.Context, w io.Writer, f *fleet.Fleet, request string) error {
+// printDecisions prints the decisions that were made about one request.
+func printDecisions(ctx context.Context, w io.Writer, f *fleet.Fleet, request string) error {
 	fmt.Fprintf(w, "\nRouting of request %s:\n", request)
 	c, err := operator.New(&daemon.Identity{})
 	if err != nil {
--- a/cmd/cairnctl/command.go
+++ b/cmd/cairnctl/command.go
@@ -77,10 +77,10 @@
 		return exitUsage
 	}
 	if a.Story != nil {
-		return a.Story.tell(os.Stdin, out, errs)
+		return a.Story.execute(os.Stdin, out, errs)
 	}
-	chosen := a.chosen()
-	if chosen == nil || a.Daemons == "" {
+	selected := a.subcommand()
+	if selected == nil || a.Daemons == "" {
 		p.WriteUsage(errs)
 		fmt.Fprintln(errs, "give a command, and --daemons or CAIRN_DAEMONS")
 		return exitUsage
@@ -93,11 +93,11 @@
 		return exitUsage
 	}
 	defer c.Close()
-	return chosen.run(ctx, c, strings.Split(a.Daemons, ","), out, errs)
+	return selected.run(ctx, c, strings.Split(a.Daemons, ","), out, errs)
 }
 
-// chosen returns the subcommand that was given, or nil.
-func (a *arguments) chosen() command {
+// subcommand returns the subcommand that was given, or nil.
+func (a *arguments) subcommand() command {
 	switch {
 	case a.Status != nil:
 		return a.Status
@@ -117,12 +117,12 @@
 	return nil
 }
 
-// report prints the daemons that did not answer and returns the matching exit code.
-func report(errs io.Writer, silent []operator.Silence) int {
-	for _, s := range silent {
+// reportUnreachable prints the daemons that did not answer and returns the matching exit code.
+func reportUnreachable(errs io.Writer, unreachable []operator.Silence) int {
+	for _, s := range unreachable {
 		fmt.Fprintf(errs, "no answer from %s: %v\n", s.Address, s.Cause)
 	}
-	if len(silent) > 0 {
+	if len(unreachable) > 0 {
 		return exitUnreachable
 	}
 	return exitDone
--- a/cmd/cairnctl/confirm.go
+++ b/cmd/cairnctl/confirm.go
@@ -46,7 +46,7 @@
 		fmt.Fprintln(errs, err)
 		return exitRefused
 	}
-	heads, silent := c.Heads(ctx, addresses)
+	heads, unreachable := c.Heads(ctx, addresses)
 	for a, h := range heads {
 		if err := p.CheckBase(h.Revision(), h.Digest()); err != nil {
 			fmt.Fprintf(errs, "%s: %v\n", a, err)
@@ -54,7 +54,7 @@
 		}
 	}
 	if len(heads) == 0 {
-		return report(errs, silent)
+		return reportUnreachable(errs, unreachable)
 	}
 	files := map[string]string{kvstore.HeadKey: p.Head}
 	for digest, text := range p.Shards {
@@ -69,7 +69,7 @@
 		fmt.Fprintln(out, path)
 	}
 	fmt.Fprintln(out, "publish the shards first, then the head, each with its path as key; then run: cairnctl follow", q.Plan)
-	return report(errs, silent)
+	return reportUnreachable(errs, unreachable)
 }
 
 func writeDocument(path, text string) error {
@@ -92,24 +92,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, q.Limit)
 	defer cancel()
-	begun := time.Now()
-	behind, silent := c.Follow(ctx, addresses, head)
-	if len(behind) == 0 && len(silent) == 0 {
-		fmt.Fprintf(out, "revision %d is in force on %d daemons after %s\n", head.Revision(), len(addresses), time.Since(begun).Round(100*time.Millisecond))
+	start := time.Now()
+	behind, unreachable := c.Follow(ctx, addresses, head)
+	if len(behind) == 0 && len(unreachable) == 0 {
+		fmt.Fprintf(out, "revision %d is in force on %d daemons after %s\n", head.Revision(), len(addresses), time.Since(start).Round(100*time.Millisecond))
 		return exitDone
 	}
-	lost := 0
+	superseded := 0
 	for a, h := range behind {
 		fmt.Fprintf(errs, "%s has revision %d (%.12s)\n", a, h.Revision(), h.Digest())
 		if h.Revision() >= head.Revision() {
-			lost++
+			superseded++
 		}
 	}
-	if lost > 0 {
+	if superseded > 0 {
 		fmt.Fprintln(errs, "another configuration on the same base won; make a new plan")
 		return exitStale
 	}
-	if code := report(errs, silent); code != exitDone {
+	if code := reportUnreachable(errs, unreachable); code != exitDone {
 		return code
 	}
 	return exitBehind
--- a/cmd/cairnctl/explain.go
+++ b/cmd/cairnctl/explain.go
@@ -15,8 +15,8 @@
 }
 
 func (e *explainCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
-	found, silent := c.Explain(ctx, addresses, e.Request)
-	code := report(errs, silent)
+	found, unreachable := c.Explain(ctx, addresses, e.Request)
+	code := reportUnreachable(errs, unreachable)
 	if len(found) == 0 {
 		fmt.Fprintf(errs, "request %s not found on any daemon\n", e.Request)
 		return exitNotFound
--- a/cmd/cairnctl/plan.go
+++ b/cmd/cairnctl/plan.go
@@ -90,8 +90,8 @@
 }
 
 func (p *planCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
-	i := p.intent()
-	if i == nil {
+	intent := p.intent()
+	if intent == nil {
 		fmt.Fprintln(errs, "no intent given: use live, create, retire, priority, wait, drain, undrain or move")
 		return exitUsage
 	}
@@ -100,13 +100,13 @@
 		fmt.Fprintln(errs, err)
 		return exitUnreachable
 	}
-	status, silent := c.Status(ctx, addresses)
-	made, err := plan.Make(i, plan.Seen{Head: head, Shards: shards, Loaded: loaded(status), Rate: p.Rate, Now: time.Now()})
+	status, unreachable := c.Status(ctx, addresses)
+	result, err := plan.Make(intent, plan.Seen{Head: head, Shards: shards, Loaded: loadedAdapters(status), Rate: p.Rate, Now: time.Now()})
 	if err != nil {
 		fmt.Fprintln(errs, err)
 		return exitRefused
 	}
-	raw, err := json.MarshalIndent(made, "", "  ")
+	raw, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
 		fmt.Fprintln(errs, err)
 		return exitFailed
@@ -120,13 +120,13 @@
 	if p.JSON {
 		fmt.Fprintf(out, "%s\n", raw)
 	} else {
-		made.Print(out)
+		result.Print(out)
 	}
-	return report(errs, silent)
+	return reportUnreachable(errs, unreachable)
 }
 
-// loaded returns the adapters held by each endpoint, as reported by its owner.
-func loaded(status []*wire.StatusReply) map[string][]string {
+// loadedAdapters returns the adapters held by each endpoint, as reported by its owner.
+func loadedAdapters(status []*wire.StatusReply) map[string][]string {
 	at := make(map[string][]string)
 	for _, a := range status {
 		for _, e := range a.GetEndpoints() {
--- a/cmd/cairnctl/story.go
+++ b/cmd/cairnctl/story.go
@@ -21,26 +21,26 @@
 	Files   []string `arg:"positional" help:"logs of one or more boxes; default or -: standard input"`
 }
 
-// tell reads the logs and prints the events of one request, or the counts of failures.
-func (s *storyCommand) tell(in io.Reader, out, errs io.Writer) int {
-	from, to, err := s.span()
+// execute reads the logs and prints the events of one request, or the counts of failures.
+func (s *storyCommand) execute(in io.Reader, out, errs io.Writer) int {
+	from, to, err := s.timeRange()
 	if err != nil {
 		fmt.Fprintln(errs, err)
 		return exitUsage
 	}
-	var g logging.Log
-	if err := s.read(&g, in); err != nil {
+	var log logging.Log
+	if err := s.read(&log, in); err != nil {
 		fmt.Fprintln(errs, err)
 		return exitFailed
 	}
 	found := 0
 	if s.Request != "" {
-		found = tellRequest(out, g.Lines(), s.Request)
+		found = printRequest(out, log.Lines(), s.Request)
 	} else {
-		found = countFailures(out, g.Lines(), from, to)
+		found = countFailures(out, log.Lines(), from, to)
 	}
-	if g.Foreign()+g.Doubled() > 0 {
-		fmt.Fprintf(errs, "skipped: %d foreign or truncated lines, %d duplicates\n", g.Foreign(), g.Doubled())
+	if log.Foreign()+log.Doubled() > 0 {
+		fmt.Fprintf(errs, "skipped: %d foreign or truncated lines, %d duplicates\n", log.Foreign(), log.Doubled())
 	}
 	if found == 0 {
 		fmt.Fprintln(errs, "no matching lines in these logs")
@@ -49,8 +49,8 @@
 	return exitDone
 }
 
-// span parses From and To.
-func (s *storyCommand) span() (from, to time.Time, err error) {
+// timeRange parses From and To.
+func (s *storyCommand) timeRange() (from, to time.Time, err error) {
 	from, to = time.Time{}, time.Unix(1<<40, 0)
 	if s.From != "" {
 		if from, err = time.Parse(time.RFC3339Nano, s.From); err != nil {
@@ -65,54 +65,54 @@
 	return from, to, nil
 }
 
-func (s *storyCommand) read(g *logging.Log, in io.Reader) error {
+func (s *storyCommand) read(log *logging.Log, in io.Reader) error {
 	if len(s.Files) == 0 {
-		return g.Read(in)
+		return log.Read(in)
 	}
 	for _, name := range s.Files {
-		if err := readFile(g, name, in); err != nil {
+		if err := readFile(log, name, in); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func readFile(g *logging.Log, name string, in io.Reader) error {
+func readFile(log *logging.Log, name string, in io.Reader) error {
 	if name == "-" {
-		return g.Read(in)
+		return log.Read(in)
 	}
 	f, err := os.Open(name)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	return g.Read(f)
+	return log.Read(f)
 }
 
 // failedMessage is the log message of a request that was not answered by an endpoint.
 const failedMessage = "Request failed"
 
-// failure is a reason and cause of failed requests.
-type failure struct{ reason, cause string }
+// failureCause is a reason and cause of failed requests.
+type failureCause struct{ reason, cause string }
 
 // countFailures prints the causes of failed requests between from and to, most frequent first,
 // each with the id of one such request. It returns the number of causes.
 func countFailures(out io.Writer, lines []logging.Line, from, to time.Time) int {
-	counts := make(map[failure]int)
-	example := make(map[failure]string)
+	counts := make(map[failureCause]int)
+	example := make(map[failureCause]string)
 	for _, l := range lines {
 		if l.Message() != failedMessage || l.Time().Before(from) || l.Time().After(to) {
 			continue
 		}
-		f := failure{reason: l.Text("reason"), cause: l.Text("cause")}
+		f := failureCause{reason: l.Text("reason"), cause: l.Text("cause")}
 		counts[f]++
 		example[f] = l.Text("request")
 	}
-	var causes []failure
+	var causes []failureCause
 	for f := range counts {
 		causes = append(causes, f)
 	}
-	slices.SortFunc(causes, func(a, b failure) int {
+	slices.SortFunc(causes, func(a, b failureCause) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a.reason, b.reason), cmp.Compare(a.cause, b.cause))
 	})
 	for _, f := range causes {
--- a/cmd/cairnctl/story_test.go
+++ b/cmd/cairnctl/story_test.go
@@ -18,10 +18,10 @@
 not a line of ours
 `
 
-func TestAStoryTellsTheRequestAndWhatChangedAboutIt(t *testing.T) {
+func TestStoryIncludesRequestAndRelatedChanges(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
-	code := (&storyCommand{Request: "r1"}).tell(strings.NewReader(storyLog), &out, &errs)
+	code := (&storyCommand{Request: "r1"}).execute(strings.NewReader(storyLog), &out, &errs)
 	c.Assert(code, quicktest.Equals, exitDone)
 	c.Assert(out.String(), quicktest.Contains, "Load begins")
 	c.Assert(out.String(), quicktest.Contains, "> 10:00:00.200 Request failed")
@@ -32,36 +32,36 @@
 func TestFailuresAreCountedByCause(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
-	code := (&storyCommand{From: "2026-05-01T10:00:00.25Z"}).tell(strings.NewReader(storyLog), &out, &errs)
+	code := (&storyCommand{From: "2026-05-01T10:00:00.25Z"}).execute(strings.NewReader(storyLog), &out, &errs)
 	c.Assert(code, quicktest.Equals, exitDone)
 	c.Assert(out.String(), quicktest.Contains, "answer_cut")
 	c.Assert(out.String(), quicktest.Not(quicktest.Contains), "adapter_not_loaded")
 }
 
-func TestAStoryThatIsNotThereIsSaidSo(t *testing.T) {
+func TestStoryOfUnknownRequestIsNotFound(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
-	c.Assert((&storyCommand{Request: "r9"}).tell(strings.NewReader(storyLog), &out, &errs), quicktest.Equals, exitNotFound)
-	c.Assert((&storyCommand{From: "noon"}).tell(strings.NewReader(storyLog), &out, &errs), quicktest.Equals, exitUsage)
+	c.Assert((&storyCommand{Request: "r9"}).execute(strings.NewReader(storyLog), &out, &errs), quicktest.Equals, exitNotFound)
+	c.Assert((&storyCommand{From: "noon"}).execute(strings.NewReader(storyLog), &out, &errs), quicktest.Equals, exitUsage)
 }
 
 // Duplicate files, truncated lines and output of other programs must not change a story, and must
 // be reported.
-func TestWhatIsPassedOverIsCountedAndChangesNothing(t *testing.T) {
+func TestSkippedLinesAreCountedAndChangeNothing(t *testing.T) {
 	c := quicktest.New(t)
 	var clean, out, errs bytes.Buffer
 	whole, _, _ := strings.Cut(storyLog, "not a line")
-	c.Assert((&storyCommand{Request: "r1"}).tell(strings.NewReader(whole), &clean, &errs), quicktest.Equals, exitDone)
+	c.Assert((&storyCommand{Request: "r1"}).execute(strings.NewReader(whole), &clean, &errs), quicktest.Equals, exitDone)
 	c.Assert(errs.String(), quicktest.Equals, "")
 	dirty := "panic: not ours\n" + whole + whole[:60] + "\n{\"time\":\"noon\",\"msg\":\"x\"}\n" + whole + whole[:40]
-	c.Assert((&storyCommand{Request: "r1"}).tell(strings.NewReader(dirty), &out, &errs), quicktest.Equals, exitDone)
+	c.Assert((&storyCommand{Request: "r1"}).execute(strings.NewReader(dirty), &out, &errs), quicktest.Equals, exitDone)
 	c.Assert(out.String(), quicktest.Equals, clean.String())
 	c.Assert(errs.String(), quicktest.Equals, "skipped: 4 foreign or truncated lines, 5 duplicates\n")
 }
 
-func TestAFileThatCanNotBeReadIsNamed(t *testing.T) {
+func TestUnreadableFileIsNamed(t *testing.T) {
 	c := quicktest.New(t)
 	var out, errs bytes.Buffer
-	c.Assert((&storyCommand{Request: "r1", Files: []string{"none.log"}}).tell(nil, &out, &errs), quicktest.Equals, exitFailed)
+	c.Assert((&storyCommand{Request: "r1", Files: []string{"none.log"}}).execute(nil, &out, &errs), quicktest.Equals, exitFailed)
 	c.Assert(errs.String(), quicktest.Contains, "none.log")
 }
--- a/cmd/cairnctl/watch.go
+++ b/cmd/cairnctl/watch.go
@@ -29,21 +29,21 @@
 		}
 		filter.Reason = wire.Reason(r)
 	}
-	seen := make(chan *wire.Decision, 256)
+	decisions := make(chan *wire.Decision, 256)
 	ended := make(chan error, len(addresses))
 	for _, a := range addresses {
 		go func() {
-			ended <- c.Watch(ctx, a, filter, func(d *wire.Decision) { seen <- d })
+			ended <- c.Watch(ctx, a, filter, func(d *wire.Decision) { decisions <- d })
 		}()
 	}
-	left := len(addresses)
-	for left > 0 {
+	active := len(addresses)
+	for active > 0 {
 		select {
-		case d := <-seen:
+		case d := <-decisions:
 			at := time.UnixMicro(d.GetUnixMicros()).Format("15:04:05.000")
 			fmt.Fprintf(out, "%s %s %s %s %s %s %s %s\n", at, d.GetBox(), d.GetStep(), d.GetRequest(), d.GetAdapter(), d.GetEndpoint(), d.GetReason(), d.GetDetail())
 		case err := <-ended:
-			left--
+			active--
 			if ctx.Err() == nil {
 				fmt.Fprintln(errs, "watch of a daemon ended:", err)
 			}
--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -17,7 +17,7 @@
 	"github.com/alexflint/go-arg"
 )
 
-type command struct {
+type arguments struct {
 	Debug   bool `arg:"--debug" help:"log every step"`
 	Profile bool `arg:"--profile" help:"serve profiles of the process on the metrics address, under /debug/pprof/"`
 }
@@ -27,38 +27,38 @@
 func run() int {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP) // before anything else: without a handler SIGHUP ends the process
-	var c command
-	arg.MustParse(&c)
-	s, store, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
+	var args arguments
+	arg.MustParse(&args)
+	settings, store, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitSettings
 	}
-	lines := logging.NewBounded(os.Stdout)
-	lines.Box = s.Box
-	log := logging.New(lines, s.Box, s.DataCentre, "edge", c.Debug)
-	flush := write(lines)
+	output := logging.NewBounded(os.Stdout)
+	output.Box = settings.Box
+	log := logging.New(output, settings.Box, settings.DataCentre, "edge", args.Debug)
+	flush := startLogWriter(output)
 	defer flush()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	control := platform.NewControl()
-	n := &edge.Node{
-		Settings: s,
+	node := &edge.Node{
+		Settings: settings,
 		Source:   platform.NewStore(store),
 		Decoder:  platform.Decoder{},
 		Protocol: platform.Protocol{},
 		Control:  control,
 		Log:      log,
-		Lines:    lines,
-		Profile:  c.Profile,
+		Lines:    output,
+		Profile:  args.Profile,
 	}
-	control.Notice = n.HandleNotice
+	control.Notice = node.HandleNotice
 	reloaded := make(chan struct{})
 	go func() {
-		reload(ctx, n, hangups)
+		reloadOnHangup(ctx, node, hangups)
 		close(reloaded)
 	}()
-	err = n.Run(ctx)
+	err = node.Run(ctx)
 	stop()
 	<-reloaded
 	if err != nil {
@@ -68,8 +68,8 @@
 	return daemon.ExitDone
 }
 
-// write starts writing queued log lines. The function that it returns flushes the queue and stops.
-func write(lines *logging.Bounded) func() {
+// startLogWriter starts writing queued log lines. The function that it returns flushes the queue and stops.
+func startLogWriter(lines *logging.Bounded) func() {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- lines.Run(ctx) }()
@@ -81,20 +81,20 @@
 	}
 }
 
-// reload reads the settings again on each SIGHUP, until ctx ends. Settings that cannot be read
+// reloadOnHangup reads the settings again on each SIGHUP, until ctx ends. Settings that cannot be read
 // change nothing.
-func reload(ctx context.Context, n *edge.Node, hangups <-chan os.Signal) {
+func reloadOnHangup(ctx context.Context, node *edge.Node, hangups <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		}
-		s, _, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
+		settings, _, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
 		if err != nil {
-			n.Log.Error(err, "Failed to reload settings; keeping the current ones")
+			node.Log.Error(err, "Failed to reload settings; keeping the current ones")
 			continue
 		}
-		n.Reload(s)
+		node.Reload(settings)
 	}
 }
--- a/cmd/standin-engine/main.go
+++ b/cmd/standin-engine/main.go
@@ -32,8 +32,8 @@
 	LeavingGrace time.Duration `arg:"--leaving-grace" default:"5s" help:"new requests this long after leaving count as breaches"`
 }
 
-// endedUnder is the exit code of an engine that exited because of a request (--ends-under).
-const endedUnder = 3
+// exitOnRequest is the exit code of an engine that exited because of a request (--ends-under).
+const exitOnRequest = 3
 
 func main() {
 	var a arguments
@@ -58,7 +58,7 @@
 	e.Other = platformtest.EndpointHandler(e)
 	h := e.Handler()
 	if a.EndsUnder != "" {
-		h = standin.Fragile(h, a.EndsUnder, func() { os.Exit(endedUnder) })
+		h = standin.Fragile(h, a.EndsUnder, func() { os.Exit(exitOnRequest) })
 	}
 	os.Exit(standin.Main(a.Listen, h, e.Run))
 }
