--- a/cmd/cairnctl/request_timeline.go
+++ b/cmd/cairnctl/request_timeline.go
@@ -12,8 +12,8 @@
 	"cairnwick.example/logging"
 )
 
-// contextWindow is the context window: all related lines within this time before and after the
-// request's own lines are printed. Outside the window, only the nearest line of each kind is.
+// contextWindow limits the context of a request: related lines within this time before and after its
+// own lines are all printed. Outside the window, only the nearest line of each kind is.
 const contextWindow = 2 * time.Second
 
 // requestTimeline collects what the logs of several boxes say about one request.
--- a/cmd/cairnctl/request_timeline_test.go
+++ b/cmd/cairnctl/request_timeline_test.go
@@ -74,9 +74,9 @@
 	c.Assert(story, quicktest.Contains, `source_age={"told_ms":1100}`)
 	c.Assert(story, quicktest.Contains, "Source does not answer")
 	c.Assert(story, quicktest.Contains, "Source answers again")
-	c.Assert(story, quicktest.Contains, "Log lines were left out  box=b7")  // of any box, since it may have been the leader
-	c.Assert(story, quicktest.Not(quicktest.Contains), "by itself  box=b2") // state of another box
-	c.Assert(strings.Count(story, "Attempt failed"), quicktest.Equals, 1)   // lines of other requests are left out
+	c.Assert(story, quicktest.Contains, "Log lines were left out  box=b7")    // of any box, since it may have been the leader
+	c.Assert(story, quicktest.Not(quicktest.Contains), "not current  box=b2") // state of another box
+	c.Assert(strings.Count(story, "Attempt failed"), quicktest.Equals, 1)     // lines of other requests are left out
 }
 
 // Guards against repeated lines: every box logs the removal of an endpoint when it learns of it,
