--- a/measure/load_bound_test.go
+++ b/measure/load_bound_test.go
@@ -13,10 +13,10 @@
 
 func TestMinLoads(t *testing.T) {
 	c := quicktest.New(t)
-	asked := strings.Split("a b c a b d a b c", " ")
-	c.Assert(minLoads(asked, 9, 0), quicktest.Equals, 4)
-	c.Assert(minLoads(asked, 3, 0), quicktest.Equals, 5)
-	c.Assert(minLoads(asked, 9, 3), quicktest.Equals, 1)
+	requested := strings.Split("a b c a b d a b c", " ")
+	c.Assert(minLoads(requested, 9, 0), quicktest.Equals, 4)
+	c.Assert(minLoads(requested, 3, 0), quicktest.Equals, 5)
+	c.Assert(minLoads(requested, 9, 3), quicktest.Equals, 1)
 }
 
 func TestStallBoundCountsEachLoadOnce(t *testing.T) {
--- a/measure/placement_simulation_run.go
+++ b/measure/placement_simulation_run.go
@@ -26,7 +26,7 @@
 }
 
 // dispatch sends a request to the least busy endpoint that holds its adapter. If there is none, it
-// adds the request to a waiting load of the adapter or asks for a new one.
+// adds the request to a waiting load of the adapter or creates a new one.
 func (s *simulation) dispatch(q *simRequest) {
 	var holder *simEndpoint
 	for _, e := range s.endpoints {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// reassign reassigns a waiting load if the policy now prefers another endpoint.
+// reassign moves a waiting load to another endpoint if the policy now prefers that.
 func (s *simulation) reassign(w *pendingLoad) {
 	to := s.choose(s, w.adapter)
 	if to == w.endpoint {
--- a/measure/policies.go
+++ b/measure/policies.go
@@ -176,7 +176,7 @@
 	}
 }
 
-// summarise summarises a run.
+// summarise computes the results of a run from the load report and the stand-ins' counters.
 func summarise(report load.Report, before, after standin.Counts, batch int) PolicyResult {
 	result := PolicyResult{Sent: report.Sent, Refused: report.NotRun, CameBack: report.Back, ServedThen: report.Honest, Lost: report.Unknown + report.Broken + report.Wrong, Loads: after.Loads - before.Loads}
 	var stalls []time.Duration
