--- a/cmd/cairnctl/watch.go
+++ b/cmd/cairnctl/watch.go
@@ -13,10 +13,10 @@
 )
 
 type watchCommand struct {
-	Class    string `arg:"--class" help:"only this class"`
-	Adapter  string `arg:"--adapter" help:"only this adapter@version"`
-	Endpoint string `arg:"--endpoint" help:"only this endpoint"`
-	Reason   string `arg:"--reason" help:"only this reason, such as AFTER_LOAD"`
+	Class    string `arg:"--class" help:"show only this class"`
+	Adapter  string `arg:"--adapter" help:"show only this adapter@version"`
+	Endpoint string `arg:"--endpoint" help:"show only this endpoint"`
+	Reason   string `arg:"--reason" help:"show only this reason, such as AFTER_LOAD"`
 }
 
 func (q *watchCommand) run(ctx context.Context, c *operator.Client, addresses []string, out, errs io.Writer) int {
@@ -24,28 +24,28 @@
 	if q.Reason != "" {
 		r, ok := wire.Reason_value["REASON_"+q.Reason]
 		if !ok {
-			fmt.Fprintf(errs, "--reason %s: no such reason\n", q.Reason)
+			fmt.Fprintf(errs, "--reason %s: unknown reason\n", q.Reason)
 			return exitUsage
 		}
 		filter.Reason = wire.Reason(r)
 	}
-	seen := make(chan *wire.Decision, 256)
+	decisions := make(chan *wire.Decision, 256)
 	ended := make(chan error, len(addresses))
 	for _, a := range addresses {
 		go func() {
-			ended <- c.Watch(ctx, a, filter, func(d *wire.Decision) { seen <- d })
+			ended <- c.Watch(ctx, a, filter, func(d *wire.Decision) { decisions <- d })
 		}()
 	}
-	left := len(addresses)
-	for left > 0 {
+	active := len(addresses)
+	for active > 0 {
 		select {
-		case d := <-seen:
+		case d := <-decisions:
 			at := time.UnixMicro(d.GetUnixMicros()).Format("15:04:05.000")
 			fmt.Fprintf(out, "%s %s %s %s %s %s %s %s\n", at, d.GetBox(), d.GetStep(), d.GetRequest(), d.GetAdapter(), d.GetEndpoint(), d.GetReason(), d.GetDetail())
 		case err := <-ended:
-			left--
+			active--
 			if ctx.Err() == nil {
-				fmt.Fprintln(errs, "a daemon ended the watch:", err)
+				fmt.Fprintln(errs, "watch of a daemon ended:", err)
 			}
 		}
 	}
