--- a/fleet/identity.go
+++ b/fleet/identity.go
@@ -36,16 +36,16 @@
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "fleet: authority")
+		return nil, errors.Wrap(err, "fleet: generate CA key")
 	}
 	t := certificateTemplate("authority")
 	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
 	raw, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
 	if err != nil {
-		return nil, errors.Wrap(err, "fleet: authority")
+		return nil, errors.Wrap(err, "fleet: create CA certificate")
 	}
 	c, err := x509.ParseCertificate(raw)
-	return &Authority{certificate: c, key: key}, errors.Wrap(err, "fleet: authority")
+	return &Authority{certificate: c, key: key}, errors.Wrap(err, "fleet: parse CA certificate")
 }
 
 func certificateTemplate(name string) *x509.Certificate {
@@ -68,15 +68,15 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return i, errors.Wrap(err, "fleet: identity")
+		return i, errors.Wrap(err, "fleet: generate key")
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, certificateTemplate(name), a.certificate, key.Public(), a.key)
 	if err != nil {
-		return i, errors.Wrap(err, "fleet: identity")
+		return i, errors.Wrap(err, "fleet: create certificate")
 	}
 	secret, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return i, errors.Wrap(err, "fleet: identity")
+		return i, errors.Wrap(err, "fleet: encode key")
 	}
 	for _, f := range []struct {
 		path string
@@ -85,7 +85,7 @@
 	}{{i.Certificate, "CERTIFICATE", raw}, {i.Key, "EC PRIVATE KEY", secret}, {i.Authority, "CERTIFICATE", a.certificate.Raw}} {
 		text := pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.raw})
 		if err := os.WriteFile(f.path, text, 0o600); err != nil {
-			return i, errors.Wrap(err, "fleet: identity")
+			return i, errors.Wrap(err, "fleet: write identity file")
 		}
 	}
 	return i, nil
