--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -7,28 +7,29 @@
 	"cairnwick.example/policy"
 )
 
-// ownerOf returns the scheduler that should own an endpoint: the one that a hint
-// names, when it serves, else the first in rendezvous order.
-func (g *Gateway) ownerOf(endpoint, centre, hint string) (member.Member, bool) {
-	list := g.schedulersOf(centre)
+// ownerOf returns the scheduler that is expected to own an endpoint: the one that hint names, if it
+// is serving, else the first by rendezvous hashing.
+func (g *Gateway) ownerOf(endpoint, dataCentre, hint string) (member.Member, bool) {
+	list := g.schedulersOf(dataCentre)
 	for _, m := range list {
 		if m.Name() == hint {
 			return m, true
 		}
 	}
-	return pick(endpoint, list)
+	return selectMember(endpoint, list)
 }
 
-// schedulersOf returns the serving schedulers of a data centre: by heartbeats
-// in the own one, by the platform's list elsewhere.
-func (g *Gateway) schedulersOf(centre string) []member.Member {
-	if centre == g.Centre {
+// schedulersOf returns the schedulers that serve in a data centre: from heartbeats for this gateway's
+// own, from the platform's list for others.
+func (g *Gateway) schedulersOf(dataCentre string) []member.Member {
+	if dataCentre == g.DataCentre {
 		return g.Members.Serving(member.Scheduler)
 	}
-	return g.Remote.Schedulers(centre)
+	return g.Directory.Schedulers(dataCentre)
 }
 
-func pick(key string, list []member.Member) (member.Member, bool) {
+// selectMember selects the member for a key by rendezvous hashing; false if the list is empty.
+func selectMember(key string, list []member.Member) (member.Member, bool) {
 	names := make([]string, len(list))
 	for i, m := range list {
 		names[i] = m.Name()
