--- a/daemon/boxes.go
+++ b/daemon/boxes.go
@@ -66,7 +66,7 @@
 	return b.list
 }
 
-// Schedulers implements gateway.Remote.
+// Schedulers implements gateway.Directory.
 func (b *BoxList) Schedulers(dataCentre string) []member.Member {
 	var list []member.Member
 	for _, entry := range b.List() {
--- a/daemon/join.go
+++ b/daemon/join.go
@@ -48,7 +48,7 @@
 	for {
 		changed := n.Table.Changed()
 		stable := time.After(interval + interval/stableMarginDivisor)
-		if len(n.Table.All()) == 1 {
+		if len(n.Table.Members()) == 1 {
 			stable = nil // no peer has answered yet
 		}
 		select {
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -51,7 +51,7 @@
 	values     settings.Values
 	box        string
 	dataCentre string
-	loop       *member.Loop
+	loop       *member.HeartbeatLoop
 	syncer     *keeper.Syncer
 	traffic    *Traffic
 	tasks      []Task
@@ -82,10 +82,10 @@
 	}
 	n.BoxList = &BoxList{Client: client, RefreshInterval: n.boxListInterval}
 	self := member.New(n.Name(), n.advertisedAddress(), role, n.dataCentre, uint64(time.Now().UnixMicro()))
-	n.Table = member.NewTable(self, member.Limits{
-		SuspectFor: v.Duration(SuspectFor),
-		ForgetDead: forgetDead,
-		Fresh:      v.Duration(FreshFor),
+	n.Table = member.NewTable(self, member.TableOptions{
+		SuspectTimeout: v.Duration(SuspectFor),
+		DeadRetention:  deadRetention,
+		FreshFor:       v.Duration(FreshFor),
 	})
 	n.Keeper = keeper.New(v.Duration(Settle), n.Log)
 	n.syncer = n.newSyncer(client)
@@ -105,7 +105,7 @@
 }
 
 const (
-	forgetDead            = 10 * time.Minute // until then, delayed news cannot bring a dead member back
+	deadRetention         = 10 * time.Minute // until then, delayed news cannot bring a dead member back
 	boxListRefresh        = 5 * time.Minute  // of the list of boxes by a daemon that is not a watcher
 	watcherBoxListRefresh = 30 * time.Second // of the list of boxes by a watcher
 	headWatchTimeout      = 30 * time.Second // longest blocking query for a new head
@@ -137,7 +137,7 @@
 		Keeper:           n.Keeper,
 		Platform:         client,
 		Peers:            n.Dialer.Source,
-		TriggerHeartbeat: func() { n.loop.Nudge() },
+		TriggerHeartbeat: func() { n.loop.NotifyNeighbours() },
 		IsWatcher:        n.isWatcher,
 		Log:              n.Log,
 		WatchTimeout:     headWatchTimeout,
@@ -160,20 +160,20 @@
 	return boxListRefresh
 }
 
-func (n *Node) newLoop() *member.Loop {
+func (n *Node) newLoop() *member.HeartbeatLoop {
 	v := n.values
-	return &member.Loop{
-		Table:      n.Table,
-		Dial:       n.Dialer.Peer,
-		Seeds:      n.seeds,
-		Remote:     n.remotes,
-		Bridges:    func() bool { return !n.ready.Load() || n.isWatcher() },
-		Extras:     n.syncer,
-		Log:        n.Log,
-		Interval:   v.Duration(Heartbeat),
-		Timeout:    v.Duration(HeartbeatTimeout),
-		PauseLimit: v.Duration(PauseLimit),
-		Neighbours: v.Count(Neighbours),
+	return &member.HeartbeatLoop{
+		Table:          n.Table,
+		Dial:           n.Dialer.Peer,
+		Seeds:          n.seeds,
+		RemotePeers:    n.remotes,
+		IsBridge:       func() bool { return !n.ready.Load() || n.isWatcher() },
+		Payload:        n.syncer,
+		Log:            n.Log,
+		Interval:       v.Duration(Heartbeat),
+		Timeout:        v.Duration(HeartbeatTimeout),
+		PauseLimit:     v.Duration(PauseLimit),
+		NeighbourCount: v.Count(Neighbours),
 		OnPause: func(gap time.Duration) {
 			if n.OnPause != nil {
 				n.OnPause(gap)
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -22,7 +22,7 @@
 // clock and nothing waits.
 
 // modelTick is the step of model time, within which each stream sends at least one message.
-const modelTick = share.BeatPause
+const modelTick = share.HeartbeatInterval
 
 // errModelSource is the error of a call that the source does not answer.
 var errModelSource = errors.New("source does not respond")
@@ -60,7 +60,7 @@
 type modelMessage struct {
 	items   []*wire.Item
 	reading bool
-	status  share.Status
+	status  share.ReadStatus
 	sent    time.Time
 	transit time.Duration
 }
@@ -148,7 +148,7 @@
 	n := &Node{Decoder: plainDecoder{}}
 	n.listedRevision.Store(b.listed)
 	r.epoch, r.confirmAfter, r.confirmEpoch = b.epoch, shifted(b.confirmAfter, by), b.confirmEpoch
-	t.Outlives = n.outlives
+	t.ResolveRollback = n.outlives
 	r.historyLost = b.needsList
 	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: shifted(b.known.asOf, by)})
 	r.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
@@ -182,7 +182,7 @@
 // store saves the state of box i after an event.
 func (s *modelState) store(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
-	b.items, _, _ = l.table.Since(0)
+	b.items, _, _ = l.table.ItemsSince(0)
 	r := l.reader
 	b.after, b.asOf, b.failing = r.after, shifted(r.asOf, -by), r.failing
 	b.graceUntil, b.relistPending, b.deferring = shifted(r.graceUntil, -by), r.relistPending, r.deferring
@@ -208,7 +208,7 @@
 		if w.parents[i] < 0 || l.down {
 			continue
 		}
-		if n.now.Sub(l.received) >= share.SilentAfter {
+		if n.now.Sub(l.received) >= share.IdleTimeout {
 			*l = modelLink{down: true}
 			continue
 		}
@@ -226,7 +226,7 @@
 	m := modelMessage{sent: n.now}
 	m.status, m.reading = b.node.status()
 	m.transit = w.transitTime(n, p, b)
-	items, _, _ := b.table.Since(0)
+	items, _, _ := b.table.ItemsSince(0)
 	l := &n.links[i]
 	m.items = slices.Clone(items[len(items)-min(l.unsent, len(items)):])
 	l.unsent = 0
--- a/edge/restore.go
+++ b/edge/restore.go
@@ -17,7 +17,7 @@
 // revisionOf returns the revision of a fact of the source.
 func revisionOf(i *wire.Item) Revision { return Revision(i.GetVersion()) }
 
-// outlives implements share.Table.Outlives.
+// outlives implements share.Table.ResolveRollback.
 func (n *Node) outlives(older, newer *wire.Item, read bool) (uint64, bool) {
 	a, b := revisionOf(older), revisionOf(newer)
 	kind := n.Decoder.Kind(older.GetKey())
@@ -130,7 +130,7 @@
 	if r.collection != Endpoints {
 		return false
 	}
-	return r.table.Any(func(i *wire.Item) bool {
+	return r.table.Contains(func(i *wire.Item) bool {
 		return i.GetRemoved() && revisionOf(i).IsKept() && r.decoder.Kind(i.GetKey()) == KindEndpoint
 	})
 }
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -13,8 +13,8 @@
 
 // suspend simulates a system suspend, whose time the monotonic clock does not count, until the test ends.
 func suspend(c *quicktest.C, d time.Duration) {
-	clock.Suspend(d)
-	c.Cleanup(func() { clock.Suspend(-d) })
+	clock.SimulateSuspend(d)
+	c.Cleanup(func() { clock.SimulateSuspend(-d) })
 }
 
 // Guards against a revoked key that still works: it was revoked while the box was suspended, and the box took its state
@@ -42,7 +42,7 @@
 	c.Assert(n.readsSource(), quicktest.IsTrue)
 	told := leaderStatus{received: clock.Now(), readAt: clock.Now()}
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsTrue)
-	suspend(c, max(2*time.Second, share.SilentAfter))
+	suspend(c, max(2*time.Second, share.IdleTimeout))
 	c.Assert(n.readsSource(), quicktest.IsFalse)
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -74,7 +74,7 @@
 	before := p.leaders[centre].previous
 	p.mu.Unlock()
 	var list []member.Member
-	for _, m := range p.table.All() {
+	for _, m := range p.table.Members() {
 		gives := m.DataCentre() == centre || m.Name() == before
 		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.HandoverTimeout+orderMargin {
 			list = append(list, m)
--- a/keeper/syncer.go
+++ b/keeper/syncer.go
@@ -41,11 +41,11 @@
 // Init prepares the syncer for heartbeats; call it before Run.
 func (s *Syncer) Init() { s.announcements = make(chan announcement, 64) }
 
-// Fill implements member.Extras.
-func (s *Syncer) Fill(h *wire.Heartbeat) { s.Keeper.Fill(h) }
+// Attach implements member.PayloadHandler.
+func (s *Syncer) Attach(h *wire.Heartbeat) { s.Keeper.Attach(h) }
 
-// Heard implements member.Extras. It queues unknown heads for Run to fetch.
-func (s *Syncer) Heard(h *wire.Heartbeat, address string) {
+// Receive implements member.PayloadHandler. It queues unknown heads for Run to fetch.
+func (s *Syncer) Receive(h *wire.Heartbeat, address string) {
 	for prefix := range s.Keeper.unknownHeads(h) {
 		select {
 		case s.announcements <- announcement{address: address, prefix: []byte(prefix)}:
--- a/member/failure.go
+++ b/member/failure.go
@@ -4,22 +4,22 @@
 
 import "time"
 
-// Exchanged notes that a neighbour answered at now.
-func (t *Table) Exchanged(name string, now time.Time) {
+// RecordExchange records a completed heartbeat exchange with a member at now.
+func (t *Table) RecordExchange(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard = now
-	t.signs.seen[name] = now
-	if m, ok := t.others[name]; ok && m.state == Suspect {
-		t.news[name] = t.timesToTellLocked() // its refutation will come with its own news
+	t.lastExchange = now
+	t.observations.lastSeen[name] = now
+	if m, ok := t.peers[name]; ok && m.state == Suspect {
+		t.pendingUpdates[name] = t.transmissionLimitLocked() // stays Suspect until its own updates carry the refutation
 	}
 }
 
-// Missed notes that a member did not answer at now: it becomes suspect.
-func (t *Table) Missed(name string, now time.Time) {
+// RecordTimeout marks an alive member as suspect because it did not answer at now.
+func (t *Table) RecordTimeout(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.others[name]
+	m, ok := t.peers[name]
 	if !ok || m.state != Alive {
 		return
 	}
@@ -27,84 +27,84 @@
 	t.setLocked(m, now)
 }
 
-// Gone notes that a member's address refuses connections at now: no process
-// listens there, so it is dead at once. Of one that has just come up it may be a
-// refusal of its life before, so it only becomes suspect.
-func (t *Table) Gone(name string, now time.Time) {
+// RecordRefusal marks a member as dead because its address refused a connection at now, so that no process
+// listens there. A member that has just restarted only becomes suspect, since the refusal may
+// have been of its previous incarnation.
+func (t *Table) RecordRefusal(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, ok := t.others[name]
+	m, ok := t.peers[name]
 	if !ok || m.state == Dead {
 		return
 	}
 	state := Dead
-	if at, again := t.signs.restarted[name]; again && now.Sub(at) < refusalRemembered {
+	if at, restarted := t.observations.restartedAt[name]; restarted && now.Sub(at) < refusalCacheTime {
 		state = Suspect
 	}
 	if m.state >= state {
-		return // a suspect, or one that leaves and does not come back for that
+		return // already suspect, or leaving, which a suspicion must not revert
 	}
 	m.state = state
 	t.setLocked(m, now)
 }
 
-// Tick turns silent suspects into dead members and forgets the long dead.
+// Tick declares suspects dead after SuspectTimeout and removes dead and leaving members after DeadRetention.
 func (t *Table) Tick(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.signs.ticked = now
-	for n, m := range t.others {
-		if m.state == Suspect && now.Sub(m.since) > t.limits.SuspectFor {
+	t.observations.lastTick = now
+	for n, m := range t.peers {
+		if m.state == Suspect && now.Sub(m.since) > t.options.SuspectTimeout {
 			m.state = Dead
 			t.setLocked(m, now)
 			continue
 		}
-		gone := m.state == Dead || m.state == Leaving
-		if gone && now.Sub(m.since) > t.limits.ForgetDead {
-			delete(t.others, n)
-			t.names, t.latest = nil, nil
-			t.signs.forget(n)
-			delete(t.news, n)
+		departed := m.state == Dead || m.state == Leaving
+		if departed && now.Sub(m.since) > t.options.DeadRetention {
+			delete(t.peers, n)
+			t.sortedNames, t.cachedSnapshot = nil, nil
+			t.observations.forget(n)
+			delete(t.pendingUpdates, n)
 			t.version++
 		}
 	}
 }
 
-// Paused distrusts the view after a pause of this process: it is not fresh until
-// a neighbour was exchanged with again, and suspects get their time anew.
-func (t *Table) Paused(now time.Time) {
+// RecordPause invalidates the view after this process was paused. The view is not fresh until the next
+// exchange, direct contacts are discarded, and the timeouts of suspects start again.
+func (t *Table) RecordPause(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard, t.signs.paused = time.Time{}, now
-	clear(t.signs.seen)
-	for n, m := range t.others {
+	t.lastExchange, t.observations.resumedAt = time.Time{}, now
+	clear(t.observations.lastSeen)
+	for n, m := range t.peers {
 		if m.state == Suspect {
 			m.since = now
-			t.others[n] = m
-			t.latest = nil
+			t.peers[n] = m
+			t.cachedSnapshot = nil
 		}
 	}
 }
 
-// Fresh tells whether a neighbour was exchanged with lately. A daemon that
-// knows of no other has nobody to be told by, and counts as fresh.
+// Fresh reports whether the latest exchange is within FreshFor. A view without other live members
+// has no one to exchange with and counts as fresh.
 func (t *Table) Fresh(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range t.others {
+	for _, m := range t.peers {
 		if m.state != Dead {
-			return now.Sub(t.heard) <= t.limits.Fresh
+			return now.Sub(t.lastExchange) <= t.options.FreshFor
 		}
 	}
 	return true
 }
 
-// Seen notes a sign of life at now that came from a member by another way than
-// heartbeats, as a stream that it feeds.
-func (t *Table) Seen(name string, now time.Time) {
+// RecordContact records direct contact with a member at now outside heartbeats, such as
+// a message on a stream from it.
+func (t *Table) RecordContact(name string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.After(t.signs.seen[name]) {
-		t.signs.seen[name] = now
+	if now.After(t.observations.lastSeen[name]) {
+		t.observations.lastSeen[name] = now
 	}
 }
--- a/member/loop_test.go
+++ b/member/loop_test.go
@@ -14,59 +14,59 @@
 	"github.com/pkg/errors"
 )
 
-// wires connects loops in memory by address.
-type wires map[string]*Loop
+// memoryNetwork connects heartbeat loops in memory, by address.
+type memoryNetwork map[string]*HeartbeatLoop
 
-type noExtras struct{}
+type emptyPayload struct{}
 
-func (noExtras) Fill(*wire.Heartbeat)          {}
-func (noExtras) Heard(*wire.Heartbeat, string) {}
+func (emptyPayload) Attach(*wire.Heartbeat)          {}
+func (emptyPayload) Receive(*wire.Heartbeat, string) {}
 
-// memoryPeer is the loop at an address.
+// memoryPeer is the daemon at an address.
 type memoryPeer struct {
-	net     wires
+	network memoryNetwork
 	address string
 }
 
 // Exchange implements Peer.
 func (p memoryPeer) Exchange(_ context.Context, h *wire.Heartbeat) (*wire.Heartbeat, error) {
-	l := p.net[p.address]
+	l := p.network[p.address]
 	if l == nil {
-		return nil, errors.New("nobody there")
+		return nil, errors.New("no daemon at the address")
 	}
-	return l.Answer(h), nil
+	return l.HandleHeartbeat(h), nil
 }
 
-// join adds a daemon that knows the seeds.
-func (w wires) join(name string, seeds ...string) *Loop {
-	l := &Loop{
-		Table:      NewTable(box(name, 1), limits),
-		Dial:       func(address string) Peer { return memoryPeer{net: w, address: address} },
-		Seeds:      func() []string { return seeds },
-		Bridges:    func() bool { return true },
-		Remote:     func() []string { return nil },
-		Extras:     noExtras{},
-		Log:        logr.Discard(),
-		Interval:   time.Second,
-		Timeout:    time.Second,
-		Neighbours: 2,
+// join adds a daemon with the seeds.
+func (net memoryNetwork) join(name string, seeds ...string) *HeartbeatLoop {
+	l := &HeartbeatLoop{
+		Table:          NewTable(box(name, 1), testOptions),
+		Dial:           func(address string) Peer { return memoryPeer{network: net, address: address} },
+		Seeds:          func() []string { return seeds },
+		IsBridge:       func() bool { return true },
+		RemotePeers:    func() []string { return nil },
+		Payload:        emptyPayload{},
+		Log:            logr.Discard(),
+		Interval:       time.Second,
+		Timeout:        time.Second,
+		NeighbourCount: 2,
 	}
 	l.init()
-	w[name+":1"] = l
+	net[name+":1"] = l
 	return l
 }
 
-// beats lets every daemon beat so many times.
-func (w wires) beats(n int) {
+// runRounds runs n rounds of every daemon.
+func (net memoryNetwork) runRounds(n int) {
 	for range n {
-		for _, l := range w {
-			l.beat(context.Background())
+		for _, l := range net {
+			l.runRound(context.Background())
 		}
 	}
 }
 
-func (w wires) allSee(count int) bool {
-	for _, l := range w {
+func (net memoryNetwork) allSeeServing(count int) bool {
+	for _, l := range net {
 		if len(l.Table.Serving(Scheduler)) != count {
 			return false
 		}
@@ -74,54 +74,54 @@
 	return true
 }
 
-func TestDaemonsThatStartTogetherSeeEachOther(t *testing.T) {
+func TestSimultaneouslyStartedDaemonsDiscoverEachOther(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	net := make(memoryNetwork)
 	for i := range 16 {
-		w.join(fmt.Sprintf("box%02d", i), "box00:1")
+		net.join(fmt.Sprintf("box%02d", i), "box00:1")
 	}
-	w.beats(8)
-	c.Assert(w.allSee(16), quicktest.IsTrue)
+	net.runRounds(8)
+	c.Assert(net.allSeeServing(16), quicktest.IsTrue)
 }
 
-func TestTwoGroupsThatDoNotKnowEachOtherMerge(t *testing.T) {
+func TestSeparateGroupsMerge(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	net := make(memoryNetwork)
 	for i := range 4 {
-		w.join(fmt.Sprintf("left%d", i), "left0:1", "right0:1")
-		w.join(fmt.Sprintf("right%d", i), "left0:1", "right0:1")
+		net.join(fmt.Sprintf("left%d", i), "left0:1", "right0:1")
+		net.join(fmt.Sprintf("right%d", i), "left0:1", "right0:1")
 	}
-	for n, l := range w { // each knows its own group alone, as after a long cut
-		for o, m := range w {
+	for n, l := range net { // each knows only its own group, as after a long partition
+		for o, m := range net {
 			if n != o && n[0] == o[0] {
 				l.Table.Merge([]Member{m.Table.Self()}, start)
 			}
 		}
 	}
-	w.beats(8)
-	c.Assert(w.allSee(8), quicktest.IsTrue)
+	net.runRounds(8)
+	c.Assert(net.allSeeServing(8), quicktest.IsTrue)
 }
 
-// One daemon believed another dead. Those who saw that one themselves passed the gossip
-// over, so it never heard of its death and never refuted it.
-func TestAMemberHearsOfItsDeathFromThoseWhoKnowBetter(t *testing.T) {
+// A daemon declared another dead. Members with direct contact to that one discarded the gossip
+// without passing it on, so that it never received the claim and never refuted it.
+func TestMemberReceivesClaimOfItsDeathFromMembersThatRejectIt(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
+	net := make(memoryNetwork)
 	for i := range 6 {
-		w.join(fmt.Sprintf("box%d", i), "box0:1")
+		net.join(fmt.Sprintf("box%d", i), "box0:1")
 	}
-	w.beats(8)
-	c.Assert(w.allSee(6), quicktest.IsTrue)
-	w["box0:1"].Table.Gone("box3", time.Now())
-	w.beats(6)
-	c.Assert(w.allSee(6), quicktest.IsTrue)
+	net.runRounds(8)
+	c.Assert(net.allSeeServing(6), quicktest.IsTrue)
+	net["box0:1"].Table.RecordRefusal("box3", time.Now())
+	net.runRounds(6)
+	c.Assert(net.allSeeServing(6), quicktest.IsTrue)
 }
 
-func TestAHeartbeatNamesItsSenderWhole(t *testing.T) {
+func TestHeartbeatContainsCompleteSender(t *testing.T) {
 	c := quicktest.New(t)
-	w := make(wires)
-	a := w.join("a", "b:1")
-	w.join("b", "a:1")
-	w.beats(4) // until the views agree
-	c.Assert(FromWire(a.Heartbeat(false).GetFrom()).Address(), quicktest.Equals, "a:1")
+	net := make(memoryNetwork)
+	a := net.join("a", "b:1")
+	net.join("b", "a:1")
+	net.runRounds(4) // until the views agree
+	c.Assert(FromWire(a.NewHeartbeat(false).GetFrom()).Address(), quicktest.Equals, "a:1")
 }
