--- a/scheduler/loads.go
+++ b/scheduler/loads.go
@@ -47,20 +47,20 @@
 	s.load(ctx, task)
 }
 
-// authority checks that this scheduler still holds the ownership under which it planned the task,
+// lease checks that this scheduler still holds the ownership under which it planned the task,
 // and verified it recently. The result is checked once more when the request is written.
-func (s *Scheduler) authority(task loadTask) (auth engine.Lease, ok bool) {
+func (s *Scheduler) lease(task loadTask) (lease engine.Lease, ok bool) {
 	e := task.endpoint
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	auth = engine.Lease{Fence: task.fence, ExpiresAt: e.verifiedAt.Add(s.Timing.OwnershipTTL)}
-	return auth, task.validLocked() && e.ownershipValidLocked(clock.Now(), s.Timing.OwnershipTTL)
+	lease = engine.Lease{Fence: task.fence, ExpiresAt: e.verifiedAt.Add(s.Timing.OwnershipTTL)}
+	return lease, task.validLocked() && e.ownershipValidLocked(clock.Now(), s.Timing.OwnershipTTL)
 }
 
 // unload frees a slot and reserves it for the load; false ends the task.
 func (s *Scheduler) unload(ctx context.Context, task loadTask) bool {
 	e := task.endpoint
-	auth, ok := s.authority(task)
+	auth, ok := s.lease(task)
 	if !ok {
 		s.revertSlots(task)
 		return false
@@ -102,7 +102,7 @@
 
 func (s *Scheduler) load(ctx context.Context, task loadTask) {
 	e := task.endpoint
-	auth, ok := s.authority(task)
+	auth, ok := s.lease(task)
 	if !ok {
 		s.revertSlots(task)
 		return
