--- a/daemon/node.go
+++ b/daemon/node.go
@@ -84,7 +84,7 @@
 	self := member.New(n.Name(), n.advertisedAddress(), role, n.dataCentre, uint64(time.Now().UnixMicro()))
 	n.Table = member.NewTable(self, member.TableOptions{
 		SuspectTimeout: v.Duration(SuspectFor),
-		DeadRetention:  forgetDead,
+		DeadRetention:  deadRetention,
 		FreshFor:       v.Duration(FreshFor),
 	})
 	n.Keeper = keeper.New(v.Duration(Settle), n.Log)
@@ -105,7 +105,7 @@
 }
 
 const (
-	forgetDead            = 10 * time.Minute // until then, delayed news cannot bring a dead member back
+	deadRetention         = 10 * time.Minute // until then, delayed news cannot bring a dead member back
 	boxListRefresh        = 5 * time.Minute  // of the list of boxes by a daemon that is not a watcher
 	watcherBoxListRefresh = 30 * time.Second // of the list of boxes by a watcher
 	headWatchTimeout      = 30 * time.Second // longest blocking query for a new head
