--- a/edge/admission.go
+++ b/edge/admission.go
@@ -14,11 +14,11 @@
 type admission struct{ node *Node }
 
 // KeysUsable implements forward.Admission.
-func (a admission) KeysUsable(now time.Time) bool { return a.node.trustsKeys(now) }
+func (a admission) KeysUsable(now time.Time) bool { return a.node.keysAreCurrent(now) }
 
 // KeysCurrent implements forward.Admission.
 func (a admission) KeysCurrent(now time.Time) bool {
-	ago, ok := a.node.vouched.ago(now)
+	ago, ok := a.node.configFreshness.age(now)
 	return ok && ago <= a.node.behind()
 }
 
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -10,12 +10,12 @@
 	"cairnwick.example/wire"
 )
 
-// followAll follows the boxes that this one learns from, until ctx ends.
+// followAll keeps a stream open from each box that this one follows, until ctx ends.
 func (p *peers) followAll(ctx context.Context) error {
-	running := make(map[source]context.CancelFunc)
-	ended := make(chan source)
+	running := make(map[followTarget]context.CancelFunc)
+	ended := make(chan followTarget)
 	for ctx.Err() == nil {
-		wanted := p.sources()
+		wanted := p.followTargets()
 		for s := range wanted {
 			if running[s] != nil {
 				continue
@@ -47,62 +47,62 @@
 	return nil
 }
 
-// source is a box to follow.
-type source struct {
+// followTarget is a box to follow.
+type followTarget struct {
 	name       string
 	address    string
-	everything bool // else only what this box does not read by itself
+	everything bool // otherwise only facts that this box does not read from the source itself
 }
 
-// sources returns the boxes to follow now: those of the own data centre follow the
-// leader, some by way of others; leaders follow each other. Bytes between data centres
-// are dear, so a leader that reads the source of the configuration takes from the others
-// only what they alone know.
-func (p *peers) sources() map[source]bool {
-	list := make(map[source]bool)
+// followTargets returns the boxes to follow now. The boxes of a data centre follow its leader, some through
+// other boxes; leaders follow each other. Traffic between data centres is expensive, so a leader that
+// reads the source itself takes from other leaders only the facts that the source does not have.
+func (p *peers) followTargets() map[followTarget]bool {
+	list := make(map[followTarget]bool)
 	if m, _, ok := p.clusterView().parent(); ok {
-		list[source{name: m.Name(), address: m.Address(), everything: true}] = true
+		list[followTarget{name: m.Name(), address: m.Address(), everything: true}] = true
 		return list
 	}
 	o := p.clusterView()
 	for _, c := range o.centres {
 		if m, ok := o.leader(c); ok && m.Name() != p.box {
-			list[source{name: m.Name(), address: m.Address(), everything: !p.readsSource()}] = true
+			list[followTarget{name: m.Name(), address: m.Address(), everything: !p.readsSource()}] = true
 		}
 	}
 	return list
 }
 
-// follow merges what one box sends until the stream ends.
-func (p *peers) follow(ctx context.Context, s source) {
+// follow merges the updates of one box until the stream ends.
+func (p *peers) follow(ctx context.Context, s followTarget) {
 	q := &wire.FollowRequest{Box: p.box, Everything: s.everything}
 	c := wire.NewShareClient(p.dialer.Conn(s.address))
-	p.begin(s.name)
-	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, came time.Time) { p.apply(s, u, came) })
+	p.resetStream(s.name)
+	err := share.Follow(ctx, c, q, p.items, func(u *wire.Update, received time.Time) { p.apply(s, u, received) })
 	if ctx.Err() == nil {
-		p.log.Info("Stream from a box ended", "followed", s.name, "err", err.Error())
+		p.log.Info("Update stream from box ended", "followed", s.name, "err", err.Error())
 		p.loop.Probe(s.name)
 	}
 }
 
-// apply records the status in a message of a followed box, whose facts were merged. One that is followed only for
-// what it alone knows sends no endpoints of the source, so its status says nothing of those.
-func (p *peers) apply(s source, u *wire.Update, came time.Time) {
-	p.table.Seen(s.name, came)
+// apply records the status in a message of a followed box, whose facts have been merged already. A
+// stream without everything carries no endpoint entries, so its status does not cover them.
+func (p *peers) apply(s followTarget, u *wire.Update, received time.Time) {
+	p.table.RecordContact(s.name, received)
 	if !u.GetReading() {
 		return
 	}
-	said := share.Status{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, Settled: u.GetSettledRevision()}
+	status := share.ReadStatus{Age: time.Duration(u.GetAgeMicros()) * time.Microsecond, SettledRevision: u.GetSettledRevision()}
 	if s.everything {
-		said.Endpoints = u.GetEndpointsRevision()
+		status.EndpointsRevision = u.GetEndpointsRevision()
 	}
-	p.receiveStatus(s.name, said, came)
+	p.receiveStatus(s.name, status, received)
 }
 
-// begin records that a box is followed anew. It may have started again since, and listed the source without what had
-// left; it would never send the removal of what this box kept meanwhile. So its status counts once this box has read
-// the source up to the first one of the stream.
-func (p *peers) begin(name string) {
+// resetStream records that a new stream from a box begins. The box may have restarted and listed the
+// source after an endpoint was removed, in which case it never sends that removal, and this box would
+// keep the endpoint. So its status counts for endpoints only once this box has read the source up to
+// the first status of the stream.
+func (p *peers) resetStream(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w, ok := p.statuses[name]; ok {
@@ -111,61 +111,63 @@
 	}
 }
 
-// receiveStatus records how far a followed box has read the source, by its status that came at now.
-func (p *peers) receiveStatus(name string, said share.Status, now time.Time) {
+// receiveStatus records how far a followed box has read the source, by a status received at now.
+func (p *peers) receiveStatus(name string, status share.ReadStatus, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.statuses == nil {
 		p.statuses = make(map[string]leaderStatus)
 	}
-	read := now.Add(-said.Age)
+	read := now.Add(-status.Age)
 	w := p.statuses[name]
-	w.received, w.settled = now, Revision(said.Settled)
+	w.received, w.settled = now, Revision(status.SettledRevision)
 	if read.After(w.readAt) {
 		w.readAt = read
 	}
 	if w.first == 0 {
-		w.first = Revision(said.Endpoints)
+		w.first = Revision(status.EndpointsRevision)
 	}
 	p.statuses[name] = w
-	p.checkpoints.advance(Settled, checkpoint{revision: Revision(said.Settled), asOf: read})
+	p.checkpoints.advance(Configuration, checkpoint{revision: Revision(status.SettledRevision), asOf: read})
 	if p.isComplete(w) {
-		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
+		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(status.EndpointsRevision), asOf: read})
 	}
 }
 
-// isComplete reports whether this box misses no removal of an endpoint up to a status: it knew all up to the first one
-// of that stream, which has sent the rest.
+// isComplete reports whether this box misses no removal of an endpoint up to a status: it had read
+// everything up to the first status of that stream, and the stream has sent the rest.
 func (p *peers) isComplete(w leaderStatus) bool {
 	return w.first != 0 && w.first <= p.checkpoints.of(Endpoints).revision
 }
 
-// statusAge returns how long ago the leader read the source, by the status of the followed box; false where that is too
-// long ago, where that box has sent nothing for long, or where this box leads.
+// statusAge returns the age of the leader's last read of the source, by the status of the followed
+// box. It returns false if that read is too old, if the followed box has not sent a message for too
+// long, or if this box leads.
 func (p *peers) statusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && w.isFresh(now, p.maxStaleness())
+	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && w.isFresh(now, p.maxStaleness())
 }
 
-// knowsEpoch reports whether a followed box has learned that the source was restored, as far as this box knows of it.
-func (p *peers) knowsEpoch(w leaderStatus) bool {
-	return w.settled.Epoch() >= p.checkpoints.of(Settled).revision.Epoch()
+// isOfCurrentEpoch reports whether a followed box knows of the last restore of the source that this
+// box knows of.
+func (p *peers) isOfCurrentEpoch(w leaderStatus) bool {
+	return w.settled.Epoch() >= p.checkpoints.of(Configuration).revision.Epoch()
 }
 
-// completeStatusAge returns the same where this box cannot have missed what left before.
+// completeStatusAge is statusAge for a followed box from which this one cannot have missed a removal.
 func (p *peers) completeStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && p.isComplete(w) && w.isFresh(now, p.maxStaleness())
+	return now.Sub(w.readAt), ok && p.isOfCurrentEpoch(w) && p.isComplete(w) && w.isFresh(now, p.maxStaleness())
 }
 
-// latestStatusAge returns how long ago the source was read by the status of the followed box, however old; false where
-// it has sent none yet, or where this box leads.
+// latestStatusAge returns the age of the leader's last read by the latest status, however old. It
+// returns false if there is no status yet or if this box leads.
 func (p *peers) latestStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
 	return now.Sub(w.readAt), ok && !w.received.IsZero()
 }
 
-// latestStatus returns the last status of the followed box; false where this box leads.
+// latestStatus returns the latest status of the followed box; false if this box leads.
 func (p *peers) latestStatus() (leaderStatus, bool) {
 	m, _, ok := p.clusterView().parent()
 	if !ok {
@@ -176,8 +178,9 @@
 	return p.statuses[m.Name()], true
 }
 
-// informed reports whether this box receives what a leader that reads the source reads.
-func (p *peers) informed(now time.Time) bool {
+// leaderIsCurrent reports whether this box receives, without gaps, what a leader with a recent read of
+// the source sends.
+func (p *peers) leaderIsCurrent(now time.Time) bool {
 	_, ok := p.completeStatusAge(now)
 	return ok
 }
--- a/edge/model_test.go
+++ b/edge/model_test.go
@@ -15,94 +15,94 @@
 	"github.com/pkg/errors"
 )
 
-// This file drives the real reader, table, freshness and words of a few boxes through all
-// orders of what can happen, breadth-first, each state once. A state is kept as plain
-// values in model time; for one event its boxes are made again, with the times moved so
-// that time.Now() of the bubble is the model's now. So the code needs no clock of its own,
-// and nothing waits.
+// A model checker for the distribution of facts. It drives the real reader, table, freshness and
+// status code of a few boxes through all orders of events, breadth-first, visiting each state once. A
+// state holds plain values in model time. To run an event its boxes are rebuilt with all times shifted
+// so that time.Now() in the synctest bubble equals the model's time; so the code needs no injected
+// clock and nothing waits.
 
-// modelTick is the step of model time: a stream says something at least so often.
-const modelTick = share.BeatPause
+// modelTick is the step of model time, within which each stream sends at least one message.
+const modelTick = share.HeartbeatInterval
 
-// errModelSource is a call that the source does not answer.
-var errModelSource = errors.New("the source does not answer")
+// errModelSource is the error of a call that the source does not answer.
+var errModelSource = errors.New("source does not respond")
 
-// modelWord is a word with the time that messages for it were on their way: nobody can tell
-// that time, so it is allowed for.
-type modelWord struct {
+// modelStatus is a status with the transit time of the messages that carried it. A receiver cannot
+// know that time, so the checks allow for it.
+type modelStatus struct {
 	leaderStatus
-	way time.Duration
+	transit time.Duration
 }
 
-// modelBox is what one box knows. Zero times are never.
+// modelBox is the state of one box. A zero time means never.
 type modelBox struct {
-	items    []*wire.Item // oldest first
-	after    Revision
-	asOf     time.Time
-	failing  bool
-	trusted  time.Time
-	unsure   bool
-	holding  bool
-	listed   uint64
-	answered time.Time // as freshness keeps it; zero: not heard
-	words    map[string]modelWord
-	begun    time.Time  // of the call under way; zero: none
-	failed   time.Time  // when calls began to fail since it reads; zero: they do not
-	held     bool       // as unsure, at the answer before
-	known    checkpoint // of the endpoints
-	epoch    uint64     // of its last list
-	doubted  time.Time  // until when a copy's entry may be of an endpoint that is gone
-	copyOf   uint64     // the epoch of that copy
-	relist   bool       // only a list tells what it missed
+	items         []*wire.Item // oldest first
+	after         Revision
+	asOf          time.Time
+	failing       bool
+	graceUntil    time.Time
+	relistPending bool
+	deferring     bool
+	listed        uint64
+	answered      time.Time // as in freshness; zero: no valid read
+	statuses      map[string]modelStatus
+	callStarted   time.Time  // when the pending call began; zero: none is pending
+	failingSince  time.Time  // when calls began to fail since the box reads; zero: they succeed
+	deferred      bool       // whether relistPending was set at the previous response
+	known         checkpoint // of the endpoints
+	epoch         uint64     // of its last list
+	confirmAfter  time.Time  // as in reader
+	confirmEpoch  uint64     // as in reader
+	needsList     bool       // only a list shows what it has missed
 }
 
 // modelMessage is one message of a stream.
 type modelMessage struct {
 	items   []*wire.Item
 	reading bool
-	word    share.Status
+	status  share.ReadStatus
 	sent    time.Time
-	way     time.Duration
+	transit time.Duration
 }
 
-// modelLink is the stream from one box to the one that follows it.
+// modelLink is the stream from a box to its follower.
 type modelLink struct {
-	down   bool
-	heard  time.Time // when the follower last heard anything on it
-	unsent int       // last items of the sender that it has not sent
-	queue  []modelMessage
+	down     bool
+	received time.Time // when the follower last received a message
+	unsent   int       // number of the sender's latest items not sent yet
+	queue    []modelMessage
 }
 
-// modelChange is one change at the source; its number is its place, from 1.
+// modelChange is one change at the source; its revision is its index, from 1.
 type modelChange struct {
 	at      time.Time
 	removed bool
-	epoch   uint64 // in which it was made
+	epoch   uint64 // of the source at the change
 }
 
-// modelState is everything. It is not changed once it was reached.
+// modelState is a complete state of the model, immutable once it has been reached.
 type modelState struct {
-	now     time.Time
-	changes []modelChange // of the endpoint e/1
-	epoch   uint64        // of the source
-	copied  time.Time     // when it came back from a copy last
-	boxes   []modelBox
-	links   []modelLink // to the box of the same number
-	left    modelBudget
-	path    []string
-	fault   string // that an event showed
+	now        time.Time
+	changes    []modelChange // of the endpoint e/1
+	epoch      uint64        // of the source
+	restoredAt time.Time     // when it was last restored from a copy
+	boxes      []modelBox
+	links      []modelLink // indexed by the follower
+	left       modelBudget
+	path       []string
+	fault      string // found during an event
 }
 
-// modelBudget bounds what can happen besides time, calls and messages.
+// modelBudget limits the events other than time, calls and messages.
 type modelBudget struct{ changes, restarts, breaks, restores int }
 
-// modelWorld is what is explored: who follows whom, and the depth.
+// modelWorld is a topology to explore and the depth of the exploration.
 type modelWorld struct {
-	parents []int // by box; -1: none
+	parents []int // the box that each box follows; -1: none
 	depth   int
-	silent  bool // the source says nothing more, and messages take a tick at the most
+	silent  bool // the source does not respond, and messages take at most one tick
 	states  int
-	peers   []*peers // used again by every state: a table of members costs more than all the rest
+	peers   []*peers // reused by every state, since creating a member table costs more than all the rest
 }
 
 func (s *modelState) clone() *modelState {
@@ -111,7 +111,7 @@
 	n.boxes = slices.Clone(s.boxes)
 	for i := range n.boxes {
 		n.boxes[i].items = slices.Clone(n.boxes[i].items)
-		n.boxes[i].words = maps.Clone(n.boxes[i].words)
+		n.boxes[i].statuses = maps.Clone(n.boxes[i].statuses)
 	}
 	n.links = slices.Clone(s.links)
 	for i := range n.links {
@@ -123,45 +123,45 @@
 
 func boxName(i int) string { return fmt.Sprintf("b%d", i) }
 
-// live is a box made again from a state.
+// live is a box rebuilt from a state.
 type live struct {
 	node   *Node
 	reader *reader
 	table  *share.Table
 }
 
-// moved is a time of the model as one of the bubble, or back.
-func moved(t time.Time, by time.Duration) time.Time {
+// shifted shifts a time between the model and the synctest bubble.
+func shifted(t time.Time, by time.Duration) time.Time {
 	if t.IsZero() {
 		return t
 	}
 	return t.Add(by)
 }
 
-// make makes box i of the state, at the bubble's time that by adds.
+// make rebuilds box i of the state, with times shifted by by.
 func (w *modelWorld) make(s *modelState, i int, by time.Duration) live {
 	b := &s.boxes[i]
 	r, t := newReader(nil)
 	t.Merge(b.items...)
-	r.after, r.asOf, r.failing = b.after, moved(b.asOf, by), b.failing
-	r.trusted, r.uncertain, r.holding = moved(b.trusted, by), b.unsure, b.holding
+	r.after, r.asOf, r.failing = b.after, shifted(b.asOf, by), b.failing
+	r.graceUntil, r.relistPending, r.deferring = shifted(b.graceUntil, by), b.relistPending, b.deferring
 	n := &Node{Decoder: plainDecoder{}}
 	n.listedRevision.Store(b.listed)
-	r.epoch, r.doubted, r.doubtedIn = b.epoch, moved(b.doubted, by), b.copyOf
-	t.Outlives = n.outlives
-	r.forgotten = b.relist
-	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: moved(b.known.asOf, by)})
+	r.epoch, r.confirmAfter, r.confirmEpoch = b.epoch, shifted(b.confirmAfter, by), b.confirmEpoch
+	t.ResolveRollback = n.outlives
+	r.historyLost = b.needsList
+	n.checkpoints.advance(Endpoints, checkpoint{revision: b.known.revision, asOf: shifted(b.known.asOf, by)})
 	r.checkpoint = func() checkpoint { return n.checkpoints.of(Endpoints) }
-	r.listed = func(revision Revision) { n.noteListed(Endpoints, revision) }
+	r.onList = func(revision Revision) { n.recordList(Endpoints, revision) }
 	t.HasEnded, t.IsSuperseded = n.hasEnded, n.isSuperseded
-	n.current.Store(&Settings{}) // bounds as where none is set
+	n.current.Store(&Settings{}) // default bounds
 	if !b.answered.IsZero() {
-		n.fresh.note(Endpoints, readOutcome{asOf: moved(b.answered, by), current: true})
-		n.fresh.note(Settled, readOutcome{asOf: moved(s.now, by), current: true})
+		n.fresh.record(Endpoints, readResult{asOf: shifted(b.answered, by), current: true})
+		n.fresh.record(Configuration, readResult{asOf: shifted(s.now, by), current: true})
 	}
-	r.report = func(word readOutcome) {
-		n.noteRead(Endpoints, word)
-		n.fresh.note(Settled, readOutcome{asOf: time.Now(), current: true})
+	r.onRead = func(result readResult) {
+		n.recordRead(Endpoints, result)
+		n.fresh.record(Configuration, readResult{asOf: time.Now(), current: true})
 	}
 	v := &clusterView{validUntil: time.Unix(math.MaxInt32, 0)}
 	if p := w.parents[i]; p >= 0 {
@@ -171,35 +171,36 @@
 	v.version = p.table.Version()
 	p.clusterViews.latest = v
 	p.statuses = make(map[string]leaderStatus)
-	for k, m := range b.words {
-		p.statuses[k] = leaderStatus{received: moved(m.received, by), readAt: moved(m.readAt, by), first: m.first}
+	for k, m := range b.statuses {
+		p.statuses[k] = leaderStatus{received: shifted(m.received, by), readAt: shifted(m.readAt, by), first: m.first}
 	}
 	p.checkpoints = &n.checkpoints
 	n.peers = p
 	return live{node: n, reader: r, table: t}
 }
 
-// keep notes what box i knows after an event.
-func (s *modelState) keep(i int, l live, by time.Duration) {
+// store saves the state of box i after an event.
+func (s *modelState) store(i int, l live, by time.Duration) {
 	b := &s.boxes[i]
-	b.items, _, _ = l.table.Since(0)
+	b.items, _, _ = l.table.ItemsSince(0)
 	r := l.reader
-	b.after, b.asOf, b.failing = r.after, moved(r.asOf, -by), r.failing
-	b.trusted, b.unsure, b.holding = moved(r.trusted, -by), r.uncertain, r.holding
-	b.relist = r.forgotten || r.afterOutage
-	b.epoch, b.doubted, b.copyOf = r.epoch, moved(r.doubted, -by), r.doubtedIn
+	b.after, b.asOf, b.failing = r.after, shifted(r.asOf, -by), r.failing
+	b.graceUntil, b.relistPending, b.deferring = shifted(r.graceUntil, -by), r.relistPending, r.deferring
+	b.needsList = r.historyLost || r.relistAfterOutage
+	b.epoch, b.confirmAfter, b.confirmEpoch = r.epoch, shifted(r.confirmAfter, -by), r.confirmEpoch
 	k := l.node.checkpoints.of(Endpoints)
-	b.known = checkpoint{revision: k.revision, asOf: moved(k.asOf, -by)}
+	b.known = checkpoint{revision: k.revision, asOf: shifted(k.asOf, -by)}
 	b.listed, b.answered = l.node.listedRevision.Load(), time.Time{}
 	if at, ok := l.node.fresh.answered[Endpoints]; ok {
-		b.answered = moved(at, -by)
+		b.answered = shifted(at, -by)
 	}
 	for k, m := range l.node.peers.statuses {
-		b.words[k] = modelWord{leaderStatus: leaderStatus{received: moved(m.received, -by), readAt: moved(m.readAt, -by), first: m.first}, way: b.words[k].way}
+		b.statuses[k] = modelStatus{leaderStatus: leaderStatus{received: shifted(m.received, -by), readAt: shifted(m.readAt, -by), first: m.first}, transit: b.statuses[k].transit}
 	}
 }
 
-// time passes; each stream says something, and one that was silent for too long ends.
+// time advances model time by a tick. Each stream sends a message, and a stream without messages for
+// too long ends.
 func (w *modelWorld) time(n *modelState) bool {
 	n.now = n.now.Add(modelTick)
 	for i := range n.links {
@@ -207,38 +208,38 @@
 		if w.parents[i] < 0 || l.down {
 			continue
 		}
-		if n.now.Sub(l.heard) >= share.SilentAfter {
+		if n.now.Sub(l.received) >= share.IdleTimeout {
 			*l = modelLink{down: true}
 			continue
 		}
-		w.say(n, i)
+		w.send(n, i)
 	}
 	return true
 }
 
-// say makes one message of the stream to box i, as share.Server does: the word first, then
-// the items.
-func (w *modelWorld) say(n *modelState, i int) {
+// send puts one message on the stream to box i, as share.Server does: the status first, then the
+// items.
+func (w *modelWorld) send(n *modelState, i int) {
 	p := w.parents[i]
 	by := time.Since(n.now)
 	b := w.make(n, p, by)
 	m := modelMessage{sent: n.now}
-	m.word, m.reading = b.node.status()
-	m.way = w.way(n, p, b)
-	items, _, _ := b.table.Since(0)
+	m.status, m.reading = b.node.status()
+	m.transit = w.transitTime(n, p, b)
+	items, _, _ := b.table.ItemsSince(0)
 	l := &n.links[i]
 	m.items = slices.Clone(items[len(items)-min(l.unsent, len(items)):])
 	l.unsent = 0
 	l.queue = append(l.queue, m)
 }
 
-// way is how long the messages were on their way of the word that box i goes by.
-func (w *modelWorld) way(n *modelState, i int, b live) time.Duration {
+// transitTime returns the transit time of the messages behind the status that box i relies on.
+func (w *modelWorld) transitTime(n *modelState, i int, b live) time.Duration {
 	now := time.Now()
-	own, reads := b.node.fresh.ago(now)
-	told, informed := b.node.peers.completeStatusAge(now)
-	if informed && (!reads || told <= own) {
-		return n.boxes[i].words[boxName(w.parents[i])].way
+	own, reads := b.node.fresh.age(now)
+	received, current := b.node.peers.completeStatusAge(now)
+	if current && (!reads || received <= own) {
+		return n.boxes[i].statuses[boxName(w.parents[i])].transit
 	}
 	return 0
 }
@@ -246,18 +247,18 @@
 func (w *modelWorld) connect(n *modelState, i int) bool {
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
-	b.node.peers.begin(boxName(w.parents[i]))
-	n.keep(i, b, by)
-	n.links[i] = modelLink{heard: n.now, unsent: math.MaxInt}
-	w.say(n, i)
+	b.node.peers.resetStream(boxName(w.parents[i]))
+	n.store(i, b, by)
+	n.links[i] = modelLink{received: n.now, unsent: math.MaxInt}
+	w.send(n, i)
 	return true
 }
 
-// hear lets a follower take the next message.
-func (w *modelWorld) hear(n *modelState, i int) bool {
+// deliver passes the next message to a follower.
+func (w *modelWorld) deliver(n *modelState, i int) bool {
 	l := &n.links[i]
 	m := l.queue[0]
-	l.queue, l.heard = l.queue[1:], n.now
+	l.queue, l.received = l.queue[1:], n.now
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
 	b.table.Receive(m.items...)
@@ -265,22 +266,22 @@
 	if m.reading {
 		old := b.node.peers.statuses[from]
 		now := time.Now()
-		b.node.peers.receiveStatus(from, m.word, now)
-		n.keep(i, b, by)
+		b.node.peers.receiveStatus(from, m.status, now)
+		n.store(i, b, by)
 		if b.node.peers.statuses[from].readAt.After(old.readAt) {
-			k := n.boxes[i].words[from]
-			k.way = m.way + n.now.Sub(m.sent)
-			n.boxes[i].words[from] = k
+			k := n.boxes[i].statuses[from]
+			k.transit = m.transit + n.now.Sub(m.sent)
+			n.boxes[i].statuses[from] = k
 		}
 	}
-	n.keep(i, b, by)
-	w.changed(n, i, m.items)
+	n.store(i, b, by)
+	w.markUnsent(n, i, m.items)
 	return true
 }
 
-// changed counts what the followers of a box have not been sent.
-func (w *modelWorld) changed(n *modelState, i int, took []*wire.Item) {
-	if len(took) == 0 {
+// markUnsent marks items as unsent for the followers of a box.
+func (w *modelWorld) markUnsent(n *modelState, i int, accepted []*wire.Item) {
+	if len(accepted) == 0 {
 		return
 	}
 	for j, p := range w.parents {
@@ -290,61 +291,61 @@
 	}
 }
 
-// ask begins a call, as run does: a box that is told stands by.
+// ask begins a call as reader.run does; a box with a current leader stands by instead.
 func (w *modelWorld) ask(n *modelState, i int) bool {
 	by := time.Since(n.now)
 	b := w.make(n, i, by)
 	if b.reader.after != 0 && !b.node.mustRead(Endpoints) {
 		b.reader.stopReading(time.Now())
-		n.keep(i, b, by)
-		n.boxes[i].failed, n.boxes[i].held = time.Time{}, false
+		n.store(i, b, by)
+		n.boxes[i].failingSince, n.boxes[i].deferred = time.Time{}, false
 		return true
 	}
-	n.boxes[i].begun = n.now
+	n.boxes[i].callStarted = n.now
 	return true
 }
 
-// answer ends the call of a box.
+// answer ends the pending call of a box.
 func (w *modelWorld) answer(n *modelState, i int, err error, slow bool) bool {
-	begun := n.boxes[i].begun
+	begun := n.boxes[i].callStarted
 	by := time.Since(begun)
 	b := w.make(n, i, by)
 	m := &stepSource{state: n, after: n.now.Sub(begun), fail: err, slow: slow}
-	if errors.As(err, &ErrForgotten{}) && b.reader.after == 0 {
+	if errors.As(err, &ErrHistoryLost{}) && b.reader.after == 0 {
 		return false
 	}
 	b.reader.source = m
 	_, failed := b.reader.step(context.Background())
-	b.reader.note(failed)
-	if m.never {
+	b.reader.noteResult(failed)
+	if m.impossible {
 		return false
 	}
-	n.boxes[i].begun = time.Time{}
-	n.keep(i, b, by)
+	n.boxes[i].callStarted = time.Time{}
+	n.store(i, b, by)
 	n.outage(i, failed)
-	w.changed(n, i, n.boxes[i].items)
+	w.markUnsent(n, i, n.boxes[i].items)
 	return true
 }
 
-// outage notes how long calls of a box fail. Where none did since it reads, and the source was not restored, nothing
-// may be kept for the sake of an outage.
+// outage tracks how long calls of a box fail. A box without failed calls since it began to read must
+// not defer removals, unless the source was restored.
 func (s *modelState) outage(i int, err error) {
 	b := &s.boxes[i]
-	if err != nil && !errors.As(err, &ErrForgotten{}) {
-		if b.failed.IsZero() {
-			b.failed = s.now
+	if err != nil && !errors.As(err, &ErrHistoryLost{}) {
+		if b.failingSince.IsZero() {
+			b.failingSince = s.now
 		}
 		return
 	}
-	if b.unsure && b.failed.IsZero() && !b.held && s.epoch == 0 {
-		s.fault = boxName(i) + " holds removals back though no call had failed"
+	if b.relistPending && b.failingSince.IsZero() && !b.deferred && s.epoch == 0 {
+		s.fault = boxName(i) + " defers removals although no call failed"
 	}
-	b.failed, b.held = time.Time{}, b.unsure
+	b.failingSince, b.deferred = time.Time{}, b.relistPending
 }
 
 func (w *modelWorld) restart(n *modelState, i int) bool {
 	n.left.restarts--
-	n.boxes[i] = modelBox{words: make(map[string]modelWord)}
+	n.boxes[i] = modelBox{statuses: make(map[string]modelStatus)}
 	for j, p := range w.parents {
 		if j == i || p == i {
 			n.links[j] = modelLink{down: true}
--- a/edge/node.go
+++ b/edge/node.go
@@ -52,7 +52,7 @@
 
 	departures departures
 
-	vouched           vouched
+	configFreshness   configFreshness
 	leaving           atomic.Bool
 	fresh             freshness
 	sourceCalls       sourceCalls
@@ -77,11 +77,11 @@
 	n.state = &state{view: n.view, table: n.items, decoder: n.Decoder, fences: fences, log: n.Log}
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
-	n.items.Same, n.items.Outlives = n.isSame, n.outlives
+	n.items.IsEquivalent, n.items.ResolveRollback = n.isSame, n.outlives
 	n.items.OnIgnored = n.countIgnored
 	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
-	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
+	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, ReadStatus: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
@@ -99,10 +99,10 @@
 		Lease:       func() time.Duration { return n.current.Load().Bounds.Lease },
 		Leaders:     func() int { return len(n.peers.clusterView().centres) },
 		Owns:        n.owns,
-		AskToResign: n.peers.takeOver,
+		AskToResign: n.peers.requestHandover,
 		Headroom:    n.room,
 		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
-		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
+		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.AdapterState) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
@@ -145,26 +145,26 @@
 		items:        n.items,
 		log:          n.Log,
 		started:      clock.Now(),
-		readsSource:  n.reads,
+		readsSource:  n.readsSource,
 		seeds:        func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
 		maxStaleness: n.behind,
 		checkpoints:  &n.checkpoints,
 	}
 	self := member.New(s.Box, s.Peers, roleBox, s.DataCentre, uint64(time.Now().UnixMicro())).
 		WithCapacity(int(s.Limits.Cores * 1000))
-	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectTimeout, ForgetDead: deadRetention, Fresh: exchangeFreshness, Wide: true})
-	p.loop = &member.Loop{
-		Table:      p.table,
-		Dial:       p.dialer.Peer,
-		Seeds:      p.seeds,
-		Bridges:    func() bool { return true },
-		Remote:     p.deadAddresses,
-		Extras:     noExtras{},
-		Log:        n.Log,
-		Interval:   heartbeatInterval,
-		Timeout:    heartbeatInterval,
-		PauseLimit: maxHeartbeatGap,
-		Neighbours: heartbeatNeighbours,
+	p.table = member.NewTable(self, member.TableOptions{SuspectTimeout: suspectTimeout, DeadRetention: deadRetention, FreshFor: exchangeFreshness, AllDataCentres: true})
+	p.loop = &member.HeartbeatLoop{
+		Table:          p.table,
+		Dial:           p.dialer.Peer,
+		Seeds:          p.seeds,
+		IsBridge:       func() bool { return true },
+		RemotePeers:    p.deadAddresses,
+		Payload:        noExtras{},
+		Log:            n.Log,
+		Interval:       heartbeatInterval,
+		Timeout:        heartbeatInterval,
+		PauseLimit:     maxHeartbeatGap,
+		NeighbourCount: heartbeatNeighbours,
 	}
 	return p
 }
@@ -172,11 +172,11 @@
 // noExtras adds nothing to heartbeats: facts are sent over streams.
 type noExtras struct{}
 
-// Fill implements member.Extras.
-func (noExtras) Fill(*wire.Heartbeat) {}
+// Attach implements member.PayloadHandler.
+func (noExtras) Attach(*wire.Heartbeat) {}
 
-// Heard implements member.Extras.
-func (noExtras) Heard(*wire.Heartbeat, string) {}
+// Receive implements member.PayloadHandler.
+func (noExtras) Receive(*wire.Heartbeat, string) {}
 
 // owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
@@ -222,9 +222,9 @@
 	wire.RegisterShareServer(server, shareServer{node: n})
 	drainTime := n.Settings.Bounds.Grace - leaveNoticeTime - shutdownMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
-		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
+		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLeadership, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.requestLoans, n.outbox.run, n.limits.run,
-		n.reader(Settled).run, n.reader(Endpoints).run,
+		n.reader(Configuration).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
 		httpTask(n.gateway, listeners.callers, drainTime, max(n.Settings.Limits.Descriptors/callerConnDivisor, maxAuxiliaryConns)),
 		httpTask(n.readinessHandler(), listeners.ready, drainTime, maxAuxiliaryConns),
@@ -261,21 +261,21 @@
 
 func (n *Node) reader(c Collection) *reader {
 	return &reader{
-		collection: c,
-		source:     n.Source,
-		decoder:    n.Decoder,
-		table:      n.items,
-		wanted:     func() bool { return n.mustRead(c) },
-		checkpoint: func() checkpoint { return n.checkpoints.of(c) },
-		leads:      func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
-		log:        n.Log,
-		ages:       n.sourceAges,
-		behind:     n.behind,
-		away:       &n.sourceUnavailable,
-		lapse:      func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
-		report:     func(w readOutcome) { n.noteRead(c, w) },
-		listed:     func(revision Revision) { n.noteListed(c, revision) },
-		counted:    n.sourceCalls.count,
-		restored:   func() { n.ignored.restores.Add(1) },
+		collection:   c,
+		source:       n.Source,
+		decoder:      n.Decoder,
+		table:        n.items,
+		mustRead:     func() bool { return n.mustRead(c) },
+		checkpoint:   func() checkpoint { return n.checkpoints.of(c) },
+		leads:        func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
+		log:          n.Log,
+		sourceAges:   n.sourceAges,
+		maxStaleness: n.behind,
+		unreachable:  &n.sourceUnavailable,
+		entryLapse:   func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
+		onRead:       func(w readResult) { n.recordRead(c, w) },
+		onList:       func(revision Revision) { n.recordList(c, revision) },
+		onCall:       n.sourceCalls.count,
+		onRestore:    func() { n.ignored.restores.Add(1) },
 	}
 }
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -22,7 +22,7 @@
 
 // peersOf returns the view of a box in which all the others serve.
 func peersOf(self member.Member, others ...member.Member) *peers {
-	t := member.NewTable(self, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Wide: true})
+	t := member.NewTable(self, member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, AllDataCentres: true})
 	t.Merge(others, time.Now())
 	return &peers{box: self.Name(), centre: self.DataCentre(), table: t, log: logr.Discard(), started: time.Now(), readsSource: func() bool { return true }, seeds: func() []string { return nil }, maxStaleness: func() time.Duration { return defaultMaxStaleness }, checkpoints: new(checkpoints)}
 }
@@ -76,12 +76,12 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(1), asOf: now})
-	p.receiveStatus("b", share.Status{Age: 500 * time.Millisecond, Endpoints: 1}, now)
+	p.receiveStatus("b", share.ReadStatus{Age: 500 * time.Millisecond, EndpointsRevision: 1}, now)
 	ago, ok := p.completeStatusAge(now)
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(ago, quicktest.Equals, 500*time.Millisecond)
-	late := now.Add(statusTime(defaultMaxStaleness) - 500*time.Millisecond)
-	p.receiveStatus("b", share.Status{Age: late.Sub(now) + time.Second, Endpoints: 1}, late) // an older status changes nothing
+	late := now.Add(maxStatusAge(defaultMaxStaleness) - 500*time.Millisecond)
+	p.receiveStatus("b", share.ReadStatus{Age: late.Sub(now) + time.Second, EndpointsRevision: 1}, late) // an older status changes nothing
 	_, ok = p.completeStatusAge(late.Add(-time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
 	_, ok = p.completeStatusAge(late)
@@ -93,10 +93,10 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(1), asOf: now})
-	p.receiveStatus("b", share.Status{Endpoints: 1}, now)
-	_, ok := p.completeStatusAge(now.Add(share.SilentAfter - time.Millisecond))
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: 1}, now)
+	_, ok := p.completeStatusAge(now.Add(share.IdleTimeout - time.Millisecond))
 	c.Assert(ok, quicktest.IsTrue)
-	_, ok = p.completeStatusAge(now.Add(share.SilentAfter))
+	_, ok = p.completeStatusAge(now.Add(share.IdleTimeout))
 	c.Assert(ok, quicktest.IsFalse)
 }
 
@@ -110,14 +110,14 @@
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
 	for _, revision := range []Revision{rev(7), rev(8)} { // the first stream, and a new one
-		p.begin("b")
-		p.receiveStatus("b", share.Status{Age: 300 * time.Millisecond, Endpoints: uint64(revision)}, now)
-		c.Assert(p.informed(now), quicktest.IsFalse)
+		p.resetStream("b")
+		p.receiveStatus("b", share.ReadStatus{Age: 300 * time.Millisecond, EndpointsRevision: uint64(revision)}, now)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsFalse)
 		c.Assert(p.checkpoints.of(Endpoints).revision < revision, quicktest.IsTrue)
 		p.checkpoints.advance(Endpoints, checkpoint{revision: revision, asOf: now}) // by its own read
-		c.Assert(p.informed(now), quicktest.IsTrue)
-		p.receiveStatus("b", share.Status{Endpoints: uint64(revision)}, now) // later statuses of the stream need no later read
-		c.Assert(p.informed(now), quicktest.IsTrue)
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
+		p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(revision)}, now) // later statuses of the stream need no later read
+		c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
 		now = now.Add(time.Second)
 	}
 }
@@ -135,11 +135,11 @@
 		p := peersOf(box("a", "dc", 1, 400), box("b", "other", 2, 400))
 		now := time.Now()
 		p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now.Add(-time.Second)})
-		s := source{name: "b", everything: everything}
-		p.begin("b")
+		s := followTarget{name: "b", everything: everything}
+		p.resetStream("b")
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(6)), EndpointsRevision: uint64(rev(6))}, now)
 		p.apply(s, &wire.Update{Reading: true, SettledRevision: uint64(rev(9)), EndpointsRevision: uint64(rev(9))}, now)
-		c.Check(p.checkpoints.of(Settled).revision, quicktest.Equals, rev(9)) // settled facts are sent to all followers
+		c.Check(p.checkpoints.of(Configuration).revision, quicktest.Equals, rev(9)) // settled facts are sent to all followers
 		want := rev(6)
 		if everything {
 			want = rev(9)
@@ -155,10 +155,10 @@
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
 	now := time.Now()
 	p.checkpoints.advance(Endpoints, checkpoint{revision: rev(6), asOf: now})
-	p.begin("b")
-	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(6))}, now)
-	c.Assert(p.informed(now), quicktest.IsTrue)
-	p.receiveStatus("b", share.Status{Endpoints: uint64(rev(9))}, now)
+	p.resetStream("b")
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(rev(6))}, now)
+	c.Assert(p.leaderIsCurrent(now), quicktest.IsTrue)
+	p.receiveStatus("b", share.ReadStatus{EndpointsRevision: uint64(rev(9))}, now)
 	c.Assert(p.checkpoints.of(Endpoints).revision, quicktest.Equals, rev(9))
 }
 
@@ -169,7 +169,7 @@
 	far := box("f", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), far)
 	left := member.New("f", "f:1", roleBox, "far", 1).WithCapacity(400)
-	table := member.NewTable(left, member.Limits{SuspectFor: time.Second, ForgetDead: time.Minute, Wide: true})
+	table := member.NewTable(left, member.TableOptions{SuspectTimeout: time.Second, DeadRetention: time.Minute, AllDataCentres: true})
 	table.Leave()
 	p.table.Merge([]member.Member{table.Self()}, time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsFalse)
@@ -183,14 +183,14 @@
 func TestUnreachableDataCentreIsNotLedFromElsewhereAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
-	p.table.Gone("f", time.Now())
+	p.table.RecordRefusal("f", time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsTrue)
 	_, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsFalse)
 	_, ok = p.clusterView().leader("unheard-of")
 	c.Assert(ok, quicktest.IsTrue)
 	p = peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
-	p.table.Gone("f", time.Now().Add(-takeoverDelay))
+	p.table.RecordRefusal("f", time.Now().Add(-takeoverDelay))
 	m, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsTrue)
 	c.Assert(m.Name(), quicktest.Equals, "a")
@@ -258,7 +258,7 @@
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400), left)
 	now := time.Now()
 	leave(p, left, now)
-	p.table.Gone("f", now)
+	p.table.RecordRefusal("f", now)
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsTrue)
 	_, ok := p.clusterView().leader("far")
 	c.Assert(ok, quicktest.IsFalse)
@@ -269,7 +269,7 @@
 	c := quicktest.New(t)
 	left := box("g", "far", 1, 400)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400), left)
-	p.table.Gone("f", time.Now().Add(-takeoverDelay))
+	p.table.RecordRefusal("f", time.Now().Add(-takeoverDelay))
 	leave(p, left, time.Now())
 	c.Assert(p.clusterView().unreachable["far"], quicktest.IsFalse)
 	m, ok := p.clusterView().leader("far")
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -65,7 +65,7 @@
 		centres = len(v.centres) + len(v.unreachable)
 	}
 	known := 0
-	for _, m := range s.node.peers.table.All() {
+	for _, m := range s.node.peers.table.Members() {
 		if m.Role() == roleBox && m.DataCentre() == s.node.peers.centre && s.mayDraw(m, now) {
 			known++
 		}
@@ -86,7 +86,7 @@
 // handleSettle handles a settlement: it grants units to a box, and returns how recent the configuration is.
 func (s *spending) handleSettle(q *wire.SettleRequest, now time.Time) *wire.SettleReply {
 	a := &wire.SettleReply{}
-	if ago, ok := s.node.vouched.ago(now); ok {
+	if ago, ok := s.node.configFreshness.age(now); ok {
 		a.Vouched, a.AgeMicros, a.Config = true, ago.Microseconds(), s.node.configVersion()
 	}
 	if q.GetDataCentre() != s.node.peers.centre || !s.leads(now) {
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -188,12 +188,12 @@
 
 // logKeyStatus logs when this box starts or stops serving callers with keys.
 func (s *spending) logKeyStatus(now time.Time) {
-	serves := s.node.trustsKeys(now)
+	serves := s.node.keysAreCurrent(now)
 	if serves == s.servesKeys {
 		return
 	}
 	s.servesKeys = serves
-	ago, _ := s.node.vouched.ago(now)
+	ago, _ := s.node.configFreshness.age(now)
 	if serves {
 		s.node.Log.Info("Callers with keys are served", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
 		return
@@ -331,7 +331,7 @@
 // the other leaders how recent the configuration is.
 func (s *spending) settleLocally(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
 	a := s.handleSettle(q, clock.Now())
-	if ago, ok := s.node.vouched.ago(clock.Now()); !ok || ago > askOthersAfter {
+	if ago, ok := s.node.configFreshness.age(clock.Now()); !ok || ago > askLeadersAfter {
 		s.askOtherLeaders(ctx)
 	}
 	return a, a.GetLeads()
@@ -346,8 +346,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.GetVouched() && s.node.configVersion() >= a.GetConfig() && !s.node.state.unread() {
-		s.node.vouched.raise(begun.Add(-time.Duration(a.GetAgeMicros()) * time.Microsecond))
+	if a.GetVouched() && s.node.configVersion() >= a.GetConfig() && !s.node.state.configUnreadable() {
+		s.node.configFreshness.advance(begun.Add(-time.Duration(a.GetAgeMicros()) * time.Microsecond))
 	}
 	return a, nil
 }
--- a/member/table_test.go
+++ b/member/table_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	limits = Limits{SuspectFor: 2 * time.Second, ForgetDead: time.Minute, Fresh: 3 * time.Second}
-	start  = time.Unix(1000, 0)
+	testOptions = TableOptions{SuspectTimeout: 2 * time.Second, DeadRetention: time.Minute, FreshFor: 3 * time.Second}
+	start       = time.Unix(1000, 0)
 )
 
 func box(name string, incarnation uint64) Member {
@@ -19,7 +19,7 @@
 }
 
 func tableOf(self string, others ...string) *Table {
-	t := NewTable(box(self, 1), limits)
+	t := NewTable(box(self, 1), testOptions)
 	for _, n := range others {
 		t.Merge([]Member{box(n, 1)}, start)
 	}
@@ -31,10 +31,10 @@
 	return m.State()
 }
 
-func TestASilentMemberIsSuspectedThenDead(t *testing.T) {
+func TestUnresponsiveMemberBecomesSuspectThenDead(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
-	v.Missed("b", start)
+	v.RecordTimeout("b", start)
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Suspect)
 	c.Assert(v.Serving(Scheduler), quicktest.HasLen, 2)
 	v.Tick(start.Add(3 * time.Second))
@@ -42,7 +42,7 @@
 	c.Assert(v.Serving(Scheduler), quicktest.HasLen, 1)
 }
 
-func TestOldNewsOfARestartedBoxIsIgnored(t *testing.T) {
+func TestOutdatedUpdateAboutRestartedBoxIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("b", 5)}, start)
@@ -52,7 +52,7 @@
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Alive)
 }
 
-func TestAWronglySuspectedMemberRefutes(t *testing.T) {
+func TestWronglySuspectedMemberRefutes(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	claim := box("a", 1)
@@ -62,27 +62,27 @@
 	c.Assert(v.Self().State(), quicktest.Equals, Alive)
 }
 
-func TestAMemberOfAnotherDataCentreIsNotTakenIn(t *testing.T) {
+func TestMemberOfAnotherDataCentreIsIgnored(t *testing.T) {
 	v := tableOf("a")
 	v.Merge([]Member{New("z", "z:1", Scheduler, "d2", 1)}, start)
-	quicktest.Assert(t, v.All(), quicktest.HasLen, 1)
+	quicktest.Assert(t, v.Members(), quicktest.HasLen, 1)
 }
 
-func TestAPauseMakesTheViewStaleUntilAnExchange(t *testing.T) {
+func TestPauseMakesViewStaleUntilNextExchange(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
-	v.Exchanged("b", start)
+	v.RecordExchange("b", start)
 	c.Assert(v.Fresh(start.Add(time.Second)), quicktest.IsTrue)
-	v.Paused(start.Add(time.Second))
+	v.RecordPause(start.Add(time.Second))
 	c.Assert(v.Fresh(start.Add(time.Second)), quicktest.IsFalse)
-	v.Exchanged("b", start.Add(2*time.Second))
+	v.RecordExchange("b", start.Add(2*time.Second))
 	c.Assert(v.Fresh(start.Add(2*time.Second)), quicktest.IsTrue)
 }
 
-func TestNeighboursFollowOnTheRing(t *testing.T) {
+func TestNeighboursFollowSelfOnTheRing(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("b", "a", "c", "d")
-	v.Gone("c", start)
+	v.RecordRefusal("c", start)
 	var names []string
 	for _, m := range v.Neighbours(2) {
 		names = append(names, m.Name())
@@ -90,63 +90,63 @@
 	c.Assert(names, quicktest.DeepEquals, []string{"d", "a"})
 }
 
-func TestNewsIsToldABoundedNumberOfTimes(t *testing.T) {
+func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b", "c")
-	told := 0
+	sent := 0
 	for range 100 {
-		told += len(v.News(maxNews))
+		sent += len(v.NextUpdates(maxUpdates))
 	}
-	c.Assert(told > 0 && told < 40, quicktest.IsTrue, quicktest.Commentf("%d", told))
-	c.Assert(v.News(maxNews), quicktest.HasLen, 0)
+	c.Assert(sent > 0 && sent < 40, quicktest.IsTrue, quicktest.Commentf("%d", sent))
+	c.Assert(v.NextUpdates(maxUpdates), quicktest.HasLen, 0)
 }
 
 func TestEqualViewsHaveEqualDigests(t *testing.T) {
 	c := quicktest.New(t)
-	c.Assert(tableOf("a", "b", "c").view().digest, quicktest.Equals, tableOf("c", "b", "a").view().digest)
-	c.Assert(tableOf("a", "b").view().digest == tableOf("a", "c").view().digest, quicktest.IsFalse)
+	c.Assert(tableOf("a", "b", "c").viewSummary().digest, quicktest.Equals, tableOf("c", "b", "a").viewSummary().digest)
+	c.Assert(tableOf("a", "b").viewSummary().digest == tableOf("a", "c").viewSummary().digest, quicktest.IsFalse)
 }
 
-// A box that was frozen came back as the oldest, and the lead of its data centre
-// changed hands twice for one freeze.
-func TestAMemberThatWasBelievedDeadComesBackAsTheYoungest(t *testing.T) {
+// A box that returned from a pause ranked as the oldest again, so that the leader of its data centre
+// changed twice for one pause.
+func TestMemberDeclaredDeadReturnsAsYoungest(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	young := uint64(now.Add(-time.Minute).UnixMicro())
-	old := NewTable(box("a", young-1), limits)
+	old := NewTable(box("a", young-1), testOptions)
 	claim := box("a", young-1)
 	claim.state = Dead
 	old.Merge([]Member{claim}, now)
 	c.Assert(old.Self().Incarnation() > young, quicktest.IsTrue)
 }
 
-// After a cut between data centres every box had been believed dead elsewhere, and the
-// lead of a data centre that nobody had left changed hands.
-func TestAMemberThatItsDataCentreSawAllTheTimeStaysAsOldAsItIs(t *testing.T) {
+// After a partition between data centres, every box had been declared dead elsewhere and took a new incarnation, so
+// that the leader of a data centre changed although none of its boxes had failed.
+func TestMemberConnectedToItsDataCentreKeepsSeniority(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	old := uint64(now.Add(-time.Minute).UnixMicro())
-	v := NewTable(box("a", old), limits)
+	v := NewTable(box("a", old), testOptions)
 	v.Merge([]Member{box("b", old+1)}, now)
 	claim := box("a", old)
 	claim.state = Dead
 	v.Tick(now)
-	v.Exchanged("b", now)
+	v.RecordExchange("b", now)
 	v.Merge([]Member{claim}, now)
 	c.Assert(v.Self().Incarnation(), quicktest.Equals, old+1)
 
-	v.Paused(now) // it stood still, and what it saw before proves nothing
+	v.RecordPause(now) // earlier contacts are no evidence after a pause
 	claim.incarnation = old + 1
-	v.Exchanged("b", now)
+	v.RecordExchange("b", now)
 	v.Merge([]Member{claim}, now)
 	c.Assert(v.Self().Incarnation() > old+2, quicktest.IsTrue)
 }
 
-func TestGossipOfADeathDoesNotCountAgainstASignOfLife(t *testing.T) {
+func TestDirectContactOverridesGossipOfDeath(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b", "c")
-	v.Exchanged("b", start)
-	v.Seen("c", start.Add(-2*limits.SuspectFor))
+	v.RecordExchange("b", start)
+	v.RecordContact("c", start.Add(-2*testOptions.SuspectTimeout))
 	for _, n := range []string{"b", "c"} {
 		claim := box(n, 1)
 		claim.state = Dead
@@ -156,14 +156,14 @@
 	c.Assert(stateOf(v, "c"), quicktest.Equals, Dead)
 }
 
-// A box that had started again was called dead for a refusal that its life before had
-// earned, which the connection remembered.
-func TestARememberedRefusalDoesNotEndTheNextLife(t *testing.T) {
+// A restarted box was declared dead because a connection still reported a refusal from before
+// the restart.
+func TestCachedRefusalDoesNotKillRestartedMember(t *testing.T) {
 	c := quicktest.New(t)
 	v := tableOf("a", "b")
 	v.Merge([]Member{box("b", 2)}, start)
-	v.Gone("b", start.Add(refusalRemembered/2))
+	v.RecordRefusal("b", start.Add(refusalCacheTime/2))
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Suspect)
-	v.Gone("b", start.Add(refusalRemembered*2))
+	v.RecordRefusal("b", start.Add(refusalCacheTime*2))
 	c.Assert(stateOf(v, "b"), quicktest.Equals, Dead)
 }
