--- a/daemon/node.go
+++ b/daemon/node.go
@@ -36,7 +36,7 @@
 	Keeper    *keeper.Keeper
 	Table     *member.Table
 	Dialer    *Dialer
-	Record    *decision.Record
+	Record    *decision.History
 	Boxes     *Boxes
 	Server    *grpc.Server // for the peers' port; register before Run
 	Endpoints func() []*wire.EndpointStatus
@@ -69,7 +69,7 @@
 	}
 	n := &Node{Role: role, values: v, box: v.Text(Box), centre: v.Text(DataCentre)}
 	n.Log = logging.New(os.Stdout, n.box, n.centre, role, v.Switch(Debug))
-	n.Record = decision.NewRecord(v.Count(Decisions))
+	n.Record = decision.NewHistory(v.Count(Decisions))
 	n.traffic = &Traffic{}
 	n.Dialer = &Dialer{Credentials: creds, Dial: counted(&n.traffic.Peers, dialTimeout, v.Text(Source))}
 	client := &kvstore.Client{
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -39,7 +39,7 @@
 
 // Explain implements the Operator service.
 func (s operatorServer) Explain(_ context.Context, q *wire.ExplainRequest) (*wire.ExplainReply, error) {
-	return &wire.ExplainReply{Decisions: s.node.Record.Of(q.GetRequest())}, nil
+	return &wire.ExplainReply{Decisions: s.node.Record.ForRequest(q.GetRequest())}, nil
 }
 
 // Watch implements the Operator service.
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -12,49 +12,49 @@
 	"cairnwick.example/wire"
 )
 
-// Record is a bounded ring of decisions. It is safe for concurrent use.
-type Record struct {
-	mu       sync.Mutex
-	ring     []*wire.Decision // of fixed length; nil where none was written yet
-	next     int
-	watchers map[*watcher]struct{}
-	watched  atomic.Int32 // how many watchers there are
+// History is a bounded ring of decisions. It is safe for concurrent use.
+type History struct {
+	mu           sync.Mutex
+	ring         []*wire.Decision // of fixed length; nil where none was written yet
+	next         int
+	watchers     map[*watcher]struct{}
+	watcherCount atomic.Int32 // how many watchers there are
 }
 
 // watcher receives the decisions that match its filter.
 type watcher struct {
 	filter *wire.WatchRequest
-	feed   chan *wire.Decision
+	queue  chan *wire.Decision
 }
 
-const watcherBuffer = 256 // decisions held for a slow watcher; more are dropped
+const watcherQueueLength = 256 // decisions held for a slow watcher; more are dropped
 
-// NewRecord returns a ring of the given length.
-func NewRecord(length int) *Record {
-	return &Record{ring: make([]*wire.Decision, length), watchers: make(map[*watcher]struct{})}
+// NewHistory returns a ring of the given length.
+func NewHistory(length int) *History {
+	return &History{ring: make([]*wire.Decision, length), watchers: make(map[*watcher]struct{})}
 }
 
 // Add keeps a decision and hands it to those who watch; it must not be changed
 // afterwards.
-func (r *Record) Add(d *wire.Decision) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ring[r.next] = d
-	r.next = (r.next + 1) % len(r.ring)
-	if r.watched.Load() == 0 {
+func (h *History) Add(d *wire.Decision) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ring[h.next] = d
+	h.next = (h.next + 1) % len(h.ring)
+	if h.watcherCount.Load() == 0 {
 		return
 	}
-	for w := range r.watchers {
-		w.offer(d)
+	for w := range h.watchers {
+		w.send(d)
 	}
 }
 
-func (w *watcher) offer(d *wire.Decision) {
+func (w *watcher) send(d *wire.Decision) {
 	if !Matches(w.filter, d) {
 		return
 	}
 	select {
-	case w.feed <- d:
+	case w.queue <- d:
 	default: // a slow watcher misses decisions, the daemon does not wait
 	}
 }
@@ -72,13 +72,13 @@
 	return false
 }
 
-// Of returns the decisions kept for a request, oldest first.
-func (r *Record) Of(request string) []*wire.Decision {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// ForRequest returns the decisions kept for a request, oldest first.
+func (h *History) ForRequest(request string) []*wire.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var list []*wire.Decision
-	for i := range r.ring {
-		d := r.ring[(r.next+i)%len(r.ring)]
+	for i := range h.ring {
+		d := h.ring[(h.next+i)%len(h.ring)]
 		if d != nil && d.GetRequest() == request {
 			list = append(list, d)
 		}
@@ -88,15 +88,15 @@
 
 // Watch hands every decision that passes the filter to send, until ctx ends or
 // send fails.
-func (r *Record) Watch(ctx context.Context, f *wire.WatchRequest, send func(*wire.Decision) error) error {
-	w := &watcher{filter: f, feed: make(chan *wire.Decision, watcherBuffer)}
-	r.join(w)
-	defer r.part(w)
+func (h *History) Watch(ctx context.Context, f *wire.WatchRequest, send func(*wire.Decision) error) error {
+	w := &watcher{filter: f, queue: make(chan *wire.Decision, watcherQueueLength)}
+	h.addWatcher(w)
+	defer h.removeWatcher(w)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-w.feed:
+		case d := <-w.queue:
 			if err := send(d); err != nil {
 				return err
 			}
@@ -104,16 +104,16 @@
 	}
 }
 
-func (r *Record) join(w *watcher) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.watchers[w] = struct{}{}
-	r.watched.Add(1)
+func (h *History) addWatcher(w *watcher) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.watchers[w] = struct{}{}
+	h.watcherCount.Add(1)
 }
 
-func (r *Record) part(w *watcher) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.watchers, w)
-	r.watched.Add(-1)
+func (h *History) removeWatcher(w *watcher) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.watchers, w)
+	h.watcherCount.Add(-1)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,7 +69,7 @@
 	MaxBody      int64         // bytes of a caller's body
 	MaxInFlight  int           // requests; more are refused
 	MaxPrefixes  int           // prompt prefixes whose last endpoint is remembered; zero: none
-	Decisions    *decision.Record
+	Decisions    *decision.History
 	Log          logr.Logger
 
 	states       *stateCache
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -123,7 +123,7 @@
 		MaxQueue:         4,
 		HomeUtilisation:  0.5,
 		LoadWorkers:      2,
-		Decisions:        decision.NewRecord(16),
+		Decisions:        decision.NewHistory(16),
 		Keys:             NewKeyLedger(KeyTiming{ClockSkew: time.Second, Retention: time.Minute}, 4, time.Now()),
 		Log:              logr.Discard(),
 	}
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -73,7 +73,7 @@
 	MaxQueue         int     // queued requests per endpoint
 	HomeUtilisation  float64 // how far an adapter's own load may utilise one of its homes
 	LoadWorkers      int     // concurrent loads and unloads
-	Decisions        *decision.Record
+	Decisions        *decision.History
 	Keys             *KeyLedger
 	Log              logr.Logger
 
