--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package decision keeps the last decisions of a daemon, so that operators can
-// ask why a request went where it did, and watch decisions as they are made.
+// Package decision keeps the most recent routing and scheduling decisions of a daemon, so
+// that operators can query the decisions on a request and watch new ones as they are made.
 package decision
 
 import (
@@ -12,13 +12,13 @@
 	"cairnwick.example/wire"
 )
 
-// History is a bounded ring of decisions. It is safe for concurrent use.
+// History is a ring buffer of decisions. It is safe for concurrent use.
 type History struct {
 	mu           sync.Mutex
-	ring         []*wire.Decision // of fixed length; nil where none was written yet
+	ring         []*wire.Decision // fixed length; nil entries have not been written yet
 	next         int
 	watchers     map[*watcher]struct{}
-	watcherCount atomic.Int32 // how many watchers there are
+	watcherCount atomic.Int32
 }
 
 // watcher receives the decisions that match its filter.
@@ -27,15 +27,15 @@
 	queue  chan *wire.Decision
 }
 
-const watcherQueueLength = 256 // decisions held for a slow watcher; more are dropped
+const watcherQueueLength = 256 // decisions queued for a slow watcher; further ones are dropped
 
-// NewHistory returns a ring of the given length.
+// NewHistory returns a history that holds up to length decisions.
 func NewHistory(length int) *History {
 	return &History{ring: make([]*wire.Decision, length), watchers: make(map[*watcher]struct{})}
 }
 
-// Add keeps a decision and hands it to those who watch; it must not be changed
-// afterwards.
+// Add stores a decision and sends it to the watchers. The caller must not modify the
+// decision afterwards.
 func (h *History) Add(d *wire.Decision) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -49,17 +49,18 @@
 	}
 }
 
+// send queues d if it matches the filter and the queue has room.
 func (w *watcher) send(d *wire.Decision) {
 	if !Matches(w.filter, d) {
 		return
 	}
 	select {
 	case w.queue <- d:
-	default: // a slow watcher misses decisions, the daemon does not wait
+	default: // dropped, so that a slow watcher does not block the daemon
 	}
 }
 
-// Matches tells whether a decision passes a filter; empty fields pass all.
+// Matches reports whether a decision matches a filter. An empty field matches every decision.
 func Matches(f *wire.WatchRequest, d *wire.Decision) bool {
 	switch {
 	case f.GetClass() != "" && f.GetClass() != d.GetClass():
@@ -72,7 +73,7 @@
 	return false
 }
 
-// ForRequest returns the decisions kept for a request, oldest first.
+// ForRequest returns the stored decisions on a request, oldest first.
 func (h *History) ForRequest(request string) []*wire.Decision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +87,7 @@
 	return list
 }
 
-// Watch hands every decision that passes the filter to send, until ctx ends or
+// Watch calls send with every new decision that matches the filter, until ctx ends or
 // send fails.
 func (h *History) Watch(ctx context.Context, f *wire.WatchRequest, send func(*wire.Decision) error) error {
 	w := &watcher{filter: f, queue: make(chan *wire.Decision, watcherQueueLength)}
