--- a/cmd/cairnctl/plan.go
+++ b/cmd/cairnctl/plan.go
@@ -70,21 +70,21 @@
 func (p *planCommand) intent() plan.Intent {
 	switch {
 	case p.Live != nil:
-		return plan.Live{Adapter: p.Live.Adapter, Version: p.Live.Version}
+		return plan.SetLive{Adapter: p.Live.Adapter, Version: p.Live.Version}
 	case p.Create != nil:
-		return plan.Create{Adapter: p.Create.Adapter, Version: p.Create.Version, Path: p.Create.Path, Base: p.Create.Base}
+		return plan.CreateVersion{Adapter: p.Create.Adapter, Version: p.Create.Version, Path: p.Create.Path, Base: p.Create.Base}
 	case p.Retire != nil:
 		return plan.Retire{Adapter: p.Retire.Adapter, Version: p.Retire.Version}
 	case p.Priority != nil:
-		return plan.Priority{Adapter: p.Priority.Adapter, Priority: p.Priority.Priority}
+		return plan.SetPriority{Adapter: p.Priority.Adapter, Priority: p.Priority.Priority}
 	case p.Wait != nil:
-		return plan.MayWait{Class: p.Wait.Class, Wait: p.Wait.Wait}
+		return plan.SetMaxWait{Class: p.Wait.Class, Wait: p.Wait.Wait}
 	case p.Drain != nil:
 		return plan.Drain{Name: p.Drain.Name}
 	case p.Undrain != nil:
-		return plan.Drain{Name: p.Undrain.Name, Back: true}
+		return plan.Drain{Name: p.Undrain.Name, Undrain: true}
 	case p.Move != nil:
-		return plan.Move{Endpoint: p.Move.Endpoint, Base: p.Move.Base}
+		return plan.SetBase{Endpoint: p.Move.Endpoint, Base: p.Move.Base}
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 		return exitUnreachable
 	}
 	status, silent := c.Status(ctx, addresses)
-	made, err := plan.Make(i, plan.Seen{Head: head, Shards: shards, Loaded: loaded(status), Rate: p.Rate, Now: time.Now()})
+	made, err := plan.New(i, plan.Snapshot{Head: head, Shards: shards, LoadedAdapters: loaded(status), LoadRate: p.Rate, Now: time.Now()})
 	if err != nil {
 		fmt.Fprintln(errs, err)
 		return exitRefused
--- a/plan/effects.go
+++ b/plan/effects.go
@@ -20,50 +20,50 @@
 	unloads int
 }
 
-// takes is how long the loads need at the store's rate.
-func (e effects) takes(rate float64) time.Duration {
+// loadTime is how long the loads need at the store's rate.
+func (e effects) loadTime(rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
 	return time.Duration(float64(e.loads) / rate * float64(time.Second)).Round(100 * time.Millisecond)
 }
 
-// effectsOf compares two configurations, given what the endpoints hold.
-func effectsOf(old, next *catalog.Catalog, s Seen) effects {
+// compareConfigurations compares two configurations, given what the endpoints hold.
+func compareConfigurations(old, next *catalog.Catalog, s Snapshot) effects {
 	var e effects
-	e.adapters(old, next, s)
+	e.addAdapterChanges(old, next, s)
 	for _, n := range old.Endpoints() {
-		e.endpoint(old, next, s, n)
+		e.addEndpointChange(old, next, s, n)
 	}
-	e.bases(old, next)
+	e.addCapacityRisks(old, next)
 	return e
 }
 
-// adapters tells of versions that go live or are retired.
-func (e *effects) adapters(old, next *catalog.Catalog, s Seen) {
+// addAdapterChanges tells of versions that go live or are retired.
+func (e *effects) addAdapterChanges(old, next *catalog.Catalog, s Snapshot) {
 	for _, n := range old.Adapters() {
 		a, _ := old.Adapter(n)
 		b, kept := next.Adapter(n)
 		if !kept {
-			e.retired(a.Name(), "", s)
+			e.addRetirement(a.Name(), "", s)
 			continue
 		}
 		for _, v := range a.Versions() {
 			if _, ok := b.Path(v); !ok {
-				e.retired(n, v, s)
+				e.addRetirement(n, v, s)
 			}
 		}
 		before, _ := a.Version(catalog.LiveAlias)
 		after, _ := b.Version(catalog.LiveAlias)
 		if before != after {
-			e.live(n, before, after, s)
+			e.addLiveChange(n, before, after, s)
 		}
 	}
 }
 
-func (e *effects) live(adapter, before, after string, s Seen) {
+func (e *effects) addLiveChange(adapter, before, after string, s Snapshot) {
 	was, is := adapter+catalog.Separator+before, adapter+catalog.Separator+after
-	at := holders(is, s)
+	at := endpointsWith(is, s)
 	if len(at) > 0 {
 		e.lines = append(e.lines, fmt.Sprintf("%s is loaded already, at %v", is, at))
 	} else {
@@ -71,21 +71,21 @@
 		e.lines = append(e.lines, fmt.Sprintf("%s is loaded where it is first asked for", is))
 		e.waits = append(e.waits, "the first callers of "+adapter+" wait for the load; those who may not wait are refused as no_place")
 	}
-	if at := holders(was, s); len(at) > 0 {
+	if at := endpointsWith(was, s); len(at) > 0 {
 		e.unloads += len(at)
 		e.lines = append(e.lines, fmt.Sprintf("%s leaves %v when its slots are needed; requests that run on it end there", was, at))
 	}
 	e.risks = append(e.risks, fmt.Sprintf("the file of %s may be broken: callers get load_failed until it is made live again in version %s", is, before))
 }
 
-func (e *effects) retired(adapter, version string, s Seen) {
+func (e *effects) addRetirement(adapter, version string, s Snapshot) {
 	name := adapter
 	if version != "" {
 		name += catalog.Separator + version
 	}
-	for endpoint, list := range s.Loaded {
+	for endpoint, list := range s.LoadedAdapters {
 		for _, l := range list {
-			if l == name || (version == "" && hasAdapter(l, adapter)) {
+			if l == name || (version == "" && isVersionOf(l, adapter)) {
 				e.unloads++
 				e.lines = append(e.lines, fmt.Sprintf("%s leaves %s when its slot is needed", l, endpoint))
 			}
@@ -94,22 +94,22 @@
 	e.waits = append(e.waits, "callers of "+name+" are refused as unknown; requests that run end as they are")
 }
 
-func hasAdapter(loaded, adapter string) bool {
+func isVersionOf(loaded, adapter string) bool {
 	return len(loaded) > len(adapter) && loaded[:len(adapter)+1] == adapter+catalog.Separator
 }
 
-func holders(name string, s Seen) []string {
+func endpointsWith(name string, s Snapshot) []string {
 	var list []string
-	for _, endpoint := range slices.Sorted(maps.Keys(s.Loaded)) {
-		if slices.Contains(s.Loaded[endpoint], name) {
+	for _, endpoint := range slices.Sorted(maps.Keys(s.LoadedAdapters)) {
+		if slices.Contains(s.LoadedAdapters[endpoint], name) {
 			list = append(list, endpoint)
 		}
 	}
 	return list
 }
 
-// endpoint tells what a change of one endpoint moves.
-func (e *effects) endpoint(old, next *catalog.Catalog, s Seen, name string) {
+// addEndpointChange tells what a change of one endpoint moves.
+func (e *effects) addEndpointChange(old, next *catalog.Catalog, s Snapshot, name string) {
 	a, _ := old.Endpoint(name)
 	b, kept := next.Endpoint(name)
 	switch {
@@ -124,8 +124,8 @@
 		e.lines = append(e.lines, name+" gets nothing new within seconds; what runs there ends there")
 	}
 	moved := 0
-	for _, l := range s.Loaded[name] {
-		if len(holders(l, s)) == 1 {
+	for _, l := range s.LoadedAdapters[name] {
+		if len(endpointsWith(l, s)) == 1 {
 			moved++
 			e.lines = append(e.lines, l+" is loaded nowhere else, and is loaded at another home when it is asked for")
 		}
@@ -136,9 +136,9 @@
 	}
 }
 
-// bases tells which base models lose places.
-func (e *effects) bases(old, next *catalog.Catalog) {
-	before, after := places(old), places(next)
+// addCapacityRisks tells which base models lose places.
+func (e *effects) addCapacityRisks(old, next *catalog.Catalog) {
+	before, after := batchCapacity(old), batchCapacity(next)
 	for _, b := range slices.Sorted(maps.Keys(before)) {
 		switch {
 		case after[b] == 0:
@@ -149,8 +149,8 @@
 	}
 }
 
-// places counts the requests that each base's serving endpoints can batch.
-func places(c *catalog.Catalog) map[string]int {
+// batchCapacity counts the requests that each base's serving endpoints can batch.
+func batchCapacity(c *catalog.Catalog) map[string]int {
 	count := make(map[string]int)
 	for _, n := range c.Endpoints() {
 		if e, _ := c.Endpoint(n); e.State() == catalog.Serving {
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -25,7 +25,7 @@
 	Effects   []string          `json:"effects"` // what moves, one line each
 	Loads     int               `json:"loads"`   // adapters to load
 	Unloads   int               `json:"unloads"`
-	Takes     string            `json:"takes"` // a duration, at the store's rate
+	LoadTime  string            `json:"takes"` // a duration, at the store's rate
 	Waits     []string          `json:"waits"` // who waits or is refused meanwhile
 	Risks     []string          `json:"risks"`
 	Head      string            `json:"head"`   // text of the head document to publish
@@ -40,30 +40,30 @@
 	Digest   string `json:"digest"`
 }
 
-// Seen is what is known when a plan is made.
-type Seen struct {
-	Head   catalog.Head
-	Shards map[string][]byte   // texts by shard name
-	Loaded map[string][]string // adapter@version by endpoint
-	Rate   float64             // loads a second that the store allows
-	Now    time.Time
+// Snapshot is what is known when a plan is made.
+type Snapshot struct {
+	Head           catalog.Head
+	Shards         map[string][]byte   // texts by shard name
+	LoadedAdapters map[string][]string // adapter@version by endpoint
+	LoadRate       float64             // loads a second that the store allows
+	Now            time.Time
 }
 
-// Make makes the plan of an intent. It returns an *IntentError when the intent
+// New makes the plan of an intent. It returns an *IntentError when the intent
 // does not hold, and a *catalog.CheckError when the result would not.
-func Make(i Intent, s Seen) (Plan, error) {
+func New(i Intent, s Snapshot) (Plan, error) {
 	old, err := catalog.Build(s.Head, s.Shards, nil)
 	if err != nil {
 		return Plan{}, errors.Wrap(err, "plan: configuration in force")
 	}
-	d, err := parseDocuments(s.Shards)
+	set, err := parseShards(s.Shards)
 	if err != nil {
 		return Plan{}, err
 	}
-	if err := i.Change(d); err != nil {
+	if err := i.Apply(set); err != nil {
 		return Plan{}, err
 	}
-	changed := d.changed()
+	changed := set.changedShards()
 	if len(changed) == 0 {
 		return Plan{}, &IntentError{Intent: i.String(), Reason: "it is so already"}
 	}
@@ -82,17 +82,17 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	return write(i, s, effectsOf(old, next, s), head, changed), nil
+	return assemble(i, s, compareConfigurations(old, next, s), head, changed), nil
 }
 
-func write(i Intent, s Seen, e effects, head catalog.Head, changed map[string][]byte) Plan {
+func assemble(i Intent, s Snapshot, e effects, head catalog.Head, changed map[string][]byte) Plan {
 	p := Plan{
 		Intent:    i.String(),
 		Base:      Base{Revision: s.Head.Revision(), Digest: s.Head.Digest()},
 		Effects:   e.lines,
 		Loads:     e.loads,
 		Unloads:   e.unloads,
-		Takes:     e.takes(s.Rate).String(),
+		LoadTime:  e.loadTime(s.LoadRate).String(),
 		Waits:     e.waits,
 		Risks:     e.risks,
 		Head:      string(head.Raw()),
@@ -116,8 +116,8 @@
 	return catalog.Digest(raw)
 }
 
-// ErrChanged says that a plan's file was changed by hand.
-var ErrChanged = errors.New("plan: its digest does not fit; a plan is never changed by hand, make a new one")
+// ErrDigestMismatch says that a plan's file was changed by hand.
+var ErrDigestMismatch = errors.New("plan: its digest does not fit; a plan is never changed by hand, make a new one")
 
 // Read reads a plan's JSON form and checks its digest.
 func Read(raw []byte) (Plan, error) {
@@ -126,7 +126,7 @@
 		return Plan{}, errors.Wrap(err, "plan: read")
 	}
 	if p.Digest != p.digest() {
-		return Plan{}, ErrChanged
+		return Plan{}, ErrDigestMismatch
 	}
 	return p, nil
 }
@@ -169,6 +169,6 @@
 	list("What moves:", p.Effects)
 	list("Who waits or is refused meanwhile:", p.Waits)
 	list("What can go wrong:", p.Risks)
-	fmt.Fprintf(w, "Loads: %d, unloads: %d, about %s at the store's rate\n", p.Loads, p.Unloads, p.Takes)
+	fmt.Fprintf(w, "Loads: %d, unloads: %d, about %s at the store's rate\n", p.Loads, p.Unloads, p.LoadTime)
 	fmt.Fprintf(w, "Publishes the head and %d shard(s). Plan %.12s\n", len(p.Shards), p.Digest)
 }
