--- a/plan/effects.go
+++ b/plan/effects.go
@@ -11,7 +11,7 @@
 	"cairnwick.example/catalog"
 )
 
-// effects are what a change of configuration moves.
+// effects collects the effects of a configuration change on the endpoints and on requests.
 type effects struct {
 	lines   []string
 	waits   []string
@@ -20,7 +20,7 @@
 	unloads int
 }
 
-// loadTime is how long the loads need at the store's rate.
+// loadTime returns how long the store needs for the loads, at rate loads a second.
 func (e effects) loadTime(rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -28,7 +28,8 @@
 	return time.Duration(float64(e.loads) / rate * float64(time.Second)).Round(100 * time.Millisecond)
 }
 
-// compareConfigurations compares two configurations, given what the endpoints hold.
+// compareConfigurations returns the effects of replacing old by next, given the adapters
+// that the endpoints have loaded.
 func compareConfigurations(old, next *catalog.Catalog, s Snapshot) effects {
 	var e effects
 	e.addAdapterChanges(old, next, s)
@@ -39,7 +40,7 @@
 	return e
 }
 
-// addAdapterChanges tells of versions that go live or are retired.
+// addAdapterChanges adds the effects of versions that become live or are retired.
 func (e *effects) addAdapterChanges(old, next *catalog.Catalog, s Snapshot) {
 	for _, n := range old.Adapters() {
 		a, _ := old.Adapter(n)
@@ -61,23 +62,26 @@
 	}
 }
 
+// addLiveChange adds the effects of changing the live version of an adapter.
 func (e *effects) addLiveChange(adapter, before, after string, s Snapshot) {
 	was, is := adapter+catalog.Separator+before, adapter+catalog.Separator+after
 	at := endpointsWith(is, s)
 	if len(at) > 0 {
-		e.lines = append(e.lines, fmt.Sprintf("%s is loaded already, at %v", is, at))
+		e.lines = append(e.lines, fmt.Sprintf("%s is already loaded on %v", is, at))
 	} else {
 		e.loads++
-		e.lines = append(e.lines, fmt.Sprintf("%s is loaded where it is first asked for", is))
-		e.waits = append(e.waits, "the first callers of "+adapter+" wait for the load; those who may not wait are refused as no_place")
+		e.lines = append(e.lines, fmt.Sprintf("%s is loaded on the endpoint that its first request is sent to", is))
+		e.waits = append(e.waits, "the first requests for "+adapter+" wait for the load; those of a class that may not wait are refused as no_place")
 	}
 	if at := endpointsWith(was, s); len(at) > 0 {
 		e.unloads += len(at)
-		e.lines = append(e.lines, fmt.Sprintf("%s leaves %v when its slots are needed; requests that run on it end there", was, at))
+		e.lines = append(e.lines, fmt.Sprintf("%s is unloaded from %v when its slots are needed; requests running on it finish there", was, at))
 	}
-	e.risks = append(e.risks, fmt.Sprintf("the file of %s may be broken: callers get load_failed until it is made live again in version %s", is, before))
+	e.risks = append(e.risks, fmt.Sprintf("the file of %s may be corrupt: requests fail with load_failed until version %s is made live again", is, before))
 }
 
+// addRetirement adds the effects of retiring a version, or the whole adapter if version is
+// empty.
 func (e *effects) addRetirement(adapter, version string, s Snapshot) {
 	name := adapter
 	if version != "" {
@@ -87,17 +91,19 @@
 		for _, l := range list {
 			if l == name || (version == "" && isVersionOf(l, adapter)) {
 				e.unloads++
-				e.lines = append(e.lines, fmt.Sprintf("%s leaves %s when its slot is needed", l, endpoint))
+				e.lines = append(e.lines, fmt.Sprintf("%s is unloaded from %s when its slot is needed", l, endpoint))
 			}
 		}
 	}
-	e.waits = append(e.waits, "callers of "+name+" are refused as unknown; requests that run end as they are")
+	e.waits = append(e.waits, "requests for "+name+" are refused as unknown; running requests finish")
 }
 
+// isVersionOf reports whether loaded, as adapter@version, is a version of the adapter.
 func isVersionOf(loaded, adapter string) bool {
 	return len(loaded) > len(adapter) && loaded[:len(adapter)+1] == adapter+catalog.Separator
 }
 
+// endpointsWith returns the endpoints that have an adapter version loaded, sorted.
 func endpointsWith(name string, s Snapshot) []string {
 	var list []string
 	for _, endpoint := range slices.Sorted(maps.Keys(s.LoadedAdapters)) {
@@ -108,7 +114,7 @@
 	return list
 }
 
-// addEndpointChange tells what a change of one endpoint moves.
+// addEndpointChange adds the effects of a change of one endpoint.
 func (e *effects) addEndpointChange(old, next *catalog.Catalog, s Snapshot, name string) {
 	a, _ := old.Endpoint(name)
 	b, kept := next.Endpoint(name)
@@ -116,40 +122,41 @@
 	case kept && a.State() == b.State() && a.Base() == b.Base():
 		return
 	case kept && b.State() == catalog.Serving && a.Base() == b.Base():
-		e.lines = append(e.lines, name+" takes new work again; adapters whose home it is move there as they are asked for")
+		e.lines = append(e.lines, name+" accepts new requests again; adapters that have it as a home move there as they are requested")
 		return
 	case kept && a.Base() != b.Base():
-		e.lines = append(e.lines, fmt.Sprintf("%s serves %s instead of %s", name, b.Base(), a.Base()))
+		e.lines = append(e.lines, fmt.Sprintf("%s serves base %s instead of %s", name, b.Base(), a.Base()))
 	default:
-		e.lines = append(e.lines, name+" gets nothing new within seconds; what runs there ends there")
+		e.lines = append(e.lines, name+" receives no new requests after a few seconds; running requests finish there")
 	}
 	moved := 0
 	for _, l := range s.LoadedAdapters[name] {
 		if len(endpointsWith(l, s)) == 1 {
 			moved++
-			e.lines = append(e.lines, l+" is loaded nowhere else, and is loaded at another home when it is asked for")
+			e.lines = append(e.lines, l+" is loaded on no other endpoint; its next request loads it on another home")
 		}
 	}
 	e.loads += moved
 	if moved > 0 {
-		e.waits = append(e.waits, fmt.Sprintf("the first callers of %d adapter(s) wait for a load", moved))
+		e.waits = append(e.waits, fmt.Sprintf("the first requests for %d adapter(s) wait for a load", moved))
 	}
 }
 
-// addCapacityRisks tells which base models lose places.
+// addCapacityRisks adds a risk for each base model that loses batch capacity.
 func (e *effects) addCapacityRisks(old, next *catalog.Catalog) {
 	before, after := batchCapacity(old), batchCapacity(next)
 	for _, b := range slices.Sorted(maps.Keys(before)) {
 		switch {
 		case after[b] == 0:
-			e.risks = append(e.risks, "no endpoint serves base "+b+" any more: its callers are refused as no_endpoint")
+			e.risks = append(e.risks, "no endpoint serves base "+b+" any more: its requests are refused as no_endpoint")
 		case after[b] < before[b]:
-			e.risks = append(e.risks, fmt.Sprintf("base %s keeps %d of %d places: at the peak callers may wait or be refused", b, after[b], before[b]))
+			e.risks = append(e.risks, fmt.Sprintf("base %s keeps %d of %d batch places: requests may wait or be refused at peak load", b, after[b], before[b]))
 		}
 	}
 }
 
-// batchCapacity counts the requests that each base's serving endpoints can batch.
+// batchCapacity returns, by base model, how many requests the serving endpoints can run at
+// a time.
 func batchCapacity(c *catalog.Catalog) map[string]int {
 	count := make(map[string]int)
 	for _, n := range c.Endpoints() {
--- a/plan/intent.go
+++ b/plan/intent.go
@@ -9,15 +9,15 @@
 	"cairnwick.example/catalog"
 )
 
-// Intent is what an operator wants.
+// Intent is a configuration change that an operator requests.
 type Intent interface {
 	fmt.Stringer
-	// Apply makes the documents say so. It returns an *IntentError when the
-	// intent names something unknown or contradicts what is published.
+	// Apply makes the change in the shards. It returns an *IntentError if the intent
+	// names something unknown or conflicts with the published configuration.
 	Apply(set *shardSet) error
 }
 
-// IntentError says why an intent does not hold.
+// IntentError reports why an intent was rejected.
 type IntentError struct {
 	Intent string
 	Reason string
@@ -29,7 +29,8 @@
 	return &IntentError{Intent: i.String(), Reason: fmt.Sprintf(format, values...)}
 }
 
-// SetLive makes a version the one that callers get who name the adapter alone.
+// SetLive makes a version the one that serves requests that name the adapter without a
+// version.
 type SetLive struct{ Adapter, Version string }
 
 func (i SetLive) String() string {
@@ -51,7 +52,7 @@
 	return set.patch(shard, "add", i.Version, "adapters", index, "aliases", catalog.LiveAlias)
 }
 
-// CreateVersion adds a version, and its adapter when that is new.
+// CreateVersion adds a version, and its adapter if that is new.
 type CreateVersion struct{ Adapter, Base, Version, Path string }
 
 func (i CreateVersion) String() string {
@@ -63,15 +64,15 @@
 	shard, index, f, ok := set.adapter(i.Adapter)
 	if ok {
 		if _, taken := f.Versions[i.Version]; taken {
-			return rejectIntent(i, "version %q is published, and never changes", i.Version)
+			return rejectIntent(i, "version %q is already published, and a published version never changes", i.Version)
 		}
 		if i.Base != "" && i.Base != f.Base {
-			return rejectIntent(i, "adapter %q is on base %q", i.Adapter, f.Base)
+			return rejectIntent(i, "adapter %q uses base %q", i.Adapter, f.Base)
 		}
 		return set.patch(shard, "add", i.Path, "adapters", index, "versions", i.Version)
 	}
 	if i.Base == "" {
-		return rejectIntent(i, "a new adapter needs its base")
+		return rejectIntent(i, "a new adapter needs a base model")
 	}
 	for _, n := range set.names {
 		if len(set.parsed[n].Adapters) > 0 {
@@ -81,7 +82,7 @@
 	return rejectIntent(i, "no shard lists an adapter yet; publish the first adapter without a plan")
 }
 
-// Retire takes an adapter or one version of it out of use.
+// Retire removes an adapter, or one version of it, from the configuration.
 type Retire struct{ Adapter, Version string }
 
 func (i Retire) String() string {
@@ -105,13 +106,13 @@
 	}
 	for alias, v := range f.Aliases {
 		if v == i.Version {
-			return rejectIntent(i, "alias %q stands for it; make another version %s first", alias, alias)
+			return rejectIntent(i, "alias %q points to it; point the alias to another version first", alias)
 		}
 	}
 	return set.patch(shard, "remove", nil, "adapters", index, "versions", i.Version)
 }
 
-// SetPriority sets how much an adapter is worth keeping.
+// SetPriority sets the priority of keeping an adapter loaded.
 type SetPriority struct {
 	Adapter  string
 	Priority int
@@ -133,14 +134,14 @@
 	return set.patch(shard, "add", i.Priority, "adapters", index, "priority")
 }
 
-// SetMaxWait sets how long requests of a class may wait.
+// SetMaxWait sets the maximum wait of the requests of a class.
 type SetMaxWait struct {
 	Class string
 	Wait  time.Duration
 }
 
 func (i SetMaxWait) String() string {
-	return fmt.Sprintf("let class %s wait %s", i.Class, i.Wait)
+	return fmt.Sprintf("set the maximum wait of class %s to %s", i.Class, i.Wait)
 }
 
 // Apply implements Intent.
@@ -150,7 +151,7 @@
 		return rejectIntent(i, "no class %q is published", i.Class)
 	}
 	if i.Wait < 0 || i.Wait > time.Duration(f.Deadline) {
-		return rejectIntent(i, "it must be between nothing and the deadline, %s", time.Duration(f.Deadline))
+		return rejectIntent(i, "the maximum wait must be between 0 and the deadline of the class, %s", time.Duration(f.Deadline))
 	}
 	if time.Duration(f.MayWait) == i.Wait {
 		return nil
@@ -158,7 +159,7 @@
 	return set.patch(shard, "add", i.Wait.String(), "classes", index, "may_wait")
 }
 
-// Drain takes an endpoint or a data centre out of use, or back into use.
+// Drain drains an endpoint or a data centre, or puts it back into service.
 type Drain struct {
 	Name    string // of an endpoint or a data centre
 	Undrain bool   // puts it back into service
@@ -166,7 +167,7 @@
 
 func (i Drain) String() string {
 	if i.Undrain {
-		return "take " + i.Name + " back into use"
+		return "put " + i.Name + " back into service"
 	}
 	return "drain " + i.Name
 }
@@ -192,7 +193,7 @@
 	return i.addDataCentre(set)
 }
 
-// addDataCentre publishes the state of a data centre that had none.
+// addDataCentre adds the state of a data centre whose state is not published yet.
 func (i Drain) addDataCentre(set *shardSet) error {
 	for _, n := range set.names {
 		for _, f := range set.parsed[n].Endpoints {
@@ -209,10 +210,10 @@
 			return set.patch(n, "add", []catalog.CentreFormat{entry}, "data_centres")
 		}
 	}
-	return rejectIntent(i, "no endpoint or data centre is called %q", i.Name)
+	return rejectIntent(i, "no endpoint or data centre %q is published", i.Name)
 }
 
-// SetBase gives an endpoint another base model.
+// SetBase changes the base model of a drained endpoint.
 type SetBase struct{ Endpoint, Base string }
 
 func (i SetBase) String() string { return fmt.Sprintf("move %s to base %s", i.Endpoint, i.Base) }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package plan turns an operator's intent into a plan: the documents to publish,
-// what they will move, how long that takes and what can go wrong.
+// Package plan computes a plan from an operator's intent: the documents to publish, their
+// effects, the time that the loads take, and the risks.
 //
-// A plan is made against one revision and what the daemons hold now. Nothing is
-// written: to confirm a plan is to publish its documents, with the users' own
-// means.
+// A plan is based on one revision of the configuration and on the adapters that the
+// daemons have loaded now. This package publishes nothing: operators confirm a plan by
+// publishing its documents with their own tools.
 package plan
 
 import (
@@ -18,19 +18,19 @@
 	"github.com/pkg/errors"
 )
 
-// Plan is what would be done. Its fields are those of its JSON form.
+// Plan describes a configuration change. It is stored as JSON.
 type Plan struct {
 	Intent    string            `json:"intent"`
 	Base      Base              `json:"base"`
-	Effects   []string          `json:"effects"` // what moves, one line each
+	Effects   []string          `json:"effects"` // one line each
 	Loads     int               `json:"loads"`   // adapters to load
 	Unloads   int               `json:"unloads"`
-	LoadTime  string            `json:"takes"` // a duration, at the store's rate
-	Waits     []string          `json:"waits"` // who waits or is refused meanwhile
+	LoadTime  string            `json:"takes"` // duration of the loads at the rate of the store
+	Waits     []string          `json:"waits"` // requests that are delayed or refused during the change
 	Risks     []string          `json:"risks"`
 	Head      string            `json:"head"`   // text of the head document to publish
 	Shards    map[string]string `json:"shards"` // texts of the shards to publish, by digest
-	Digest    string            `json:"digest"` // of all the above
+	Digest    string            `json:"digest"` // of all other fields
 	CreatedAt time.Time         `json:"created_at"`
 }
 
@@ -40,17 +40,17 @@
 	Digest   string `json:"digest"`
 }
 
-// Snapshot is what is known when a plan is made.
+// Snapshot is the state of the system that a plan is based on.
 type Snapshot struct {
 	Head           catalog.Head
-	Shards         map[string][]byte   // texts by shard name
+	Shards         map[string][]byte   // text by shard name
 	LoadedAdapters map[string][]string // adapter@version by endpoint
-	LoadRate       float64             // loads a second that the store allows
+	LoadRate       float64             // loads a second that the adapter store allows
 	Now            time.Time
 }
 
-// New makes the plan of an intent. It returns an *IntentError when the intent
-// does not hold, and a *catalog.CheckError when the result would not.
+// New returns the plan for an intent. It returns an *IntentError if the intent is rejected,
+// and a *catalog.CheckError if the resulting configuration would be invalid.
 func New(i Intent, s Snapshot) (Plan, error) {
 	old, err := catalog.Build(s.Head, s.Shards, nil)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	changed := set.changedShards()
 	if len(changed) == 0 {
-		return Plan{}, &IntentError{Intent: i.String(), Reason: "it is so already"}
+		return Plan{}, &IntentError{Intent: i.String(), Reason: "the configuration already has this state"}
 	}
 	shards := make(map[string][]byte, len(s.Shards))
 	for n, raw := range s.Shards {
@@ -106,7 +106,7 @@
 	return p
 }
 
-// digest is that of the plan without its digest.
+// digest returns the digest of the plan with an empty Digest field.
 func (p Plan) digest() string {
 	p.Digest = ""
 	raw, err := json.Marshal(p)
@@ -116,10 +116,10 @@
 	return catalog.Digest(raw)
 }
 
-// ErrDigestMismatch says that a plan's file was changed by hand.
-var ErrDigestMismatch = errors.New("plan: its digest does not fit; a plan is never changed by hand, make a new one")
+// ErrDigestMismatch is returned for a plan that was modified after it was made.
+var ErrDigestMismatch = errors.New("plan: digest mismatch: the plan was modified after it was made; make a new one")
 
-// Read reads a plan's JSON form and checks its digest.
+// Read parses a plan from JSON and checks its digest.
 func Read(raw []byte) (Plan, error) {
 	var p Plan
 	if err := json.Unmarshal(raw, &p); err != nil {
@@ -134,7 +134,7 @@
 // HeadDigest returns the digest of the head that the plan publishes.
 func (p Plan) HeadDigest() string { return catalog.Digest([]byte(p.Head)) }
 
-// StaleError says that the configuration has moved on since a plan was made.
+// StaleError reports that the configuration has changed since a plan was made.
 type StaleError struct {
 	Base     Base
 	Revision int64 // in force now
@@ -146,7 +146,7 @@
 		e.Base.Revision, e.Base.Digest, e.Revision, e.Digest)
 }
 
-// CheckBase returns a *StaleError when the head in force is not the plan's base.
+// CheckBase returns a *StaleError if the head in force is not the base of the plan.
 func (p Plan) CheckBase(revision int64, digest string) error {
 	if digest != p.Base.Digest {
 		return &StaleError{Base: p.Base, Revision: revision, Digest: digest}
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// Print writes the plan for people.
+// Print writes the plan as text.
 func (p Plan) Print(w io.Writer) {
 	fmt.Fprintf(w, "Intent: %s\nBased on revision %d (%.12s), becomes revision %d (%.12s)\n", p.Intent, p.Base.Revision, p.Base.Digest, p.Base.Revision+1, p.HeadDigest())
 	list := func(title string, lines []string) {
@@ -163,12 +163,12 @@
 			fmt.Fprintln(w, "  -", l)
 		}
 		if len(lines) == 0 {
-			fmt.Fprintln(w, "  - nothing")
+			fmt.Fprintln(w, "  - none")
 		}
 	}
-	list("What moves:", p.Effects)
-	list("Who waits or is refused meanwhile:", p.Waits)
-	list("What can go wrong:", p.Risks)
-	fmt.Fprintf(w, "Loads: %d, unloads: %d, about %s at the store's rate\n", p.Loads, p.Unloads, p.LoadTime)
+	list("Effects:", p.Effects)
+	list("Requests delayed or refused meanwhile:", p.Waits)
+	list("Risks:", p.Risks)
+	fmt.Fprintf(w, "Loads: %d, unloads: %d, about %s at the rate of the store\n", p.Loads, p.Unloads, p.LoadTime)
 	fmt.Fprintf(w, "Publishes the head and %d shard(s). Plan %.12s\n", len(p.Shards), p.Digest)
 }
--- a/plan/shards.go
+++ b/plan/shards.go
@@ -15,8 +15,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// shardSet are the shards of a configuration, to be changed in place so that
-// comments and order stay.
+// shardSet holds the shards of a configuration. They are patched as text, so that the
+// operators' comments and the order of entries are preserved.
 type shardSet struct {
 	names    []string // sorted
 	original map[string][]byte
@@ -44,7 +44,7 @@
 	return set, nil
 }
 
-// changedShards returns the texts that differ from before.
+// changedShards returns the texts of the shards that differ from the original, by name.
 func (set *shardSet) changedShards() map[string][]byte {
 	list := make(map[string][]byte)
 	for n, v := range set.text {
@@ -55,15 +55,15 @@
 	return list
 }
 
-// patchOperation is one step of a JSON patch.
+// patchOperation is one operation of a JSON patch (RFC 6902).
 type patchOperation struct {
 	Op    string `json:"op"`
 	Path  string `json:"path"`
 	Value any    `json:"value,omitempty"`
 }
 
-// patch changes one place of a shard: op is add or remove, the path is made of
-// its parts.
+// patch applies one JSON patch operation to a shard. op is add or remove, and parts are the
+// unescaped parts of the path.
 func (set *shardSet) patch(shard, op string, value any, parts ...any) error {
 	path := ""
 	for _, p := range parts {
@@ -75,13 +75,13 @@
 	}
 	v := set.text[shard]
 	if err := v.Patch(raw); err != nil {
-		return errors.Wrapf(err, "plan: change %s of shard %s", path, shard)
+		return errors.Wrapf(err, "plan: patch %s of shard %s", path, shard)
 	}
 	set.text[shard] = v
 	return nil
 }
 
-// adapter finds an adapter's shard and place.
+// adapter returns the shard of an adapter, its index there and its entry.
 func (set *shardSet) adapter(name string) (shard string, index int, f catalog.AdapterFormat, ok bool) {
 	for _, n := range set.names {
 		for i, f := range set.parsed[n].Adapters {
@@ -93,7 +93,7 @@
 	return "", 0, catalog.AdapterFormat{}, false
 }
 
-// endpoint finds an endpoint's shard and place.
+// endpoint returns the shard of an endpoint, its index there and its entry.
 func (set *shardSet) endpoint(name string) (shard string, index int, f catalog.EndpointFormat, ok bool) {
 	for _, n := range set.names {
 		for i, f := range set.parsed[n].Endpoints {
@@ -105,7 +105,7 @@
 	return "", 0, catalog.EndpointFormat{}, false
 }
 
-// class finds a class's shard and place.
+// class returns the shard of a class, its index there and its entry.
 func (set *shardSet) class(name string) (shard string, index int, f catalog.ClassFormat, ok bool) {
 	for _, n := range set.names {
 		for i, f := range set.parsed[n].Classes {
@@ -117,7 +117,7 @@
 	return "", 0, catalog.ClassFormat{}, false
 }
 
-// dataCentre finds a data centre's published state.
+// dataCentre returns the shard of the published state of a data centre and its index there.
 func (set *shardSet) dataCentre(name string) (shard string, index int, ok bool) {
 	for _, n := range set.names {
 		for i, f := range set.parsed[n].DataCentres {
