--- a/plan/plan.go
+++ b/plan/plan.go
@@ -142,7 +142,7 @@
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("plan: made on revision %d (%.12s), but revision %d (%.12s) is in force; make it again",
+	return fmt.Sprintf("plan: made on revision %d (%.12s), but revision %d (%.12s) is in force; make a new plan",
 		e.Base.Revision, e.Base.Digest, e.Revision, e.Digest)
 }
 
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -143,5 +143,5 @@
 	p, err := New(SetLive{Adapter: "roses", Version: "2"}, newSnapshot(c))
 	c.Assert(err, quicktest.IsNil)
 	c.Assert(p.CheckBase(1, p.Base.Digest), quicktest.IsNil)
-	c.Assert(p.CheckBase(2, "other"), quicktest.ErrorMatches, "plan: made on revision 1 .* but revision 2 .* is in force; make it again")
+	c.Assert(p.CheckBase(2, "other"), quicktest.ErrorMatches, "plan: made on revision 1 .* but revision 2 .* is in force; make a new plan")
 }
