--- a/cmd/cairn-demo/show.go
+++ b/cmd/cairn-demo/show.go
@@ -75,6 +75,6 @@
 	if len(found) == 0 {
 		return errors.New("demo: no daemon remembers the request")
 	}
-	operator.Tell(w, found)
+	operator.PrintDecisions(w, found)
 	return nil
 }
--- a/cmd/cairnctl/command.go
+++ b/cmd/cairnctl/command.go
@@ -118,7 +118,7 @@
 }
 
 // report names the daemons that gave no answer.
-func report(errs io.Writer, silent []operator.Silence) int {
+func report(errs io.Writer, silent []operator.Unreachable) int {
 	for _, s := range silent {
 		fmt.Fprintf(errs, "no answer from %s: %v\n", s.Address, s.Cause)
 	}
--- a/cmd/cairnctl/confirm.go
+++ b/cmd/cairnctl/confirm.go
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, q.Limit)
 	defer cancel()
 	begun := time.Now()
-	behind, silent := c.Follow(ctx, addresses, head)
+	behind, silent := c.WaitForHead(ctx, addresses, head)
 	if len(behind) == 0 && len(silent) == 0 {
 		fmt.Fprintf(out, "revision %d is in force on %d daemons after %s\n", head.Revision(), len(addresses), time.Since(begun).Round(100*time.Millisecond))
 		return exitDone
--- a/cmd/cairnctl/explain.go
+++ b/cmd/cairnctl/explain.go
@@ -21,6 +21,6 @@
 		fmt.Fprintf(errs, "no daemon remembers request %s\n", e.Request)
 		return exitNotFound
 	}
-	operator.Tell(out, found)
+	operator.PrintDecisions(out, found)
 	return code
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -35,57 +35,57 @@
 // Close closes every connection.
 func (c *Client) Close() { c.dialer.Close() }
 
-// Silence is a daemon that gave no answer.
-type Silence struct {
+// Unreachable is a daemon that gave no answer.
+type Unreachable struct {
 	Address string
 	Cause   error
 }
 
-func (c *Client) operator(address string) wire.OperatorClient {
+func (c *Client) operatorClient(address string) wire.OperatorClient {
 	return wire.NewOperatorClient(c.dialer.Conn(address))
 }
 
 // Status asks every address what it sees. What did not answer is returned too.
-func (c *Client) Status(ctx context.Context, addresses []string) ([]*wire.StatusReply, []Silence) {
+func (c *Client) Status(ctx context.Context, addresses []string) ([]*wire.StatusReply, []Unreachable) {
 	var list []*wire.StatusReply
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
-		a, err := c.operator(address).Status(ctx, &wire.StatusRequest{})
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
+		a, err := c.operatorClient(address).Status(ctx, &wire.StatusRequest{})
 		if err == nil {
 			list = append(list, a)
 		}
 		return err
 	})
-	return list, silent
+	return list, unreachable
 }
 
 // Explain gathers the decisions on a request, oldest first.
-func (c *Client) Explain(ctx context.Context, addresses []string, request string) ([]*wire.Decision, []Silence) {
+func (c *Client) Explain(ctx context.Context, addresses []string, request string) ([]*wire.Decision, []Unreachable) {
 	var list []*wire.Decision
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
-		a, err := c.operator(address).Explain(ctx, &wire.ExplainRequest{Request: request})
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
+		a, err := c.operatorClient(address).Explain(ctx, &wire.ExplainRequest{Request: request})
 		list = append(list, a.GetDecisions()...)
 		return err
 	})
 	slices.SortStableFunc(list, func(a, b *wire.Decision) int { return int(a.UnixMicros - b.UnixMicros) })
-	return list, silent
+	return list, unreachable
 }
 
 // each asks one address after another, and returns those that gave no answer.
-func (c *Client) each(ctx context.Context, addresses []string, ask func(ctx context.Context, address string) error) []Silence {
-	var silent []Silence
+func (c *Client) callEach(ctx context.Context, addresses []string, call func(ctx context.Context, address string) error) []Unreachable {
+	var unreachable []Unreachable
 	for _, a := range addresses {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		if err := ask(call, a); err != nil {
-			silent = append(silent, Silence{Address: a, Cause: err})
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		if err := call(callCtx, a); err != nil {
+			unreachable = append(unreachable, Unreachable{Address: a, Cause: err})
 		}
 		cancel()
 	}
-	return silent
+	return unreachable
 }
 
 // Watch hands the decisions of one daemon to see until ctx ends.
-func (c *Client) Watch(ctx context.Context, address string, q *wire.WatchRequest, see func(*wire.Decision)) error {
-	s, err := c.operator(address).Watch(ctx, q)
+func (c *Client) Watch(ctx context.Context, address string, q *wire.WatchRequest, handle func(*wire.Decision)) error {
+	s, err := c.operatorClient(address).Watch(ctx, q)
 	if err != nil {
 		return err
 	}
@@ -94,6 +94,6 @@
 		if err != nil {
 			return err
 		}
-		see(d)
+		handle(d)
 	}
 }
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -45,16 +45,16 @@
 }
 
 // Heads returns the head in force at each address, and who gave no answer.
-func (c *Client) Heads(ctx context.Context, addresses []string) (map[string]catalog.Head, []Silence) {
+func (c *Client) Heads(ctx context.Context, addresses []string) (map[string]catalog.Head, []Unreachable) {
 	found := make(map[string]catalog.Head)
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
 		h, err := c.headAt(ctx, address)
 		if err == nil {
 			found[address] = h
 		}
 		return err
 	})
-	return found, silent
+	return found, unreachable
 }
 
 // headAt returns the head that one daemon has in force.
@@ -66,16 +66,16 @@
 	return catalog.ParseHead(d.GetBody())
 }
 
-// Follow asks until every address that answers has the head in force, or one has
+// WaitForHead asks until every address that answers has the head in force, or one has
 // another that does not follow from it, until ctx ends. It returns who had it not
 // in the last whole round, and who gave no answer.
-func (c *Client) Follow(ctx context.Context, addresses []string, head catalog.Head) (behind map[string]catalog.Head, silent []Silence) {
+func (c *Client) WaitForHead(ctx context.Context, addresses []string, head catalog.Head) (behind map[string]catalog.Head, unreachable []Unreachable) {
 	for {
-		found, missing := c.Heads(ctx, addresses)
-		if ctx.Err() != nil && len(behind)+len(silent) > 0 {
-			return behind, silent // of the round before: this one was broken off by the limit
+		found, failed := c.Heads(ctx, addresses)
+		if ctx.Err() != nil && len(behind)+len(unreachable) > 0 {
+			return behind, unreachable // of the round before: this one was broken off by the limit
 		}
-		silent = missing
+		unreachable = failed
 		behind = make(map[string]catalog.Head)
 		for a, h := range found {
 			if h.Digest() != head.Digest() && !h.Follows(head) {
@@ -83,14 +83,14 @@
 			}
 		}
 		if len(behind) == 0 || ctx.Err() != nil {
-			return behind, silent
+			return behind, unreachable
 		}
 		select {
 		case <-ctx.Done():
-			return behind, silent
-		case <-time.After(followPause):
+			return behind, unreachable
+		case <-time.After(headPollInterval):
 		}
 	}
 }
 
-const followPause = 100 * time.Millisecond
+const headPollInterval = 100 * time.Millisecond
--- a/operator/tell.go
+++ b/operator/print.go
@@ -10,8 +10,8 @@
 	"cairnwick.example/wire"
 )
 
-// sentences say what each reason means.
-var sentences = map[wire.Reason]string{
+// reasonTexts say what each reason means.
+var reasonTexts = map[wire.Reason]string{
 	wire.Reason_REASON_ADAPTER_READY:   "the adapter was in a slot and a place in the batch was free",
 	wire.Reason_REASON_AFTER_QUEUE:     "it ran after waiting for a place in the batch",
 	wire.Reason_REASON_AFTER_LOAD:      "it ran after its adapter was loaded",
@@ -27,11 +27,11 @@
 	wire.Reason_REASON_NO_WAIT:         "the class may not wait and no place was free",
 }
 
-// Sentence says what a reason means.
-func Sentence(r wire.Reason) string { return sentences[r] }
+// ReasonText says what a reason means.
+func ReasonText(r wire.Reason) string { return reasonTexts[r] }
 
-// Tell writes the decisions on one request as a story.
-func Tell(w io.Writer, list []*wire.Decision) {
+// PrintDecisions writes the decisions on one request as a story.
+func PrintDecisions(w io.Writer, list []*wire.Decision) {
 	if len(list) == 0 {
 		fmt.Fprintln(w, "No daemon remembers the request.")
 		return
@@ -39,28 +39,28 @@
 	first := list[0].GetUnixMicros()
 	for _, d := range list {
 		at := time.Duration(d.GetUnixMicros()-first) * time.Microsecond
-		fmt.Fprintf(w, "%9.3f ms  %s\n", float64(at.Microseconds())/1000, line(d))
+		fmt.Fprintf(w, "%9.3f ms  %s\n", float64(at.Microseconds())/1000, describe(d))
 		for _, c := range d.GetCandidates() {
-			fmt.Fprintf(w, "%14s%s: score %.2f%s\n", "", c.GetEndpoint(), c.GetScore(), candidateNote(c))
+			fmt.Fprintf(w, "%14s%s: score %.2f%s\n", "", c.GetEndpoint(), c.GetScore(), describeCandidate(c))
 		}
 	}
 }
 
-func line(d *wire.Decision) string {
+func describe(d *wire.Decision) string {
 	switch d.GetStep() {
 	case "place":
 		return fmt.Sprintf("%s took revision %d, read the model as %s for class %s and placed it first on %s",
 			d.GetBox(), d.GetRevision(), d.GetAdapter(), d.GetClass(), d.GetEndpoint())
 	case "schedule":
 		return fmt.Sprintf("%s decided on %s after %.3f ms: %s [%s]",
-			d.GetBox(), d.GetEndpoint(), float64(d.GetWaitedMicros())/1000, Sentence(d.GetReason()), d.GetReason())
+			d.GetBox(), d.GetEndpoint(), float64(d.GetWaitedMicros())/1000, ReasonText(d.GetReason()), d.GetReason())
 	case "run":
 		return fmt.Sprintf("%s ran it on %s: %s", d.GetBox(), d.GetEndpoint(), d.GetDetail())
 	}
 	return fmt.Sprintf("%s gave the final answer: %s", d.GetBox(), d.GetDetail())
 }
 
-func candidateNote(c *wire.Candidate) string {
+func describeCandidate(c *wire.Candidate) string {
 	if c.GetNote() == "" {
 		return fmt.Sprintf(", facts %.1f s old", float64(c.GetAgeMicros())/1e6)
 	}
