--- a/operator/client.go
+++ b/operator/client.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package operator asks daemons on behalf of an operator: what they see, why a
-// request went where it did, and what they decide now.
+// Package operator is the client of the daemons' operator service: it reads their status and
+// configuration, the decisions on a request, and new decisions as they are made.
 package operator
 
 import (
@@ -14,15 +14,15 @@
 	"cairnwick.example/wire"
 )
 
-// Client speaks to many daemons. New makes it.
+// Client calls any number of daemons. Use New to create one.
 type Client struct {
 	dialer *daemon.Dialer
 }
 
 const callTimeout = 3 * time.Second
 
-// New returns a client that shows the identity; the empty one is for daemons
-// without TLS.
+// New returns a client that authenticates with the identity. The empty identity is for
+// daemons without TLS.
 func New(i *daemon.Identity) (*Client, error) {
 	creds, err := i.Credentials()
 	if err != nil {
@@ -32,10 +32,10 @@
 	return &Client{dialer: &daemon.Dialer{Credentials: creds, Dial: d.DialContext}}, nil
 }
 
-// Close closes every connection.
+// Close closes all connections.
 func (c *Client) Close() { c.dialer.Close() }
 
-// Unreachable is a daemon that gave no answer.
+// Unreachable reports a daemon whose call failed.
 type Unreachable struct {
 	Address string
 	Cause   error
@@ -45,7 +45,7 @@
 	return wire.NewOperatorClient(c.dialer.Conn(address))
 }
 
-// Status asks every address what it sees. What did not answer is returned too.
+// Status returns the status of the daemons at the addresses, and those whose call failed.
 func (c *Client) Status(ctx context.Context, addresses []string) ([]*wire.StatusReply, []Unreachable) {
 	var list []*wire.StatusReply
 	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
@@ -58,7 +58,8 @@
 	return list, unreachable
 }
 
-// Explain gathers the decisions on a request, oldest first.
+// Explain returns the decisions on a request from all daemons, oldest first, and the daemons
+// whose call failed.
 func (c *Client) Explain(ctx context.Context, addresses []string, request string) ([]*wire.Decision, []Unreachable) {
 	var list []*wire.Decision
 	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
@@ -70,7 +71,8 @@
 	return list, unreachable
 }
 
-// each asks one address after another, and returns those that gave no answer.
+// callEach calls one address after another, each with its own timeout, and returns those
+// whose call failed.
 func (c *Client) callEach(ctx context.Context, addresses []string, call func(ctx context.Context, address string) error) []Unreachable {
 	var unreachable []Unreachable
 	for _, a := range addresses {
@@ -83,7 +85,7 @@
 	return unreachable
 }
 
-// Watch hands the decisions of one daemon to see until ctx ends.
+// Watch calls handle with the new decisions of one daemon until ctx ends or the stream fails.
 func (c *Client) Watch(ctx context.Context, address string, q *wire.WatchRequest, handle func(*wire.Decision)) error {
 	s, err := c.operatorClient(address).Watch(ctx, q)
 	if err != nil {
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Configuration returns the head in force at the first daemon that answers, and
+// Configuration returns the head in force at the first daemon that answers, and the texts of
 // its shards by name.
 func (c *Client) Configuration(ctx context.Context, addresses []string) (catalog.Head, map[string][]byte, error) {
 	var last error
@@ -44,7 +44,7 @@
 	return h, shards, nil
 }
 
-// Heads returns the head in force at each address, and who gave no answer.
+// Heads returns the head in force at each address, and the daemons whose call failed.
 func (c *Client) Heads(ctx context.Context, addresses []string) (map[string]catalog.Head, []Unreachable) {
 	found := make(map[string]catalog.Head)
 	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
@@ -57,7 +57,7 @@
 	return found, unreachable
 }
 
-// headAt returns the head that one daemon has in force.
+// headAt returns the head in force at one daemon.
 func (c *Client) headAt(ctx context.Context, address string) (catalog.Head, error) {
 	d, err := wire.NewPeerClient(c.dialer.Conn(address)).FetchHead(ctx, &wire.FetchHeadRequest{})
 	if err != nil {
@@ -66,14 +66,14 @@
 	return catalog.ParseHead(d.GetBody())
 }
 
-// WaitForHead asks until every address that answers has the head in force, or one has
-// another that does not follow from it, until ctx ends. It returns who had it not
-// in the last whole round, and who gave no answer.
+// WaitForHead polls until every daemon that answers has the head or a successor of it in
+// force, or until ctx ends. It returns the daemons that had neither in the last complete
+// round, with the heads that they had, and those whose call failed.
 func (c *Client) WaitForHead(ctx context.Context, addresses []string, head catalog.Head) (behind map[string]catalog.Head, unreachable []Unreachable) {
 	for {
 		found, failed := c.Heads(ctx, addresses)
 		if ctx.Err() != nil && len(behind)+len(unreachable) > 0 {
-			return behind, unreachable // of the round before: this one was broken off by the limit
+			return behind, unreachable // of the previous round, since ctx ended during this one
 		}
 		unreachable = failed
 		behind = make(map[string]catalog.Head)
