--- a/daemon/node.go
+++ b/daemon/node.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	n := &Node{Role: role, values: v, box: v.Text(Box), centre: v.Text(DataCentre)}
-	n.Log = logging.New(os.Stdout, n.box, n.centre, role, v.Switch(Debug))
+	n.Log = logging.New(os.Stdout, n.box, n.centre, role, v.Bool(Debug))
 	n.Record = decision.NewHistory(v.Count(Decisions))
 	n.traffic = &Traffic{}
 	n.Dialer = &Dialer{Credentials: creds, Dial: counted(&n.traffic.Peers, dialTimeout, v.Text(Source))}
--- a/daemon/options.go
+++ b/daemon/options.go
@@ -44,7 +44,7 @@
 }
 
 var endpointDial = settings.Option{
-	Name: EndpointDial, Kind: settings.Duration, Default: time.Second, Least: time.Millisecond,
+	Name: EndpointDial, Kind: settings.Duration, Default: time.Second, Min: time.Millisecond,
 	Help: "longest wait for a connection to an endpoint",
 }
 
@@ -60,15 +60,15 @@
 	{Name: OperatorsListen, Kind: settings.Address, Required: true, Help: "address for health, metrics and operators"},
 	{Name: Platform, Kind: settings.URL, Required: true, Help: "the platform's key-value service"},
 	{Name: Peers, Kind: settings.Text, Default: "", Help: "addresses of some other daemons, with commas, asked when the platform is down"},
-	{Name: Heartbeat, Kind: settings.Duration, Default: time.Second, Least: 10 * time.Millisecond, Help: "time between heartbeats"},
-	{Name: HeartbeatTimeout, Kind: settings.Duration, Default: 700 * time.Millisecond, Least: 10 * time.Millisecond, Help: "longest wait for a heartbeat's answer"},
-	{Name: SuspectFor, Kind: settings.Duration, Default: 1500 * time.Millisecond, Least: 10 * time.Millisecond, Help: "a suspect that is silent so long is dead"},
-	{Name: FreshFor, Kind: settings.Duration, Default: 3 * time.Second, Least: 10 * time.Millisecond, Help: "how long a heartbeat vouches for the view of the members"},
-	{Name: PauseLimit, Kind: settings.Duration, Default: 2500 * time.Millisecond, Least: 10 * time.Millisecond, Help: "a longer gap between heartbeats is a pause of the process"},
-	{Name: Neighbours, Kind: settings.Count, Default: 2, Least: 1, Help: "daemons that each heartbeat goes to"},
-	{Name: Watchers, Kind: settings.Count, Default: 2, Least: 1, Help: "daemons of the data centre that watch the platform"},
+	{Name: Heartbeat, Kind: settings.Duration, Default: time.Second, Min: 10 * time.Millisecond, Help: "time between heartbeats"},
+	{Name: HeartbeatTimeout, Kind: settings.Duration, Default: 700 * time.Millisecond, Min: 10 * time.Millisecond, Help: "longest wait for a heartbeat's answer"},
+	{Name: SuspectFor, Kind: settings.Duration, Default: 1500 * time.Millisecond, Min: 10 * time.Millisecond, Help: "a suspect that is silent so long is dead"},
+	{Name: FreshFor, Kind: settings.Duration, Default: 3 * time.Second, Min: 10 * time.Millisecond, Help: "how long a heartbeat vouches for the view of the members"},
+	{Name: PauseLimit, Kind: settings.Duration, Default: 2500 * time.Millisecond, Min: 10 * time.Millisecond, Help: "a longer gap between heartbeats is a pause of the process"},
+	{Name: Neighbours, Kind: settings.Count, Default: 2, Min: 1, Help: "daemons that each heartbeat goes to"},
+	{Name: Watchers, Kind: settings.Count, Default: 2, Min: 1, Help: "daemons of the data centre that watch the platform"},
 	{Name: Settle, Kind: settings.Duration, Default: 3 * time.Second, Help: "how long a new configuration waits for a rival before it is in force"},
 	{Name: DrainLimit, Kind: settings.Duration, Default: 10 * time.Minute, Help: "longest wait for running requests at a planned stop"},
-	{Name: Decisions, Kind: settings.Count, Default: 4096, Least: 1, Help: "decisions remembered for operators"},
-	{Name: Debug, Kind: settings.Switch, Default: false, Help: "log each refusal and each small event"},
+	{Name: Decisions, Kind: settings.Count, Default: 4096, Min: 1, Help: "decisions remembered for operators"},
+	{Name: Debug, Kind: settings.Bool, Default: false, Help: "log each refusal and each small event"},
 }
--- a/settings/check.go
+++ b/settings/check.go
@@ -14,19 +14,19 @@
 func (o Option) value(fields map[string]json.RawMessage) (any, *Problem) {
 	raw, ok := fields[o.Name]
 	if !ok && o.Required {
-		return nil, &Problem{Field: o.Name, Value: "missing", Mend: "give a value of kind " + o.Kind.String()}
+		return nil, &Problem{Field: o.Name, Value: "missing", Fix: "give a value of kind " + o.Kind.String()}
 	}
 	if !ok {
 		return o.Default, nil
 	}
-	value, mend := o.parse(raw)
-	if mend != "" {
-		return nil, &Problem{Field: o.Name, Value: string(raw), Mend: mend}
+	value, fix := o.parse(raw)
+	if fix != "" {
+		return nil, &Problem{Field: o.Name, Value: string(raw), Fix: fix}
 	}
 	return value, nil
 }
 
-// parse returns the typed value, or how to mend it.
+// parse returns the typed value, or how to fix it.
 func (o Option) parse(raw json.RawMessage) (any, string) {
 	switch o.Kind {
 	case Text, Address, URL:
@@ -79,8 +79,8 @@
 	if err != nil {
 		return nil, `write a duration, such as "250ms"`
 	}
-	if least, ok := o.Least.(time.Duration); ok && d < least {
-		return nil, fmt.Sprintf("write %v or more", least)
+	if minimum, ok := o.Min.(time.Duration); ok && d < minimum {
+		return nil, fmt.Sprintf("write %v or more", minimum)
 	}
 	return d, ""
 }
@@ -90,8 +90,8 @@
 	if json.Unmarshal(raw, &n) != nil || n < 0 {
 		return nil, "write a whole number, zero or more"
 	}
-	if least, ok := o.Least.(int); ok && n < least {
-		return nil, fmt.Sprintf("write %d or more", least)
+	if minimum, ok := o.Min.(int); ok && n < minimum {
+		return nil, fmt.Sprintf("write %d or more", minimum)
 	}
 	return n, ""
 }
@@ -101,8 +101,8 @@
 	if json.Unmarshal(raw, &f) != nil || f < 0 {
 		return nil, "write a number, zero or more"
 	}
-	if least, ok := o.Least.(float64); ok && f < least {
-		return nil, fmt.Sprintf("write %g or more", least)
+	if minimum, ok := o.Min.(float64); ok && f < minimum {
+		return nil, fmt.Sprintf("write %g or more", minimum)
 	}
 	return f, ""
 }
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -21,8 +21,8 @@
 			var e *Error
 			if errors.As(err, &e) {
 				for _, p := range e.Problems {
-					if p.Mend == "" {
-						t.Fatalf("a problem without its mend: %+v", p)
+					if p.Fix == "" {
+						t.Fatalf("a problem without its fix: %+v", p)
 					}
 				}
 			} else if !strings.HasPrefix(err.Error(), "settings: f ") {
@@ -37,8 +37,8 @@
 		if err := Print(&b, table, v); err != nil {
 			t.Fatal(err)
 		}
-		again, err := Read("printed", b.Bytes(), table, nil)
-		if err != nil || again.Text("box") != v.Text("box") || again.Number("share") != v.Number("share") {
+		reread, err := Read("printed", b.Bytes(), table, nil)
+		if err != nil || reread.Text("box") != v.Text("box") || reread.Number("share") != v.Number("share") {
 			t.Errorf("printed and read again: %v\n%s", err, b.Bytes())
 		}
 	})
--- a/settings/read.go
+++ b/settings/read.go
@@ -18,7 +18,7 @@
 type Problem struct {
 	Field string // the option's name
 	Value string // as it stands in the file
-	Mend  string // what to write instead
+	Fix   string // what to write instead
 }
 
 // Error says all that is wrong with a settings file at once.
@@ -32,7 +32,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "settings: %s has %d problem(s)", e.Source, len(e.Problems))
 	for _, p := range e.Problems {
-		fmt.Fprintf(&b, "\n  %s: %s: %s", p.Field, p.Value, p.Mend)
+		fmt.Fprintf(&b, "\n  %s: %s: %s", p.Field, p.Value, p.Fix)
 	}
 	return b.String()
 }
@@ -54,21 +54,21 @@
 	if err != nil {
 		return Values{}, err
 	}
-	if err := override(fields, t, overrides); err != nil {
+	if err := applyOverrides(fields, t, overrides); err != nil {
 		return Values{}, err
 	}
 	v := Values{values: make(map[string]any, len(t))}
-	found := unknownFields(fields, t)
+	problems := unknownFields(fields, t)
 	for _, o := range t {
 		value, problem := o.value(fields)
 		if problem != nil {
-			found = append(found, *problem)
+			problems = append(problems, *problem)
 			continue
 		}
 		v.values[o.Name] = value
 	}
-	if len(found) > 0 {
-		return Values{}, &Error{Source: source, Problems: found}
+	if len(problems) > 0 {
+		return Values{}, &Error{Source: source, Problems: problems}
 	}
 	return v, nil
 }
@@ -85,8 +85,8 @@
 	return fields, nil
 }
 
-// override puts the flags' values into fields, as the JSON that the kind asks.
-func override(fields map[string]json.RawMessage, t Table, overrides map[string]string) error {
+// applyOverrides puts the flags' values into fields, as the JSON that the kind asks.
+func applyOverrides(fields map[string]json.RawMessage, t Table, overrides map[string]string) error {
 	for name, value := range overrides {
 		o, ok := t.Find(name)
 		if !ok {
@@ -102,14 +102,14 @@
 }
 
 func unknownFields(fields map[string]json.RawMessage, t Table) []Problem {
-	var found []Problem
+	var problems []Problem
 	for name, raw := range fields {
 		if _, ok := t.Find(name); !ok {
-			found = append(found, unknownField(name, string(raw), t))
+			problems = append(problems, unknownField(name, string(raw), t))
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Field < found[j].Field })
-	return found
+	sort.Slice(problems, func(i, j int) bool { return problems[i].Field < problems[j].Field })
+	return problems
 }
 
 func unknownField(name, value string, t Table) Problem {
@@ -117,5 +117,5 @@
 	for _, o := range t {
 		names = append(names, o.Name)
 	}
-	return Problem{Field: name, Value: value, Mend: "unknown field; remove it or use one of " + strings.Join(names, ", ")}
+	return Problem{Field: name, Value: value, Fix: "unknown field; remove it or use one of " + strings.Join(names, ", ")}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,10 +14,10 @@
 	{Name: "box", Kind: Text, Required: true, Help: "name of the box"},
 	{Name: "listen", Kind: Address, Default: "127.0.0.1:1"},
 	{Name: "platform", Kind: URL, Default: "http://127.0.0.1:1"},
-	{Name: "patience", Kind: Duration, Default: time.Second, Least: time.Millisecond},
-	{Name: "queue", Kind: Count, Default: 8, Least: 1},
+	{Name: "patience", Kind: Duration, Default: time.Second, Min: time.Millisecond},
+	{Name: "queue", Kind: Count, Default: 8, Min: 1},
 	{Name: "share", Kind: Number, Default: 0.5},
-	{Name: "loud", Kind: Switch, Default: false},
+	{Name: "loud", Kind: Bool, Default: false},
 }
 
 func TestReadTakesDefaults(t *testing.T) {
@@ -57,7 +57,7 @@
 	c.Assert(err, quicktest.IsNil)
 	var b bytes.Buffer
 	c.Assert(Print(&b, table, v), quicktest.IsNil)
-	again, err := Read("printed", b.Bytes(), table, nil)
+	reread, err := Read("printed", b.Bytes(), table, nil)
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(again.values, quicktest.DeepEquals, v.values)
+	c.Assert(reread.values, quicktest.DeepEquals, v.values)
 }
--- a/settings/table.go
+++ b/settings/table.go
@@ -17,7 +17,7 @@
 	Duration             // a Go duration such as "250ms"
 	Count                // a whole number, zero or more
 	Number               // a number, zero or more
-	Switch               // true or false
+	Bool                 // true or false
 )
 
 // String names the kind as it stands in error texts and manuals.
@@ -32,7 +32,7 @@
 	Kind     Kind
 	Default  any // string, time.Duration, int, float64 or bool, as Kind asks
 	Required bool
-	Least    any    // the smallest value allowed, for Duration, Count and Number
+	Min      any    // the smallest value allowed, for Duration, Count and Number
 	Help     string // one line, for the manual and the reference page
 }
 
@@ -66,5 +66,5 @@
 // Number returns a Number option.
 func (v Values) Number(name string) float64 { return v.values[name].(float64) }
 
-// Switch returns a Switch option.
-func (v Values) Switch(name string) bool { return v.values[name].(bool) }
+// Bool returns a Bool option.
+func (v Values) Bool(name string) bool { return v.values[name].(bool) }
