--- a/settings/check.go
+++ b/settings/check.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// value reads the option from the fields of a file, or takes its default.
+// value returns the value of the option from the fields of a file, or its default.
 func (o Option) value(fields map[string]json.RawMessage) (any, *Problem) {
 	raw, ok := fields[o.Name]
 	if !ok && o.Required {
@@ -26,7 +26,7 @@
 	return value, nil
 }
 
-// parse returns the typed value, or how to fix it.
+// parse returns the typed value, or a non-empty hint on how to fix the field.
 func (o Option) parse(raw json.RawMessage) (any, string) {
 	switch o.Kind {
 	case Text, Address, URL:
@@ -58,7 +58,7 @@
 	}
 	if o.Kind == Address {
 		if _, err := netip.ParseAddrPort(s); err != nil {
-			return nil, `write an IP number and a port, such as "10.0.0.1:8080"`
+			return nil, `write an IP address and a port, such as "10.0.0.1:8080"`
 		}
 	}
 	if o.Kind == URL {
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// FuzzRead: what is accepted holds and can be printed and read again, and what is refused
-// names a field, or the file that is no object.
+// FuzzRead checks that accepted settings are within their bounds and survive Print and Read,
+// that each reported problem has a fix, and that any other error names the file.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"box": "a", /* why */ "queue": 3, "patience": "250ms", "share": 1e300,}`))
 	f.Add([]byte(`{"listen":"x","platform":"ftp://a","patience":"0s","queue":-1,"share":"a","loud":1,"more":2}`))
@@ -22,11 +22,11 @@
 			if errors.As(err, &e) {
 				for _, p := range e.Problems {
 					if p.Fix == "" {
-						t.Fatalf("a problem without its fix: %+v", p)
+						t.Fatalf("a problem without a fix: %+v", p)
 					}
 				}
 			} else if !strings.HasPrefix(err.Error(), "settings: f ") {
-				t.Fatalf("an error without its place: %v", err)
+				t.Fatalf("an error that does not name the file: %v", err)
 			}
 			return
 		}
@@ -39,7 +39,7 @@
 		}
 		reread, err := Read("printed", b.Bytes(), table, nil)
 		if err != nil || reread.Text("box") != v.Text("box") || reread.Number("share") != v.Number("share") {
-			t.Errorf("printed and read again: %v\n%s", err, b.Bytes())
+			t.Errorf("differs after Print and Read: %v\n%s", err, b.Bytes())
 		}
 	})
 }
--- a/settings/print.go
+++ b/settings/print.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Print writes the effective settings as JSON with comments, ready to be read
-// again.
+// Print writes the effective settings as JSON with comments, in the format that Read
+// accepts.
 func Print(w io.Writer, t Table, v Values) error {
 	fmt.Fprintln(w, "{")
 	for _, o := range t {
--- a/settings/read.go
+++ b/settings/read.go
@@ -14,20 +14,20 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a settings file.
+// Problem is one invalid field of a settings file.
 type Problem struct {
-	Field string // the option's name
-	Value string // as it stands in the file
+	Field string // option name
+	Value string // as written in the file
 	Fix   string // what to write instead
 }
 
-// Error says all that is wrong with a settings file at once.
+// Error reports all problems of a settings file.
 type Error struct {
-	Source   string // the file's path
+	Source   string // path of the file
 	Problems []Problem
 }
 
-// Error lists every problem, one a line.
+// Error lists the problems, one per line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "settings: %s has %d problem(s)", e.Source, len(e.Problems))
@@ -37,9 +37,9 @@
 	return b.String()
 }
 
-// ReadFile reads the file at path and checks it against the table. The
-// overrides, by option name, come from flags and win over the file. It returns
-// an *Error when the file can be parsed and does not hold.
+// ReadFile reads the file at path and validates it against the table. The overrides, by
+// option name, come from flags and take precedence over the file. It returns an *Error if
+// the file can be parsed but is invalid.
 func ReadFile(path string, t Table, overrides map[string]string) (Values, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return Read(path, raw, t, overrides)
 }
 
-// Read checks raw, the text of a settings file, against the table.
+// Read parses raw, the text of a settings file, and validates it against the table.
 func Read(source string, raw []byte, t Table, overrides map[string]string) (Values, error) {
 	fields, err := parse(source, raw)
 	if err != nil {
@@ -85,7 +85,8 @@
 	return fields, nil
 }
 
-// applyOverrides puts the flags' values into fields, as the JSON that the kind asks.
+// applyOverrides sets the fields that flags override. A flag's value becomes a JSON string
+// for Text, Address, URL and Duration options, and is taken as JSON for other kinds.
 func applyOverrides(fields map[string]json.RawMessage, t Table, overrides map[string]string) error {
 	for name, value := range overrides {
 		o, ok := t.Find(name)
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Reference writes the table of options in Markdown, for the operators' page.
+// Reference writes the table of options as a Markdown table, for the reference page.
 func Reference(w io.Writer, t Table) {
 	fmt.Fprintln(w, "| setting | kind | default | means |\n| --- | --- | --- | --- |")
 	for _, o := range t {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,7 +20,7 @@
 	{Name: "loud", Kind: Bool, Default: false},
 }
 
-func TestReadTakesDefaults(t *testing.T) {
+func TestReadUsesDefaults(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box": "a", /* why */ "queue": 3,}`), table, nil)
 	c.Assert(err, quicktest.IsNil)
@@ -29,7 +29,7 @@
 	c.Assert(v.Duration("patience"), quicktest.Equals, time.Second)
 }
 
-func TestReadReportsEveryProblemAtOnce(t *testing.T) {
+func TestReadReportsAllProblems(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := Read("f", []byte(`{"listen":"x","platform":"ftp://a","patience":"0s","queue":-1,"share":"a","loud":1,"more":2}`), table, nil)
 	e, ok := err.(*Error)
@@ -38,12 +38,12 @@
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*box: missing: give a value.*patience: "0s": write 1ms or more.*`)
 }
 
-func TestReadRefusesBrokenText(t *testing.T) {
+func TestReadRejectsMalformedText(t *testing.T) {
 	_, err := Read("f", []byte(`{`), table, nil)
 	quicktest.Assert(t, err, quicktest.ErrorMatches, "settings: f is not JSON with comments.*")
 }
 
-func TestOverridesWinOverTheFile(t *testing.T) {
+func TestOverridesTakePrecedenceOverFile(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box":"a"}`), table, map[string]string{"box": "b", "queue": "5"})
 	c.Assert(err, quicktest.IsNil)
@@ -51,7 +51,7 @@
 	c.Assert(v.Count("queue"), quicktest.Equals, 5)
 }
 
-func TestPrintCanBeReadAgain(t *testing.T) {
+func TestReadAcceptsPrintedSettings(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box":"a"}`), table, nil)
 	c.Assert(err, quicktest.IsNil)
