--- a/cmd/cairnctl/request.go
+++ b/cmd/cairnctl/request.go
@@ -65,7 +65,7 @@
 func (s *requestStory) concerns(l logging.Line) bool {
 	endpoint, adapter := l.Text("endpoint"), l.Text("adapter")
 	switch {
-	case l.Message() == logging.LeftOut:
+	case l.Message() == logging.LinesDroppedMessage:
 		return true // the story may have a gap there, whichever box it is
 	case l.Text("request") != "":
 		return false
@@ -164,7 +164,7 @@
 func sentence(l logging.Line) string {
 	var b strings.Builder
 	b.WriteString(l.Message())
-	for _, n := range l.Names() {
+	for _, n := range l.FieldNames() {
 		if v := l.Text(n); v != "" && n != "role" && n != "request" {
 			fmt.Fprintf(&b, "  %s=%s", n, v)
 		}
--- a/cmd/cairnctl/story.go
+++ b/cmd/cairnctl/story.go
@@ -39,8 +39,8 @@
 	} else {
 		found = countFailures(out, g.Lines(), from, to)
 	}
-	if g.Foreign()+g.Doubled() > 0 {
-		fmt.Fprintf(errs, "passed over: %d lines that are not ours or are cut, %d that came twice\n", g.Foreign(), g.Doubled())
+	if g.Unparsed()+g.Duplicates() > 0 {
+		fmt.Fprintf(errs, "passed over: %d lines that are not ours or are cut, %d that came twice\n", g.Unparsed(), g.Duplicates())
 	}
 	if found == 0 {
 		fmt.Fprintln(errs, "nothing found in these logs")
--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -34,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitSettings
 	}
-	lines := logging.NewBounded(os.Stdout)
+	lines := logging.NewBoundedWriter(os.Stdout)
 	lines.Box = s.Box
 	log := logging.New(lines, s.Box, s.DataCentre, "edge", c.Debug)
 	flush := write(lines)
@@ -70,7 +70,7 @@
 
 // write writes the log until the function that it returns is called, which writes
 // what is left.
-func write(lines *logging.Bounded) func() {
+func write(lines *logging.BoundedWriter) func() {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- lines.Run(ctx) }()
--- a/edge/node.go
+++ b/edge/node.go
@@ -31,8 +31,8 @@
 	Protocol forward.Protocol
 	Control  placement.Control
 	Log      logr.Logger
-	Lines    *logging.Bounded // the output of Log
-	Profile  bool             // whether the metrics address also serves pprof profiles
+	Lines    *logging.BoundedWriter // the output of Log
+	Profile  bool                   // whether the metrics address also serves pprof profiles
 
 	current    atomic.Pointer[Settings] // replaced by Reload
 	view       *topology.View
@@ -123,7 +123,7 @@
 		OnDraining:    n.departures.observe,
 		MaxInFlight:   max(s.Limits.Descriptors, descriptorsPerRequest*64) / descriptorsPerRequest,
 		Log:           n.Log,
-		LogBacklogged: n.Lines.Pressed,
+		LogBacklogged: n.Lines.Backlogged,
 		Stats:         forward.NewStats(),
 	}
 }
--- a/edge/node_test.go
+++ b/edge/node_test.go
@@ -109,7 +109,7 @@
 		Protocol: noProtocol{},
 		Control:  noControl{},
 		Log:      logr.Discard(),
-		Lines:    logging.NewBounded(io.Discard),
+		Lines:    logging.NewBoundedWriter(io.Discard),
 	}
 }
 
--- a/logging/read.go
+++ b/logging/read.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Names returns the names of the fields besides time, level and message, sorted.
-func (l Line) Names() []string {
+// FieldNames returns the names of the fields besides time, level and message, sorted.
+func (l Line) FieldNames() []string {
 	var names []string
 	for n := range l.fields {
 		if n != "time" && n != "level" && n != "msg" {
@@ -55,10 +55,10 @@
 
 // Log is what was read of some daemons' logs.
 type Log struct {
-	lines   []Line
-	seen    map[string]bool
-	foreign int
-	doubled int
+	lines      []Line
+	seen       map[string]bool
+	unparsed   int
+	duplicates int
 }
 
 // Lines returns the lines by time.
@@ -67,22 +67,22 @@
 	return g.lines
 }
 
-// Foreign returns how many lines were no line of ours, or cut.
-func (g *Log) Foreign() int { return g.foreign }
+// Unparsed returns how many lines were no line of ours, or cut.
+func (g *Log) Unparsed() int { return g.unparsed }
 
-// Doubled returns how many lines came more than once.
-func (g *Log) Doubled() int { return g.doubled }
+// Duplicates returns how many lines came more than once.
+func (g *Log) Duplicates() int { return g.duplicates }
 
-// maxLine bounds one line, in bytes; a longer one is foreign.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line, in bytes; a longer one is foreign.
+const maxLineBytes = 1 << 20
 
 // Read adds the lines of r. What a collector put in front of a line is passed over.
 func (g *Log) Read(r io.Reader) error {
-	in := bufio.NewReaderSize(r, maxLine)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	for {
 		raw, err := in.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			g.foreign++
+			g.unparsed++
 		}
 		for err == bufio.ErrBufferFull { // the rest of a line that is too long
 			raw = nil
@@ -100,17 +100,17 @@
 	}
 }
 
-// begin is how each line of ours begins. It cannot stand inside one: there its quotes
+// linePrefix is how each line of ours begins. It cannot stand inside one: there its quotes
 // would be escaped.
-var begin = []byte(`{"time":`)
+var linePrefix = []byte(`{"time":`)
 
 // add adds one line of text. A process that was killed while it wrote leaves a line
 // without an end, and what is written next stands behind it.
 func (g *Log) add(raw []byte) {
 	l, ok := parse(raw)
 	if !ok {
-		g.foreign++
-		last := bytes.LastIndex(raw, begin)
+		g.unparsed++
+		last := bytes.LastIndex(raw, linePrefix)
 		if last < 0 {
 			return
 		}
@@ -122,7 +122,7 @@
 		g.seen = make(map[string]bool)
 	}
 	if g.seen[l.raw] {
-		g.doubled++
+		g.duplicates++
 		return
 	}
 	g.seen[l.raw] = true
--- a/logging/read_test.go
+++ b/logging/read_test.go
@@ -10,7 +10,7 @@
 	"github.com/frankban/quicktest"
 )
 
-func TestLinesOfSeveralBoxesAreReadByTime(t *testing.T) {
+func TestLinesOfSeveralBoxesAreSortedByTime(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
 	c.Assert(g.Read(strings.NewReader(`{"time":"2026-05-01T10:00:02Z","msg":"Second","box":"b"}`+"\n")), quicktest.IsNil)
@@ -19,41 +19,41 @@
 	c.Assert(lines, quicktest.HasLen, 2)
 	c.Assert(lines[0].Message(), quicktest.Equals, "First")
 	c.Assert(lines[0].Text("took_ms"), quicktest.Equals, "7")
-	c.Assert(lines[0].Names(), quicktest.DeepEquals, []string{"box", "took_ms"})
+	c.Assert(lines[0].FieldNames(), quicktest.DeepEquals, []string{"box", "took_ms"})
 }
 
-func TestForeignCutAndDoubledLinesArePassedOverAndCounted(t *testing.T) {
+func TestUnparsedAndDuplicateLinesAreSkippedAndCounted(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
 	good := `{"time":"2026-05-01T10:00:02Z","msg":"Good"}` + "\n"
-	text := "panic: not ours\n" + good + good + good[:20] + "\n" + `{"time":"yesterday","msg":"x"}` + "\n" + strings.Repeat("{", 2*maxLine) + "\n" + good[:30]
+	text := "panic: not ours\n" + good + good + good[:20] + "\n" + `{"time":"yesterday","msg":"x"}` + "\n" + strings.Repeat("{", 2*maxLineBytes) + "\n" + good[:30]
 	c.Assert(g.Read(strings.NewReader(text)), quicktest.IsNil)
 	c.Assert(g.Lines(), quicktest.HasLen, 1)
-	c.Assert(g.Doubled(), quicktest.Equals, 1)
-	c.Assert(g.Foreign(), quicktest.Equals, 5) // the one that is too long too
+	c.Assert(g.Duplicates(), quicktest.Equals, 1)
+	c.Assert(g.Unparsed(), quicktest.Equals, 5) // the one that is too long too
 }
 
 // A process was killed in the middle of a line and started again onto the same file: its
 // first new line stood behind the rest of the old one, and was passed over with it.
-func TestALineBehindACutOneIsRead(t *testing.T) {
+func TestLineAfterTruncatedLineIsRead(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
 	cut := `{"time":"2026-05-01T10:00:01Z","level":"INFO","msg":"Cut","request":"r`
 	c.Assert(g.Read(strings.NewReader(cut+`{"time":"2026-05-01T10:00:02Z","level":"INFO","msg":"Box starts"}`+"\n")), quicktest.IsNil)
 	c.Assert(g.Lines(), quicktest.HasLen, 1)
 	c.Assert(g.Lines()[0].Message(), quicktest.Equals, "Box starts")
-	c.Assert(g.Foreign(), quicktest.Equals, 1)
+	c.Assert(g.Unparsed(), quicktest.Equals, 1)
 }
 
 // What a caller sends stands in our lines too, in any form: as long as a line is whole it is
 // read whole, whatever its texts look like.
-func TestATextThatLooksLikeALineIsNoLine(t *testing.T) {
+func TestTextThatLooksLikeLineIsNotParsedAsLine(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
 	c.Assert(g.Read(strings.NewReader(`{"time":"2026-05-01T10:00:01Z","msg":"Whole","request":"{\"time\":\"2026-05-01T10:00:02Z\",\"msg\":\"Forged\"}"}`+"\n")), quicktest.IsNil)
 	c.Assert(g.Lines(), quicktest.HasLen, 1)
 	c.Assert(g.Lines()[0].Message(), quicktest.Equals, "Whole")
-	c.Assert(g.Foreign(), quicktest.Equals, 0)
+	c.Assert(g.Unparsed(), quicktest.Equals, 0)
 }
 
 func FuzzRead(f *testing.F) {
@@ -64,7 +64,7 @@
 		if err := g.Read(bytes.NewReader(raw)); err != nil {
 			t.Fatal(err)
 		}
-		counted := len(g.Lines()) + g.Foreign() + g.Doubled()
+		counted := len(g.Lines()) + g.Unparsed() + g.Duplicates()
 		if len(bytes.TrimSpace(raw)) > 0 && counted == 0 {
 			t.Fatalf("%q is neither read nor counted", raw)
 		}
--- a/measure/where.go
+++ b/measure/where.go
@@ -60,7 +60,7 @@
 	if requests == 0 {
 		return errors.New("measure: no line tells of a request")
 	}
-	fmt.Fprintf(out, "%d requests; %d lines were not read\n\n", requests, log.Foreign())
+	fmt.Fprintf(out, "%d requests; %d lines were not read\n\n", requests, log.Unparsed())
 	if err := printTallies(out, "route", routes); err != nil || !w.Seconds {
 		return err
 	}
