--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	maxQueuedLines     = 2048             // lines held for a reader that stands still: under 1 MB
-	maxBatchBytes      = 32 << 10         // written at a time
-	flushTimeout       = time.Second      // for what is queued at the end
-	dropNoticeInterval = 10 * time.Second // at most so often a line tells how many were left out
+	maxQueuedLines     = 2048             // lines buffered for a slow reader: less than 1 MB
+	maxBatchBytes      = 32 << 10         // target size of one write
+	flushTimeout       = time.Second      // for the lines still queued at shutdown
+	dropNoticeInterval = 10 * time.Second // minimum time between two notices of dropped lines
 )
 
-// LinesDroppedMessage is the sentence of the notice of lines that were left out.
+// LinesDroppedMessage is the message of the log line that reports dropped lines.
 const LinesDroppedMessage = "Log lines were left out"
 
-// BoundedWriter is a writer of lines that never blocks: a reader that stands still costs
-// lines, not requests. Set the exported fields before Run.
+// BoundedWriter is a line writer that never blocks: it drops lines while the reader of its
+// output is blocked, so that logging does not delay requests. Set the exported fields before
+// Run.
 type BoundedWriter struct {
 	Out io.Writer
-	Box string // that writes; stands in the notice of lines that were left out
+	Box string // name of the own box, for the notice of dropped lines
 
 	lines      chan []byte
 	unreported atomic.Int64 // since the last notice
-	dropped    atomic.Int64 // left out in all
+	dropped    atomic.Int64 // in total
 }
 
-// NewBoundedWriter returns a writer onto out.
+// NewBoundedWriter returns a writer to out. Run must be called for the lines to be written.
 func NewBoundedWriter(out io.Writer) *BoundedWriter {
 	return &BoundedWriter{Out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write queues one line, or counts it as left out.
+// Write queues one line, or drops and counts it if the queue is full.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
@@ -48,15 +49,15 @@
 	return len(line), nil
 }
 
-// Backlogged tells whether the reader is behind, so that lines of little worth had
-// better not be written.
+// Backlogged reports whether the queue is more than half full. Callers should then omit lines
+// of low importance.
 func (b *BoundedWriter) Backlogged() bool { return len(b.lines) > maxQueuedLines/2 }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the total number of dropped lines.
 func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
-// Run writes what is queued until ctx ends, and then what is left, as far as the
-// reader takes it.
+// Run writes the queued lines until ctx ends, and then flushes the rest of the queue within
+// flushTimeout.
 func (b *BoundedWriter) Run(ctx context.Context) error {
 	done := make(chan error, 1)
 	go func() { done <- b.writeQueued(ctx) }()
@@ -65,7 +66,7 @@
 	case err := <-done:
 		return err
 	case <-time.After(flushTimeout):
-		return nil // the reader stands still; the process does not wait for it
+		return nil // a blocked reader must not keep the process from ending
 	}
 }
 
@@ -93,7 +94,8 @@
 	}
 }
 
-// gather adds what else is queued, so that many lines cost one system call.
+// appendQueued appends queued lines to the batch until it is full, so that many lines need
+// only one system call.
 func (b *BoundedWriter) appendQueued(batch []byte) []byte {
 	for len(batch) < maxBatchBytes {
 		select {
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -14,7 +14,7 @@
 	"github.com/frankban/quicktest"
 )
 
-// lockedBuffer can be read while it is written.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -49,11 +49,11 @@
 	c.Assert(out.text(), quicktest.Equals, "one\ntwo\nthree\n")
 }
 
-// blockedWriter is a reader that takes nothing until it is let go.
+// blockedWriter blocks each Write until release is closed.
 type blockedWriter struct {
 	lockedBuffer
 
-	blocked chan struct{} // closed when it is written to first
+	blocked chan struct{} // closed at the first Write
 	once    sync.Once
 	release chan struct{}
 }
@@ -75,20 +75,20 @@
 	done := make(chan error, 1)
 	go func() { done <- b.Run(ctx) }()
 	_, _ = io.WriteString(b, "line\n")
-	<-out.blocked                   // else its first batch could take all that is queued after the last line
-	for range 16 * maxQueuedLines { // would block for ever on a plain writer
+	<-out.blocked                   // otherwise the first batch could be collected after the last line and empty the queue
+	for range 16 * maxQueuedLines { // would block forever if Write were synchronous
 		_, _ = io.WriteString(b, "line\n")
 	}
 	c.Assert(b.Dropped() >= 8*maxQueuedLines, quicktest.IsTrue, quicktest.Commentf("%d", b.Dropped()))
 	c.Assert(b.Backlogged(), quicktest.IsTrue)
 	close(out.release)
 	for tries := 0; !strings.Contains(out.text(), LinesDroppedMessage); tries++ {
-		c.Assert(tries < 1000, quicktest.IsTrue, quicktest.Commentf("what was left out is not told"))
+		c.Assert(tries < 1000, quicktest.IsTrue, quicktest.Commentf("no notice of dropped lines"))
 		time.Sleep(time.Millisecond)
 	}
 	var g Log
 	c.Assert(g.Read(strings.NewReader(out.text())), quicktest.IsNil)
-	c.Assert(g.Lines(), quicktest.HasLen, 1) // a line of ours, once
+	c.Assert(g.Lines(), quicktest.HasLen, 1) // the notice, written once; the other lines are not JSON
 	c.Assert(g.Lines()[0].Message(), quicktest.Equals, LinesDroppedMessage)
 	c.Assert(g.Lines()[0].Text("box"), quicktest.Equals, "box-1")
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logging makes the loggers of the daemons, logr over JSON lines, with a writer
-// that never blocks on a slow reader, and reads such lines again.
+// Package logging provides the loggers of the daemons, which write JSON lines with logr, a
+// writer that does not block on a slow reader, and a parser for the logs.
 package logging
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/go-logr/logr"
 )
 
-// New returns a logger that writes one JSON object a line to w, each with the
-// box, the data centre and the role of the daemon. Debug lines are logged at
-// V(1) and written only when debug is true.
+// New returns a logger that writes one JSON object per line to w, each with the box, the data
+// centre and the role of the daemon. Debug lines are logged at V(1) and written only if debug
+// is true.
 func New(w io.Writer, box, dataCentre, role string, debug bool) logr.Logger {
 	level := slog.LevelInfo
 	if debug {
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestLinesAreJSONWithTheBox(t *testing.T) {
+func TestLinesAreJSONWithBox(t *testing.T) {
 	c := quicktest.New(t)
 	var b bytes.Buffer
 	l := New(&b, "box-1", "kigali-1", "gateway", false)
--- a/logging/read.go
+++ b/logging/read.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// Line is one line of a daemon's log.
+// Line is one parsed line of a daemon's log.
 type Line struct {
 	time    time.Time
 	message string
-	fields  map[string]any // all of them, those above too
+	fields  map[string]any // all fields, including time and msg
 	raw     string
 }
 
-// Time returns when the line was written, by its box's clock.
+// Time returns the time of the line, by the clock of its box.
 func (l Line) Time() time.Time { return l.time }
 
-// Message returns the sentence.
+// Message returns the value of msg.
 func (l Line) Message() string { return l.message }
 
-// Text returns a field as text; empty when there is none.
+// Text returns the value of a field as text: a string as it is, any other value as JSON, and
+// "" if the field is missing or null.
 func (l Line) Text(name string) string {
 	switch v := l.fields[name].(type) {
 	case string:
@@ -41,7 +42,7 @@
 	}
 }
 
-// FieldNames returns the names of the fields besides time, level and message, sorted.
+// FieldNames returns the sorted names of the fields other than time, level and msg.
 func (l Line) FieldNames() []string {
 	var names []string
 	for n := range l.fields {
@@ -53,7 +54,7 @@
 	return names
 }
 
-// Log is what was read of some daemons' logs.
+// Log collects the lines of the logs of any number of daemons. The zero value is ready to use.
 type Log struct {
 	lines      []Line
 	seen       map[string]bool
@@ -61,22 +62,23 @@
 	duplicates int
 }
 
-// Lines returns the lines by time.
+// Lines returns the lines in the order of their times.
 func (g *Log) Lines() []Line {
 	slices.SortStableFunc(g.lines, func(a, b Line) int { return a.time.Compare(b.time) })
 	return g.lines
 }
 
-// Unparsed returns how many lines were no line of ours, or cut.
+// Unparsed returns the number of lines that were not complete lines of a daemon's log.
 func (g *Log) Unparsed() int { return g.unparsed }
 
-// Duplicates returns how many lines came more than once.
+// Duplicates returns the number of lines that repeated an earlier one.
 func (g *Log) Duplicates() int { return g.duplicates }
 
-// maxLineBytes bounds one line, in bytes; a longer one is foreign.
+// maxLineBytes is the maximum length of a line. A longer one counts as unparsed.
 const maxLineBytes = 1 << 20
 
-// Read adds the lines of r. What a collector put in front of a line is passed over.
+// Read adds the lines of r. A prefix that a log collector put before the JSON object of a line
+// is ignored.
 func (g *Log) Read(r io.Reader) error {
 	in := bufio.NewReaderSize(r, maxLineBytes)
 	for {
@@ -84,7 +86,7 @@
 		if err == bufio.ErrBufferFull {
 			g.unparsed++
 		}
-		for err == bufio.ErrBufferFull { // the rest of a line that is too long
+		for err == bufio.ErrBufferFull { // skips the rest of the long line
 			raw = nil
 			_, err = in.ReadSlice('\n')
 		}
@@ -100,12 +102,13 @@
 	}
 }
 
-// linePrefix is how each line of ours begins. It cannot stand inside one: there its quotes
-// would be escaped.
+// linePrefix is the start of every line of a daemon's log. It cannot occur within a line,
+// where its quotes would be escaped.
 var linePrefix = []byte(`{"time":`)
 
-// add adds one line of text. A process that was killed while it wrote leaves a line
-// without an end, and what is written next stands behind it.
+// add parses one line of text. A process that is killed while it writes leaves a truncated
+// line without a newline, and the next line is then appended to it: the part from the last
+// linePrefix on is parsed too.
 func (g *Log) add(raw []byte) {
 	l, ok := parse(raw)
 	if !ok {
@@ -129,7 +132,7 @@
 	g.lines = append(g.lines, l)
 }
 
-// parse reads one line from its first brace on.
+// parse parses a line from its first brace on. It fails without a valid time and a message.
 func parse(raw []byte) (Line, bool) {
 	at := bytes.IndexByte(raw, '{')
 	if at < 0 {
--- a/logging/read_test.go
+++ b/logging/read_test.go
@@ -30,11 +30,11 @@
 	c.Assert(g.Read(strings.NewReader(text)), quicktest.IsNil)
 	c.Assert(g.Lines(), quicktest.HasLen, 1)
 	c.Assert(g.Duplicates(), quicktest.Equals, 1)
-	c.Assert(g.Unparsed(), quicktest.Equals, 5) // the one that is too long too
+	c.Assert(g.Unparsed(), quicktest.Equals, 5) // including the one that is too long
 }
 
-// A process was killed in the middle of a line and started again onto the same file: its
-// first new line stood behind the rest of the old one, and was passed over with it.
+// A process was killed while it wrote a line and restarted with the same log file. Its first
+// new line followed the truncated one without a newline and was skipped with it.
 func TestLineAfterTruncatedLineIsRead(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
@@ -45,8 +45,8 @@
 	c.Assert(g.Unparsed(), quicktest.Equals, 1)
 }
 
-// What a caller sends stands in our lines too, in any form: as long as a line is whole it is
-// read whole, whatever its texts look like.
+// Lines contain text from callers, which may look like a log line. A complete line is parsed as
+// a whole, whatever its fields contain.
 func TestTextThatLooksLikeLineIsNotParsedAsLine(t *testing.T) {
 	c := quicktest.New(t)
 	var g Log
@@ -66,7 +66,7 @@
 		}
 		counted := len(g.Lines()) + g.Unparsed() + g.Duplicates()
 		if len(bytes.TrimSpace(raw)) > 0 && counted == 0 {
-			t.Fatalf("%q is neither read nor counted", raw)
+			t.Fatalf("%q is neither parsed nor counted", raw)
 		}
 	})
 }
