--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -84,7 +84,7 @@
 func (n *Node) peersTask(l net.Listener) Task {
 	return func(ctx context.Context) error {
 		served := make(chan error, 1)
-		go func() { served <- n.Server.Serve(n.traffic.Peers.Listen(l)) }()
+		go func() { served <- n.Server.Serve(n.traffic.Peers.WrapListener(l)) }()
 		select {
 		case err := <-served:
 			return errors.Wrap(err, "daemon: serve peers")
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return t.Wrap(c), nil
+		return t.WrapConn(c), nil
 	}
 }
 
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -19,9 +19,9 @@
 const Other = "other"
 
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 2 // significant digits kept
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 2
 )
 
 // Histogram counts durations. The zero value is not usable.
@@ -32,12 +32,12 @@
 
 // NewHistogram returns an empty histogram from 1 µs to 10 min.
 func NewHistogram() *Histogram {
-	return &Histogram{counts: hdrhistogram.New(lowestMicros, highestMicros, digits)}
+	return &Histogram{counts: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
 // Observe counts d; a duration out of range counts as the nearest in range.
 func (h *Histogram) Observe(d time.Duration) {
-	n := min(max(d.Microseconds(), lowestMicros), highestMicros)
+	n := min(max(d.Microseconds(), minMicros), maxMicros)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.counts.RecordValue(n) // in range, so it cannot fail
@@ -75,14 +75,14 @@
 
 // Family is a bounded set of histograms, one for each class, caller or reason.
 type Family struct {
-	mu      sync.Mutex
-	limit   int
-	members map[string]*Histogram // at most limit, and Other; guarded by mu
+	mu         sync.Mutex
+	maxMembers int
+	members    map[string]*Histogram // at most maxMembers besides Other; guarded by mu
 }
 
 // NewFamily returns a family of at most limit members besides Other.
-func NewFamily(limit int) *Family {
-	return &Family{limit: limit, members: make(map[string]*Histogram)}
+func NewFamily(maxMembers int) *Family {
+	return &Family{maxMembers: maxMembers, members: make(map[string]*Histogram)}
 }
 
 // Observe counts d for the member called name.
@@ -95,7 +95,7 @@
 	if h, ok := f.members[name]; ok {
 		return h
 	}
-	if len(f.members) >= f.limit {
+	if len(f.members) >= f.maxMembers {
 		name = Other
 	}
 	if f.members[name] == nil {
--- a/metrics/traffic.go
+++ b/metrics/traffic.go
@@ -17,11 +17,11 @@
 	writes atomic.Int64
 }
 
-// Wrap returns the connection, counted.
-func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countedConn{Conn: c, traffic: t} }
+// WrapConn returns the connection, counted.
+func (t *Traffic) WrapConn(c net.Conn) net.Conn { return &countedConn{Conn: c, traffic: t} }
 
-// Listen returns the listener with every connection counted.
-func (t *Traffic) Listen(l net.Listener) net.Listener {
+// WrapListener returns the listener with every connection counted.
+func (t *Traffic) WrapListener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t}
 }
 
@@ -64,5 +64,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.Wrap(c), nil
+	return l.traffic.WrapConn(c), nil
 }
