--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics exports counters and histograms by expvar.
+// Package metrics provides histograms and traffic counters that are exported by expvar.
 //
-// Names are bounded: a Family stops making members at its limit and counts
-// the rest under Other, so that callers cannot grow a daemon's memory.
+// The number of names is bounded: a Family creates no more members at its maximum and counts
+// the rest under Other, so that callers cannot grow a daemon's memory with new names.
 package metrics
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Other is the member that holds what came after a family was full.
+// Other is the name of the member that counts all names that a full family has no member for.
 const Other = "other"
 
 const (
@@ -24,47 +24,47 @@
 	significantDigits = 2
 )
 
-// Histogram counts durations. The zero value is not usable.
+// Histogram counts durations. Use NewHistogram to create one.
 type Histogram struct {
 	mu     sync.Mutex
-	counts *hdrhistogram.Histogram // of microseconds, guarded by mu
+	counts *hdrhistogram.Histogram // microseconds; guarded by mu
 }
 
-// NewHistogram returns an empty histogram from 1 µs to 10 min.
+// NewHistogram returns an empty histogram with a range of 1 µs to 10 min.
 func NewHistogram() *Histogram {
 	return &Histogram{counts: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 }
 
-// Observe counts d; a duration out of range counts as the nearest in range.
+// Observe counts d. A duration out of range is counted as the nearest one in range.
 func (h *Histogram) Observe(d time.Duration) {
 	n := min(max(d.Microseconds(), minMicros), maxMicros)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.counts.RecordValue(n) // in range, so it cannot fail
+	_ = h.counts.RecordValue(n) // cannot fail, since n is in range
 }
 
-// Quantile returns the duration that q in 100 do not exceed.
+// Quantile returns the q-th percentile of the durations.
 func (h *Histogram) Quantile(q float64) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Duration(h.counts.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Count returns how many durations were observed.
+// Count returns the number of observed durations.
 func (h *Histogram) Count() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.counts.TotalCount()
 }
 
-// Mean returns the mean of the durations.
+// Mean returns the mean of the observed durations.
 func (h *Histogram) Mean() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Duration(h.counts.Mean() * float64(time.Microsecond))
 }
 
-// String is the JSON form that expvar publishes, in milliseconds.
+// String implements expvar.Var: it returns the histogram as JSON, in milliseconds.
 func (h *Histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,22 +73,23 @@
 		h.counts.TotalCount(), h.counts.Mean()/1000, ms(50), ms(95), ms(99), float64(h.counts.Max())/1000)
 }
 
-// Family is a bounded set of histograms, one for each class, caller or reason.
+// Family is a bounded set of histograms by name, such as one for each class or reason.
 type Family struct {
 	mu         sync.Mutex
 	maxMembers int
 	members    map[string]*Histogram // at most maxMembers besides Other; guarded by mu
 }
 
-// NewFamily returns a family of at most limit members besides Other.
+// NewFamily returns a family with at most maxMembers members besides Other.
 func NewFamily(maxMembers int) *Family {
 	return &Family{maxMembers: maxMembers, members: make(map[string]*Histogram)}
 }
 
-// Observe counts d for the member called name.
+// Observe counts d for the member with the name.
 func (f *Family) Observe(name string, d time.Duration) { f.Member(name).Observe(d) }
 
-// Member returns the histogram of name, or of Other when the family is full.
+// Member returns the histogram of the name. For a new name it creates one, or returns that
+// of Other if the family is full.
 func (f *Family) Member(name string) *Histogram {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +105,7 @@
 	return f.members[name]
 }
 
-// String is the JSON form that expvar publishes.
+// String implements expvar.Var: it returns the histograms by name as JSON.
 func (f *Family) String() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/metrics/metrics_test.go
+++ b/metrics/metrics_test.go
@@ -21,7 +21,7 @@
 	c.Assert(json.Valid([]byte(h.String())), quicktest.IsTrue)
 }
 
-func TestHistogramTakesDurationsOutOfRange(t *testing.T) {
+func TestHistogramCountsDurationsOutOfRange(t *testing.T) {
 	h := NewHistogram()
 	h.Observe(-time.Second)
 	h.Observe(time.Hour)
--- a/metrics/traffic.go
+++ b/metrics/traffic.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 )
 
-// Traffic counts what passes over the connections that it wraps. The zero
-// value is ready; it is safe for concurrent use.
+// Traffic counts the bytes, reads and writes of the connections that it wraps. The zero value
+// is ready to use. It is safe for concurrent use.
 type Traffic struct {
 	in     atomic.Int64 // bytes read
 	out    atomic.Int64 // bytes written
@@ -17,15 +17,15 @@
 	writes atomic.Int64
 }
 
-// WrapConn returns the connection, counted.
+// WrapConn returns a connection that counts the traffic of c.
 func (t *Traffic) WrapConn(c net.Conn) net.Conn { return &countedConn{Conn: c, traffic: t} }
 
-// WrapListener returns the listener with every connection counted.
+// WrapListener returns a listener that counts the traffic of every accepted connection.
 func (t *Traffic) WrapListener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t}
 }
 
-// String is the JSON form that expvar publishes.
+// String implements expvar.Var: it returns the counters as JSON.
 func (t *Traffic) String() string {
 	return fmt.Sprintf(`{"in":%d,"out":%d,"reads":%d,"writes":%d}`, t.in.Load(), t.out.Load(), t.reads.Load(), t.writes.Load())
 }
