--- a/cmd/cairn-demo/show.go
+++ b/cmd/cairn-demo/show.go
@@ -74,6 +74,6 @@
 	if len(found) == 0 {
 		return errors.Errorf("demo: request %s not found on any daemon", request)
 	}
-	operator.Tell(w, found)
+	operator.PrintDecisions(w, found)
 	return nil
 }
--- a/cmd/cairnctl/command.go
+++ b/cmd/cairnctl/command.go
@@ -118,7 +118,7 @@
 }
 
 // reportUnreachable prints the daemons that did not answer and returns the matching exit code.
-func reportUnreachable(errs io.Writer, unreachable []operator.Silence) int {
+func reportUnreachable(errs io.Writer, unreachable []operator.Unreachable) int {
 	for _, s := range unreachable {
 		fmt.Fprintf(errs, "no answer from %s: %v\n", s.Address, s.Cause)
 	}
--- a/cmd/cairnctl/confirm.go
+++ b/cmd/cairnctl/confirm.go
@@ -93,7 +93,7 @@
 	ctx, cancel := context.WithTimeout(ctx, q.Limit)
 	defer cancel()
 	start := time.Now()
-	behind, unreachable := c.Follow(ctx, addresses, head)
+	behind, unreachable := c.WaitForHead(ctx, addresses, head)
 	if len(behind) == 0 && len(unreachable) == 0 {
 		fmt.Fprintf(out, "revision %d is in force on %d daemons after %s\n", head.Revision(), len(addresses), time.Since(start).Round(100*time.Millisecond))
 		return exitDone
--- a/cmd/cairnctl/request_timeline.go
+++ b/cmd/cairnctl/request_timeline.go
@@ -65,7 +65,7 @@
 func (s *requestTimeline) related(l logging.Line) bool {
 	endpoint, adapter := l.Text("endpoint"), l.Text("adapter")
 	switch {
-	case l.Message() == logging.LeftOut:
+	case l.Message() == logging.LinesDroppedMessage:
 		return true // lines about the request may be missing there, whichever box dropped them
 	case l.Text("request") != "":
 		return false
@@ -165,7 +165,7 @@
 func formatLine(l logging.Line) string {
 	var b strings.Builder
 	b.WriteString(l.Message())
-	for _, n := range l.Names() {
+	for _, n := range l.FieldNames() {
 		if v := l.Text(n); v != "" && n != "role" && n != "request" {
 			fmt.Fprintf(&b, "  %s=%s", n, v)
 		}
--- a/cmd/cairnctl/story.go
+++ b/cmd/cairnctl/story.go
@@ -39,8 +39,8 @@
 	} else {
 		found = countFailures(out, log.Lines(), from, to)
 	}
-	if log.Foreign()+log.Doubled() > 0 {
-		fmt.Fprintf(errs, "skipped: %d foreign or truncated lines, %d duplicates\n", log.Foreign(), log.Doubled())
+	if log.Unparsed()+log.Duplicates() > 0 {
+		fmt.Fprintf(errs, "skipped: %d foreign or truncated lines, %d duplicates\n", log.Unparsed(), log.Duplicates())
 	}
 	if found == 0 {
 		fmt.Fprintln(errs, "no matching lines in these logs")
--- a/cmd/cairnwick/main.go
+++ b/cmd/cairnwick/main.go
@@ -34,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return daemon.ExitSettings
 	}
-	output := logging.NewBounded(os.Stdout)
+	output := logging.NewBoundedWriter(os.Stdout)
 	output.Box = settings.Box
 	log := logging.New(output, settings.Box, settings.DataCentre, "edge", args.Debug)
 	flush := startLogWriter(output)
@@ -69,7 +69,7 @@
 }
 
 // startLogWriter starts writing queued log lines. The function that it returns flushes the queue and stops.
-func startLogWriter(lines *logging.Bounded) func() {
+func startLogWriter(lines *logging.BoundedWriter) func() {
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- lines.Run(ctx) }()
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -36,7 +36,7 @@
 	Keeper           *keeper.Keeper
 	Table            *member.Table
 	Dialer           *Dialer
-	Record           *decision.Record
+	Record           *decision.History
 	BoxList          *BoxList
 	Server           *grpc.Server // for the peers' port; register services before Run
 	Endpoints        func() []*wire.EndpointStatus
@@ -68,8 +68,8 @@
 		return nil, err
 	}
 	n := &Node{Role: role, values: v, box: v.Text(Box), dataCentre: v.Text(DataCentre)}
-	n.Log = logging.New(os.Stdout, n.box, n.dataCentre, role, v.Switch(Debug))
-	n.Record = decision.NewRecord(v.Count(Decisions))
+	n.Log = logging.New(os.Stdout, n.box, n.dataCentre, role, v.Bool(Debug))
+	n.Record = decision.NewHistory(v.Count(Decisions))
 	n.traffic = &Traffic{}
 	n.Dialer = &Dialer{Credentials: creds, Dial: countingDialer(&n.traffic.Peers, dialTimeout, v.Text(Source))}
 	client := &kvstore.Client{
--- a/daemon/traffic.go
+++ b/daemon/traffic.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return t.Wrap(c), nil
+		return t.WrapConn(c), nil
 	}
 }
 
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package decision keeps the last decisions of a daemon, so that operators can
-// ask why a request went where it did, and watch decisions as they are made.
+// Package decision keeps the most recent routing and scheduling decisions of a daemon, so
+// that operators can query the decisions on a request and watch new ones as they are made.
 package decision
 
 import (
@@ -12,54 +12,55 @@
 	"cairnwick.example/wire"
 )
 
-// Record is a bounded ring of decisions. It is safe for concurrent use.
-type Record struct {
-	mu       sync.Mutex
-	ring     []*wire.Decision // of fixed length; nil where none was written yet
-	next     int
-	watchers map[*watcher]struct{}
-	watched  atomic.Int32 // how many watchers there are
+// History is a ring buffer of decisions. It is safe for concurrent use.
+type History struct {
+	mu           sync.Mutex
+	ring         []*wire.Decision // fixed length; nil entries have not been written yet
+	next         int
+	watchers     map[*watcher]struct{}
+	watcherCount atomic.Int32
 }
 
 // watcher receives the decisions that match its filter.
 type watcher struct {
 	filter *wire.WatchRequest
-	feed   chan *wire.Decision
+	queue  chan *wire.Decision
 }
 
-const watcherBuffer = 256 // decisions held for a slow watcher; more are dropped
+const watcherQueueLength = 256 // decisions queued for a slow watcher; further ones are dropped
 
-// NewRecord returns a ring of the given length.
-func NewRecord(length int) *Record {
-	return &Record{ring: make([]*wire.Decision, length), watchers: make(map[*watcher]struct{})}
+// NewHistory returns a history that holds up to length decisions.
+func NewHistory(length int) *History {
+	return &History{ring: make([]*wire.Decision, length), watchers: make(map[*watcher]struct{})}
 }
 
-// Add keeps a decision and hands it to those who watch; it must not be changed
-// afterwards.
-func (r *Record) Add(d *wire.Decision) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ring[r.next] = d
-	r.next = (r.next + 1) % len(r.ring)
-	if r.watched.Load() == 0 {
+// Add stores a decision and sends it to the watchers. The caller must not modify the
+// decision afterwards.
+func (h *History) Add(d *wire.Decision) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ring[h.next] = d
+	h.next = (h.next + 1) % len(h.ring)
+	if h.watcherCount.Load() == 0 {
 		return
 	}
-	for w := range r.watchers {
-		w.offer(d)
+	for w := range h.watchers {
+		w.send(d)
 	}
 }
 
-func (w *watcher) offer(d *wire.Decision) {
+// send queues d if it matches the filter and the queue has room.
+func (w *watcher) send(d *wire.Decision) {
 	if !Matches(w.filter, d) {
 		return
 	}
 	select {
-	case w.feed <- d:
-	default: // a slow watcher misses decisions, the daemon does not wait
+	case w.queue <- d:
+	default: // dropped, so that a slow watcher does not block the daemon
 	}
 }
 
-// Matches tells whether a decision passes a filter; empty fields pass all.
+// Matches reports whether a decision matches a filter. An empty field matches every decision.
 func Matches(f *wire.WatchRequest, d *wire.Decision) bool {
 	switch {
 	case f.GetClass() != "" && f.GetClass() != d.GetClass():
@@ -72,13 +73,13 @@
 	return false
 }
 
-// Of returns the decisions kept for a request, oldest first.
-func (r *Record) Of(request string) []*wire.Decision {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// ForRequest returns the stored decisions on a request, oldest first.
+func (h *History) ForRequest(request string) []*wire.Decision {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	var list []*wire.Decision
-	for i := range r.ring {
-		d := r.ring[(r.next+i)%len(r.ring)]
+	for i := range h.ring {
+		d := h.ring[(h.next+i)%len(h.ring)]
 		if d != nil && d.GetRequest() == request {
 			list = append(list, d)
 		}
@@ -86,17 +87,17 @@
 	return list
 }
 
-// Watch hands every decision that passes the filter to send, until ctx ends or
+// Watch calls send with every new decision that matches the filter, until ctx ends or
 // send fails.
-func (r *Record) Watch(ctx context.Context, f *wire.WatchRequest, send func(*wire.Decision) error) error {
-	w := &watcher{filter: f, feed: make(chan *wire.Decision, watcherBuffer)}
-	r.join(w)
-	defer r.part(w)
+func (h *History) Watch(ctx context.Context, f *wire.WatchRequest, send func(*wire.Decision) error) error {
+	w := &watcher{filter: f, queue: make(chan *wire.Decision, watcherQueueLength)}
+	h.addWatcher(w)
+	defer h.removeWatcher(w)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-w.feed:
+		case d := <-w.queue:
 			if err := send(d); err != nil {
 				return err
 			}
@@ -104,16 +105,16 @@
 	}
 }
 
-func (r *Record) join(w *watcher) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.watchers[w] = struct{}{}
-	r.watched.Add(1)
+func (h *History) addWatcher(w *watcher) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.watchers[w] = struct{}{}
+	h.watcherCount.Add(1)
 }
 
-func (r *Record) part(w *watcher) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	delete(r.watchers, w)
-	r.watched.Add(-1)
+func (h *History) removeWatcher(w *watcher) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	delete(h.watchers, w)
+	h.watcherCount.Add(-1)
 }
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -12,77 +12,78 @@
 )
 
 const (
-	queueLines = 2048             // lines held for a reader that stands still: under 1 MB
-	batchBytes = 32 << 10         // written at a time
-	flushLimit = time.Second      // for what is queued at the end
-	dropNotice = 10 * time.Second // at most so often a line tells how many were left out
+	maxQueuedLines     = 2048             // lines buffered for a slow reader: less than 1 MB
+	maxBatchBytes      = 32 << 10         // target size of one write
+	flushTimeout       = time.Second      // for the lines still queued at shutdown
+	dropNoticeInterval = 10 * time.Second // minimum time between two notices of dropped lines
 )
 
-// LeftOut is the sentence of the notice of lines that were left out.
-const LeftOut = "Log lines were left out"
+// LinesDroppedMessage is the message of the log line that reports dropped lines.
+const LinesDroppedMessage = "Log lines were left out"
 
-// Bounded is a writer of lines that never blocks: a reader that stands still costs
-// lines, not requests. Set the exported fields before Run.
-type Bounded struct {
+// BoundedWriter is a line writer that never blocks: it drops lines while the reader of its
+// output is blocked, so that logging does not delay requests. Set the exported fields before
+// Run.
+type BoundedWriter struct {
 	Out io.Writer
-	Box string // that writes; stands in the notice of lines that were left out
+	Box string // name of the own box, for the notice of dropped lines
 
-	lines   chan []byte
-	dropped atomic.Int64 // since the last notice
-	left    atomic.Int64 // left out in all
+	lines      chan []byte
+	unreported atomic.Int64 // since the last notice
+	dropped    atomic.Int64 // in total
 }
 
-// NewBounded returns a writer onto out.
-func NewBounded(out io.Writer) *Bounded {
-	return &Bounded{Out: out, lines: make(chan []byte, queueLines)}
+// NewBoundedWriter returns a writer to out. Run must be called for the lines to be written.
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	return &BoundedWriter{Out: out, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write queues one line, or counts it as left out.
-func (b *Bounded) Write(line []byte) (int, error) {
+// Write queues one line, or drops and counts it if the queue is full.
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- bytes.Clone(line):
 	default:
+		b.unreported.Add(1)
 		b.dropped.Add(1)
-		b.left.Add(1)
 	}
 	return len(line), nil
 }
 
-// Pressed tells whether the reader is behind, so that lines of little worth had
-// better not be written.
-func (b *Bounded) Pressed() bool { return len(b.lines) > queueLines/2 }
+// Backlogged reports whether the queue is more than half full. Callers should then omit lines
+// of low importance.
+func (b *BoundedWriter) Backlogged() bool { return len(b.lines) > maxQueuedLines/2 }
 
-// Dropped returns how many lines were left out.
-func (b *Bounded) Dropped() int64 { return b.left.Load() }
+// Dropped returns the total number of dropped lines.
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
-// Run writes what is queued until ctx ends, and then what is left, as far as the
-// reader takes it.
-func (b *Bounded) Run(ctx context.Context) error {
+// Run writes the queued lines until ctx ends, and then flushes the rest of the queue within
+// flushTimeout.
+func (b *BoundedWriter) Run(ctx context.Context) error {
 	done := make(chan error, 1)
-	go func() { done <- b.write(ctx) }()
+	go func() { done <- b.writeQueued(ctx) }()
 	<-ctx.Done()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(flushLimit):
-		return nil // the reader stands still; the process does not wait for it
+	case <-time.After(flushTimeout):
+		return nil // a blocked reader must not keep the process from ending
 	}
 }
 
-func (b *Bounded) write(ctx context.Context) error {
+func (b *BoundedWriter) writeQueued(ctx context.Context) error {
 	var batch []byte
-	told := time.Time{}
+	lastNotice := time.Time{}
 	for {
 		select {
 		case line := <-b.lines:
-			batch = b.gather(append(batch[:0], line...))
+			batch = b.appendQueued(append(batch[:0], line...))
 		case <-ctx.Done():
-			batch = b.gather(batch[:0])
+			batch = b.appendQueued(batch[:0])
 		}
-		if n := b.dropped.Load(); n > 0 && time.Since(told) > dropNotice {
-			b.dropped.Add(-n)
-			told = time.Now()
-			batch = fmt.Appendf(batch, `{"time":%q,"level":"WARN","msg":%q,"box":%q,"lines":%d}`+"\n", told.Format(time.RFC3339Nano), LeftOut, b.Box, n)
+		if n := b.unreported.Load(); n > 0 && time.Since(lastNotice) > dropNoticeInterval {
+			b.unreported.Add(-n)
+			lastNotice = time.Now()
+			batch = fmt.Appendf(batch, `{"time":%q,"level":"WARN","msg":%q,"box":%q,"lines":%d}`+"\n", lastNotice.Format(time.RFC3339Nano), LinesDroppedMessage, b.Box, n)
 		}
 		if _, err := b.Out.Write(batch); err != nil {
 			return err
@@ -93,9 +94,10 @@
 	}
 }
 
-// gather adds what else is queued, so that many lines cost one system call.
-func (b *Bounded) gather(batch []byte) []byte {
-	for len(batch) < batchBytes {
+// appendQueued appends queued lines to the batch until it is full, so that many lines need
+// only one system call.
+func (b *BoundedWriter) appendQueued(batch []byte) []byte {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line := <-b.lines:
 			batch = append(batch, line...)
--- a/measure/latency_breakdown.go
+++ b/measure/latency_breakdown.go
@@ -60,7 +60,7 @@
 	if requests == 0 {
 		return errors.New("measure: the logs contain no requests")
 	}
-	fmt.Fprintf(out, "%d requests; %d lines skipped\n\n", requests, log.Foreign())
+	fmt.Fprintf(out, "%d requests; %d lines skipped\n\n", requests, log.Unparsed())
 	if err := printTallies(out, "route", routes); err != nil || !w.Seconds {
 		return err
 	}
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package operator asks daemons on behalf of an operator: what they see, why a
-// request went where it did, and what they decide now.
+// Package operator is the client of the daemons' operator service: it reads their status and
+// configuration, the decisions on a request, and new decisions as they are made.
 package operator
 
 import (
@@ -14,15 +14,15 @@
 	"cairnwick.example/wire"
 )
 
-// Client speaks to many daemons. New makes it.
+// Client calls any number of daemons. Use New to create one.
 type Client struct {
 	dialer *daemon.Dialer
 }
 
 const callTimeout = 3 * time.Second
 
-// New returns a client that shows the identity; the empty one is for daemons
-// without TLS.
+// New returns a client that authenticates with the identity. The empty identity is for
+// daemons without TLS.
 func New(i *daemon.Identity) (*Client, error) {
 	creds, err := i.Credentials()
 	if err != nil {
@@ -32,60 +32,62 @@
 	return &Client{dialer: &daemon.Dialer{Credentials: creds, Dial: d.DialContext}}, nil
 }
 
-// Close closes every connection.
+// Close closes all connections.
 func (c *Client) Close() { c.dialer.Close() }
 
-// Silence is a daemon that gave no answer.
-type Silence struct {
+// Unreachable reports a daemon whose call failed.
+type Unreachable struct {
 	Address string
 	Cause   error
 }
 
-func (c *Client) operator(address string) wire.OperatorClient {
+func (c *Client) operatorClient(address string) wire.OperatorClient {
 	return wire.NewOperatorClient(c.dialer.Conn(address))
 }
 
-// Status asks every address what it sees. What did not answer is returned too.
-func (c *Client) Status(ctx context.Context, addresses []string) ([]*wire.StatusReply, []Silence) {
+// Status returns the status of the daemons at the addresses, and those whose call failed.
+func (c *Client) Status(ctx context.Context, addresses []string) ([]*wire.StatusReply, []Unreachable) {
 	var list []*wire.StatusReply
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
-		a, err := c.operator(address).Status(ctx, &wire.StatusRequest{})
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
+		a, err := c.operatorClient(address).Status(ctx, &wire.StatusRequest{})
 		if err == nil {
 			list = append(list, a)
 		}
 		return err
 	})
-	return list, silent
+	return list, unreachable
 }
 
-// Explain gathers the decisions on a request, oldest first.
-func (c *Client) Explain(ctx context.Context, addresses []string, request string) ([]*wire.Decision, []Silence) {
+// Explain returns the decisions on a request from all daemons, oldest first, and the daemons
+// whose call failed.
+func (c *Client) Explain(ctx context.Context, addresses []string, request string) ([]*wire.Decision, []Unreachable) {
 	var list []*wire.Decision
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
-		a, err := c.operator(address).Explain(ctx, &wire.ExplainRequest{Request: request})
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
+		a, err := c.operatorClient(address).Explain(ctx, &wire.ExplainRequest{Request: request})
 		list = append(list, a.GetDecisions()...)
 		return err
 	})
 	slices.SortStableFunc(list, func(a, b *wire.Decision) int { return int(a.UnixMicros - b.UnixMicros) })
-	return list, silent
+	return list, unreachable
 }
 
-// each asks one address after another, and returns those that gave no answer.
-func (c *Client) each(ctx context.Context, addresses []string, ask func(ctx context.Context, address string) error) []Silence {
-	var silent []Silence
+// callEach calls one address after another, each with its own timeout, and returns those
+// whose call failed.
+func (c *Client) callEach(ctx context.Context, addresses []string, call func(ctx context.Context, address string) error) []Unreachable {
+	var unreachable []Unreachable
 	for _, a := range addresses {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		if err := ask(call, a); err != nil {
-			silent = append(silent, Silence{Address: a, Cause: err})
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		if err := call(callCtx, a); err != nil {
+			unreachable = append(unreachable, Unreachable{Address: a, Cause: err})
 		}
 		cancel()
 	}
-	return silent
+	return unreachable
 }
 
-// Watch hands the decisions of one daemon to see until ctx ends.
-func (c *Client) Watch(ctx context.Context, address string, q *wire.WatchRequest, see func(*wire.Decision)) error {
-	s, err := c.operator(address).Watch(ctx, q)
+// Watch calls handle with the new decisions of one daemon until ctx ends or the stream fails.
+func (c *Client) Watch(ctx context.Context, address string, q *wire.WatchRequest, handle func(*wire.Decision)) error {
+	s, err := c.operatorClient(address).Watch(ctx, q)
 	if err != nil {
 		return err
 	}
@@ -94,6 +96,6 @@
 		if err != nil {
 			return err
 		}
-		see(d)
+		handle(d)
 	}
 }
--- a/operator/configuration.go
+++ b/operator/configuration.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Configuration returns the head in force at the first daemon that answers, and
+// Configuration returns the head in force at the first daemon that answers, and the texts of
 // its shards by name.
 func (c *Client) Configuration(ctx context.Context, addresses []string) (catalog.Head, map[string][]byte, error) {
 	var last error
@@ -44,20 +44,20 @@
 	return h, shards, nil
 }
 
-// Heads returns the head in force at each address, and who gave no answer.
-func (c *Client) Heads(ctx context.Context, addresses []string) (map[string]catalog.Head, []Silence) {
+// Heads returns the head in force at each address, and the daemons whose call failed.
+func (c *Client) Heads(ctx context.Context, addresses []string) (map[string]catalog.Head, []Unreachable) {
 	found := make(map[string]catalog.Head)
-	silent := c.each(ctx, addresses, func(ctx context.Context, address string) error {
+	unreachable := c.callEach(ctx, addresses, func(ctx context.Context, address string) error {
 		h, err := c.headAt(ctx, address)
 		if err == nil {
 			found[address] = h
 		}
 		return err
 	})
-	return found, silent
+	return found, unreachable
 }
 
-// headAt returns the head that one daemon has in force.
+// headAt returns the head in force at one daemon.
 func (c *Client) headAt(ctx context.Context, address string) (catalog.Head, error) {
 	d, err := wire.NewPeerClient(c.dialer.Conn(address)).FetchHead(ctx, &wire.FetchHeadRequest{})
 	if err != nil {
@@ -66,16 +66,16 @@
 	return catalog.ParseHead(d.GetBody())
 }
 
-// Follow asks until every address that answers has the head in force, or one has
-// another that does not follow from it, until ctx ends. It returns who had it not
-// in the last whole round, and who gave no answer.
-func (c *Client) Follow(ctx context.Context, addresses []string, head catalog.Head) (behind map[string]catalog.Head, silent []Silence) {
+// WaitForHead polls until every daemon that answers has the head or a successor of it in
+// force, or until ctx ends. It returns the daemons that had neither in the last complete
+// round, with the heads that they had, and those whose call failed.
+func (c *Client) WaitForHead(ctx context.Context, addresses []string, head catalog.Head) (behind map[string]catalog.Head, unreachable []Unreachable) {
 	for {
-		found, missing := c.Heads(ctx, addresses)
-		if ctx.Err() != nil && len(behind)+len(silent) > 0 {
-			return behind, silent // of the round before: this one was broken off by the limit
+		found, failed := c.Heads(ctx, addresses)
+		if ctx.Err() != nil && len(behind)+len(unreachable) > 0 {
+			return behind, unreachable // of the previous round, since ctx ended during this one
 		}
-		silent = missing
+		unreachable = failed
 		behind = make(map[string]catalog.Head)
 		for a, h := range found {
 			if h.Digest() != head.Digest() && !h.DescendsFrom(head) {
@@ -83,14 +83,14 @@
 			}
 		}
 		if len(behind) == 0 || ctx.Err() != nil {
-			return behind, silent
+			return behind, unreachable
 		}
 		select {
 		case <-ctx.Done():
-			return behind, silent
-		case <-time.After(followPause):
+			return behind, unreachable
+		case <-time.After(headPollInterval):
 		}
 	}
 }
 
-const followPause = 100 * time.Millisecond
+const headPollInterval = 100 * time.Millisecond
--- a/settings/read.go
+++ b/settings/read.go
@@ -14,32 +14,32 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a settings file.
+// Problem is one invalid field of a settings file.
 type Problem struct {
-	Field string // the option's name
-	Value string // as it stands in the file
-	Mend  string // what to write instead
+	Field string // option name
+	Value string // as written in the file
+	Fix   string // what to write instead
 }
 
-// Error says all that is wrong with a settings file at once.
+// Error reports all problems of a settings file.
 type Error struct {
-	Source   string // the file's path
+	Source   string // path of the file
 	Problems []Problem
 }
 
-// Error lists every problem, one a line.
+// Error lists the problems, one per line.
 func (e *Error) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "settings: %s has %d problem(s)", e.Source, len(e.Problems))
 	for _, p := range e.Problems {
-		fmt.Fprintf(&b, "\n  %s: %s: %s", p.Field, p.Value, p.Mend)
+		fmt.Fprintf(&b, "\n  %s: %s: %s", p.Field, p.Value, p.Fix)
 	}
 	return b.String()
 }
 
-// ReadFile reads the file at path and checks it against the table. The
-// overrides, by option name, come from flags and win over the file. It returns
-// an *Error when the file can be parsed and does not hold.
+// ReadFile reads the file at path and validates it against the table. The overrides, by
+// option name, come from flags and take precedence over the file. It returns an *Error if
+// the file can be parsed but is invalid.
 func ReadFile(path string, t Table, overrides map[string]string) (Values, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -48,27 +48,27 @@
 	return Read(path, raw, t, overrides)
 }
 
-// Read checks raw, the text of a settings file, against the table.
+// Read parses raw, the text of a settings file, and validates it against the table.
 func Read(source string, raw []byte, t Table, overrides map[string]string) (Values, error) {
 	fields, err := parse(source, raw)
 	if err != nil {
 		return Values{}, err
 	}
-	if err := override(fields, t, overrides); err != nil {
+	if err := applyOverrides(fields, t, overrides); err != nil {
 		return Values{}, err
 	}
 	v := Values{values: make(map[string]any, len(t))}
-	found := unknownFields(fields, t)
+	problems := unknownFields(fields, t)
 	for _, o := range t {
 		value, problem := o.value(fields)
 		if problem != nil {
-			found = append(found, *problem)
+			problems = append(problems, *problem)
 			continue
 		}
 		v.values[o.Name] = value
 	}
-	if len(found) > 0 {
-		return Values{}, &Error{Source: source, Problems: found}
+	if len(problems) > 0 {
+		return Values{}, &Error{Source: source, Problems: problems}
 	}
 	return v, nil
 }
@@ -85,8 +85,9 @@
 	return fields, nil
 }
 
-// override puts the flags' values into fields, as the JSON that the kind asks.
-func override(fields map[string]json.RawMessage, t Table, overrides map[string]string) error {
+// applyOverrides sets the fields that flags override. A flag's value becomes a JSON string
+// for Text, Address, URL and Duration options, and is taken as JSON for other kinds.
+func applyOverrides(fields map[string]json.RawMessage, t Table, overrides map[string]string) error {
 	for name, value := range overrides {
 		o, ok := t.Find(name)
 		if !ok {
@@ -102,14 +103,14 @@
 }
 
 func unknownFields(fields map[string]json.RawMessage, t Table) []Problem {
-	var found []Problem
+	var problems []Problem
 	for name, raw := range fields {
 		if _, ok := t.Find(name); !ok {
-			found = append(found, unknownField(name, string(raw), t))
+			problems = append(problems, unknownField(name, string(raw), t))
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Field < found[j].Field })
-	return found
+	sort.Slice(problems, func(i, j int) bool { return problems[i].Field < problems[j].Field })
+	return problems
 }
 
 func unknownField(name, value string, t Table) Problem {
@@ -117,5 +118,5 @@
 	for _, o := range t {
 		names = append(names, o.Name)
 	}
-	return Problem{Field: name, Value: value, Mend: "unknown field; remove it or use one of " + strings.Join(names, ", ")}
+	return Problem{Field: name, Value: value, Fix: "unknown field; remove it or use one of " + strings.Join(names, ", ")}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -14,13 +14,13 @@
 	{Name: "box", Kind: Text, Required: true, Help: "name of the box"},
 	{Name: "listen", Kind: Address, Default: "127.0.0.1:1"},
 	{Name: "platform", Kind: URL, Default: "http://127.0.0.1:1"},
-	{Name: "patience", Kind: Duration, Default: time.Second, Least: time.Millisecond},
-	{Name: "queue", Kind: Count, Default: 8, Least: 1},
+	{Name: "patience", Kind: Duration, Default: time.Second, Min: time.Millisecond},
+	{Name: "queue", Kind: Count, Default: 8, Min: 1},
 	{Name: "share", Kind: Number, Default: 0.5},
-	{Name: "loud", Kind: Switch, Default: false},
+	{Name: "loud", Kind: Bool, Default: false},
 }
 
-func TestReadTakesDefaults(t *testing.T) {
+func TestReadUsesDefaults(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box": "a", /* why */ "queue": 3,}`), table, nil)
 	c.Assert(err, quicktest.IsNil)
@@ -29,7 +29,7 @@
 	c.Assert(v.Duration("patience"), quicktest.Equals, time.Second)
 }
 
-func TestReadReportsEveryProblemAtOnce(t *testing.T) {
+func TestReadReportsAllProblems(t *testing.T) {
 	c := quicktest.New(t)
 	_, err := Read("f", []byte(`{"listen":"x","platform":"ftp://a","patience":"0s","queue":-1,"share":"a","loud":1,"more":2}`), table, nil)
 	e, ok := err.(*Error)
@@ -38,12 +38,12 @@
 	c.Assert(err, quicktest.ErrorMatches, `(?s).*box: missing: give a value.*patience: "0s": write 1ms or more.*`)
 }
 
-func TestReadRefusesBrokenText(t *testing.T) {
+func TestReadRejectsMalformedText(t *testing.T) {
 	_, err := Read("f", []byte(`{`), table, nil)
 	quicktest.Assert(t, err, quicktest.ErrorMatches, "settings: f is not JSON with comments.*")
 }
 
-func TestOverridesWinOverTheFile(t *testing.T) {
+func TestOverridesTakePrecedenceOverFile(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box":"a"}`), table, map[string]string{"box": "b", "queue": "5"})
 	c.Assert(err, quicktest.IsNil)
@@ -51,13 +51,13 @@
 	c.Assert(v.Count("queue"), quicktest.Equals, 5)
 }
 
-func TestPrintCanBeReadAgain(t *testing.T) {
+func TestReadAcceptsPrintedSettings(t *testing.T) {
 	c := quicktest.New(t)
 	v, err := Read("f", []byte(`{"box":"a"}`), table, nil)
 	c.Assert(err, quicktest.IsNil)
 	var b bytes.Buffer
 	c.Assert(Print(&b, table, v), quicktest.IsNil)
-	again, err := Read("printed", b.Bytes(), table, nil)
+	reread, err := Read("printed", b.Bytes(), table, nil)
 	c.Assert(err, quicktest.IsNil)
-	c.Assert(again.values, quicktest.DeepEquals, v.values)
+	c.Assert(reread.values, quicktest.DeepEquals, v.values)
 }
