--- a/e2e/ask_test.go
+++ b/e2e/ask_test.go
@@ -20,10 +20,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdAsk sends a completion and prints what came of it on one line: ask
+// cmdAsk sends a completion request and prints the result on one line: ask
 // gateway=1.1 model=NAME expect=NAME@VERSION tokens=4 stream=yes class=C key=K
-// deadline=D tries=N. With tries it comes back when it is told to; with !, the
-// answer must be a failure.
+// deadline=D tries=N. With tries, it sends up to N requests as long as they are rejected as not run, each
+// after the delay that the gateway asked for. With !, the request must fail.
 func cmdAsk(ts *testscript.TestScript, neg bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -45,7 +45,7 @@
 	r, err := w.caller.Do(context.Background(), q)
 	ts.Check(err)
 	for tries := number(ts, o, "tries", 1); tries > 1 && r.Execution == "not_run" && r.RetryAfter > 0; tries-- {
-		time.Sleep(r.RetryAfter) // as callers are told to
+		time.Sleep(r.RetryAfter)
 		r, err = w.caller.Do(context.Background(), q)
 		ts.Check(err)
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// cmdCall sends any HTTP request and prints status and body: call METHOD URL
-// body=TEXT header=NAME:VALUE. In the URL, gateway1.1, operators1.1 and
-// engine1.1 stand for addresses.
+// cmdCall sends an HTTP request and prints the status and the body of the response: call METHOD URL
+// body=TEXT header=NAME:VALUE size=BYTES. With size, the body is that many spaces. See address for the
+// URL, which has no scheme. With !, the status must be 400 or above; else it must be below.
 func cmdCall(ts *testscript.TestScript, neg bool, args []string) {
 	o, _ := options(args[2:])
 	r, err := http.NewRequest(args[0], "http://"+address(ts, args[1]), strings.NewReader(o["body"]))
@@ -89,7 +89,8 @@
 	}
 }
 
-// address turns the first part of a scripts' URL into an IP and a port.
+// address replaces the host of a URL without scheme by the address of a process: gateway1.1,
+// operators-gateway:1.1 for a daemon's health checks and metrics, engine1.1 or platform.
 func address(ts *testscript.TestScript, url string) string {
 	w := worldOf(ts)
 	host, path, _ := strings.Cut(url, "/")
@@ -110,8 +111,8 @@
 	return host + "/" + path
 }
 
-// cmdHangup begins a streamed request and goes away after the first events:
-// hangup model=NAME tokens=200.
+// cmdHangup sends a streaming completion request and closes the connection after the first three events:
+// hangup gateway=1.1 model=NAME tokens=200.
 func cmdHangup(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -132,8 +133,7 @@
 	}
 }
 
-// cmdKeys sets environment variables to fresh keys: keys A B. With age=D they
-// were created so long ago.
+// cmdKeys sets environment variables to new idempotency keys: keys A B.
 func cmdKeys(ts *testscript.TestScript, _ bool, args []string) {
 	_, rest := options(args)
 	for _, n := range rest {
@@ -141,13 +141,14 @@
 	}
 }
 
-// cmdIdle waits until no daemon holds a request, a grant or a waiter.
+// cmdIdle waits until no daemon has a request in progress, an outstanding grant or a waiting request.
 func cmdIdle(ts *testscript.TestScript, _ bool, _ []string) {
 	w := worldOf(ts)
-	await(ts, 20*time.Second, "still held", func() string { return held(w) })
+	await(ts, 20*time.Second, "daemons are not idle", func() string { return held(w) })
 }
 
-// held names what daemons that answer still hold.
+// held describes the requests and grants that a reachable daemon still has. It returns an empty string if there
+// are none.
 func held(w *world) string {
 	names := map[string]string{"gateway": "gateway_in_flight", "scheduler": "scheduler_outstanding"}
 	idle := map[string]string{"gateway": "0", "scheduler": `{"grants":0,"waiting":0}`}
@@ -161,7 +162,7 @@
 	return left
 }
 
-// vars reads a daemon's metrics; nil when it does not answer.
+// vars returns a daemon's metrics, or nil if they can't be read.
 func vars(address string) map[string]json.RawMessage {
 	raw, err := fleet.Get(context.Background(), "http://"+address+"/debug/vars")
 	if err != nil {
@@ -174,12 +175,11 @@
 	return v
 }
 
-// cmdSettled waits until every daemon that answers sees every one of its data
-// centre alive.
+// cmdSettled waits until every daemon sees all daemons of its data centre as alive.
 func cmdSettled(ts *testscript.TestScript, _ bool, _ []string) {
 	w := worldOf(ts)
 	want := fmt.Sprintf(`{"alive":%d}`, 2*w.fleet.Spec.Boxes)
-	await(ts, 30*time.Second, "views have not settled", func() string {
+	await(ts, 30*time.Second, "membership views are incomplete", func() string {
 		behind := ""
 		eachDaemon(w, func(c, b int, role string) {
 			v := vars(w.fleet.OperatorsAddress(c, b, role))
@@ -191,7 +191,7 @@
 	})
 }
 
-// cmdCountAtMost checks a number that a daemon exports: countatmost
+// cmdCountAtMost checks that a metric of a daemon is at most LIMIT: countatmost
 // gateway1.1 NAME LIMIT.
 func cmdCountAtMost(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
@@ -208,6 +208,6 @@
 	limit, err := strconv.Atoi(args[2])
 	ts.Check(err)
 	if n > limit {
-		ts.Fatalf("%s of %s is %d, above %d", args[1], args[0], n, limit)
+		ts.Fatalf("%s of %s is %d, above the limit of %d", args[1], args[0], n, limit)
 	}
 }
--- a/e2e/configure_test.go
+++ b/e2e/configure_test.go
@@ -16,8 +16,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdPublish publishes a changed configuration: publish live=ADAPTER:VERSION
-// drain=ENDPOINT serve=ENDPOINT.
+// cmdPublish publishes the configuration of the fleet with the changes that the options describe: publish
+// live=ADAPTER:VERSION drain=ENDPOINT.
 func cmdPublish(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -26,7 +26,8 @@
 	ts.Check(w.fleet.Publish(context.Background(), shards))
 }
 
-// changeShards changes a configuration as a script says.
+// changeShards applies a script's options to a configuration. It fails the script if one or more options are
+// given and none matches.
 func changeShards(ts *testscript.TestScript, shards map[string]catalog.Shard, o map[string]string) {
 	changed := len(o) == 0
 	for _, s := range shards {
@@ -44,19 +45,19 @@
 		}
 	}
 	if !changed {
-		ts.Fatalf("nothing to change by %v", o)
+		ts.Fatalf("no adapter or endpoint matches %v", o)
 	}
 }
 
-// cmdInForce waits until every daemon that answers has the revision published
-// last, at most the given time: inforce 12s.
+// cmdInForce waits until every reachable daemon runs the revision that was published
+// last, for at most the given time: inforce 12s.
 func cmdInForce(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	limit, err := time.ParseDuration(args[0])
 	ts.Check(err)
 	want := fmt.Sprint(w.fleet.Head().Revision())
 	begun := time.Now()
-	await(ts, limit, "revision "+want+" is not in force", func() string {
+	await(ts, limit, "revision "+want+" is not active on every daemon", func() string {
 		behind := ""
 		eachDaemon(w, func(c, b int, role string) {
 			v := vars(w.fleet.OperatorsAddress(c, b, role))
@@ -66,11 +67,11 @@
 		})
 		return behind
 	})
-	ts.Logf("in force everywhere after %v", time.Since(begun).Round(10*time.Millisecond))
+	ts.Logf("active on every daemon after %v", time.Since(begun).Round(10*time.Millisecond))
 }
 
-// cmdRace publishes two configurations on the same base, one after the other:
-// race live=ADAPTER:1 live=ADAPTER:2 pause=100ms.
+// cmdRace publishes conflicting configurations: all are successors of the same one. It publishes them
+// in the given order, with pauses: race live=ADAPTER:1 pause=100ms live=ADAPTER:2.
 func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	base := w.fleet.Head()
@@ -89,7 +90,7 @@
 	}
 }
 
-// cmdAgree checks that every daemon has the same head in force.
+// cmdAgree checks that every daemon runs the configuration with the same head.
 func cmdAgree(ts *testscript.TestScript, _ bool, _ []string) {
 	w := worldOf(ts)
 	seen := make(map[string][]string)
@@ -99,12 +100,12 @@
 		seen[digest] = append(seen[digest], fleet.DaemonName(c, b, role))
 	})
 	if len(seen) != 1 {
-		ts.Fatalf("different heads are in force: %v", seen)
+		ts.Fatalf("daemons run configurations with different heads: %v", seen)
 	}
 }
 
-// cmdPut publishes the documents under a folder, the head last, each under its
-// path as key: put documents.
+// cmdPut publishes the documents in a directory, the head last. The key of each is its
+// path relative to the directory: put documents.
 func cmdPut(ts *testscript.TestScript, _ bool, args []string) {
 	dir := ts.MkAbs(args[0])
 	head := ""
@@ -133,12 +134,13 @@
 	return worldOf(ts).fleet.Put(context.Background(), key, raw)
 }
 
-// cmdSed replaces a text in a file and writes another: sed s/OLD/NEW/ FROM TO.
+// cmdSed replaces the first occurrence of a text in a file and writes the result to another file:
+// sed s/OLD/NEW/ FROM TO.
 func cmdSed(ts *testscript.TestScript, _ bool, args []string) {
 	parts := strings.Split(args[0], "/")
 	text := ts.ReadFile(args[1])
 	if !strings.Contains(text, parts[1]) {
-		ts.Fatalf("%s has no %q", args[1], parts[1])
+		ts.Fatalf("%s does not contain %q", args[1], parts[1])
 	}
 	ts.Check(os.WriteFile(ts.MkAbs(args[2]), []byte(strings.Replace(text, parts[1], parts[2], 1)), 0o600))
 }
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -17,15 +17,15 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdEdge starts a box's one process on the users' platform, with the settings in a file,
+// cmdEdge starts the single process of a box on the users' platform with the settings in a file,
 // and waits until it is ready: edge 1.1 settings.toml.
 func cmdEdge(ts *testscript.TestScript, _ bool, args []string) {
 	c, b := place(ts, args[0])
 	ts.Check(worldOf(ts).fleet.StartEdge(context.Background(), c, b, ts.ReadFile(args[1]), nil))
 }
 
-// cmdFact publishes a file under a key: fact KEY FILE engine=1.1. With an engine, its present
-// life is added to the key and set as ENDPOINT, and $ADDRESS in the file is where it is.
+// cmdFact publishes a file under a key: fact KEY FILE engine=1.1. With an engine, its current
+// boot ID is appended to the key and set as ENDPOINT, and $ADDRESS in the file is replaced by its address.
 func cmdFact(ts *testscript.TestScript, _ bool, args []string) {
 	o, rest := options(args)
 	w := worldOf(ts)
@@ -40,28 +40,28 @@
 	ts.Check(w.fleet.Put(context.Background(), key, []byte(text)))
 }
 
-// cmdRemove takes a key away: remove servers/$ENDPOINT.
+// cmdRemove deletes a key: remove servers/$ENDPOINT.
 func cmdRemove(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(worldOf(ts).fleet.Delete(context.Background(), args[0]))
 }
 
-// sent is what came of a request to a box on the users' platform.
+// sent is the result of a request to a box on the users' platform.
 type sent struct {
 	status int
 	retry  string
-	whole  bool // the body came to its end
+	whole  bool // the body was complete
 	text   string
-	err    error // no answer at all
+	err    error // there was no response
 }
 
 func (s sent) String() string {
 	return fmt.Sprintf("status=%d retry=%t whole=%t %v %s", s.status, s.retry != "", s.whole, s.err, s.text)
 }
 
-// cmdSend sends a request to a box on the users' platform and prints what came of it: send
-// edge=1.1 path=/a/x body=TEXT header=NAME:VALUE. Its id is set as REQUEST. With later=yes it
-// goes on in the background, until answered; with until=CODE it is sent again, under new
-// ids, until it fails so.
+// cmdSend sends a request to a box on the users' platform and prints the result: send
+// edge=1.1 path=/a/x body=TEXT header=NAME:VALUE. Its ID is set as REQUEST. With later=yes, it
+// runs in the background; the command answered prints its result. With until=TEXT, it is sent again, each time
+// with a new ID, until the response contains the text.
 func cmdSend(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -85,13 +85,13 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("last: %s", s)
+			ts.Fatalf("no response contains %q; the last one: %s", o["until"], s)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// cmdAnswered waits for the request that was sent in the background.
+// cmdAnswered waits for the request in the background and prints its result.
 func cmdAnswered(ts *testscript.TestScript, _ bool, _ []string) {
 	fmt.Fprintln(ts.Stdout(), <-worldOf(ts).sent)
 }
@@ -126,13 +126,13 @@
 	all := make(map[string]json.RawMessage)
 	ts.Check(json.Unmarshal(raw, &all))
 	if all[args[1]] == nil {
-		ts.Fatalf("no metric %s", args[1])
+		ts.Fatalf("metric %s is missing", args[1])
 	}
 	fmt.Fprintf(ts.Stdout(), "%s\n", all[args[1]])
 }
 
-// cmdPress sends requests for adapters in turn to boxes on the users' platform, in turn, and prints how
-// many got which status: press edges=1.1,2.1 rate=40 for=2s adapters=6.
+// cmdPress sends requests to boxes on the users' platform at a constant rate, with the boxes and the adapters
+// in rotation, and prints the number of responses by status: press edges=1.1,2.1 rate=40 for=2s adapters=6.
 func cmdPress(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -30,14 +30,14 @@
 	"thaw":   syscall.SIGCONT,
 }
 
-// cmdSignal sends a signal and does not wait: signal freeze scheduler1.1.
+// cmdSignal sends a signal to processes without waiting for an effect: signal freeze scheduler1.1.
 func cmdSignal(ts *testscript.TestScript, _ bool, args []string) {
 	for _, p := range args[1:] {
 		ts.Check(worldOf(ts).fleet.Signal(process(ts, p), signals[args[0]]))
 	}
 }
 
-// cmdReplace ends both daemons of boxes in order, at once, and starts them again:
+// cmdReplace restarts boxes one after the other. It stops both daemons of a box at the same time, with SIGTERM:
 // replace 1.1 1.2.
 func cmdReplace(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
@@ -54,8 +54,8 @@
 	}
 }
 
-// cmdEnd sends a signal and waits for the end: end kill scheduler1.1. An orderly
-// end must have exit code 0.
+// cmdEnd sends a signal to a process and waits for it to exit: end kill scheduler1.1. After term, the
+// exit code must be 0.
 func cmdEnd(ts *testscript.TestScript, _ bool, args []string) {
 	err := worldOf(ts).fleet.Terminate(process(ts, args[1]), signals[args[0]])
 	if args[0] == "term" {
@@ -63,7 +63,7 @@
 	}
 }
 
-// cmdStart starts a process again: start scheduler1.1 or start engine1.1.
+// cmdStart starts processes that have ended, and waits until all daemons are ready: start scheduler1.1 engine1.1.
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	for _, p := range args {
@@ -82,14 +82,17 @@
 	ts.Check(w.fleet.WaitReady(context.Background()))
 }
 
-// cmdControl posts to a control path of a stand-in: control engine1.1
+// cmdControl sends a POST request to a control path of a stand-in: control engine1.1
 // /control/restart.
 func cmdControl(ts *testscript.TestScript, _ bool, args []string) {
 	ts.Check(fleet.Post(context.Background(), "http://"+address(ts, args[0]+args[1])))
 }
 
-// cmdLoad begins a load in the background: load rate=50 for=10s adapters=20
-// skew=1.2 tokens=8 keyed=0.1 gateways=1.1,2.1 seed=1.
+// cmdLoad starts load in the background: load rate=50 for=10s adapters=20
+// tokens=8 keyed=yes explicit=yes alias=yes twice=yes balanced=yes gateways=1.1,2.1 seed=1.
+// With keyed, some requests have idempotency keys; with twice, each of those is also sent through another
+// gateway. With explicit, requests name the version; with alias, any version is accepted that the response
+// names. With balanced, requests go only to gateways that report to be ready.
 func cmdLoad(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -129,9 +132,9 @@
 	go func() { w.loads <- load.Run(ctx, p) }()
 }
 
-// cmdJoinLoad waits for the load's end and checks its report: joinload
-// broken=0 unknown=0 notrun=0 whole=100 gap=2s. Each is a limit; no answer may
-// ever be wrong.
+// cmdJoinLoad waits for the load to end and checks its report: joinload
+// broken=0 unknown=0 notrun=0 whole=100 gap=2s. The value of whole is a minimum, the others are maxima. An
+// incorrect response always fails the script.
 func cmdJoinLoad(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -143,7 +146,7 @@
 	ts.Logf("%s", text)
 	most := func(name string, n int) {
 		if o[name] != "" && n > number(ts, o, name, 0) {
-			ts.Fatalf("%s is %d: %s", name, n, text)
+			ts.Fatalf("%s is %d, above its limit: %s", name, n, text)
 		}
 	}
 	most("broken", r.Broken)
@@ -156,13 +159,13 @@
 		limit, err := time.ParseDuration(o["gap"])
 		ts.Check(err)
 		if r.LongestGap > limit {
-			ts.Fatalf("gap above %v: %s", limit, text)
+			ts.Fatalf("the longest gap is above %v: %s", limit, text)
 		}
 	}
 }
 
-// cmdBreaches sums what the engines and services witnessed; any breach fails.
-// With !, there must be one.
+// cmdBreaches prints the sum of what engines and services observed. It fails if an invariant was violated.
+// With !, there must be a violation.
 func cmdBreaches(ts *testscript.TestScript, neg bool, _ []string) {
 	w := worldOf(ts)
 	seen, err := w.fleet.Observations(context.Background())
@@ -170,13 +173,13 @@
 	text := seen.Summary(w.notRun)
 	fmt.Fprintln(ts.Stdout(), text)
 	if (seen.Violations(w.notRun) > 0) != neg {
-		ts.Fatalf("breaches: %s", text)
+		ts.Fatalf("violations expected: %t, found: %s", neg, text)
 	}
 }
 
 // cmdNet adds a rule to the proxy: net hold dc1 dc2, net cut box1.1 engine1.1
-// after=100 answer=300 times=5 delay=10ms oneway=yes; net clear drops all. What
-// passes between two parts is held both ways by two rules.
+// after=100 answer=300 times=5 delay=10ms oneway=yes. A rule applies to connections from the first part to
+// the second, so holding all traffic between two parts takes two rules. net clear removes all rules.
 func cmdNet(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	if args[0] == "clear" {
@@ -199,13 +202,13 @@
 	ts.Check(w.fleet.SetRules(context.Background(), w.rules))
 }
 
-// cmdOwner sets OWNER to the box that owns an endpoint, as 1.2, and OTHER to
-// another box of its data centre: owner engine1.1.
+// cmdOwner waits until an endpoint has an owner and sets OWNER to the position of its box, such as 1.2, and
+// OTHER to that of another box of its data centre: owner engine1.1.
 func cmdOwner(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	name := process(ts, args[0])
 	centre, _ := place(ts, strings.TrimPrefix(args[0], "engine"))
-	await(ts, 15*time.Second, "not owned", func() string {
+	await(ts, 15*time.Second, "endpoint has no owner", func() string {
 		for b := 1; b <= w.fleet.Spec.Boxes; b++ {
 			if !owns(w, centre, b, name) {
 				continue
@@ -241,13 +244,13 @@
 	time.Sleep(d)
 }
 
-// cmdCairnctl runs the operators' client against every daemon of the fleet.
+// cmdCairnctl runs cairnctl with the addresses of all daemons of the fleet.
 func cmdCairnctl(ts *testscript.TestScript, neg bool, args []string) {
 	daemons := strings.Join(worldOf(ts).fleet.DaemonAddresses(), ",")
 	runProgram(ts, neg, "cairnctl", append([]string{"--daemons", daemons}, args...))
 }
 
-// cmdProgram runs any program under test: program cairn-gateway --help.
+// cmdProgram runs a program under test: program cairn-gateway --help.
 func cmdProgram(ts *testscript.TestScript, neg bool, args []string) {
 	runProgram(ts, neg, args[0], args[1:])
 }
@@ -266,11 +269,11 @@
 	}
 }
 
-// cmdEventually waits until a process's log has a text: eventually scheduler1.1
+// cmdEventually waits until the log of a process contains a text: eventually scheduler1.1
 // TEXT.
 func cmdEventually(ts *testscript.TestScript, _ bool, args []string) {
 	path := logPath(ts, process(ts, args[0]))
-	await(ts, 15*time.Second, args[0]+" does not say", func() string {
+	await(ts, 15*time.Second, "log of "+args[0]+" does not contain", func() string {
 		raw, err := os.ReadFile(path)
 		ts.Check(err)
 		if strings.Contains(string(raw), args[1]) {
@@ -280,7 +283,7 @@
 	})
 }
 
-// cmdEnginesLeft checks how many engines still answer: enginesleft 2.
+// cmdEnginesLeft checks how many engines are still reachable: enginesleft 2.
 func cmdEnginesLeft(ts *testscript.TestScript, _ bool, args []string) {
 	w := worldOf(ts)
 	left := 0
@@ -292,16 +295,16 @@
 		}
 	}
 	if fmt.Sprint(left) != args[0] {
-		ts.Fatalf("%d engines are left", left)
+		ts.Fatalf("%d engines are reachable, want %s", left, args[0])
 	}
 }
 
-// cmdEndsSeen waits until a gateway has seen so many engines end: endsseen gateway1.1 2.
+// cmdEndsSeen waits until a gateway has counted at least this many terminations of engines: endsseen gateway1.1 2.
 func cmdEndsSeen(ts *testscript.TestScript, _ bool, args []string) {
 	c, b := place(ts, strings.TrimPrefix(args[0], "gateway"))
 	wanted, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	await(ts, 15*time.Second, args[0]+" has not seen so many ends", func() string {
+	await(ts, 15*time.Second, args[0]+" has counted too few terminations of engines, want at least", func() string {
 		var ends quarantine.TerminationCounts
 		if err := json.Unmarshal(vars(worldOf(ts).fleet.OperatorsAddress(c, b, "gateway"))["gateway_endpoint_ends"], &ends); err != nil {
 			return err.Error()
--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -18,10 +18,10 @@
 	"github.com/frankban/quicktest"
 )
 
-// keysBegin gives, by the name of a method of a logger, where its keys and values begin.
+// keysBegin maps the methods of a logger to the index of the first argument that is a key.
 var keysBegin = map[string]int{"Info": 1, "Error": 2, "WithValues": 0}
 
-// loggedKeys returns the keys that a file's calls of loggers name.
+// loggedKeys returns the keys of all logging calls in a Go file.
 func loggedKeys(c *quicktest.C, path string) []string {
 	files := token.NewFileSet()
 	f, err := parser.ParseFile(files, path, nil, 0)
@@ -38,17 +38,17 @@
 		}
 		first, ok := keysBegin[method.Sel.Name]
 		if on, _ := method.X.(*ast.Ident); !ok || len(call.Args) <= first || (on != nil && on.Name == "http") {
-			return true // http.Error has the name alone in common
+			return true // http.Error is not a logging call
 		}
 		rest := call.Args[first:]
 		if len(rest)%2 != 0 {
-			c.Errorf("%s: a key without a value", files.Position(call.Pos()))
+			c.Errorf("%s: key without a value", files.Position(call.Pos()))
 			return true
 		}
 		for i := 0; i < len(rest); i += 2 {
 			key, ok := rest[i].(*ast.BasicLit)
 			if !ok || key.Kind != token.STRING {
-				c.Errorf("%s: a key is not a plain text", files.Position(rest[i].Pos()))
+				c.Errorf("%s: key is not a string literal", files.Position(rest[i].Pos()))
 				continue
 			}
 			text, err := strconv.Unquote(key.Value)
@@ -60,12 +60,12 @@
 	return keys
 }
 
-// The page of operators lists every key that a line of ours may have, and none besides.
+// The operations page must list every key that log lines can have, and no others.
 func TestTheOperatorsPageListsEachKeyOfTheLogs(t *testing.T) {
 	c := quicktest.New(t)
 	written := map[string]bool{
-		"time": true, "level": true, "msg": true, "err": true, // by the logger itself
-		"lines": true, // by the notice of lines that were left out
+		"time": true, "level": true, "msg": true, "err": true, // written by the logger itself
+		"lines": true, // written by the message about dropped lines
 	}
 	c.Assert(filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -77,13 +77,13 @@
 		return nil
 	}), quicktest.IsNil)
 	_, table, found := strings.Cut(page(c, "OPERATIONS.md"), "| keys | are |\n")
-	c.Assert(found, quicktest.IsTrue, quicktest.Commentf("the table of keys"))
+	c.Assert(found, quicktest.IsTrue, quicktest.Commentf("OPERATIONS.md has no table of keys"))
 	table, _, _ = strings.Cut(table, "\n\n")
 	listed := make(map[string]bool)
 	for _, row := range strings.Split(table, "\n") {
 		names := strings.SplitN(row, "|", 3)[1]
 		for _, m := range regexp.MustCompile("`([a-z_]+)`").FindAllStringSubmatch(names, -1) {
-			c.Check(listed[m[1]], quicktest.IsFalse, quicktest.Commentf("%s is listed twice", m[1]))
+			c.Check(listed[m[1]], quicktest.IsFalse, quicktest.Commentf("%s is listed more than once", m[1]))
 			listed[m[1]] = true
 		}
 	}
--- a/e2e/pages_test.go
+++ b/e2e/pages_test.go
@@ -29,7 +29,7 @@
 	for _, program := range []string{"cairn-gateway", "cairn-scheduler"} {
 		table, err := exec.Command(filepath.Join(bin, program), "--reference").Output()
 		c.Assert(err, quicktest.IsNil)
-		c.Assert(page(c, "SETTINGS.md"), quicktest.Contains, string(table), quicktest.Commentf("make reference writes it anew"))
+		c.Assert(page(c, "SETTINGS.md"), quicktest.Contains, string(table), quicktest.Commentf("run make reference to update it"))
 	}
 }
 
@@ -77,7 +77,7 @@
 	c.Assert(err, quicktest.IsNil, quicktest.Commentf("%s", out))
 }
 
-// startFleet starts a fleet that stops at the test's end.
+// startFleet starts a fleet and stops it at the end of the test.
 func startFleet(c *quicktest.C, s fleet.Spec) *fleet.Fleet {
 	s.Bin, s.Dir = bin, c.TempDir()
 	s.Slots, s.BatchSize = max(s.Slots, 2), max(s.BatchSize, 4)
--- a/e2e/script_test.go
+++ b/e2e/script_test.go
@@ -18,11 +18,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var bin string // folder of the programs under test
+var bin string // directory of the programs under test
 
 func TestMain(m *testing.M) { os.Exit(build(m)) }
 
-// build builds every program and runs the tests.
+// build builds all programs, runs the tests and returns the exit code.
 func build(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "cairn-e2e-")
 	if err != nil {
@@ -85,15 +85,15 @@
 	})
 }
 
-// world is what one script works on.
+// world is the state of one script.
 type world struct {
 	fleet  *fleet.Fleet
 	caller fleet.Client
-	loads  chan load.Report // of the load that runs in the background
+	loads  chan load.Report // the report of the load in the background
 	cancel context.CancelFunc
-	rules  []standin.Rule // of the proxy
-	notRun []string       // ids of requests that were refused as not run
-	sent   chan sent      // of the request that runs in the background
+	rules  []standin.Rule // current rules of the proxy
+	notRun []string       // IDs of requests that were rejected as not run
+	sent   chan sent      // the result of the request in the background
 }
 
 type worldKey struct{}
@@ -106,7 +106,7 @@
 		return err
 	}
 	e.Setenv("BIN", bin)
-	e.Setenv("USERS", users) // files in the form of the users' platform
+	e.Setenv("USERS", users) // files in the formats of the users' platform
 	e.Defer(func() {
 		if w.cancel != nil {
 			w.cancel()
@@ -120,7 +120,8 @@
 
 func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
 
-// options reads NAME=VALUE arguments; the rest is returned too.
+// options separates NAME=VALUE arguments from the others. The values of a repeated name are joined by
+// newlines; see lines.
 func options(args []string) (map[string]string, []string) {
 	o := make(map[string]string)
 	var rest []string
@@ -147,7 +148,7 @@
 	return n
 }
 
-// lines splits a repeated option.
+// lines returns the values of a repeated option.
 func lines(text string) []string {
 	if text == "" {
 		return nil
@@ -156,7 +157,8 @@
 }
 
 // cmdFleet starts a fleet: fleet centres=1 boxes=1 engines=1 adapters=10
-// engine=--flag scheduler=NAME:VALUE gateway=NAME:VALUE both=NAME:VALUE.
+// engine=--FLAG:VALUE store=--FLAG:VALUE scheduler=NAME:VALUE gateway=NAME:VALUE both=NAME:VALUE.
+// The flags are those of the engines and of the platform, the others are settings of the daemons.
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
 	o, _ := options(args)
 	w := worldOf(ts)
@@ -196,14 +198,14 @@
 	ts.Check(w.fleet.Start(context.Background()))
 }
 
-// place reads a box or an engine such as 2.1, data centre and number.
+// place parses the position of a box or an engine: data centre and number, such as 2.1. The default is 1.1.
 func place(ts *testscript.TestScript, text string) (int, int) {
 	if text == "" {
 		return 1, 1
 	}
 	c, n, found := strings.Cut(text, ".")
 	if !found {
-		ts.Fatalf("%q: write CENTRE.NUMBER", text)
+		ts.Fatalf("position %q is not CENTRE.NUMBER", text)
 	}
 	centre, err := strconv.Atoi(c)
 	ts.Check(err)
@@ -212,8 +214,8 @@
 	return centre, i
 }
 
-// process turns the scripts' short names into process names: gateway1.1,
-// scheduler1.1, engine1.1, platform, service1.
+// process returns the name of a process for its short name in scripts: gateway1.1,
+// scheduler1.1, edge1.1, engine1.1, platform, service1.
 func process(ts *testscript.TestScript, short string) string {
 	for _, role := range []string{"gateway", "scheduler", "edge"} {
 		if at, found := strings.CutPrefix(short, role); found {
--- a/e2e/start_test.go
+++ b/e2e/start_test.go
@@ -17,11 +17,11 @@
 	"github.com/frankban/quicktest"
 )
 
-// startLimit guards a test against a program that starts although it should not; one that
-// fails does so in some ms.
+// startLimit is when a program that was expected to exit is killed, so that the test fails instead of hanging.
+// A program that can't start exits within milliseconds.
 const startLimit = 20 * time.Second
 
-// takenAddress returns an address that somebody listens on until the test ends.
+// takenAddress returns an address that is in use until the end of the test.
 func takenAddress(c *quicktest.C) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -29,7 +29,7 @@
 	return l.Addr().String()
 }
 
-// freeAddress returns an address that nobody listens on.
+// freeAddress returns an address that is not in use.
 func freeAddress(c *quicktest.C) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, quicktest.IsNil)
@@ -37,16 +37,16 @@
 	return l.Addr().String()
 }
 
-// startFails runs a program that must end with exit code 1, and returns what it wrote.
+// startFails runs a program that must exit with code 1, and returns its output.
 func startFails(c *quicktest.C, program string, environment []string, args ...string) string {
 	run := exec.Command(filepath.Join(bin, program), args...)
 	run.Env = append(os.Environ(), environment...)
 	var out bytes.Buffer
 	run.Stdout, run.Stderr = &out, &out
 	c.Assert(run.Start(), quicktest.IsNil)
-	late := time.AfterFunc(startLimit, func() { _ = run.Process.Kill() }) // the exit code tells
+	late := time.AfterFunc(startLimit, func() { _ = run.Process.Kill() }) // the exit code is checked
 	defer late.Stop()
-	_ = run.Wait() // the exit code tells
+	_ = run.Wait() // the exit code is checked
 	c.Assert(run.ProcessState.ExitCode(), quicktest.Equals, 1, quicktest.Commentf("%s", &out))
 	return out.String()
 }
--- a/e2e/wait_test.go
+++ b/e2e/wait_test.go
@@ -10,8 +10,8 @@
 
 const lookPause = 20 * time.Millisecond
 
-// await looks until nothing is missing. When something still is after the limit, the
-// script fails with the text and what is missing.
+// await polls missing until it returns an empty string. If it does not within the limit, the script fails with
+// the text and the last result of missing.
 func await(ts *testscript.TestScript, limit time.Duration, text string, missing func() string) {
 	end := time.Now().Add(limit)
 	for {
