--- a/e2e/configure_test.go
+++ b/e2e/configure_test.go
@@ -19,16 +19,16 @@
 // cmdPublish publishes the configuration of the fleet with the changes that the options describe: publish
 // live=ADAPTER:VERSION drain=ENDPOINT.
 func cmdPublish(ts *testscript.TestScript, _ bool, args []string) {
-	o, _ := options(args)
-	w := worldOf(ts)
-	shards := w.fleet.Shards()
-	changeShards(ts, shards, o)
-	ts.Check(w.fleet.Publish(context.Background(), shards))
+	o, _ := parseOptions(args)
+	state := stateOf(ts)
+	shards := state.fleet.Shards()
+	applyChanges(ts, shards, o)
+	ts.Check(state.fleet.Publish(context.Background(), shards))
 }
 
-// changeShards applies a script's options to a configuration. It fails the script if one or more options are
+// applyChanges applies a script's options to a configuration. It fails the script if one or more options are
 // given and none matches.
-func changeShards(ts *testscript.TestScript, shards map[string]catalog.Shard, o map[string]string) {
+func applyChanges(ts *testscript.TestScript, shards map[string]catalog.Shard, o map[string]string) {
 	changed := len(o) == 0
 	for _, s := range shards {
 		for i, a := range s.Adapters {
@@ -49,53 +49,53 @@
 	}
 }
 
-// cmdInForce waits until every reachable daemon runs the revision that was published
-// last, for at most the given time: inforce 12s.
-func cmdInForce(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+// cmdWaitRevision waits until every reachable daemon runs the revision that was published
+// last, for at most the given time: waitrevision 12s.
+func cmdWaitRevision(ts *testscript.TestScript, _ bool, args []string) {
+	state := stateOf(ts)
 	limit, err := time.ParseDuration(args[0])
 	ts.Check(err)
-	want := fmt.Sprint(w.fleet.Head().Revision())
-	begun := time.Now()
-	await(ts, limit, "revision "+want+" is not active on every daemon", func() string {
-		behind := ""
-		eachDaemon(w, func(c, b int, role string) {
-			v := vars(w.fleet.OperatorsAddress(c, b, role))
+	want := fmt.Sprint(state.fleet.Head().Revision())
+	start := time.Now()
+	waitUntil(ts, limit, "revision "+want+" is not active on every daemon", func() string {
+		outdated := ""
+		forEachDaemon(state, func(c, b int, role string) {
+			v := readMetrics(state.fleet.OperatorsAddress(c, b, role))
 			if v != nil && string(v["cairn_revision"]) != want {
-				behind = fmt.Sprintf("%s has %s", fleet.DaemonName(c, b, role), v["cairn_revision"])
+				outdated = fmt.Sprintf("%s has %s", fleet.DaemonName(c, b, role), v["cairn_revision"])
 			}
 		})
-		return behind
+		return outdated
 	})
-	ts.Logf("active on every daemon after %v", time.Since(begun).Round(10*time.Millisecond))
+	ts.Logf("active on every daemon after %v", time.Since(start).Round(10*time.Millisecond))
 }
 
-// cmdRace publishes conflicting configurations: all are successors of the same one. It publishes them
-// in the given order, with pauses: race live=ADAPTER:1 pause=100ms live=ADAPTER:2.
-func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	base := w.fleet.Head()
+// cmdPublishRivals publishes conflicting configurations: all are successors of the same one. It publishes them
+// in the given order, with pauses: publishrivals live=ADAPTER:1 pause=100ms live=ADAPTER:2.
+func cmdPublishRivals(ts *testscript.TestScript, _ bool, args []string) {
+	state := stateOf(ts)
+	base := state.fleet.Head()
 	for _, a := range args {
-		o, _ := options([]string{a})
+		o, _ := parseOptions([]string{a})
 		if o["pause"] != "" {
 			d, err := time.ParseDuration(o["pause"])
 			ts.Check(err)
 			time.Sleep(d)
 			continue
 		}
-		shards := w.fleet.Shards()
-		changeShards(ts, shards, o)
-		_, err := w.fleet.PublishOn(context.Background(), base, shards)
+		shards := state.fleet.Shards()
+		applyChanges(ts, shards, o)
+		_, err := state.fleet.PublishOn(context.Background(), base, shards)
 		ts.Check(err)
 	}
 }
 
-// cmdAgree checks that every daemon runs the configuration with the same head.
-func cmdAgree(ts *testscript.TestScript, _ bool, _ []string) {
-	w := worldOf(ts)
+// cmdSameHead checks that every daemon runs the configuration with the same head.
+func cmdSameHead(ts *testscript.TestScript, _ bool, _ []string) {
+	state := stateOf(ts)
 	seen := make(map[string][]string)
-	eachDaemon(w, func(c, b int, role string) {
-		v := vars(w.fleet.OperatorsAddress(c, b, role))
+	forEachDaemon(state, func(c, b int, role string) {
+		v := readMetrics(state.fleet.OperatorsAddress(c, b, role))
 		digest := string(v["cairn_head"])
 		seen[digest] = append(seen[digest], fleet.DaemonName(c, b, role))
 	})
@@ -104,9 +104,9 @@
 	}
 }
 
-// cmdPut publishes the documents in a directory, the head last. The key of each is its
-// path relative to the directory: put documents.
-func cmdPut(ts *testscript.TestScript, _ bool, args []string) {
+// cmdPublishFiles publishes the documents in a directory, the head last. The key of each is its
+// path relative to the directory: publishfiles documents.
+func cmdPublishFiles(ts *testscript.TestScript, _ bool, args []string) {
 	dir := ts.MkAbs(args[0])
 	head := ""
 	ts.Check(filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	return worldOf(ts).fleet.Put(context.Background(), key, raw)
+	return stateOf(ts).fleet.Put(context.Background(), key, raw)
 }
 
 // cmdSed replaces the first occurrence of a text in a file and writes the result to another file:
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -17,56 +17,56 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdEdge starts the single process of a box on the users' platform with the settings in a file,
-// and waits until it is ready: edge 1.1 settings.toml.
-func cmdEdge(ts *testscript.TestScript, _ bool, args []string) {
-	c, b := place(ts, args[0])
-	ts.Check(worldOf(ts).fleet.StartEdge(context.Background(), c, b, ts.ReadFile(args[1]), nil))
+// cmdStartEdge starts the single process of a box on the users' platform with the settings in a file,
+// and waits until it is ready: startedge 1.1 settings.toml.
+func cmdStartEdge(ts *testscript.TestScript, _ bool, args []string) {
+	c, b := parsePosition(ts, args[0])
+	ts.Check(stateOf(ts).fleet.StartEdge(context.Background(), c, b, ts.ReadFile(args[1]), nil))
 }
 
-// cmdFact publishes a file under a key: fact KEY FILE engine=1.1. With an engine, its current
+// cmdPublishFile publishes a file under a key: publishfile KEY FILE engine=1.1. With an engine, its current
 // boot ID is appended to the key and set as ENDPOINT, and $ADDRESS in the file is replaced by its address.
-func cmdFact(ts *testscript.TestScript, _ bool, args []string) {
-	o, rest := options(args)
-	w := worldOf(ts)
+func cmdPublishFile(ts *testscript.TestScript, _ bool, args []string) {
+	o, rest := parseOptions(args)
+	state := stateOf(ts)
 	key, text := rest[0], ts.ReadFile(rest[1])
 	if o["engine"] != "" {
-		c, n := place(ts, o["engine"])
-		life, err := w.fleet.BootID(context.Background(), c, n)
+		c, n := parsePosition(ts, o["engine"])
+		bootID, err := state.fleet.BootID(context.Background(), c, n)
 		ts.Check(err)
-		key, text = key+life, strings.ReplaceAll(text, "$ADDRESS", w.fleet.EngineAddress(c, n))
-		ts.Setenv("ENDPOINT", life)
+		key, text = key+bootID, strings.ReplaceAll(text, "$ADDRESS", state.fleet.EngineAddress(c, n))
+		ts.Setenv("ENDPOINT", bootID)
 	}
-	ts.Check(w.fleet.Put(context.Background(), key, []byte(text)))
+	ts.Check(state.fleet.Put(context.Background(), key, []byte(text)))
 }
 
-// cmdRemove deletes a key: remove servers/$ENDPOINT.
-func cmdRemove(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Check(worldOf(ts).fleet.Delete(context.Background(), args[0]))
+// cmdDeleteKey deletes a key: deletekey servers/$ENDPOINT.
+func cmdDeleteKey(ts *testscript.TestScript, _ bool, args []string) {
+	ts.Check(stateOf(ts).fleet.Delete(context.Background(), args[0]))
 }
 
-// sent is the result of a request to a box on the users' platform.
-type sent struct {
-	status int
-	retry  string
-	whole  bool // the body was complete
-	text   string
-	err    error // there was no response
+// sendResult is the result of a request to a box on the users' platform.
+type sendResult struct {
+	status     int
+	retryAfter string
+	complete   bool // the body was complete
+	text       string
+	err        error // there was no response
 }
 
-func (s sent) String() string {
-	return fmt.Sprintf("status=%d retry=%t whole=%t %v %s", s.status, s.retry != "", s.whole, s.err, s.text)
+func (s sendResult) String() string {
+	return fmt.Sprintf("status=%d retry=%t complete=%t %v %s", s.status, s.retryAfter != "", s.complete, s.err, s.text)
 }
 
 // cmdSend sends a request to a box on the users' platform and prints the result: send
-// edge=1.1 path=/a/x body=TEXT header=NAME:VALUE. Its ID is set as REQUEST. With later=yes, it
-// runs in the background; the command answered prints its result. With until=TEXT, it is sent again, each time
+// edge=1.1 path=/a/x body=TEXT header=NAME:VALUE. Its ID is set as REQUEST. With background=yes, it
+// runs in the background; waitresponse prints its result. With until=TEXT, it is sent again, each time
 // with a new ID, until the response contains the text.
 func cmdSend(ts *testscript.TestScript, _ bool, args []string) {
-	o, _ := options(args)
-	w := worldOf(ts)
-	c, b := place(ts, o["edge"])
-	url, body := "http://"+w.fleet.CallersAddress(c, b)+o["path"], "{}"
+	o, _ := parseOptions(args)
+	state := stateOf(ts)
+	c, b := parsePosition(ts, o["edge"])
+	url, body := "http://"+state.fleet.CallersAddress(c, b)+o["path"], "{}"
 	if o["body"] != "" {
 		body = o["body"]
 	}
@@ -74,12 +74,12 @@
 	for {
 		id := load.NewKey()
 		ts.Setenv("REQUEST", id)
-		if o["later"] == "yes" {
-			w.sent = make(chan sent, 1)
-			go func() { w.sent <- send(url, id, body, lines(o["header"])) }()
+		if o["background"] == "yes" {
+			state.response = make(chan sendResult, 1)
+			go func() { state.response <- send(url, id, body, optionValues(o["header"])) }()
 			return
 		}
-		s := send(url, id, body, lines(o["header"]))
+		s := send(url, id, body, optionValues(o["header"]))
 		if o["until"] == "" || strings.Contains(s.text, o["until"]) {
 			fmt.Fprintln(ts.Stdout(), s)
 			return
@@ -87,19 +87,19 @@
 		if time.Now().After(deadline) {
 			ts.Fatalf("no response contains %q; the last one: %s", o["until"], s)
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 }
 
-// cmdAnswered waits for the request in the background and prints its result.
-func cmdAnswered(ts *testscript.TestScript, _ bool, _ []string) {
-	fmt.Fprintln(ts.Stdout(), <-worldOf(ts).sent)
+// cmdWaitResponse waits for the request in the background and prints its result.
+func cmdWaitResponse(ts *testscript.TestScript, _ bool, _ []string) {
+	fmt.Fprintln(ts.Stdout(), <-stateOf(ts).response)
 }
 
-func send(url, id, body string, headers []string) sent {
+func send(url, id, body string, headers []string) sendResult {
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		return sent{err: err}
+		return sendResult{err: err}
 	}
 	platformtest.SetAttemptID(r.Header, id)
 	for _, h := range headers {
@@ -109,19 +109,19 @@
 			r.Host = value
 		}
 	}
-	a, err := http.DefaultClient.Do(r)
+	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return sent{err: err}
+		return sendResult{err: err}
 	}
-	defer a.Body.Close()
-	text, err := io.ReadAll(a.Body)
-	return sent{status: a.StatusCode, retry: a.Header.Get("Retry-After"), whole: err == nil, text: string(text)}
+	defer resp.Body.Close()
+	text, err := io.ReadAll(resp.Body)
+	return sendResult{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"), complete: err == nil, text: string(text)}
 }
 
 // cmdMetric prints a metric of a box on the users' platform: metric edge1.1 edge_refusals.
 func cmdMetric(ts *testscript.TestScript, _ bool, args []string) {
-	c, b := place(ts, strings.TrimPrefix(args[0], "edge"))
-	raw, err := fleet.Get(context.Background(), "http://"+worldOf(ts).fleet.OperatorsAddress(c, b, "gateway")+"/metrics")
+	c, b := parsePosition(ts, strings.TrimPrefix(args[0], "edge"))
+	raw, err := fleet.Get(context.Background(), "http://"+stateOf(ts).fleet.OperatorsAddress(c, b, "gateway")+"/metrics")
 	ts.Check(err)
 	all := make(map[string]json.RawMessage)
 	ts.Check(json.Unmarshal(raw, &all))
@@ -131,31 +131,31 @@
 	fmt.Fprintf(ts.Stdout(), "%s\n", all[args[1]])
 }
 
-// cmdPress sends requests to boxes on the users' platform at a constant rate, with the boxes and the adapters
-// in rotation, and prints the number of responses by status: press edges=1.1,2.1 rate=40 for=2s adapters=6.
-func cmdPress(ts *testscript.TestScript, _ bool, args []string) {
-	o, _ := options(args)
-	w := worldOf(ts)
-	span, err := time.ParseDuration(o["for"])
+// cmdSendLoad sends requests to boxes on the users' platform at a constant rate, with the boxes and the adapters
+// in rotation, and prints the number of responses by status: sendload edges=1.1,2.1 rate=40 duration=2s adapters=6.
+func cmdSendLoad(ts *testscript.TestScript, _ bool, args []string) {
+	o, _ := parseOptions(args)
+	state := stateOf(ts)
+	duration, err := time.ParseDuration(o["duration"])
 	ts.Check(err)
-	rate, adapters := number(ts, o, "rate", 40), number(ts, o, "adapters", 6)
+	rate, adapters := intOption(ts, o, "rate", 40), intOption(ts, o, "adapters", 6)
 	var urls []string
 	for _, e := range strings.Split(o["edges"], ",") {
-		c, b := place(ts, e)
-		urls = append(urls, "http://"+w.fleet.CallersAddress(c, b)+"/a/x")
+		c, b := parsePosition(ts, e)
+		urls = append(urls, "http://"+state.fleet.CallersAddress(c, b)+"/a/x")
 	}
-	count := int(span.Seconds() * float64(rate))
-	answers := make(chan sent, count)
+	count := int(duration.Seconds() * float64(rate))
+	responses := make(chan sendResult, count)
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
 	for i := range count {
 		<-tick.C
 		headers := []string{"Host:h.example", fmt.Sprintf("Model:advice/a%d", i%adapters+1), "Token-Usage:10,2"}
-		go func() { answers <- send(urls[i%len(urls)], load.NewKey(), "{}", headers) }()
+		go func() { responses <- send(urls[i%len(urls)], load.NewKey(), "{}", headers) }()
 	}
 	statuses := make(map[int]int)
 	for range count {
-		statuses[(<-answers).status]++
+		statuses[(<-responses).status]++
 	}
 	fmt.Fprintln(ts.Stdout(), statuses)
 	ts.Logf("%v", statuses)
--- a/e2e/keys_test.go
+++ b/e2e/keys_test.go
@@ -18,8 +18,8 @@
 	"github.com/frankban/quicktest"
 )
 
-// keysBegin maps the methods of a logger to the index of the first argument that is a key.
-var keysBegin = map[string]int{"Info": 1, "Error": 2, "WithValues": 0}
+// firstKeyIndex maps the methods of a logger to the index of the first argument that is a key.
+var firstKeyIndex = map[string]int{"Info": 1, "Error": 2, "WithValues": 0}
 
 // loggedKeys returns the keys of all logging calls in a Go file.
 func loggedKeys(c *quicktest.C, path string) []string {
@@ -36,7 +36,7 @@
 		if !ok {
 			return true
 		}
-		first, ok := keysBegin[method.Sel.Name]
+		first, ok := firstKeyIndex[method.Sel.Name]
 		if on, _ := method.X.(*ast.Ident); !ok || len(call.Args) <= first || (on != nil && on.Name == "http") {
 			return true // http.Error is not a logging call
 		}
@@ -61,9 +61,9 @@
 }
 
 // The operations page must list every key that log lines can have, and no others.
-func TestTheOperatorsPageListsEachKeyOfTheLogs(t *testing.T) {
+func TestOperationsPageListsAllLogKeys(t *testing.T) {
 	c := quicktest.New(t)
-	written := map[string]bool{
+	logged := map[string]bool{
 		"time": true, "level": true, "msg": true, "err": true, // written by the logger itself
 		"lines": true, // written by the message about dropped lines
 	}
@@ -72,11 +72,11 @@
 			return err
 		}
 		for _, k := range loggedKeys(c, path) {
-			written[k] = true
+			logged[k] = true
 		}
 		return nil
 	}), quicktest.IsNil)
-	_, table, found := strings.Cut(page(c, "OPERATIONS.md"), "| keys | are |\n")
+	_, table, found := strings.Cut(readPage(c, "OPERATIONS.md"), "| keys | are |\n")
 	c.Assert(found, quicktest.IsTrue, quicktest.Commentf("OPERATIONS.md has no table of keys"))
 	table, _, _ = strings.Cut(table, "\n\n")
 	listed := make(map[string]bool)
@@ -87,5 +87,5 @@
 			listed[m[1]] = true
 		}
 	}
-	c.Assert(slices.Sorted(maps.Keys(listed)), quicktest.DeepEquals, slices.Sorted(maps.Keys(written)))
+	c.Assert(slices.Sorted(maps.Keys(listed)), quicktest.DeepEquals, slices.Sorted(maps.Keys(logged)))
 }
--- a/e2e/pages_test.go
+++ b/e2e/pages_test.go
@@ -18,22 +18,22 @@
 	"github.com/frankban/quicktest"
 )
 
-func page(c *quicktest.C, name string) string {
+func readPage(c *quicktest.C, name string) string {
 	raw, err := os.ReadFile(filepath.Join("..", "docs", name))
 	c.Assert(err, quicktest.IsNil)
 	return string(raw)
 }
 
-func TestTheSettingsPageIsCurrent(t *testing.T) {
+func TestSettingsPageIsCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	for _, program := range []string{"cairn-gateway", "cairn-scheduler"} {
-		table, err := exec.Command(filepath.Join(bin, program), "--reference").Output()
+		table, err := exec.Command(filepath.Join(binDir, program), "--reference").Output()
 		c.Assert(err, quicktest.IsNil)
-		c.Assert(page(c, "SETTINGS.md"), quicktest.Contains, string(table), quicktest.Commentf("run make reference to update it"))
+		c.Assert(readPage(c, "SETTINGS.md"), quicktest.Contains, string(table), quicktest.Commentf("run make reference to update it"))
 	}
 }
 
-func TestTheMetricsPageIsCurrent(t *testing.T) {
+func TestMetricsPageIsCurrent(t *testing.T) {
 	c := quicktest.New(t)
 	f := startFleet(c, fleet.Spec{Centres: 1, Boxes: 1, Engines: 1, Adapters: 2})
 	exported := make(map[string]bool)
@@ -49,23 +49,23 @@
 		}
 	}
 	described := make(map[string]bool)
-	for _, m := range regexp.MustCompile("`((?:cairn|gateway|scheduler)_[a-z_]+)`").FindAllStringSubmatch(page(c, "OPERATIONS.md"), -1) {
+	for _, m := range regexp.MustCompile("`((?:cairn|gateway|scheduler)_[a-z_]+)`").FindAllStringSubmatch(readPage(c, "OPERATIONS.md"), -1) {
 		described[m[1]] = true
 	}
 	c.Assert(slices.Sorted(maps.Keys(described)), quicktest.DeepEquals, slices.Sorted(maps.Keys(exported)))
 }
 
-func TestEveryCommandOfTheWalkthroughRuns(t *testing.T) {
+func TestWalkthroughCommandsRun(t *testing.T) {
 	c := quicktest.New(t)
 	f := startFleet(c, fleet.Walkthrough())
 	environment := append(os.Environ(),
-		"PATH="+bin+":"+os.Getenv("PATH"),
+		"PATH="+binDir+":"+os.Getenv("PATH"),
 		"CAIRN_DAEMONS="+strings.Join(f.DaemonAddresses(), ","),
 		"GATEWAY=http://"+f.CallersAddress(1, 1),
 		"PLATFORM=http://"+f.PlatformAddress(),
 		"ENGINE=http://"+f.EngineAddress(1, 1))
 	var commands []string
-	for _, line := range strings.Split(page(c, "WALKTHROUGH.md"), "\n") {
+	for _, line := range strings.Split(readPage(c, "WALKTHROUGH.md"), "\n") {
 		if command, found := strings.CutPrefix(line, "    $ "); found {
 			commands = append(commands, command)
 		}
@@ -79,7 +79,7 @@
 
 // startFleet starts a fleet and stops it at the end of the test.
 func startFleet(c *quicktest.C, s fleet.Spec) *fleet.Fleet {
-	s.Bin, s.Dir = bin, c.TempDir()
+	s.Bin, s.Dir = binDir, c.TempDir()
 	s.Slots, s.BatchSize = max(s.Slots, 2), max(s.BatchSize, 4)
 	f := fleet.New(s)
 	c.Cleanup(f.Stop)
--- a/e2e/script_test.go
+++ b/e2e/script_test.go
@@ -18,19 +18,19 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-var bin string // directory of the programs under test
+var binDir string // directory of the programs under test
 
-func TestMain(m *testing.M) { os.Exit(build(m)) }
+func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
-// build builds all programs, runs the tests and returns the exit code.
-func build(m *testing.M) int {
+// buildAndRun builds all programs, runs the tests and returns the exit code.
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "cairn-e2e-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	bin = dir
+	binDir = dir
 	out, err := exec.Command("go", "build", "-o", dir, "cairnwick.example/cmd/...").CombinedOutput()
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "build programs: %v\n%s", err, out)
@@ -44,85 +44,85 @@
 		Dir:   "testdata",
 		Setup: setup,
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"fleet":       cmdFleet,
-			"ask":         cmdAsk,
-			"call":        cmdCall,
-			"hangup":      cmdHangup,
-			"keys":        cmdKeys,
-			"signal":      cmdSignal,
-			"end":         cmdEnd,
-			"start":       cmdStart,
-			"control":     cmdControl,
-			"publish":     cmdPublish,
-			"inforce":     cmdInForce,
-			"load":        cmdLoad,
-			"joinload":    cmdJoinLoad,
-			"breaches":    cmdBreaches,
-			"idle":        cmdIdle,
-			"pause":       cmdPause,
-			"cairnctl":    cmdCairnctl,
-			"program":     cmdProgram,
-			"eventually":  cmdEventually,
-			"countatmost": cmdCountAtMost,
-			"net":         cmdNet,
-			"replace":     cmdReplace,
-			"settled":     cmdSettled,
-			"put":         cmdPut,
-			"sed":         cmdSed,
-			"agree":       cmdAgree,
-			"race":        cmdRace,
-			"owner":       cmdOwner,
-			"edge":        cmdEdge,
-			"fact":        cmdFact,
-			"remove":      cmdRemove,
-			"send":        cmdSend,
-			"answered":    cmdAnswered,
-			"metric":      cmdMetric,
-			"press":       cmdPress,
-			"enginesleft": cmdEnginesLeft,
-			"endsseen":    cmdEndsSeen,
+			"fleet":            cmdFleet,
+			"completion":       cmdCompletion,
+			"http":             cmdHTTP,
+			"disconnect":       cmdDisconnect,
+			"keys":             cmdKeys,
+			"signal":           cmdSignal,
+			"signalwait":       cmdSignalWait,
+			"start":            cmdStart,
+			"control":          cmdControl,
+			"publish":          cmdPublish,
+			"waitrevision":     cmdWaitRevision,
+			"load":             cmdLoad,
+			"waitload":         cmdWaitLoad,
+			"violations":       cmdViolations,
+			"waitidle":         cmdWaitIdle,
+			"sleep":            cmdSleep,
+			"cairnctl":         cmdCairnctl,
+			"run":              cmdRun,
+			"waitlog":          cmdWaitLog,
+			"metricatmost":     cmdMetricAtMost,
+			"proxyrule":        cmdProxyRule,
+			"restartbox":       cmdRestartBox,
+			"waitmembers":      cmdWaitMembers,
+			"publishfiles":     cmdPublishFiles,
+			"sed":              cmdSed,
+			"samehead":         cmdSameHead,
+			"publishrivals":    cmdPublishRivals,
+			"waitowner":        cmdWaitOwner,
+			"startedge":        cmdStartEdge,
+			"publishfile":      cmdPublishFile,
+			"deletekey":        cmdDeleteKey,
+			"send":             cmdSend,
+			"waitresponse":     cmdWaitResponse,
+			"metric":           cmdMetric,
+			"sendload":         cmdSendLoad,
+			"reachableengines": cmdReachableEngines,
+			"waitterminations": cmdWaitTerminations,
 		},
 	})
 }
 
-// world is the state of one script.
-type world struct {
-	fleet  *fleet.Fleet
-	caller fleet.Client
-	loads  chan load.Report // the report of the load in the background
-	cancel context.CancelFunc
-	rules  []standin.Rule // current rules of the proxy
-	notRun []string       // IDs of requests that were rejected as not run
-	sent   chan sent      // the result of the request in the background
+// scriptState is the state of one script.
+type scriptState struct {
+	fleet      *fleet.Fleet
+	client     fleet.Client
+	loadReport chan load.Report // the report of the load in the background
+	cancelLoad context.CancelFunc
+	proxyRules []standin.Rule  // current rules of the proxy
+	notRunIDs  []string        // IDs of requests that were rejected as not run
+	response   chan sendResult // the result of the request in the background
 }
 
-type worldKey struct{}
+type stateKey struct{}
 
 func setup(e *testscript.Env) error {
-	w := &world{}
-	e.Values[worldKey{}] = w
+	state := &scriptState{}
+	e.Values[stateKey{}] = state
 	users, err := filepath.Abs(filepath.Join("..", "fleet", "users"))
 	if err != nil {
 		return err
 	}
-	e.Setenv("BIN", bin)
+	e.Setenv("BIN", binDir)
 	e.Setenv("USERS", users) // files in the formats of the users' platform
 	e.Defer(func() {
-		if w.cancel != nil {
-			w.cancel()
+		if state.cancelLoad != nil {
+			state.cancelLoad()
 		}
-		if w.fleet != nil {
-			w.fleet.Stop()
+		if state.fleet != nil {
+			state.fleet.Stop()
 		}
 	})
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world { return ts.Value(worldKey{}).(*world) }
+func stateOf(ts *testscript.TestScript) *scriptState { return ts.Value(stateKey{}).(*scriptState) }
 
-// options separates NAME=VALUE arguments from the others. The values of a repeated name are joined by
-// newlines; see lines.
-func options(args []string) (map[string]string, []string) {
+// parseOptions separates NAME=VALUE arguments from the others. The values of a repeated name are joined by
+// newlines; see optionValues.
+func parseOptions(args []string) (map[string]string, []string) {
 	o := make(map[string]string)
 	var rest []string
 	for _, a := range args {
@@ -139,17 +139,17 @@
 	return o, rest
 }
 
-func number(ts *testscript.TestScript, o map[string]string, name string, otherwise int) int {
+func intOption(ts *testscript.TestScript, o map[string]string, name string, fallback int) int {
 	if o[name] == "" {
-		return otherwise
+		return fallback
 	}
 	n, err := strconv.Atoi(o[name])
 	ts.Check(err)
 	return n
 }
 
-// lines returns the values of a repeated option.
-func lines(text string) []string {
+// optionValues returns the values of a repeated option.
+func optionValues(text string) []string {
 	if text == "" {
 		return nil
 	}
@@ -157,13 +157,13 @@
 }
 
 // cmdFleet starts a fleet: fleet centres=1 boxes=1 engines=1 adapters=10
-// engine=--FLAG:VALUE store=--FLAG:VALUE scheduler=NAME:VALUE gateway=NAME:VALUE both=NAME:VALUE.
+// engine=--FLAG:VALUE platform=--FLAG:VALUE scheduler=NAME:VALUE gateway=NAME:VALUE common=NAME:VALUE.
 // The flags are those of the engines and of the platform, the others are settings of the daemons.
 func cmdFleet(ts *testscript.TestScript, _ bool, args []string) {
-	o, _ := options(args)
-	w := worldOf(ts)
+	o, _ := parseOptions(args)
+	state := stateOf(ts)
 	settings := func(text string) []string {
-		list := lines(text)
+		list := optionValues(text)
 		for i, s := range list {
 			list[i] = strings.Replace(s, ":", "=", 1)
 		}
@@ -171,35 +171,35 @@
 	}
 	flags := func(text string) []string {
 		var list []string
-		for _, s := range lines(text) {
+		for _, s := range optionValues(text) {
 			list = append(list, strings.SplitN(s, ":", 2)...)
 		}
 		return list
 	}
-	w.fleet = fleet.New(fleet.Spec{
-		Bin:               bin,
+	state.fleet = fleet.New(fleet.Spec{
+		Bin:               binDir,
 		Dir:               ts.MkAbs("."),
-		Centres:           number(ts, o, "centres", 1),
-		Boxes:             number(ts, o, "boxes", 1),
-		Engines:           number(ts, o, "engines", 1),
-		Services:          number(ts, o, "services", 0),
-		Adapters:          number(ts, o, "adapters", 10),
-		Slots:             number(ts, o, "slots", 4),
-		BatchSize:         number(ts, o, "batch", 8),
+		Centres:           intOption(ts, o, "centres", 1),
+		Boxes:             intOption(ts, o, "boxes", 1),
+		Engines:           intOption(ts, o, "engines", 1),
+		Services:          intOption(ts, o, "services", 0),
+		Adapters:          intOption(ts, o, "adapters", 10),
+		Slots:             intOption(ts, o, "slots", 4),
+		BatchSize:         intOption(ts, o, "batch", 8),
 		NoFences:          o["fences"] == "no",
 		Proxied:           o["proxied"] == "yes",
 		TLS:               o["tls"] == "yes",
 		EngineArgs:        flags(o["engine"]),
-		PlatformArgs:      flags(o["store"]),
+		PlatformArgs:      flags(o["platform"]),
 		GatewaySettings:   settings(o["gateway"]),
 		SchedulerSettings: settings(o["scheduler"]),
-		CommonSettings:    settings(o["both"]),
+		CommonSettings:    settings(o["common"]),
 	})
-	ts.Check(w.fleet.Start(context.Background()))
+	ts.Check(state.fleet.Start(context.Background()))
 }
 
-// place parses the position of a box or an engine: data centre and number, such as 2.1. The default is 1.1.
-func place(ts *testscript.TestScript, text string) (int, int) {
+// parsePosition parses the position of a box or an engine: data centre and number, such as 2.1. The default is 1.1.
+func parsePosition(ts *testscript.TestScript, text string) (int, int) {
 	if text == "" {
 		return 1, 1
 	}
@@ -214,17 +214,17 @@
 	return centre, i
 }
 
-// process returns the name of a process for its short name in scripts: gateway1.1,
+// processName returns the name of a process for its short name in scripts: gateway1.1,
 // scheduler1.1, edge1.1, engine1.1, platform, service1.
-func process(ts *testscript.TestScript, short string) string {
+func processName(ts *testscript.TestScript, short string) string {
 	for _, role := range []string{"gateway", "scheduler", "edge"} {
 		if at, found := strings.CutPrefix(short, role); found {
-			c, b := place(ts, at)
+			c, b := parsePosition(ts, at)
 			return fleet.DaemonName(c, b, role)
 		}
 	}
 	if at, found := strings.CutPrefix(short, "engine"); found {
-		c, e := place(ts, at)
+		c, e := parsePosition(ts, at)
 		return fleet.EndpointName(c, e)
 	}
 	return short
