--- a/e2e/configure_test.go
+++ b/e2e/configure_test.go
@@ -16,18 +16,19 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdPublish publishes a changed configuration: publish live=ADAPTER:VERSION
-// drain=ENDPOINT serve=ENDPOINT.
+// cmdPublish publishes the configuration of the fleet with the changes that the options describe: publish
+// live=ADAPTER:VERSION drain=ENDPOINT.
 func cmdPublish(ts *testscript.TestScript, _ bool, args []string) {
-	o, _ := options(args)
-	w := worldOf(ts)
-	shards := w.fleet.Shards()
-	changeShards(ts, shards, o)
-	ts.Check(w.fleet.Publish(context.Background(), shards))
+	o, _ := parseOptions(args)
+	state := stateOf(ts)
+	shards := state.fleet.Shards()
+	applyChanges(ts, shards, o)
+	ts.Check(state.fleet.Publish(context.Background(), shards))
 }
 
-// changeShards changes a configuration as a script says.
-func changeShards(ts *testscript.TestScript, shards map[string]catalog.Shard, o map[string]string) {
+// applyChanges applies a script's options to a configuration. It fails the script if one or more options are
+// given and none matches.
+func applyChanges(ts *testscript.TestScript, shards map[string]catalog.Shard, o map[string]string) {
 	changed := len(o) == 0
 	for _, s := range shards {
 		for i, a := range s.Adapters {
@@ -44,68 +45,68 @@
 		}
 	}
 	if !changed {
-		ts.Fatalf("nothing to change by %v", o)
+		ts.Fatalf("no adapter or endpoint matches %v", o)
 	}
 }
 
-// cmdInForce waits until every daemon that answers has the revision published
-// last, at most the given time: inforce 12s.
-func cmdInForce(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+// cmdWaitRevision waits until every reachable daemon runs the revision that was published
+// last, for at most the given time: waitrevision 12s.
+func cmdWaitRevision(ts *testscript.TestScript, _ bool, args []string) {
+	state := stateOf(ts)
 	limit, err := time.ParseDuration(args[0])
 	ts.Check(err)
-	want := fmt.Sprint(w.fleet.Head().Revision())
-	begun := time.Now()
-	await(ts, limit, "revision "+want+" is not in force", func() string {
-		behind := ""
-		eachDaemon(w, func(c, b int, role string) {
-			v := vars(w.fleet.OperatorsAddress(c, b, role))
+	want := fmt.Sprint(state.fleet.Head().Revision())
+	start := time.Now()
+	waitUntil(ts, limit, "revision "+want+" is not active on every daemon", func() string {
+		outdated := ""
+		forEachDaemon(state, func(c, b int, role string) {
+			v := readMetrics(state.fleet.OperatorsAddress(c, b, role))
 			if v != nil && string(v["cairn_revision"]) != want {
-				behind = fmt.Sprintf("%s has %s", fleet.DaemonName(c, b, role), v["cairn_revision"])
+				outdated = fmt.Sprintf("%s has %s", fleet.DaemonName(c, b, role), v["cairn_revision"])
 			}
 		})
-		return behind
+		return outdated
 	})
-	ts.Logf("in force everywhere after %v", time.Since(begun).Round(10*time.Millisecond))
+	ts.Logf("active on every daemon after %v", time.Since(start).Round(10*time.Millisecond))
 }
 
-// cmdRace publishes two configurations on the same base, one after the other:
-// race live=ADAPTER:1 live=ADAPTER:2 pause=100ms.
-func cmdRace(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	base := w.fleet.Head()
+// cmdPublishRivals publishes conflicting configurations: all are successors of the same one. It publishes them
+// in the given order, with pauses: publishrivals live=ADAPTER:1 pause=100ms live=ADAPTER:2.
+func cmdPublishRivals(ts *testscript.TestScript, _ bool, args []string) {
+	state := stateOf(ts)
+	base := state.fleet.Head()
 	for _, a := range args {
-		o, _ := options([]string{a})
+		o, _ := parseOptions([]string{a})
 		if o["pause"] != "" {
 			d, err := time.ParseDuration(o["pause"])
 			ts.Check(err)
 			time.Sleep(d)
 			continue
 		}
-		shards := w.fleet.Shards()
-		changeShards(ts, shards, o)
-		_, err := w.fleet.PublishOn(context.Background(), base, shards)
+		shards := state.fleet.Shards()
+		applyChanges(ts, shards, o)
+		_, err := state.fleet.PublishOn(context.Background(), base, shards)
 		ts.Check(err)
 	}
 }
 
-// cmdAgree checks that every daemon has the same head in force.
-func cmdAgree(ts *testscript.TestScript, _ bool, _ []string) {
-	w := worldOf(ts)
+// cmdSameHead checks that every daemon runs the configuration with the same head.
+func cmdSameHead(ts *testscript.TestScript, _ bool, _ []string) {
+	state := stateOf(ts)
 	seen := make(map[string][]string)
-	eachDaemon(w, func(c, b int, role string) {
-		v := vars(w.fleet.OperatorsAddress(c, b, role))
+	forEachDaemon(state, func(c, b int, role string) {
+		v := readMetrics(state.fleet.OperatorsAddress(c, b, role))
 		digest := string(v["cairn_head"])
 		seen[digest] = append(seen[digest], fleet.DaemonName(c, b, role))
 	})
 	if len(seen) != 1 {
-		ts.Fatalf("different heads are in force: %v", seen)
+		ts.Fatalf("daemons run configurations with different heads: %v", seen)
 	}
 }
 
-// cmdPut publishes the documents under a folder, the head last, each under its
-// path as key: put documents.
-func cmdPut(ts *testscript.TestScript, _ bool, args []string) {
+// cmdPublishFiles publishes the documents in a directory, the head last. The key of each is its
+// path relative to the directory: publishfiles documents.
+func cmdPublishFiles(ts *testscript.TestScript, _ bool, args []string) {
 	dir := ts.MkAbs(args[0])
 	head := ""
 	ts.Check(filepath.WalkDir(dir, func(path string, entry os.DirEntry, err error) error {
@@ -130,15 +131,16 @@
 	if err != nil {
 		return err
 	}
-	return worldOf(ts).fleet.Put(context.Background(), key, raw)
+	return stateOf(ts).fleet.Put(context.Background(), key, raw)
 }
 
-// cmdSed replaces a text in a file and writes another: sed s/OLD/NEW/ FROM TO.
+// cmdSed replaces the first occurrence of a text in a file and writes the result to another file:
+// sed s/OLD/NEW/ FROM TO.
 func cmdSed(ts *testscript.TestScript, _ bool, args []string) {
 	parts := strings.Split(args[0], "/")
 	text := ts.ReadFile(args[1])
 	if !strings.Contains(text, parts[1]) {
-		ts.Fatalf("%s has no %q", args[1], parts[1])
+		ts.Fatalf("%s does not contain %q", args[1], parts[1])
 	}
 	ts.Check(os.WriteFile(ts.MkAbs(args[2]), []byte(strings.Replace(text, parts[1], parts[2], 1)), 0o600))
 }
