--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// A newer configuration that can't be read may have revoked keys.
+// A newer configuration that cannot be decoded may have revoked keys.
 func TestKeysAreRefusedAfterUnreadableConfiguration(t *testing.T) {
 	c := quicktest.New(t)
 	s := &keyedSource{}
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -149,7 +149,7 @@
 		return
 	}
 	s.unreadableLoggedAt = now
-	s.node.Log.Info("Can't parse the endpoint's rate limit; keeping the last known one", "endpoint", endpoint, "err", err.Error())
+	s.node.Log.Info("Failed to parse the endpoint's rate limit; keeping the last known one", "endpoint", endpoint, "err", err.Error())
 }
 
 // Acquire implements forward.Limits.
@@ -242,7 +242,7 @@
 func (s *limits) applyLimit(endpoint string, i *wire.Item) {
 	var l wire.RateLimit
 	if err := proto.Unmarshal(i.GetValue(), &l); err != nil {
-		s.node.Log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
+		s.node.Log.Info("Failed to decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
 		return
 	}
 	now := clock.Now()
--- a/edge/limits_leader.go
+++ b/edge/limits_leader.go
@@ -72,7 +72,7 @@
 func (s *limits) publish(endpoint string, l ratelimit.Limit) {
 	raw, err := proto.Marshal(wire.NewRateLimit(l))
 	if err != nil {
-		s.node.Log.Error(err, "Can't encode a rate limit", "endpoint", endpoint)
+		s.node.Log.Error(err, "Failed to encode a rate limit", "endpoint", endpoint)
 		return
 	}
 	key := limitsPrefix + endpoint
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -63,7 +63,7 @@
 func (s *state) applyQuarantine(rest string, i *wire.Item) {
 	c, ok := quarantine.ParseFingerprint(rest)
 	if !ok {
-		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", "the key holds no content hash")
+		s.log.Info("Failed to decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", "the key holds no content hash")
 		return
 	}
 	until := time.UnixMicro(int64(i.GetVersion()))
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -53,7 +53,7 @@
 }
 
 // applySlot applies a fact about one slot; rest is its key without the prefix. It returns the endpoint's ID, or an
-// empty string if the fact can't be read.
+// empty string if the fact cannot be decoded.
 func (s *state) applySlot(rest string, i *wire.Item) string {
 	cut := strings.LastIndexByte(rest, '/')
 	number, err := strconv.Atoi(rest[cut+1:])
@@ -65,7 +65,7 @@
 		err = errors.New("edge: the key holds no valid slot number")
 	}
 	if err != nil {
-		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
+		s.log.Info("Failed to decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
 		return ""
 	}
 	id, term := rest[:cut], placement.Term(i.GetVersion())
@@ -142,7 +142,7 @@
 		}
 		raw, err := proto.Marshal(w)
 		if err != nil {
-			s.log.Error(err, "Can't encode a slot", "endpoint", endpoint)
+			s.log.Error(err, "Failed to encode a slot", "endpoint", endpoint)
 			return
 		}
 		items = append(items, &wire.Item{Key: slotKey(endpoint, number), Version: version, Value: raw, DataCentre: centre})
--- a/edge/state.go
+++ b/edge/state.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		if err := s.applyOne(i); err != nil {
-			s.log.Info("Cannot decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
+			s.log.Info("Failed to decode fact; keeping the last valid one", "key", i.GetKey(), "version", i.GetVersion(), "err", err.Error())
 		}
 	}
 	for id := range updated {
@@ -124,7 +124,7 @@
 	}
 	e, err := s.decoder.Endpoint(i.GetKey(), value)
 	if err != nil {
-		s.setIncarnation(i, "", "Cannot decode endpoint entry; the endpoint is not used")
+		s.setIncarnation(i, "", "Failed to decode endpoint entry; the endpoint is not used")
 		return err
 	}
 	id := e.ID()
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -17,12 +17,12 @@
 type Notice struct {
 	IdleTimeout time.Duration   // after which it closes an idle connection; zero: not announced
 	Limit       ratelimit.Limit // requests a second that it accepts from all boxes together
-	LimitErr    error           // the announced limit can't be parsed; Limit is zero then
+	LimitErr    error           // the announced limit cannot be parsed; Limit is zero then
 	Draining    bool            // this incarnation shuts down soon
 	// Backoff is how long this box should send it no requests; zero: not announced. Only a rejection
 	// announces one.
 	Backoff    time.Duration
-	BackoffErr error // the announced back-off can't be parsed; Backoff is zero then
+	BackoffErr error // the announced back-off cannot be parsed; Backoff is zero then
 }
 
 // observeResponse applies what the head of a response announces of the endpoint. It ignores a response of
@@ -45,7 +45,7 @@
 		g.observeDraining(endpoint)
 	}
 	if n.BackoffErr != nil && g.notices.mayLogInvalid(endpoint, clock.Now()) {
-		g.Log.Info("Endpoint's back-off can't be parsed", "endpoint", endpoint, "err", n.BackoffErr.Error())
+		g.Log.Info("Failed to parse the endpoint's back-off", "endpoint", endpoint, "err", n.BackoffErr.Error())
 	}
 	if n.Backoff > 0 && g.notices.setBackoff(endpoint, n.Backoff, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", n.Backoff.Milliseconds())
