--- a/access/access_test.go
+++ b/access/access_test.go
@@ -65,7 +65,7 @@
 	var p Pool
 	now := time.Now()
 	c.Assert(p.Draw(Demand{Organisation: "o", Owed: 10}, l, now).Paid, quicktest.Equals, 0.0) // a new pool is empty
-	p.AddBorrowed("o", 0, now, time.Hour)                                                     // other pools have none to lend
+	p.AddBorrowed("o", 0, now, time.Hour)                                                     // other pools have no units for a loan
 	now = now.Add(time.Minute)
 	a := p.Draw(Demand{Organisation: "o", Owed: 100, Wanted: []float64{200, 200, 200}}, l, now)
 	c.Assert(a.Paid, quicktest.Equals, 100.0)
@@ -90,7 +90,7 @@
 	c.Assert(p.Draw(Demand{Organisation: "o", Wanted: []float64{1}}, l, now.Add(9*time.Second)).Granted, quicktest.Equals, 1)
 }
 
-func TestLentUnitsLeaveThePool(t *testing.T) {
+func TestLoanedUnitsLeaveThePool(t *testing.T) {
 	c := quicktest.New(t)
 	l := Limit{Rate: 500, Capacity: 500}
 	var from, to Pool
@@ -100,8 +100,8 @@
 	c.Assert(to.TakeShortfalls(), quicktest.DeepEquals, map[string]float64{"o": 400})
 	c.Assert(to.TakeShortfalls(), quicktest.HasLen, 0)
 	now = now.Add(time.Minute)
-	lent := from.Lend("o", 400, l, now)
-	c.Assert(lent, quicktest.Equals, 250.0) // half of its 500 stays
+	granted := from.Lend("o", 400, l, now)
+	c.Assert(granted, quicktest.Equals, 250.0) // half of its 500 stays
 	c.Assert(from.Lend("o", 400, l, now), quicktest.Equals, 0.0)
 	c.Assert(from.Levels()["o"].Left, quicktest.Equals, 250.0)
 }
--- a/access/pool.go
+++ b/access/pool.go
@@ -153,9 +153,9 @@
 	defer p.mu.Unlock()
 	b := p.bucketLocked(organisation)
 	b.refill(l, now)
-	lent := min(max(units, 0), max(b.level-reservedFraction*l.Capacity, 0))
-	b.level -= lent
-	return lent
+	granted := min(max(units, 0), max(b.level-reservedFraction*l.Capacity, 0))
+	b.level -= granted
+	return granted
 }
 
 // AddBorrowed adds units that other pools lent. If they lent none, they are assumed to have none until
--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -215,6 +215,6 @@
 }
 
 // parent returns the box that this one follows, and the number of hops to the leader; false if this box leads.
-func (v *clusterView) parent() (m member.Member, steps int, ok bool) {
+func (v *clusterView) parent() (m member.Member, hops int, ok bool) {
 	return v.upstream, v.hops, v.hops > 0
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -159,7 +159,7 @@
 		Seeds:          p.seeds,
 		IsBridge:       func() bool { return true },
 		RemotePeers:    p.deadAddresses,
-		Payload:        noExtras{},
+		Payload:        noPayload{},
 		Log:            n.Log,
 		Interval:       heartbeatInterval,
 		Timeout:        heartbeatInterval,
@@ -169,14 +169,14 @@
 	return p
 }
 
-// noExtras adds nothing to heartbeats: facts are sent over streams.
-type noExtras struct{}
+// noPayload adds nothing to heartbeats: facts are sent over streams.
+type noPayload struct{}
 
 // Attach implements member.PayloadHandler.
-func (noExtras) Attach(*wire.Heartbeat) {}
+func (noPayload) Attach(*wire.Heartbeat) {}
 
 // Receive implements member.PayloadHandler.
-func (noExtras) Receive(*wire.Heartbeat, string) {}
+func (noPayload) Receive(*wire.Heartbeat, string) {}
 
 // owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -30,7 +30,7 @@
 	defer e.mu.Unlock()
 	count := 0
 	for _, a := range e.arrivals {
-		if told, known := e.announcedAt[a.box]; known && a.at.Sub(told) > d {
+		if announced, known := e.announcedAt[a.box]; known && a.at.Sub(announced) > d {
 			count++
 		}
 	}
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -58,12 +58,12 @@
 	followers := make(map[string]int)
 	for i, b := range boxes[:40] {
 		p := peersOf(b, slices.Delete(slices.Clone(boxes), i, i+1)...)
-		m, steps, ok := p.clusterView().parent()
+		m, hops, ok := p.clusterView().parent()
 		c.Assert(ok, quicktest.Equals, b.Name() != "b39") // the oldest leads
 		if !ok {
 			continue
 		}
-		c.Assert(steps <= 2, quicktest.IsTrue)
+		c.Assert(hops <= 2, quicktest.IsTrue)
 		followers[m.Name()]++
 	}
 	for name, n := range followers {
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -159,7 +159,7 @@
 	case s.short <- struct{}{}:
 	default:
 	}
-	if l, tell := s.pool.ShortageReport(a.Organisation, now); tell {
+	if l, due := s.pool.ShortageReport(a.Organisation, now); due {
 		s.node.Log.Info("Organisation lacks units of its quota", "organisation", a.Organisation, "left", int64(l.Left),
 			"holds", int64(l.Capacity), "a_second", int64(l.Rate), "share", share, "wait_ms", a.Wait.Milliseconds())
 	}
@@ -196,24 +196,24 @@
 	for o, units := range s.pool.TakeShortfalls() {
 		q.Loans = append(q.Loans, &wire.Loan{Organisation: o, Units: int64(units)/int64(max(len(others), 1)) + 1})
 	}
-	answers := make(chan *wire.LendReply, len(others))
+	replies := make(chan *wire.LendReply, len(others))
 	for _, m := range others {
-		go func() { answers <- s.requestLoan(ctx, m, q) }()
+		go func() { replies <- s.requestLoan(ctx, m, q) }()
 	}
-	lent := make(map[string]int64, len(q.GetLoans()))
+	borrowed := make(map[string]int64, len(q.GetLoans()))
 	for range others {
-		for _, l := range (<-answers).GetLoans() {
-			lent[l.GetOrganisation()] += l.GetUnits()
+		for _, l := range (<-replies).GetLoans() {
+			borrowed[l.GetOrganisation()] += l.GetUnits()
 		}
 	}
 	now := clock.Now()
 	for _, l := range q.GetLoans() {
-		s.pool.AddBorrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
+		s.pool.AddBorrowed(l.GetOrganisation(), float64(borrowed[l.GetOrganisation()]), now, loanBackoff)
 	}
-	if len(lent) > 0 {
+	if len(borrowed) > 0 {
 		s.settleNow() // requests held by this box may wait for the units
 	}
-	return len(lent) > 0
+	return len(borrowed) > 0
 }
 
 // requestLoan requests a loan from one leader. If the reply is lost, so are the units that it granted: no unit is spent
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -40,11 +40,11 @@
 		n.fresh.record(k, readResult{current: true, asOf: clock.Now()})
 	}
 	c.Assert(n.readsSource(), quicktest.IsTrue)
-	told := leaderStatus{received: clock.Now(), readAt: clock.Now()}
-	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsTrue)
+	status := leaderStatus{received: clock.Now(), readAt: clock.Now()}
+	c.Assert(status.isFresh(clock.Now(), n.behind()), quicktest.IsTrue)
 	suspend(c, max(2*time.Second, share.IdleTimeout))
 	c.Assert(n.readsSource(), quicktest.IsFalse)
-	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
+	c.Assert(status.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
 
 // After a suspend another box leads the data centre, so what leaders and boxes reported before must have expired. A
--- a/forward/data_centres.go
+++ b/forward/data_centres.go
@@ -37,9 +37,9 @@
 // came from the data centre meanwhile.
 func (c *dataCentres) recordSilence(centre, endpoint string, sent, now time.Time) {
 	c.mu.Lock()
-	heard := c.lastActivity[centre].After(sent)
+	active := c.lastActivity[centre].After(sent)
 	c.mu.Unlock()
-	if !heard {
+	if !active {
 		c.recordFailure(centre, endpoint, now)
 	}
 }
--- a/forward/notice_test.go
+++ b/forward/notice_test.go
@@ -124,13 +124,13 @@
 // OnDraining is called once per endpoint, whichever response announces draining.
 func TestDrainingIsReportedOnce(t *testing.T) {
 	s := newSite(t, onceRoute(time.Second))
-	var told []string
-	s.gateway.OnDraining = func(e string) { told = append(told, e) }
+	var draining []string
+	s.gateway.OnDraining = func(e string) { draining = append(draining, e) }
 	s.endpoint(t, withHeader("Test-Draining", "1", answerOK))
 	_, _, err := s.ask("/")
 	s.c.Assert(err, quicktest.IsNil)
 	s.gateway.ObserveNotice("e1", Notice{Draining: true})
-	s.c.Assert(told, quicktest.DeepEquals, []string{"e1"})
+	s.c.Assert(draining, quicktest.DeepEquals, []string{"e1"})
 }
 
 // backoffPlacer starts a back-off of the first endpoint that it is asked for, and then names that endpoint.
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -103,8 +103,8 @@
 }
 
 // copy relays complete events until the end of the stream, for which it returns nil. It drops an event
-// that was cut off, and calls heard for each complete one.
-func (s *eventRelay) copy(resp *http.Response, heard func()) error {
+// that was cut off, and calls onEvent for each complete one.
+func (s *eventRelay) copy(resp *http.Response, onEvent func()) error {
 	in := bufio.NewReaderSize(resp.Body, 4<<10)
 	var event []byte
 	lineStart := 0 // start of the last line: a long one arrives in pieces
@@ -125,7 +125,7 @@
 			continue
 		}
 		lineStart = 0
-		heard()
+		onEvent()
 		s.relay(resp, event)
 		event = event[:0]
 		if s.out.callerGone {
--- a/measure/placement_simulation.go
+++ b/measure/placement_simulation.go
@@ -171,22 +171,22 @@
 func cheapestEndpoint(s *simulation, adapter int) int {
 	best, least := 0, time.Duration(0)
 	for i, e := range s.endpoints {
-		if c := s.facts(e, adapter, i == fixedEndpoint(s, adapter)).Cost(); i == 0 || c < least {
+		if c := s.loadTarget(e, adapter, i == fixedEndpoint(s, adapter)).Cost(); i == 0 || c < least {
 			best, least = i, c
 		}
 	}
 	return best
 }
 
-func (s *simulation) facts(e *simEndpoint, adapter int, usual bool) policy.LoadTarget {
-	f := policy.LoadTarget{
+func (s *simulation) loadTarget(e *simEndpoint, adapter int, usual bool) policy.LoadTarget {
+	target := policy.LoadTarget{
 		LoadTime:    simMemoryLoad * time.Millisecond,
 		PrefillTime: time.Duration((e.queuedTokens()+e.waitingTokens)/simPromptRate) * time.Millisecond,
 		FromStore:   !e.cached(adapter),
 		Preferred:   usual,
 	}
-	if f.FromStore {
-		f.LoadTime = simStoreLoad * time.Millisecond
+	if target.FromStore {
+		target.LoadTime = simStoreLoad * time.Millisecond
 	}
 	taken := 0
 	for _, t := range e.slots {
@@ -194,9 +194,9 @@
 			taken++
 		}
 	}
-	f.SlotUtilisation = float64(taken) / simSlots
+	target.SlotUtilisation = float64(taken) / simSlots
 	if taken >= simSlots {
-		f.SlotWait = time.Second // the time of a run, shared by the requests that wait for the slot
+		target.SlotWait = time.Second // the time of a run, shared by the requests that wait for the slot
 	}
-	return f
+	return target
 }
--- a/scheduler/fake_test.go
+++ b/scheduler/fake_test.go
@@ -29,13 +29,13 @@
 	operations []string // loads and unloads, in order
 }
 
-func (f *fakeEngine) sight() engine.State { return engine.NewState(f.fence, f.boot) }
+func (f *fakeEngine) state() engine.State { return engine.NewState(f.fence, f.boot) }
 
 // ReadState implements engine.Endpoint.
 func (f *fakeEngine) ReadState(context.Context) (engine.State, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sight(), nil
+	return f.state(), nil
 }
 
 // Claim implements engine.Endpoint.
@@ -43,7 +43,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fence = x
-	return f.sight(), nil
+	return f.state(), nil
 }
 
 // Load implements engine.Endpoint.
@@ -84,7 +84,7 @@
 func (f *fakeEngine) Report(context.Context) (engine.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return engine.NewReport(f.sight(), nil), nil
+	return engine.NewReport(f.state(), nil), nil
 }
 
 func (f *fakeEngine) sentOperations() []string {
--- a/scheduler/ownership.go
+++ b/scheduler/ownership.go
@@ -60,14 +60,14 @@
 	if !checksFences && !s.previousOwnershipExpired(e, startedAt) {
 		return nil
 	}
-	sight, err := e.client.ReadState(ctx)
+	state, err := e.client.ReadState(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: probe endpoint")
 	}
-	previous := sight.Fence()
+	previous := state.Fence()
 	fence := previous.Next(s.Box)
 	if checksFences {
-		if sight, err = e.client.Claim(ctx, fence); err != nil {
+		if state, err = e.client.Claim(ctx, fence); err != nil {
 			return errors.Wrap(err, "scheduler: claim endpoint")
 		}
 	}
@@ -84,7 +84,7 @@
 	e.fence = fence
 	e.verifiedAt = startedAt
 	e.claimedAt, e.claimingSince = startedAt, time.Time{}
-	s.resetSlotsLocked(e, sight.BootID(), models, clock.Now().Add(s.previousGrantLifetime(previous)))
+	s.resetSlotsLocked(e, state.BootID(), models, clock.Now().Add(s.previousGrantLifetime(previous)))
 	s.Log.Info("Endpoint is owned", "endpoint", e.name, "fence", fence.String(), "adapters", len(models))
 	s.serveWaitersLocked(e, clock.Now())
 	return nil
@@ -114,7 +114,7 @@
 
 // verify checks that the endpoint still has this scheduler's fence and the same boot id.
 func (s *Scheduler) verify(ctx context.Context, e *endpoint, fence engine.Fence, startedAt time.Time) error {
-	sight, err := e.client.ReadState(ctx)
+	state, err := e.client.ReadState(ctx)
 	if err != nil {
 		return errors.Wrap(err, "scheduler: probe endpoint")
 	}
@@ -123,12 +123,12 @@
 		e.mu.Unlock()
 		return nil
 	}
-	if e.spec.ChecksFences() && sight.BootID() == e.bootID && fence.Less(sight.Fence()) {
-		s.ownershipLostLocked(e, sight.Fence(), clock.Now())
+	if e.spec.ChecksFences() && state.BootID() == e.bootID && fence.Less(state.Fence()) {
+		s.ownershipLostLocked(e, state.Fence(), clock.Now())
 		e.mu.Unlock()
 		return nil
 	}
-	if sight.BootID() != e.bootID {
+	if state.BootID() != e.bootID {
 		s.handleRestartLocked(e, clock.Now())
 		e.mu.Unlock()
 		return nil
