--- a/access/pool.go
+++ b/access/pool.go
@@ -158,7 +158,7 @@
 	return granted
 }
 
-// AddBorrowed adds units that other pools lent. If they lent none, they are assumed to have none until
+// AddBorrowed adds units that other pools granted. If they granted none, they are assumed to have none until
 // retryAfter has passed.
 func (p *Pool) AddBorrowed(organisation string, units float64, now time.Time, retryAfter time.Duration) {
 	p.mu.Lock()
--- a/edge/takeover_test.go
+++ b/edge/takeover_test.go
@@ -57,7 +57,7 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "llm", DataCentre: "dc", Slots: 8, Models: []string{"m"}}), nil
 }
 
-// heldEndpoint is an endpoint that loads adapters instantly.
+// fakeEndpoint is an endpoint that loads adapters instantly.
 type fakeEndpoint struct {
 	mu      sync.Mutex
 	ready   map[topology.Adapter]int64
@@ -66,7 +66,7 @@
 	reports map[string]int // number of reports read by each box
 }
 
-// controlOf is one box's connection to the endpoint.
+// fakeControl is one box's connection to the endpoint.
 type fakeControl struct {
 	box      string
 	endpoint *fakeEndpoint
@@ -139,7 +139,7 @@
 	return nodes, stops
 }
 
-// handsOver stops a leader and returns once the next leader has loaded an adapter.
+// stopAndAwaitNext stops a leader and returns once the next leader has loaded an adapter.
 func stopAndAwaitNext(stop func() error, next *Node) (stopped chan error) {
 	stopped = make(chan error, 1)
 	go func() { stopped <- stop() }()
