--- a/edge/pool.go
+++ b/edge/pool.go
@@ -19,7 +19,7 @@
 	// loanTimeout is the timeout of a call to the leader of another data centre.
 	loanTimeout = 400 * time.Millisecond
 	// loanRetryDelay is the pause between two loan requests while the pool lacks units; loanBackoff is the pause after
-	// a request that brought none.
+	// a request that yielded none.
 	loanRetryDelay = 40 * time.Millisecond
 	loanBackoff    = 250 * time.Millisecond
 )
