--- a/edge/pool.go
+++ b/edge/pool.go
@@ -19,7 +19,7 @@
 	// loanTimeout is the timeout of a call to the leader of another data centre.
 	loanTimeout = 400 * time.Millisecond
 	// loanRetryDelay is the pause between two loan requests while the pool lacks units; loanBackoff is the pause after
-	// a request that brought none.
+	// a request that yielded none.
 	loanRetryDelay = 40 * time.Millisecond
 	loanBackoff    = 250 * time.Millisecond
 )
@@ -56,7 +56,7 @@
 	return len(d.lastDraw)
 }
 
-// share returns the fraction of each quota that this box hands out, given how many boxes draw from it. Unreachable
+// share returns the fraction of each quota that this box grants, given how many boxes draw from it. Unreachable
 // boxes count as known ones of the data centre, since they may draw from another pool.
 func (s *spending) share(boxes int, now time.Time) float64 {
 	centres := s.node.current.Load().DataCentres
@@ -119,7 +119,7 @@
 }
 
 // newFleetAge is the age of a leader below which all boxes of its data centre have just started, since the oldest
-// leads. No other box has handed out units since this one started, so the pool fills from that time.
+// leads. No other box has granted units since this one started, so the pool fills from that time.
 const newFleetAge = 3 * time.Second
 
 // closePool discards the pool after another box has become the leader.
@@ -159,7 +159,7 @@
 	case s.short <- struct{}{}:
 	default:
 	}
-	if l, tell := s.pool.ShortageReport(a.Organisation, now); tell {
+	if l, due := s.pool.ShortageReport(a.Organisation, now); due {
 		s.node.Log.Info("Organisation lacks units of its quota", "organisation", a.Organisation, "left", int64(l.Left),
 			"holds", int64(l.Capacity), "a_second", int64(l.Rate), "share", share, "wait_ms", a.Wait.Milliseconds())
 	}
@@ -183,7 +183,7 @@
 }
 
 // requestLoansOnce requests an equal part of the missing units from each other leader. It reports whether any were
-// lent.
+// granted.
 func (s *spending) requestLoansOnce(ctx context.Context) bool {
 	v := s.node.peers.clusterView()
 	var others []member.Member
@@ -196,27 +196,27 @@
 	for o, units := range s.pool.TakeShortfalls() {
 		q.Loans = append(q.Loans, &wire.Loan{Organisation: o, Units: int64(units)/int64(max(len(others), 1)) + 1})
 	}
-	answers := make(chan *wire.LendReply, len(others))
+	replies := make(chan *wire.LendReply, len(others))
 	for _, m := range others {
-		go func() { answers <- s.requestLoan(ctx, m, q) }()
+		go func() { replies <- s.requestLoan(ctx, m, q) }()
 	}
-	lent := make(map[string]int64, len(q.GetLoans()))
+	borrowed := make(map[string]int64, len(q.GetLoans()))
 	for range others {
-		for _, l := range (<-answers).GetLoans() {
-			lent[l.GetOrganisation()] += l.GetUnits()
+		for _, l := range (<-replies).GetLoans() {
+			borrowed[l.GetOrganisation()] += l.GetUnits()
 		}
 	}
 	now := clock.Now()
 	for _, l := range q.GetLoans() {
-		s.pool.AddBorrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
+		s.pool.AddBorrowed(l.GetOrganisation(), float64(borrowed[l.GetOrganisation()]), now, loanBackoff)
 	}
-	if len(lent) > 0 {
+	if len(borrowed) > 0 {
 		s.settleNow() // requests held by this box may wait for the units
 	}
-	return len(lent) > 0
+	return len(borrowed) > 0
 }
 
-// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent
+// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it granted: no unit is spent
 // twice.
 func (s *spending) requestLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
