--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -55,7 +55,7 @@
 func (g *Gateway) observeLimit(held heldGrant, h http.Header, sentAt, now time.Time) {
 	limit, err := ratelimit.Parse(h.Values(engine.RateLimitHeader))
 	if err != nil {
-		g.Log.V(1).Info("Endpoint's rate limit can't be parsed; keeping the last one", "endpoint", held.endpoint, "err", err.Error())
+		g.Log.V(1).Info("Failed to parse the endpoint's rate limit; keeping the last known one", "endpoint", held.endpoint, "err", err.Error())
 		return
 	}
 	if g.limits.observe(held.endpoint, limit, held.grant.GetLimited(), sentAt, now) {
--- a/gateway/reachability.go
+++ b/gateway/reachability.go
@@ -22,7 +22,7 @@
 	pingInterval       = time.Second
 	pingTimeout        = 700 * time.Millisecond
 	reachableTTL       = 3 * time.Second // how long a reply shows that a data centre is reachable
-	remotePingEvery    = 5               // only one ping round in so many includes other regions
+	remotePingEvery    = 5               // every fifth ping round also pings the data centres of other regions
 	remoteReachableTTL = (remotePingEvery + 2) * pingInterval
 )
 
