--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -121,7 +121,7 @@
 
 // An endpoint announced draining in a response. A later version of its entry in the store that still says that it
 // serves must not revert that.
-func TestTheSourceDoesNotRevertDraining(t *testing.T) {
+func TestSourceDoesNotRevertDraining(t *testing.T) {
 	c := quicktest.New(t)
 	n := newNode(c, "box-1")
 	n.Decoder = serviceDecoder{}
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -294,7 +294,7 @@
 // so all behind a stopped one moved up: every sixth one then followed another box, or the box that it followed had
 // itself moved. A box that follows another one may have missed removals, so it reads the source. A restart moved 5.8
 // boxes on average.
-func TestARestartMovesFewOtherBoxes(t *testing.T) {
+func TestRestartMovesFewOtherBoxes(t *testing.T) {
 	c := quicktest.New(t)
 	const count = 39
 	var boxes []member.Member
--- a/placement/ended_test.go
+++ b/placement/ended_test.go
@@ -87,7 +87,7 @@
 // An endpoint refused a request for an adapter that it held, and its leader named the same
 // endpoint again, four times within 30 ms. Of 668 refused attempts, 89 went to an endpoint that
 // had refused the same request before.
-func TestARequestIsNotBroughtToAnEndpointThatItAvoids(t *testing.T) {
+func TestRequestIsNotSentToAvoidedEndpoint(t *testing.T) {
 	c, b := newFixtureWithHolder(t)
 	other := b.loader.View.Endpoint("e2")
 	w := forward.AdapterRequest{Endpoint: other, Adapter: adapter(1), TargetWait: 5 * time.Second, MaxWait: 5 * time.Second, Avoid: []string{"e1"}}
--- a/placement/evict_test.go
+++ b/placement/evict_test.go
@@ -175,7 +175,7 @@
 
 // An eviction was cancelled and then begun again. Both evictions sent an unload, and the
 // second unload emptied a slot that was being filled again.
-func TestAnAdapterThatLeavesTwiceIsUnloadedOnce(t *testing.T) {
+func TestAdapterEvictedTwiceIsUnloadedOnce(t *testing.T) {
 	c := quicktest.New(t)
 	b := newFixture(4)
 	l := b.loader
--- a/placement/limiter_test.go
+++ b/placement/limiter_test.go
@@ -90,7 +90,7 @@
 	c.Assert(l.loadLimiter.limit > slow+1, quicktest.IsTrue)
 }
 
-func TestTheStoresRateIsSharedByOwnedEndpoints(t *testing.T) {
+func TestStoreRateIsSharedByOwnedEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	b := tokenBucket{limits: DefaultRateLimits}
 	b.setShare(10, 0.5, 3) // a share of 5 per second, and most of the overshoot
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -191,7 +191,7 @@
 
 // An adapter whose unload waited for its requests to end was loaded again while its slot was
 // counted as free: the endpoint got one load too many.
-func TestAnAdapterThatIsLeavingIsNotLoadedOverItself(t *testing.T) {
+func TestAdapterIsNotLoadedWhileItIsEvicted(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	for i := 1; i <= slotCount; i++ {
@@ -257,7 +257,7 @@
 	c.Assert(b.eventuallyLoads(topology.Adapter{Model: model}), quicktest.IsTrue)
 }
 
-func TestAFenceIsAboveAllThatAreKnown(t *testing.T) {
+func TestNextFenceIsAboveAllKnownFences(t *testing.T) {
 	c := quicktest.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	f := &Fences{Box: 7}
@@ -289,7 +289,7 @@
 
 // After a restart of all boxes the endpoints remembered the fence of a box whose clock had been
 // ahead. The new owner backed off for the lease, although no box owned them.
-func TestAnEndpointThatRefusesTheFirstFenceIsClaimedAgainAtOnce(t *testing.T) {
+func TestEndpointThatRefusesFirstFenceIsClaimedAgainAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	ahead := (&Fences{Box: 2}).Next(time.Now().Add(30*time.Second), 0, 0)
 	b := newFixture(4)
@@ -336,7 +336,7 @@
 
 // A slow previous owner that did not know of its replacement ordered a load after the new owner
 // had read the report, and the endpoint got more loads than it has slots.
-func TestTheFenceIsRaisedBeforeTheReportIsRead(t *testing.T) {
+func TestFenceIsRaisedBeforeReportIsRead(t *testing.T) {
 	c := quicktest.New(t)
 	b := newOwningFixture(t, 4)
 	b.fake.mu.Lock()
--- a/placement/queue_test.go
+++ b/placement/queue_test.go
@@ -37,7 +37,7 @@
 }
 
 // A load that was already too late took the slot of one that could still be in time.
-func TestALoadThatIsInTimeForSomebodyGoesFirst(t *testing.T) {
+func TestLoadThatMeetsADeadlineGoesFirst(t *testing.T) {
 	c := quicktest.New(t)
 	b, now := newQueue(3)
 	l := b.loader
--- a/placement/resign_test.go
+++ b/placement/resign_test.go
@@ -141,7 +141,7 @@
 
 // A stopping leader gave up its endpoints at once. The next one loaded nothing until it had
 // learned of this, raised its fence and waited 0.4 s for a recent report.
-func TestALeaderThatLeavesGoesOnUntilTheNextOneTakesOver(t *testing.T) {
+func TestLeavingLeaderGivesOrdersUntilNextOneTakesOver(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
@@ -177,7 +177,7 @@
 }
 
 // An order in transit during the handover would arrive after the first order of the next owner.
-func TestABoxThatResignsWaitsForItsOrders(t *testing.T) {
+func TestResigningBoxWaitsForItsOrders(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
@@ -261,7 +261,7 @@
 
 // A box that raised a fence after the previous owner was asked may give orders as soon as its
 // report is recent enough, so a late handover may be outdated.
-func TestAHandoverThatCameLateIsNotBelieved(t *testing.T) {
+func TestLateHandoverIsIgnored(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	f.slots[adapter(7)] = true // loaded by a third box in the meantime
@@ -279,7 +279,7 @@
 
 // A leaving owner that can't be asked keeps giving orders; raising the fence meanwhile would make
 // it alternate with the next owner.
-func TestAnOwnerThatDoesNotAnswerHasStoppedBeforeItsEndpointIsClaimed(t *testing.T) {
+func TestUnresponsiveOwnerHasStoppedBeforeItsEndpointIsClaimed(t *testing.T) {
 	c := quicktest.New(t)
 	f := newSharedEndpoint()
 	first := newLeavingLoader(t, c, f)
