--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package wire holds the messages and services that the daemons of cairnwick
-// speak among themselves and towards operators: wire.proto those of gateways,
-// schedulers and operators, share.proto those of entry boxes.
+// Package wire defines the messages and gRPC services that the daemons of cairnwick use among themselves and
+// for cairnctl: wire.proto those of gateways, schedulers and operators, share.proto those of entry boxes.
 //
-// Everything but this file is generated from the two; `make generate` makes it anew.
+// The files named *.pb.go are generated from the two by `make generate`.
 package wire
--- a/wire/limit.go
+++ b/wire/limit.go
@@ -8,10 +8,10 @@
 	"cairnwick.example/ratelimit"
 )
 
-// NewRateLimit returns the message of a limit.
+// NewRateLimit converts a limit to its message.
 func NewRateLimit(l ratelimit.Limit) *RateLimit { return &RateLimit{Named: l.IsSet(), Rate: l.Rate()} }
 
-// Limit returns the limit of a message; one that can't be meant is none.
+// Limit converts a message to the limit. A rate that is NaN or out of range means no limit.
 func (l *RateLimit) Limit() ratelimit.Limit {
 	if !l.GetNamed() {
 		return ratelimit.Limit{}
@@ -19,12 +19,13 @@
 	return ratelimit.PerSecond(l.GetRate())
 }
 
-// NewLimitWord returns the message of what an endpoint said, with its age at now.
+// NewLimitWord converts an observation of an endpoint's limit to its message, which holds the age of the
+// observation at now.
 func NewLimitWord(endpoint string, w ratelimit.Observation, now time.Time) *LimitWord {
 	return &LimitWord{Endpoint: endpoint, Limit: NewRateLimit(w.Limit), AgeMicros: now.Sub(w.At).Microseconds()}
 }
 
-// Word returns what an endpoint said, by a message that came at now.
+// Word converts a message that was received at now to the observation. A negative age counts as 0.
 func (w *LimitWord) Word(now time.Time) ratelimit.Observation {
 	age := time.Duration(max(w.GetAgeMicros(), 0)) * time.Microsecond
 	return ratelimit.Observation{Limit: w.GetLimit().Limit(), At: now.Add(-age)}
