--- a/edge/limits_leader.go
+++ b/edge/limits_leader.go
@@ -48,7 +48,7 @@
 	}
 	s.mu.Unlock()
 	s.counter.Observe(id, own, now)
-	s.counter.Observe(id, w.Word(now), now)
+	s.counter.Observe(id, w.Observation(now), now)
 	if l := s.counter.Limit(id); s.shouldPublish(id, l, now) {
 		s.publish(id, l)
 	}
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -22,7 +22,7 @@
 	c.Check(l.observe("e1", ratelimit.Limit{}, false, now, now), quicktest.IsFalse)
 	c.Check(l.get("e1", now), quicktest.IsNil) // the owner enforces no limit either
 	l.observe("e1", ratelimit.Limit{}, true, now.Add(-time.Second), now)
-	w := l.get("e1", now).Word(now)
+	w := l.get("e1", now).Observation(now)
 	c.Check(w.Limit.IsSet(), quicktest.IsFalse)
 	c.Check(w.At.Equal(now.Add(-time.Second)), quicktest.IsTrue)
 }
@@ -33,6 +33,6 @@
 	var l limitTable
 	c.Check(l.observe("e1", ratelimit.PerSecond(3), false, now, now.Add(time.Second)), quicktest.IsTrue)
 	c.Check(l.observe("e1", ratelimit.Limit{}, true, now, now.Add(2*time.Second)), quicktest.IsFalse)
-	c.Check(l.get("e1", now).Word(now).Limit.Rate(), quicktest.Equals, 3.0)
+	c.Check(l.get("e1", now).Observation(now).Limit.Rate(), quicktest.Equals, 3.0)
 	c.Check(l.observe("e1", ratelimit.Limit{}, true, now.Add(2*time.Second), now.Add(3*time.Second)), quicktest.IsTrue)
 }
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -12,7 +12,7 @@
 
 // updateRateLimit applies an endpoint's rate limit that a gateway received.
 func (s *Scheduler) updateRateLimit(e *endpoint, reported *wire.LimitWord, now time.Time) {
-	if reported == nil || !s.rateLimits.Observe(e.name, reported.Word(now), now) {
+	if reported == nil || !s.rateLimits.Observe(e.name, reported.Observation(now), now) {
 		return
 	}
 	limit := s.rateLimits.Limit(e.name)
--- a/wire/limit.go
+++ b/wire/limit.go
@@ -21,12 +21,12 @@
 
 // NewLimitWord converts an observation of an endpoint's limit to its message, which holds the age of the
 // observation at now.
-func NewLimitWord(endpoint string, w ratelimit.Observation, now time.Time) *LimitWord {
-	return &LimitWord{Endpoint: endpoint, Limit: NewRateLimit(w.Limit), AgeMicros: now.Sub(w.At).Microseconds()}
+func NewLimitWord(endpoint string, o ratelimit.Observation, now time.Time) *LimitWord {
+	return &LimitWord{Endpoint: endpoint, Limit: NewRateLimit(o.Limit), AgeMicros: now.Sub(o.At).Microseconds()}
 }
 
-// Word converts a message that was received at now to the observation. A negative age counts as 0.
-func (w *LimitWord) Word(now time.Time) ratelimit.Observation {
+// Observation converts a message that was received at now to the observation. A negative age counts as 0.
+func (w *LimitWord) Observation(now time.Time) ratelimit.Observation {
 	age := time.Duration(max(w.GetAgeMicros(), 0)) * time.Microsecond
 	return ratelimit.Observation{Limit: w.GetLimit().Limit(), At: now.Add(-age)}
 }
