--- a/forward/gateway_test.go
+++ b/forward/gateway_test.go
@@ -53,7 +53,7 @@
 	head := Response{
 		MatchesCall:      resp.Header.Get("Id") == c.ID,
 		Signed:           resp.Header.Get("Signed") != "",
-		NotExecuted:      resp.Header.Get("Test-Not-Executed") != "",
+		NotExecuted:      resp.Header.Get("Test-Not-Run") != "",
 		AdapterNotLoaded: resp.Header.Get("Test-Adapter-Not-Loaded") != "",
 		WrongEndpoint:    resp.Header.Get("Test-Wrong-Endpoint") != "",
 	}
@@ -224,7 +224,7 @@
 func answerOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "fine") }
 
 func refuseNotExecuted(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Test-Not-Executed", "1")
+	w.Header().Set("Test-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
