--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -11,14 +11,14 @@
 	"github.com/frankban/quicktest"
 )
 
-// suspend has time pass that the steady clock doesn't count, until the test ends.
+// suspend simulates a system suspend, whose time the monotonic clock does not count, until the test ends.
 func suspend(c *quicktest.C, d time.Duration) {
 	clock.Suspend(d)
 	c.Cleanup(func() { clock.Suspend(-d) })
 }
 
-// A key was taken away while a box was suspended. What it had heard before seemed recent to it, so
-// it served by that key for seconds.
+// Guards against a revoked key that still works: it was revoked while the box was suspended, and the box took its state
+// from before for recent and accepted the key for seconds.
 func TestAfterASuspensionABoxServesByNoKeyUntilItHasHeardAnew(t *testing.T) {
 	c := quicktest.New(t)
 	n := strictNode(c)
@@ -30,8 +30,8 @@
 	c.Assert(n.trustsKeys(clock.Now()), quicktest.IsTrue)
 }
 
-// Endpoints left while a box was suspended. It may send to none by what it knew before, and must not
-// tell others that it hears the source.
+// Endpoints drain while a box is suspended. The box must not send requests by its state from before, and must not report
+// to others that it reads the source.
 func TestAfterASuspensionABoxHearsNoSource(t *testing.T) {
 	c := quicktest.New(t)
 	n := &Node{Settings: Settings{Bounds: Bounds{Drain: 2 * time.Second, Apply: 2 * time.Second}}}
@@ -47,8 +47,8 @@
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
 
-// A leader hands out of a pool what came in since the last time; one that was suspended finds its
-// data centre led by another, and what boxes told it before is old.
+// After a suspend another box leads the data centre, so what leaders and boxes reported before must have expired. A pool
+// would otherwise hand out the units of the time in between.
 func TestAfterASuspensionTheWordOfLeadersAndBoxesIsOld(t *testing.T) {
 	c := quicktest.New(t)
 	var l levels
--- a/edge/traffic_test.go
+++ b/edge/traffic_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A box that has just started calls the source for its first list, whoever leads; after that
-// it says whether others rely on the call.
+// The first list after start-up has a reason of its own, whichever box leads. Later calls are counted by whether others rely
+// on them.
 func TestCallsToTheSourceAreCountedByTheirReason(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
