--- a/edge/ask.go
+++ b/edge/ask.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-// ask requests an adapter load from the leader of the endpoint's data centre, and waits for the result.
-func (p *peers) ask(ctx context.Context, m member.Member, w forward.Wanted) (forward.Placed, error) {
-	ctx, cancel := context.WithTimeout(ctx, max(w.Most, w.Wait, 0)+askSlack)
+// requestLoad requests an adapter load from the leader of the endpoint's data centre, and waits for the result.
+func (p *peers) requestLoad(ctx context.Context, m member.Member, w forward.Wanted) (forward.Placed, error) {
+	ctx, cancel := context.WithTimeout(ctx, max(w.Most, w.Wait, 0)+askTimeoutMargin)
 	defer cancel()
-	go p.cancelWhenGone(ctx, cancel, m.Name())
+	go p.cancelWhenNotServing(ctx, cancel, m.Name())
 	a, err := wire.NewShareClient(p.dialer.Conn(m.Address())).Ask(ctx, &wire.AskRequest{
 		Request:    w.Request,
 		Endpoint:   w.Endpoint.ID(),
@@ -47,12 +47,12 @@
 	}, nil
 }
 
-// cancelWhenGone cancels a call to a box as soon as the box is no longer considered serving. Otherwise a frozen
+// cancelWhenNotServing cancels a call to a box as soon as the box is no longer considered serving. Otherwise a frozen
 // box would hold its callers until their timeout.
-func (p *peers) cancelWhenGone(ctx context.Context, cancel context.CancelFunc, name string) {
+func (p *peers) cancelWhenNotServing(ctx context.Context, cancel context.CancelFunc, name string) {
 	for ctx.Err() == nil {
 		changed := p.table.Changed()
-		if !p.works(name) {
+		if !p.isServing(name) {
 			cancel()
 			return
 		}
@@ -63,8 +63,8 @@
 	}
 }
 
-// wanted converts an AskRequest of another box.
-func wanted(q *wire.AskRequest, e *topology.Endpoint) forward.Wanted {
+// wantedFromRequest converts an AskRequest of another box.
+func wantedFromRequest(q *wire.AskRequest, e *topology.Endpoint) forward.Wanted {
 	return forward.Wanted{
 		Request:  q.GetRequest(),
 		Endpoint: e,
@@ -93,5 +93,5 @@
 	if !ok || m.Name() == p.node.peers.box || p.node.loader.Keeps(w.Endpoint.ID()) {
 		return p.node.loader.Want(ctx, w)
 	}
-	return p.node.peers.ask(ctx, m, w)
+	return p.node.peers.requestLoad(ctx, m, w)
 }
--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// takeoverAfter is how long all boxes of a data centre must be dead before a box elsewhere leads it. Boxes restart
+	// takeoverDelay is how long all boxes of a data centre must be dead before a box elsewhere leads it. Boxes restart
 	// within a few seconds, and network partitions rarely last longer.
-	takeoverAfter = 20 * time.Second
+	takeoverDelay = 20 * time.Second
 
-	// leaderPart limits leadership to boxes whose CPU capacity is at least the strongest one's divided by it, since a
-	// leader works for the whole data centre.
-	leaderPart = 2
+	// leaderCapacityDivisor limits leadership to boxes whose CPU capacity is at least the strongest one's divided by it,
+	// since a leader works for the whole data centre.
+	leaderCapacityDivisor = 2
 
-	// followersMost is how many boxes of its data centre one box sends all facts to. The others follow those, so that
+	// maxFollowers is how many boxes of its data centre one box sends all facts to. The others follow those, so that
 	// the traffic of a box does not grow with the size of the data centre.
-	followersMost = 6
+	maxFollowers = 6
 
-	// clusterViewFor is how long a clusterView is valid while no member changes. Only takeovers depend on the time.
-	clusterViewFor = time.Second
+	// clusterViewTTL is how long a clusterView is valid while no member changes. Only takeovers depend on the time.
+	clusterViewTTL = time.Second
 )
 
 // clusterView is derived from one version of the member table: leaders, and the box to follow. It is immutable.
 type clusterView struct {
-	version uint64
-	until   time.Time
-	boxes   int                      // known ones: an unreachable box may serve on the other side of a network partition, and one that shuts down still has requests in flight
-	centres []string                 // data centres with a serving box, sorted
-	silent  map[string]bool          // data centres without a serving box, where one died less than takeoverAfter ago or all are dead
-	leaders map[string]member.Member // by data centre with a known box; the zero Member: none
-	other   member.Member            // the oldest box of sufficient capacity anywhere: leads data centres without a known box, and, in time, those without a serving box
-	found   bool                     // whether other is set
-	above   member.Member            // the box that this one follows
-	steps   int                      // hops from this box to the leader of its data centre; zero: it leads
+	version        uint64
+	validUntil     time.Time
+	boxes          int                      // known ones: an unreachable box may serve on the other side of a network partition, and one that shuts down still has requests in flight
+	centres        []string                 // data centres with a serving box, sorted
+	unreachable    map[string]bool          // data centres without a serving box, where one died less than takeoverDelay ago or all are dead
+	leaders        map[string]member.Member // by data centre with a known box; the zero Member: none
+	fallbackLeader member.Member            // the oldest box of sufficient capacity anywhere: leads data centres without a known box, and, in time, those without a serving box
+	hasFallback    bool                     // whether fallbackLeader is set
+	upstream       member.Member            // the box that this one follows
+	hops           int                      // from this box to the leader of its data centre; zero: it leads
 }
 
 // clusterViews caches the latest clusterView.
@@ -56,43 +56,43 @@
 	version := p.table.Version()
 	p.clusterViews.mu.Lock()
 	defer p.clusterViews.mu.Unlock()
-	if o := p.clusterViews.latest; o != nil && o.version == version && now.Before(o.until) {
-		return o
+	if latest := p.clusterViews.latest; latest != nil && latest.version == version && now.Before(latest.validUntil) {
+		return latest
 	}
-	o := newClusterView(p.box, p.centre, p.table.All(), now)
-	o.version, o.until = version, now.Add(clusterViewFor)
-	p.clusterViews.latest = o
-	return o
+	v := newClusterView(p.box, p.centre, p.table.All(), now)
+	v.version, v.validUntil = version, now.Add(clusterViewTTL)
+	p.clusterViews.latest = v
+	return v
 }
 
 func newClusterView(box, centre string, all []member.Member, now time.Time) *clusterView {
-	o := &clusterView{silent: make(map[string]bool), leaders: make(map[string]member.Member)}
+	v := &clusterView{unreachable: make(map[string]bool), leaders: make(map[string]member.Member)}
 	var serving []member.Member
 	byCentre := make(map[string][]member.Member)
 	for _, m := range all {
 		if m.Role() != roleBox {
 			continue
 		}
-		o.boxes++
+		v.boxes++
 		byCentre[m.DataCentre()] = append(byCentre[m.DataCentre()], m)
 		if m.Serving() {
 			serving = append(serving, m)
 		}
 	}
-	o.other, o.found = oldestStrong(serving)
+	v.fallbackLeader, v.hasFallback = oldestCapable(serving)
 	for c, list := range byCentre {
-		o.addCentre(c, list, now)
+		v.addDataCentre(c, list, now)
 	}
-	slices.Sort(o.centres)
-	o.follow(box, centre, serving)
-	return o
+	slices.Sort(v.centres)
+	v.chooseUpstream(box, centre, serving)
+	return v
 }
 
-// addCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the oldest
+// addDataCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the oldest
 // one anywhere if no box serves there. If one of them died recently, a network partition is more likely than a
-// data centre without boxes, so no box elsewhere leads it until takeoverAfter has passed.
-func (o *clusterView) addCentre(centre string, list []member.Member, now time.Time) {
-	var died time.Time // when the last one of them died
+// data centre without boxes, so no box elsewhere leads it until takeoverDelay has passed.
+func (v *clusterView) addDataCentre(centre string, list []member.Member, now time.Time) {
+	var lastDeath time.Time // when the last one of them died
 	dead := 0
 	var serving []member.Member
 	for _, m := range list {
@@ -103,34 +103,35 @@
 			continue
 		}
 		dead++
-		if m.Since().After(died) {
-			died = m.Since()
+		if m.Since().After(lastDeath) {
+			lastDeath = m.Since()
 		}
 	}
-	if leader, ok := oldestStrong(serving); ok {
-		o.centres = append(o.centres, centre)
-		o.leaders[centre] = leader
+	if leader, ok := oldestCapable(serving); ok {
+		v.centres = append(v.centres, centre)
+		v.leaders[centre] = leader
 		return
 	}
-	fellSilent := now.Sub(died) < takeoverAfter
-	if fellSilent || dead == len(list) {
-		o.silent[centre] = true
+	diedRecently := now.Sub(lastDeath) < takeoverDelay
+	if diedRecently || dead == len(list) {
+		v.unreachable[centre] = true
 	}
-	if o.found && !fellSilent {
-		o.leaders[centre] = o.other
+	if v.hasFallback && !diedRecently {
+		v.leaders[centre] = v.fallbackLeader
 		return
 	}
-	o.leaders[centre] = member.Member{} // none
+	v.leaders[centre] = member.Member{} // none
 }
 
-// oldestStrong returns the oldest box whose capacity is at least the strongest one's divided by leaderPart.
-func oldestStrong(list []member.Member) (best member.Member, ok bool) {
+// oldestCapable returns the oldest box whose capacity is at least the strongest one's divided by
+// leaderCapacityDivisor.
+func oldestCapable(list []member.Member) (best member.Member, ok bool) {
 	most := 0
 	for _, m := range list {
 		most = max(most, m.Capacity())
 	}
 	for _, m := range list {
-		if leaderPart*m.Capacity() >= most && (!ok || older(m, best)) {
+		if leaderCapacityDivisor*m.Capacity() >= most && (!ok || older(m, best)) {
 			best, ok = m, true
 		}
 	}
@@ -144,14 +145,14 @@
 	return a.Name() < b.Name()
 }
 
-// follow determines the box that this one follows. The boxes of a data centre form a tree below the leader, filled level
+// chooseUpstream determines the box that this one follows. The boxes of a data centre form a tree below the leader, filled level
 // by level: boxes of higher capacity first, then older ones. A box that is missing from its own view follows the leader.
 //
 // A box that changes the one that it follows must fetch what it may have missed, so a box that starts or stops should
 // move few others. When the position in a sorted list decided, a restart moved 5.8 of 39 boxes on average; now it moves
 // 3.3, most of them when the leader restarts.
-func (o *clusterView) follow(box, centre string, serving []member.Member) {
-	leader, ok := o.leader(centre)
+func (v *clusterView) chooseUpstream(box, centre string, serving []member.Member) {
+	leader, ok := v.leader(centre)
 	if !ok || leader.Name() == box {
 		return
 	}
@@ -161,49 +162,49 @@
 	slices.SortFunc(others, func(a, b member.Member) int {
 		return cmp.Or(cmp.Compare(b.Capacity(), a.Capacity()), cmp.Compare(a.Incarnation(), b.Incarnation()), cmp.Compare(a.Name(), b.Name()))
 	})
-	o.above, o.steps = leader, 1
+	v.upstream, v.hops = leader, 1
 	i := slices.IndexFunc(others, func(m member.Member) bool { return m.Name() == box })
-	if i < followersMost {
+	if i < maxFollowers {
 		return
 	}
-	begin, end := 0, followersMost // range in others of the boxes that are this many hops from the leader
+	begin, end := 0, maxFollowers // range in others of the boxes that are this many hops from the leader
 	for i >= end {
-		o.steps++
-		begin, end = end, end+followersMost*(end-begin)
+		v.hops++
+		begin, end = end, end+maxFollowers*(end-begin)
 	}
-	aboveFrom := begin - (end-begin)/followersMost
-	o.above = followed(others[begin:i+1], others[aboveFrom:begin])
+	candidatesFrom := begin - (end-begin)/maxFollowers
+	v.upstream = upstreamOfLast(others[begin:i+1], others[candidatesFrom:begin])
 }
 
-// followed returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of above, the
-// first one that has fewer than followersMost followers.
-func followed(boxes, above []member.Member) member.Member {
-	names := make([]string, len(above))
-	for i, m := range above {
+// upstreamOfLast returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of the candidates, the
+// first one that has fewer than maxFollowers followers.
+func upstreamOfLast(boxes, candidates []member.Member) member.Member {
+	names := make([]string, len(candidates))
+	for i, m := range candidates {
 		names[i] = m.Name()
 	}
-	followers := make(map[string]int, len(above))
+	followers := make(map[string]int, len(candidates))
 	chosen := ""
 	for _, b := range boxes {
 		ranked := policy.Rank(b.Name(), names)
-		chosen = ranked[slices.IndexFunc(ranked, func(n string) bool { return followers[n] < followersMost })]
+		chosen = ranked[slices.IndexFunc(ranked, func(n string) bool { return followers[n] < maxFollowers })]
 		followers[chosen]++
 	}
-	return above[slices.Index(names, chosen)]
+	return candidates[slices.Index(names, chosen)]
 }
 
 // leader returns the box that leads a data centre; false if there is none.
-func (o *clusterView) leader(centre string) (member.Member, bool) {
-	if m, known := o.leaders[centre]; known {
+func (v *clusterView) leader(centre string) (member.Member, bool) {
+	if m, known := v.leaders[centre]; known {
 		return m, m.Name() != ""
 	}
-	return o.other, o.found
+	return v.fallbackLeader, v.hasFallback
 }
 
-// ledBy returns the data centres that a box leads, sorted; only those with a known box.
-func (o *clusterView) ledBy(box string) []string {
+// dataCentresLedBy returns the data centres that a box leads, sorted; only those with a known box.
+func (v *clusterView) dataCentresLedBy(box string) []string {
 	var list []string
-	for c, m := range o.leaders {
+	for c, m := range v.leaders {
 		if m.Name() == box {
 			list = append(list, c)
 		}
@@ -213,6 +214,6 @@
 }
 
 // parent returns the box that this one follows, and the number of hops to the leader; false if this box leads.
-func (o *clusterView) parent() (m member.Member, steps int, ok bool) {
-	return o.above, o.steps, o.steps > 0
+func (v *clusterView) parent() (m member.Member, steps int, ok bool) {
+	return v.upstream, v.hops, v.hops > 0
 }
--- a/edge/departures.go
+++ b/edge/departures.go
@@ -31,7 +31,7 @@
 
 // receive applies a drain announcement from another box.
 func (d departures) receive(m *wire.EndedRequest) {
-	for _, e := range m.GetLeaving()[:min(len(m.GetLeaving()), mostMessages)] {
+	for _, e := range m.GetLeaving()[:min(len(m.GetLeaving()), maxPendingMessages)] {
 		d.publish(e)
 	}
 }
--- a/edge/follow.go
+++ b/edge/follow.go
@@ -37,8 +37,8 @@
 		case s := <-ended:
 			running[s]()
 			delete(running, s)
-			sleep(ctx, lookPause)
-		case <-time.After(lookPause):
+			sleep(ctx, leaderCheckInterval)
+		case <-time.After(leaderCheckInterval):
 		}
 	}
 	for range running {
@@ -67,7 +67,7 @@
 	o := p.clusterView()
 	for _, c := range o.centres {
 		if m, ok := o.leader(c); ok && m.Name() != p.box {
-			list[source{name: m.Name(), address: m.Address(), everything: !p.reads()}] = true
+			list[source{name: m.Name(), address: m.Address(), everything: !p.readsSource()}] = true
 		}
 	}
 	return list
@@ -128,34 +128,34 @@
 		w.first = Revision(said.Endpoints)
 	}
 	p.statuses[name] = w
-	p.known.advance(Settled, checkpoint{revision: Revision(said.Settled), asOf: read})
+	p.checkpoints.advance(Settled, checkpoint{revision: Revision(said.Settled), asOf: read})
 	if p.isComplete(w) {
-		p.known.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
+		p.checkpoints.advance(Endpoints, checkpoint{revision: Revision(said.Endpoints), asOf: read})
 	}
 }
 
 // isComplete reports whether this box misses no removal of an endpoint up to a status: it knew all up to the first one
 // of that stream, which has sent the rest.
 func (p *peers) isComplete(w leaderStatus) bool {
-	return w.first != 0 && w.first <= p.known.of(Endpoints).revision
+	return w.first != 0 && w.first <= p.checkpoints.of(Endpoints).revision
 }
 
 // statusAge returns how long ago the leader read the source, by the status of the followed box; false where that is too
 // long ago, where that box has sent nothing for long, or where this box leads.
 func (p *peers) statusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && w.isFresh(now, p.behind())
+	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && w.isFresh(now, p.maxStaleness())
 }
 
 // knowsEpoch reports whether a followed box has learned that the source was restored, as far as this box knows of it.
 func (p *peers) knowsEpoch(w leaderStatus) bool {
-	return w.settled.Epoch() >= p.known.of(Settled).revision.Epoch()
+	return w.settled.Epoch() >= p.checkpoints.of(Settled).revision.Epoch()
 }
 
 // completeStatusAge returns the same where this box cannot have missed what left before.
 func (p *peers) completeStatusAge(now time.Time) (time.Duration, bool) {
 	w, ok := p.latestStatus()
-	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && p.isComplete(w) && w.isFresh(now, p.behind())
+	return now.Sub(w.readAt), ok && p.knowsEpoch(w) && p.isComplete(w) && w.isFresh(now, p.maxStaleness())
 }
 
 // latestStatusAge returns how long ago the source was read by the status of the followed box, however old; false where
--- a/edge/freshness.go
+++ b/edge/freshness.go
@@ -91,7 +91,7 @@
 // noteListed notes the revision of a list of the source.
 func (n *Node) noteListed(c Collection, revision Revision) {
 	if c == Endpoints {
-		n.listed.Store(uint64(revision))
+		n.listedRevision.Store(uint64(revision))
 	}
 }
 
@@ -101,7 +101,7 @@
 	if isQuarantineOver(i, time.Now()) {
 		return true
 	}
-	return n.Decoder.Kind(i.GetKey()) == KindEndpoint && !i.GetRemoved() && i.GetVersion() <= n.listed.Load()
+	return n.Decoder.Kind(i.GetKey()) == KindEndpoint && !i.GetRemoved() && i.GetVersion() <= n.listedRevision.Load()
 }
 
 // readAgo returns how long ago this box, or one that it follows, read the source.
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -15,7 +15,7 @@
 
 // serveHTTP serves until ctx ends, then shuts down gracefully: connections are closed once they are idle, the others
 // after the given time. Requests still in flight are cancelled with forward.ErrEnding shortly before that.
-func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, most time.Duration) error {
+func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, timeout time.Duration) error {
 	base, endRequests := context.WithCancelCause(context.Background())
 	defer endRequests(nil)
 	s.BaseContext = func(net.Listener) context.Context { return base }
@@ -26,10 +26,10 @@
 		return errors.Wrap(err, "edge: serve HTTP")
 	case <-ctx.Done():
 	}
-	end, cancel := context.WithTimeout(context.Background(), most)
+	end, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	told := time.AfterFunc(most-answerTime, func() { endRequests(forward.ErrEnding) })
-	defer told.Stop()
+	cancelTimer := time.AfterFunc(timeout-answerTime, func() { endRequests(forward.ErrEnding) })
+	defer cancelTimer.Stop()
 	err := s.Shutdown(end)
 	<-served
 	if err != nil {
@@ -76,7 +76,7 @@
 
 // httpTask returns a task that serves a handler. Idle connections are closed while more than open are open; most bounds
 // the shutdown.
-func httpTask(h http.Handler, l net.Listener, most time.Duration, open int) task {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ConnState: newConnections(open).changed}
-	return func(ctx context.Context) error { return serveHTTP(ctx, s, l, most) }
+func httpTask(h http.Handler, l net.Listener, shutdownTimeout time.Duration, maxOpen int) task {
+	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ConnState: newIdleCloser(maxOpen).connStateChanged}
+	return func(ctx context.Context) error { return serveHTTP(ctx, s, l, shutdownTimeout) }
 }
--- a/edge/metrics.go
+++ b/edge/metrics.go
@@ -38,7 +38,7 @@
 	m.Set("edge_leads", expvar.Func(func() any { return n.leads() }))
 	m.Set("edge_loader", expvar.Func(func() any { return n.loader.Counts() }))
 	m.Set("edge_messages", n.messages)
-	m.Set("edge_source_calls", expvar.Func(func() any { return n.calls.counts() }))
+	m.Set("edge_source_calls", expvar.Func(func() any { return n.sourceCalls.counts() }))
 	m.Set("edge_log_lines_left_out", expvar.Func(func() any { return n.Lines.Dropped() }))
 	return m
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -34,37 +34,37 @@
 	Lines    *logging.Bounded // the output of Log
 	Profile  bool             // whether the metrics address also serves pprof profiles
 
-	current  atomic.Pointer[Settings] // replaced by Reload
-	view     *topology.View
-	items    *share.Table
-	state    *state
-	peers    *peers
-	shared   *share.Server
-	messages *daemon.Messages
-	gateway  *forward.Gateway
-	loader   *placement.Loader
-	usage    *usage
-	levels   levels
-	spending *spending
-	outbox   *outbox
-	kept     quarantined
-	limits   *limits
+	current    atomic.Pointer[Settings] // replaced by Reload
+	view       *topology.View
+	items      *share.Table
+	state      *state
+	peers      *peers
+	shared     *share.Server
+	messages   *daemon.Messages
+	gateway    *forward.Gateway
+	loader     *placement.Loader
+	usage      *usage
+	levels     levels
+	spending   *spending
+	outbox     *outbox
+	quarantine quarantined
+	limits     *limits
 
 	departures departures
 
-	vouched     vouched
-	leaving     atomic.Bool
-	fresh       freshness
-	calls       calls
-	ignored     ignored
-	checkpoints checkpoints
-	away        atomic.Bool   // whether the source is unavailable
-	listed      atomic.Uint64 // the Revision of the last list of endpoints
+	vouched           vouched
+	leaving           atomic.Bool
+	fresh             freshness
+	sourceCalls       sourceCalls
+	ignored           ignored
+	checkpoints       checkpoints
+	sourceUnavailable atomic.Bool   // whether the source is unavailable
+	listedRevision    atomic.Uint64 // the Revision of the last list of endpoints
 }
 
 const (
-	memoryPart = 0.7 // fraction of the box's memory that is the garbage collector's soft limit
-	heldPart   = 4   // file descriptors per request in flight: the caller's, the endpoint's, and spare ones
+	memoryLimitFraction   = 0.7 // fraction of the box's memory that is the garbage collector's soft limit
+	descriptorsPerRequest = 4   // file descriptors per request in flight: the caller's, the endpoint's, and spare ones
 )
 
 // build creates the components and connects them.
@@ -79,13 +79,13 @@
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.items.Same, n.items.Outlives = n.isSame, n.outlives
 	n.items.OnIgnored = n.noteIgnored
-	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.near(ip) }}
+	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
 	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
-	n.kept = quarantined{node: n}
+	n.quarantine = quarantined{node: n}
 	n.departures = departures{node: n}
 	n.limits = newLimits(n)
 	n.state.limits = n.limits
@@ -114,14 +114,14 @@
 		Placer:     placer{node: n},
 		Observer:   n.usage,
 		Admission:  admission{node: n},
-		Quarantine: n.kept,
+		Quarantine: n.quarantine,
 		Limits:     n.limits,
 		Boxes:      func() int { return n.peers.budgetBoxes(clock.Now()) },
 		Level:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
-		Cut:        func(centre string) bool { return n.peers.clusterView().silent[centre] },
+		Cut:        func(centre string) bool { return n.peers.clusterView().unreachable[centre] },
 		Budget:     func() forward.BudgetLimits { return n.current.Load().Budget },
 		Leaving:    n.departures.observe,
-		MostHeld:   max(s.Limits.Descriptors, heldPart*64) / heldPart,
+		MostHeld:   max(s.Limits.Descriptors, descriptorsPerRequest*64) / descriptorsPerRequest,
 		Log:        n.Log,
 		Pressed:    n.Lines.Pressed,
 		Stats:      forward.NewStats(),
@@ -137,34 +137,34 @@
 
 func (n *Node) buildPeers() *peers {
 	s := n.Settings
-	d := &net.Dialer{Timeout: peerDial, KeepAlive: -1}
+	d := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1}
 	p := &peers{
-		box:     s.Box,
-		centre:  s.DataCentre,
-		dialer:  &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilentFor: silentFor, Messages: n.messages},
-		items:   n.items,
-		log:     n.Log,
-		started: clock.Now(),
-		reads:   n.reads,
-		seeds:   func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
-		behind:  n.behind,
-		known:   &n.checkpoints,
+		box:          s.Box,
+		centre:       s.DataCentre,
+		dialer:       &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilentFor: connSilenceLimit, Messages: n.messages},
+		items:        n.items,
+		log:          n.Log,
+		started:      clock.Now(),
+		readsSource:  n.reads,
+		seeds:        func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
+		maxStaleness: n.behind,
+		checkpoints:  &n.checkpoints,
 	}
 	self := member.New(s.Box, s.Peers, roleBox, s.DataCentre, uint64(time.Now().UnixMicro())).
 		WithCapacity(int(s.Limits.Cores * 1000))
-	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectFor, ForgetDead: forgetDead, Fresh: freshFor, Wide: true})
+	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectTimeout, ForgetDead: deadRetention, Fresh: exchangeFreshness, Wide: true})
 	p.loop = &member.Loop{
 		Table:      p.table,
 		Dial:       p.dialer.Peer,
 		Seeds:      p.seeds,
 		Bridges:    func() bool { return true },
-		Remote:     p.lost,
+		Remote:     p.deadAddresses,
 		Extras:     noExtras{},
 		Log:        n.Log,
-		Interval:   heartbeat,
-		Timeout:    heartbeat,
-		PauseLimit: pauseLimit,
-		Neighbours: neighbours,
+		Interval:   heartbeatInterval,
+		Timeout:    heartbeatInterval,
+		PauseLimit: maxHeartbeatGap,
+		Neighbours: heartbeatNeighbours,
 	}
 	return p
 }
@@ -203,7 +203,7 @@
 
 // Run serves until ctx ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(float64(n.Settings.Limits.MemoryMB) * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(n.Settings.Limits.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	n.build()
 	listeners, err := n.listen()
 	if err != nil {
@@ -218,15 +218,15 @@
 	server := daemon.NewServer(insecure.NewCredentials(), n.messages)
 	wire.RegisterPeerServer(server, peerServer{node: n})
 	wire.RegisterShareServer(server, shareServer{node: n})
-	held := n.Settings.Bounds.Grace - noticeFor - endMargin // how long requests in flight have to finish during shutdown
+	drainTime := n.Settings.Bounds.Grace - noticeFor - endMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
 		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
-		n.spending.run, n.spending.borrow, n.outbox.run, n.limits.run,
+		n.spending.run, n.spending.requestLoans, n.outbox.run, n.limits.run,
 		n.reader(Settled).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
-		httpTask(n.gateway, listeners.callers, held, max(n.Settings.Limits.Descriptors/callerPart, mostAsking)),
-		httpTask(n.readiness(), listeners.ready, held, mostAsking),
-		httpTask(n.metrics(), listeners.metrics, held, mostAsking),
+		httpTask(n.gateway, listeners.callers, drainTime, max(n.Settings.Limits.Descriptors/callerConnDivisor, maxAuxiliaryConns)),
+		httpTask(n.readiness(), listeners.ready, drainTime, maxAuxiliaryConns),
+		httpTask(n.metrics(), listeners.metrics, drainTime, maxAuxiliaryConns),
 	}
 	err = n.runAll(ctx, inner, end, tasks)
 	n.peers.dialer.Close()
@@ -265,15 +265,15 @@
 		table:      n.items,
 		wanted:     func() bool { return n.mustRead(c) },
 		checkpoint: func() checkpoint { return n.checkpoints.of(c) },
-		leads:      func() bool { return n.peers.clusterView().steps == 0 && clock.Since(n.peers.started) > settleFor },
+		leads:      func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
 		log:        n.Log,
 		ages:       n.sourceAges,
 		behind:     n.behind,
-		away:       &n.away,
+		away:       &n.sourceUnavailable,
 		lapse:      func() time.Duration { return n.current.Load().Bounds.Lapse },
 		report:     func(w readOutcome) { n.noteRead(c, w) },
 		listed:     func(revision Revision) { n.noteListed(c, revision) },
-		counted:    n.calls.count,
+		counted:    n.sourceCalls.count,
 		restored:   func() { n.ignored.restores.Add(1) },
 	}
 }
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	tellCall  = 400 * time.Millisecond // a leader in the same data centre answers within a millisecond
-	tellAgain = 100 * time.Millisecond // between two attempts to notify a leader
-	// tellFor is how long a message is retried to leaders that do not answer. By then a leader that died has
+	notifyTimeout    = 400 * time.Millisecond // a leader in the same data centre answers within a millisecond
+	notifyRetryDelay = 100 * time.Millisecond // between two attempts to notify a leader
+	// notifyMaxAge is how long a message is retried to leaders that do not answer. By then a leader that died has
 	// been replaced, and one behind a network partition receives the reports of its own data centre.
-	tellFor = 8 * time.Second
-	// mostMessages bounds the pending messages and the entries of one request, since many endpoints may end together.
-	mostMessages = 1024
+	notifyMaxAge = 8 * time.Second
+	// maxPendingMessages bounds the pending messages and the entries of one request, since many endpoints may end together.
+	maxPendingMessages = 1024
 )
 
 // outbox holds this box's observations of endpoints until the leaders of all data centres have received them. Each
@@ -36,20 +36,20 @@
 
 // message is one observation of an endpoint by this box.
 type message struct {
-	end     *wire.EndpointEnd // the endpoint ended while it ran requests; nil: it did not
-	leaving string            // ID of an endpoint that announced draining; empty: none did
-	until   time.Time         // when retries stop
-	told    map[string]bool   // by box, whether it received the message; only used by run
+	end       *wire.EndpointEnd // the endpoint ended while it ran requests; nil: it did not
+	leaving   string            // ID of an endpoint that announced draining; empty: none did
+	expires   time.Time         // when retries stop
+	delivered map[string]bool   // by box, whether it received the message; only used by run
 }
 
 func newOutbox(n *Node) *outbox { return &outbox{node: n, wake: make(chan struct{}, 1)} }
 
 // add queues a message for all leaders. It returns false if the queue is full.
 func (o *outbox) add(n *message, now time.Time) bool {
-	n.until, n.told = now.Add(tellFor), make(map[string]bool)
+	n.expires, n.delivered = now.Add(notifyMaxAge), make(map[string]bool)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.messages) >= mostMessages {
+	if len(o.messages) >= maxPendingMessages {
 		return false
 	}
 	o.messages = append(o.messages, n)
@@ -64,48 +64,48 @@
 func (o *outbox) run(ctx context.Context) error {
 	t := notifier{
 		Wake:       o.wake,
-		Send:       func(ctx context.Context) bool { return o.tell(ctx, time.Now()) },
-		RetryDelay: tellAgain,
+		Send:       func(ctx context.Context) bool { return o.deliver(ctx, time.Now()) },
+		RetryDelay: notifyRetryDelay,
 		Expire:     o.expire,
 	}
 	return t.Run(ctx)
 }
 
 func (o *outbox) expire() {
-	o.node.kept.expire(time.Now())
+	o.node.quarantine.expire(time.Now())
 	o.node.departures.forgetGone()
 }
 
-// toldMessages lists the messages that a leader received; none if it did not answer.
-type toldMessages struct {
+// delivery lists the messages that a leader received; none if it did not answer.
+type delivery struct {
 	leader   string
 	messages []*message
 }
 
-// tell sends each leader the messages that it has not received. It returns whether all messages are delivered or expired.
-func (o *outbox) tell(ctx context.Context, now time.Time) bool {
-	all, leaders := o.waiting(), o.leaders()
-	answers := make(chan toldMessages, len(leaders))
+// deliver sends each leader the messages that it has not received. It returns whether all messages are delivered or expired.
+func (o *outbox) deliver(ctx context.Context, now time.Time) bool {
+	all, leaders := o.pending(), o.leaders()
+	answers := make(chan delivery, len(leaders))
 	calls := 0
 	for _, m := range leaders {
-		untold := slices.DeleteFunc(slices.Clone(all), func(n *message) bool { return n.told[m.Name()] })
-		if len(untold) == 0 {
+		undelivered := slices.DeleteFunc(slices.Clone(all), func(n *message) bool { return n.delivered[m.Name()] })
+		if len(undelivered) == 0 {
 			continue
 		}
 		calls++
-		go func() { answers <- o.tellOne(ctx, m, untold) }()
+		go func() { answers <- o.deliverTo(ctx, m, undelivered) }()
 	}
 	for range calls {
 		a := <-answers
 		for _, n := range a.messages {
-			n.told[a.leader] = true
+			n.delivered[a.leader] = true
 		}
 	}
-	return o.drop(leaders, now)
+	return o.removeDone(leaders, now)
 }
 
-// waiting returns the messages that some leaders have not received.
-func (o *outbox) waiting() []*message {
+// pending returns the messages that some leaders have not received.
+func (o *outbox) pending() []*message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.messages)
@@ -124,12 +124,12 @@
 	return list
 }
 
-// tellOne sends messages to one leader.
-func (o *outbox) tellOne(ctx context.Context, m member.Member, untold []*message) toldMessages {
-	call, cancel := context.WithTimeout(ctx, tellCall)
+// deliverTo sends messages to one leader.
+func (o *outbox) deliverTo(ctx context.Context, m member.Member, undelivered []*message) delivery {
+	call, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	r := &wire.EndedRequest{Box: o.node.peers.box}
-	for _, n := range untold {
+	for _, n := range undelivered {
 		if n.end != nil {
 			r.Ends = append(r.Ends, n.end)
 		}
@@ -139,22 +139,22 @@
 	}
 	_, err := wire.NewPeerClient(o.node.peers.dialer.Conn(m.Address())).Ended(call, r)
 	if status.Code(err) == codes.Unimplemented {
-		return toldMessages{leader: m.Name(), messages: untold} // an older version without this method: it can't be notified
+		return delivery{leader: m.Name(), messages: undelivered} // an older version without this method: it can't be notified
 	}
 	if err != nil {
 		o.node.Log.Info("Failed to notify leader of endpoints that ended or are draining", "leader", m.Name(), "err", err.Error())
-		return toldMessages{}
+		return delivery{}
 	}
-	return toldMessages{leader: m.Name(), messages: untold}
+	return delivery{leader: m.Name(), messages: undelivered}
 }
 
-// drop removes messages that every leader has received and those that have expired. It returns whether none is left.
-func (o *outbox) drop(leaders []member.Member, now time.Time) bool {
+// removeDone removes messages that every leader has received and those that have expired. It returns whether none is left.
+func (o *outbox) removeDone(leaders []member.Member, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.messages = slices.DeleteFunc(o.messages, func(n *message) bool {
-		untold := func(m member.Member) bool { return !n.told[m.Name()] }
-		return !now.Before(n.until) || !slices.ContainsFunc(leaders, untold)
+		isMissing := func(m member.Member) bool { return !n.delivered[m.Name()] }
+		return !now.Before(n.expires) || !slices.ContainsFunc(leaders, isMissing)
 	})
 	return len(o.messages) == 0
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -18,46 +18,46 @@
 const roleBox = "edge"
 
 const (
-	heartbeat  = 300 * time.Millisecond // interval and timeout; a dead neighbour is suspected after 1.5 intervals
-	suspectFor = 900 * time.Millisecond // after it a suspected member is considered dead: three more intervals
-	forgetDead = 10 * time.Minute       // how long dead members are still probed, in case a network partition heals
-	freshFor   = 2 * time.Second        // how long a heartbeat exchange confirms the view; unused by boxes
-	pauseLimit = time.Second            // a longer gap between two heartbeats counts as a pause of this process
-	neighbours = 2                      // number of ring successors that get heartbeats
-	peerDial   = 400 * time.Millisecond // an unreachable box drops the SYN; the next attempt may find it up
-	silentFor  = 550 * time.Millisecond // just below two heartbeat intervals without a byte: a stalled connection may never recover while new ones work; a single lost packet is retransmitted after 200 ms
-	settleFor  = 700 * time.Millisecond // after start-up, until the membership view is complete: heartbeats of the first second are more frequent
-	metFor     = 300 * time.Millisecond // the same after the first contact with another box
-	aloneFor   = 2 * time.Second        // the same after start-up without contact to any other box: the seeds may start later
-	askSlack   = 300 * time.Millisecond // added to a request's wait time for the timeout of its call
-	lookPause  = 100 * time.Millisecond // between two checks of which boxes lead
-	usePause   = 500 * time.Millisecond // between two full usage reports
-	// changePause is how long usage changes are batched. A leader must know which adapters are in use before it
+	heartbeatInterval   = 300 * time.Millisecond // interval and timeout; a dead neighbour is suspected after 1.5 intervals
+	suspectTimeout      = 900 * time.Millisecond // after it a suspected member is considered dead: three more intervals
+	deadRetention       = 10 * time.Minute       // how long dead members are still probed, in case a network partition heals
+	exchangeFreshness   = 2 * time.Second        // how long a heartbeat exchange confirms the view; unused by boxes
+	maxHeartbeatGap     = time.Second            // a longer gap between two heartbeats counts as a pause of this process
+	heartbeatNeighbours = 2                      // number of ring successors that get heartbeats
+	peerDialTimeout     = 400 * time.Millisecond // an unreachable box drops the SYN; the next attempt may find it up
+	connSilenceLimit    = 550 * time.Millisecond // just below two heartbeat intervals without a byte: a stalled connection may never recover while new ones work; a single lost packet is retransmitted after 200 ms
+	initialViewDelay    = 700 * time.Millisecond // after start-up, until the membership view is complete: heartbeats of the first second are more frequent
+	firstContactDelay   = 300 * time.Millisecond // the same after the first contact with another box
+	noContactDelay      = 2 * time.Second        // the same after start-up without contact to any other box: the seeds may start later
+	askTimeoutMargin    = 300 * time.Millisecond // added to a request's wait time for the timeout of its call
+	leaderCheckInterval = 100 * time.Millisecond // between two checks of which boxes lead
+	fullUsageInterval   = 500 * time.Millisecond // between two full usage reports
+	// usageBatchDelay is how long usage changes are batched. A leader must know which adapters are in use before it
 	// evicts one from a slot, but each call costs processor time.
-	changePause = 20 * time.Millisecond
+	usageBatchDelay = 20 * time.Millisecond
 )
 
 // peers holds this box's view of the other boxes, and its connections to them.
 type peers struct {
-	box     string
-	centre  string
-	table   *member.Table
-	loop    *member.Loop
-	dialer  *daemon.Dialer
-	items   *share.Table
-	log     logr.Logger
-	started time.Time
-	reads   func() bool          // whether this box reads the source of the configuration
-	seeds   func() []string      // addresses of other boxes that should exist, by the settings
-	behind  func() time.Duration // maximum staleness of this box relative to that source
-	known   *checkpoints         // up to which this box knows the source
+	box          string
+	centre       string
+	table        *member.Table
+	loop         *member.Loop
+	dialer       *daemon.Dialer
+	items        *share.Table
+	log          logr.Logger
+	started      time.Time
+	readsSource  func() bool          // whether this box reads the source of the configuration
+	seeds        func() []string      // addresses of other boxes that should exist, by the settings
+	maxStaleness func() time.Duration // maximum staleness of this box relative to that source
+	checkpoints  *checkpoints         // up to which this box knows the source
 
 	clusterViews clusterViews
 
-	mu       sync.Mutex
-	met      time.Time               // first contact with another box; zero: none yet
-	leaders  map[string]leadership   // by data centre
-	statuses map[string]leaderStatus // by followed box
+	mu           sync.Mutex
+	firstContact time.Time               // first contact with another box; zero: none yet
+	leaders      map[string]leadership   // by data centre
+	statuses     map[string]leaderStatus // by followed box
 }
 
 // leaderStatus is what a followed box sent of how far the source was read.
@@ -75,9 +75,9 @@
 
 // leadership is the current leader of a data centre, and when it may start to issue commands to endpoints.
 type leadership struct {
-	name   string
-	before string    // previous leader; empty: not known
-	from   time.Time // when it may issue commands
+	name         string
+	previous     string    // previous leader; empty: not known
+	commandsFrom time.Time // when it may issue commands
 }
 
 // leads reports whether this box leads a data centre, and from when on it may issue commands to the endpoints
@@ -92,48 +92,48 @@
 	if p.leaders == nil {
 		p.leaders = make(map[string]leadership)
 	}
-	settled := p.settledLocked(now)
+	trusted := p.viewTrustedFromLocked(now)
 	old, known := p.leaders[centre]
 	if !known || old.name != m.Name() {
 		from := now
-		if now.After(settled) && p.works(old.name) {
+		if now.After(trusted) && p.isServing(old.name) {
 			from = now.Add(lease + lease/4)
 		}
-		p.leaders[centre] = leadership{name: m.Name(), before: old.name, from: from}
+		p.leaders[centre] = leadership{name: m.Name(), previous: old.name, commandsFrom: from}
 		p.log.Info("Data centre has a leader", "led_data_centre", centre, "leader", m.Name(), "before", old.name)
 	}
-	from := p.leaders[centre].from
-	if settled.After(from) {
-		from = settled
+	from := p.leaders[centre].commandsFrom
+	if trusted.After(from) {
+		from = trusted
 	}
 	return m.Name() == p.box, from
 }
 
-// settledLocked returns from when on this box's initial view of the others can be trusted. A box that claimed
+// viewTrustedFromLocked returns from when on this box's initial view of the others can be trusted. A box that claimed
 // endpoints before it had contact with any other would take them from their owners.
-func (p *peers) settledLocked(now time.Time) time.Time {
-	if p.met.IsZero() && len(p.table.All()) > 1 {
-		p.met = now
+func (p *peers) viewTrustedFromLocked(now time.Time) time.Time {
+	if p.firstContact.IsZero() && len(p.table.All()) > 1 {
+		p.firstContact = now
 	}
-	if p.met.IsZero() {
-		return p.started.Add(aloneFor)
+	if p.firstContact.IsZero() {
+		return p.started.Add(noContactDelay)
 	}
-	settled, met := p.started.Add(settleFor), p.met.Add(metFor)
-	if met.After(settled) {
-		return met
+	trusted, trustedByContact := p.started.Add(initialViewDelay), p.firstContact.Add(firstContactDelay)
+	if trustedByContact.After(trusted) {
+		return trustedByContact
 	}
-	return settled
+	return trusted
 }
 
-// settled returns from when on this box's initial view of the others can be trusted.
-func (p *peers) settled(now time.Time) time.Time {
+// viewTrustedFrom returns from when on this box's initial view of the others can be trusted.
+func (p *peers) viewTrustedFrom(now time.Time) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.settledLocked(now)
+	return p.viewTrustedFromLocked(now)
 }
 
-// works reports whether a box is considered serving.
-func (p *peers) works(name string) bool {
+// isServing reports whether a box is considered serving.
+func (p *peers) isServing(name string) bool {
 	m, ok := p.table.Find(name)
 	return ok && m.Serving()
 }
@@ -143,16 +143,16 @@
 // network partition would spend the whole budget.
 func (p *peers) budgetBoxes(now time.Time) int {
 	p.mu.Lock()
-	settled, met := p.settledLocked(now), !p.met.IsZero()
+	trusted, hasContact := p.viewTrustedFromLocked(now), !p.firstContact.IsZero()
 	p.mu.Unlock()
-	if now.Before(settled) || (!met && len(p.seeds()) > 0) {
+	if now.Before(trusted) || (!hasContact && len(p.seeds()) > 0) {
 		return 0
 	}
 	return max(p.clusterView().boxes, 1)
 }
 
-// near reports whether the box with an IP address is in this data centre; known is false for an unknown address.
-func (p *peers) near(ip string) (near, known bool) {
+// isNear reports whether the box with an IP address is in this data centre; known is false for an unknown address.
+func (p *peers) isNear(ip string) (near, known bool) {
 	for _, m := range p.table.All() {
 		if host, _, err := net.SplitHostPort(m.Address()); err == nil && host == ip {
 			return m.DataCentre() == p.centre, true
@@ -161,8 +161,8 @@
 	return false, false
 }
 
-// lost returns the addresses of dead boxes. They are still probed, to detect when a network partition heals.
-func (p *peers) lost() []string {
+// deadAddresses returns the addresses of dead boxes. They are still probed, to detect when a network partition heals.
+func (p *peers) deadAddresses() []string {
 	var list []string
 	for _, m := range p.table.All() {
 		if m.State() == member.Dead {
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// drawnFor is how long a box counts as drawing after its last settlement: three of them may be lost.
-	drawnFor = 1100 * time.Millisecond
-	// lendCall is the timeout of a call to the leader of another data centre.
-	lendCall = 400 * time.Millisecond
-	// lendAgain is the pause between two loan requests while the pool lacks units; lendRest is the pause after a
-	// request that brought none.
-	lendAgain = 40 * time.Millisecond
-	lendRest  = 250 * time.Millisecond
+	// drawerTTL is how long a box counts as drawing after its last settlement: three of them may be lost.
+	drawerTTL = 1100 * time.Millisecond
+	// loanTimeout is the timeout of a call to the leader of another data centre.
+	loanTimeout = 400 * time.Millisecond
+	// loanRetryDelay is the pause between two loan requests while the pool lacks units; loanBackoff is the pause after
+	// a request that brought none.
+	loanRetryDelay = 40 * time.Millisecond
+	loanBackoff    = 250 * time.Millisecond
 )
 
-// drawn tracks which boxes draw from this box's pool.
-type drawn struct {
-	mu    sync.Mutex
-	boxes map[string]time.Time // time of the last draw, by box
+// drawers tracks which boxes draw from this box's pool.
+type drawers struct {
+	mu       sync.Mutex
+	lastDraw map[string]time.Time // time of the last draw, by box
 }
 
-// note records a draw by a box, and returns how many boxes draw.
-func (d *drawn) note(box string, now time.Time) int {
+// record records a draw by a box, and returns how many boxes draw.
+func (d *drawers) record(box string, now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.boxes == nil {
-		d.boxes = make(map[string]time.Time)
+	if d.lastDraw == nil {
+		d.lastDraw = make(map[string]time.Time)
 	}
-	d.boxes[box] = now
+	d.lastDraw[box] = now
 	return d.countLocked(now)
 }
 
-func (d *drawn) count(now time.Time) int {
+func (d *drawers) count(now time.Time) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.countLocked(now)
 }
 
-func (d *drawn) countLocked(now time.Time) int {
-	for b, at := range d.boxes {
-		if now.Sub(at) > drawnFor {
-			delete(d.boxes, b)
+func (d *drawers) countLocked(now time.Time) int {
+	for b, at := range d.lastDraw {
+		if now.Sub(at) > drawerTTL {
+			delete(d.lastDraw, b)
 		}
 	}
-	return len(d.boxes)
+	return len(d.lastDraw)
 }
 
 // share returns the fraction of each quota that this box hands out, given how many boxes draw from it. Unreachable
@@ -62,7 +62,7 @@
 	centres := s.node.current.Load().DataCentres
 	if centres == 0 {
 		v := s.node.peers.clusterView()
-		centres = len(v.centres) + len(v.silent)
+		centres = len(v.centres) + len(v.unreachable)
 	}
 	known := 0
 	for _, m := range s.node.peers.table.All() {
@@ -80,11 +80,11 @@
 
 // leads reports whether this box manages the quota pool of its data centre.
 func (s *spending) leads(now time.Time) bool {
-	return s.node.countsCallers() && s.node.leads() && !now.Before(s.node.peers.settled(now))
+	return s.node.countsCallers() && s.node.leads() && !now.Before(s.node.peers.viewTrustedFrom(now))
 }
 
-// answer handles a settlement: it grants units to a box, and returns how recent the configuration is.
-func (s *spending) answer(q *wire.SettleRequest, now time.Time) *wire.SettleReply {
+// handleSettle handles a settlement: it grants units to a box, and returns how recent the configuration is.
+func (s *spending) handleSettle(q *wire.SettleRequest, now time.Time) *wire.SettleReply {
 	a := &wire.SettleReply{}
 	if ago, ok := s.node.vouched.ago(now); ok {
 		a.Vouched, a.AgeMicros, a.Config = true, ago.Microseconds(), s.node.configVersion()
@@ -93,21 +93,21 @@
 		return a
 	}
 	a.Leads = true
-	share := s.share(s.drawn.note(q.GetBox(), now), now)
-	s.open(share, now)
+	share := s.share(s.drawers.record(q.GetBox(), now), now)
+	s.openPool(share, now)
 	for _, d := range q.GetDemands() {
-		a.Allowances = append(a.Allowances, s.allow(d, share, now))
+		a.Allowances = append(a.Allowances, s.grant(d, share, now))
 	}
 	return a
 }
 
-// open starts to fill the pool for each quota when the configuration is new here or this box has become the leader.
-func (s *spending) open(share float64, now time.Time) {
+// openPool starts to fill the pool for each quota when the configuration is new here or this box has become the leader.
+func (s *spending) openPool(share float64, now time.Time) {
 	version := s.node.configVersion()
 	if s.opened.Swap(version) == version {
 		return
 	}
-	if started := s.node.peers.started; now.Sub(started) < freshFleet {
+	if started := s.node.peers.started; now.Sub(started) < newFleetAge {
 		now = started
 	}
 	bounds := s.node.current.Load().Quota
@@ -118,20 +118,20 @@
 	}
 }
 
-// freshFleet is the age of a leader below which all boxes of its data centre have just started, since the oldest
+// newFleetAge is the age of a leader below which all boxes of its data centre have just started, since the oldest
 // leads. No other box has handed out units since this one started, so the pool fills from that time.
-const freshFleet = 3 * time.Second
+const newFleetAge = 3 * time.Second
 
-// close discards the pool after another box has become the leader.
-func (s *spending) close() {
+// closePool discards the pool after another box has become the leader.
+func (s *spending) closePool() {
 	if s.opened.Swap(0) != 0 {
 		s.pool.Clear()
 	}
 }
 
-// allow handles a box's demand from one quota. A demand from an organisation without a limit in this box's configuration,
+// grant handles a box's demand from one quota. A demand from an organisation without a limit in this box's configuration,
 // which may be another version than the caller's, is granted in full.
-func (s *spending) allow(d *wire.Demand, share float64, now time.Time) *wire.Allowance {
+func (s *spending) grant(d *wire.Demand, share float64, now time.Time) *wire.Allowance {
 	o := s.node.view.Config().Callers().Named(d.GetOrganisation())
 	if o == nil || !o.Quota().Limits() {
 		return &wire.Allowance{Organisation: d.GetOrganisation(), Paid: d.GetOwed(), Granted: int32(len(d.GetWanted()))}
@@ -148,13 +148,13 @@
 		Again:        int(d.GetAgain()),
 	}, s.node.current.Load().Quota.Limit(o.Quota(), share), now)
 	if a.Granted < len(wanted) || a.Paid < float64(d.GetOwed()) {
-		s.lack(a, share, now)
+		s.reportShortage(a, share, now)
 	}
 	return &wire.Allowance{Organisation: a.Organisation, Paid: int64(a.Paid), Granted: int32(a.Granted), WaitMicros: a.Wait.Microseconds()}
 }
 
-// lack triggers a loan request for the units that the pool lacks, and logs the shortage at a limited rate.
-func (s *spending) lack(a access.Allowance, share float64, now time.Time) {
+// reportShortage triggers a loan request for the units that the pool lacks, and logs the shortage at a limited rate.
+func (s *spending) reportShortage(a access.Allowance, share float64, now time.Time) {
 	select {
 	case s.short <- struct{}{}:
 	default:
@@ -165,25 +165,25 @@
 	}
 }
 
-// borrow requests units from the other data centres while this box's pool lacks some, until ctx ends.
-func (s *spending) borrow(ctx context.Context) error {
+// requestLoans requests units from the other data centres while this box's pool lacks some, until ctx ends.
+func (s *spending) requestLoans(ctx context.Context) error {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-s.short:
 		}
-		pause := lendRest
-		if s.borrowOnce(ctx) {
-			pause = lendAgain
+		pause := loanBackoff
+		if s.requestLoansOnce(ctx) {
+			pause = loanRetryDelay
 		}
 		sleep(ctx, pause)
 	}
 	return nil
 }
 
-// borrowOnce requests an equal part of the missing units from each other leader. It reports whether any were lent.
-func (s *spending) borrowOnce(ctx context.Context) bool {
+// requestLoansOnce requests an equal part of the missing units from each other leader. It reports whether any were lent.
+func (s *spending) requestLoansOnce(ctx context.Context) bool {
 	v := s.node.peers.clusterView()
 	var others []member.Member
 	for _, c := range v.centres {
@@ -197,7 +197,7 @@
 	}
 	answers := make(chan *wire.LendReply, len(others))
 	for _, m := range others {
-		go func() { answers <- s.askLoan(ctx, m, q) }()
+		go func() { answers <- s.requestLoan(ctx, m, q) }()
 	}
 	lent := make(map[string]int64, len(q.GetLoans()))
 	for range others {
@@ -207,7 +207,7 @@
 	}
 	now := clock.Now()
 	for _, l := range q.GetLoans() {
-		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, lendRest)
+		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
 	}
 	if len(lent) > 0 {
 		s.hurry() // requests held by this box may wait for the units
@@ -215,9 +215,9 @@
 	return len(lent) > 0
 }
 
-// askLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent twice.
-func (s *spending) askLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
-	ctx, cancel := context.WithTimeout(ctx, lendCall)
+// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent twice.
+func (s *spending) requestLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
+	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 	defer cancel()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Lend(ctx, q)
 	if err != nil {
@@ -227,13 +227,13 @@
 	return a
 }
 
-// lend handles a loan request of another data centre's leader.
-func (s *spending) lend(q *wire.LendRequest, now time.Time) *wire.LendReply {
+// handleLend handles a loan request of another data centre's leader.
+func (s *spending) handleLend(q *wire.LendRequest, now time.Time) *wire.LendReply {
 	a := &wire.LendReply{}
 	if !s.leads(now) {
 		return a
 	}
-	share := s.share(s.drawn.count(now), now)
+	share := s.share(s.drawers.count(now), now)
 	bounds := s.node.current.Load().Quota
 	for _, l := range q.GetLoans() {
 		o := s.node.view.Config().Callers().Named(l.GetOrganisation())
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -40,7 +40,7 @@
 
 // hear takes in what another box saw.
 func (q quarantined) hear(m *wire.EndedRequest, now time.Time) {
-	for _, e := range m.GetEnds()[:min(len(m.GetEnds()), mostMessages)] {
+	for _, e := range m.GetEnds()[:min(len(m.GetEnds()), maxPendingMessages)] {
 		q.count(e.GetEndpoint(), quarantine.Decode(e.GetContents()), now)
 	}
 }
--- a/edge/reader.go
+++ b/edge/reader.go
@@ -245,15 +245,15 @@
 func (r *reader) reason() string {
 	switch {
 	case r.asOf.IsZero():
-		return readFirst
+		return reasonFirstList
 	case r.forgotten:
-		return readForgotten
+		return reasonHistoryLost
 	case r.afterOutage:
-		return readAfterOutage
+		return reasonAfterOutage
 	case r.leads():
-		return readLeads
+		return reasonLeader
 	}
-	return readNotTold
+	return reasonNoStatus
 }
 
 // list reads the whole collection. Its pages are as of their reading, the first at begun.
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -29,7 +29,7 @@
 // Ended implements the Peer service.
 func (s peerServer) Ended(_ context.Context, q *wire.EndedRequest) (*wire.EndedReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	s.node.kept.hear(q, time.Now())
+	s.node.quarantine.hear(q, time.Now())
 	s.node.departures.receive(q)
 	return &wire.EndedReply{}, nil
 }
@@ -52,7 +52,7 @@
 	if e == nil {
 		return nil, status.Error(codes.NotFound, "edge: unknown endpoint")
 	}
-	p, err := s.node.loader.Want(ctx, wanted(q, e))
+	p, err := s.node.loader.Want(ctx, wantedFromRequest(q, e))
 	if err != nil {
 		return nil, status.FromContextError(err).Err()
 	}
@@ -71,7 +71,7 @@
 // Use implements the Share service.
 func (s shareServer) Use(_ context.Context, q *wire.UseRequest) (*wire.UseReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	return s.node.use(q), nil
+	return s.node.recordUsage(q), nil
 }
 
 // Resign implements the Share service.
@@ -90,12 +90,12 @@
 // Settle implements the Share service.
 func (s shareServer) Settle(_ context.Context, q *wire.SettleRequest) (*wire.SettleReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	return s.node.spending.answer(q, clock.Now()), nil
+	return s.node.spending.handleSettle(q, clock.Now()), nil
 }
 
 // Lend implements the Share service.
 func (s shareServer) Lend(_ context.Context, q *wire.LendRequest) (*wire.LendReply, error) {
-	return s.node.spending.lend(q, clock.Now()), nil
+	return s.node.spending.handleLend(q, clock.Now()), nil
 }
 
 // Take implements the Share service.
@@ -112,8 +112,8 @@
 	return s.node.limits.hearAll(q, now), nil
 }
 
-// use records the usage that a box reported, and returns the current cost of a load.
-func (n *Node) use(q *wire.UseRequest) *wire.UseReply {
+// recordUsage records the usage that a box reported, and returns the current cost of a load.
+func (n *Node) recordUsage(q *wire.UseRequest) *wire.UseReply {
 	now := clock.Now()
 	var uses []placement.Use
 	for _, u := range q.GetUsage() {
--- a/edge/settings.go
+++ b/edge/settings.go
@@ -50,8 +50,8 @@
 	Revocation time.Duration // with StrictKeys: the maximum age of a configuration that authenticates callers
 }
 
-// defaultBehind is the maximum staleness if no bound is set.
-const defaultBehind = 2 * time.Second
+// defaultMaxStaleness is the maximum staleness if no bound is set.
+const defaultMaxStaleness = 2 * time.Second
 
 // Behind returns the maximum staleness of the box relative to what the source has published.
 func (b Bounds) Behind() time.Duration {
@@ -61,5 +61,5 @@
 	case b.Drain > 0 || b.Apply > 0:
 		return max(b.Drain, b.Apply)
 	}
-	return defaultBehind
+	return defaultMaxStaleness
 }
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -38,13 +38,13 @@
 // spending is what this box spends of the organisations' quotas, and, while it leads its data
 // centre, the pool that the boxes there draw from.
 type spending struct {
-	node   *Node
-	pool   access.Pool
-	drawn  drawn
-	opened atomic.Uint64 // the configuration for which the pool is filled; zero: this box does not lead
-	short  chan struct{} // holds one when the pool lacks units
-	urgent chan struct{} // holds one when a request waits
-	serves bool          // callers were served by their keys at the last look; of run alone
+	node    *Node
+	pool    access.Pool
+	drawers drawers
+	opened  atomic.Uint64 // the configuration for which the pool is filled; zero: this box does not lead
+	short   chan struct{} // holds one when the pool lacks units
+	urgent  chan struct{} // holds one when a request waits
+	serves  bool          // callers were served by their keys at the last look; of run alone
 
 	mu       sync.Mutex
 	accounts map[string]*account // by organisation
@@ -319,7 +319,7 @@
 	if m.Name() == s.node.peers.box {
 		return s.askSelf(ctx, q)
 	}
-	s.close()
+	s.closePool()
 	a, err := s.call(ctx, m.Address(), q)
 	if err != nil {
 		s.node.Log.V(1).Info("Leader does not answer a settlement", "leader", m.Name(), "err", err.Error())
@@ -330,7 +330,7 @@
 
 // askSelf answers this box's own settlement, and makes up for a source that it does not hear.
 func (s *spending) askSelf(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
-	a := s.answer(q, clock.Now())
+	a := s.handleSettle(q, clock.Now())
 	if ago, ok := s.node.vouched.ago(clock.Now()); !ok || ago > askOthersAfter {
 		s.askOthers(ctx)
 	}
@@ -379,7 +379,7 @@
 	now := clock.Now()
 	r := quotaReport{Owed: make(map[string]float64)}
 	if s.leads(now) {
-		r.Pool, r.Draws = s.pool.Levels(), s.drawn.count(now)
+		r.Pool, r.Draws = s.pool.Levels(), s.drawers.count(now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -32,7 +32,7 @@
 	var before []string
 	for ctx.Err() == nil {
 		changed := n.peers.table.Changed()
-		if led := n.peers.clusterView().ledBy(n.peers.box); !slices.Equal(led, before) {
+		if led := n.peers.clusterView().dataCentresLedBy(n.peers.box); !slices.Equal(led, before) {
 			before = led
 			n.loader.Look()
 		}
@@ -70,7 +70,7 @@
 // leaversOf returns the boxes that may still give orders in a data centre though they leave.
 func (p *peers) leaversOf(centre string, now time.Time) []member.Member {
 	p.mu.Lock()
-	before := p.leaders[centre].before
+	before := p.leaders[centre].previous
 	p.mu.Unlock()
 	var list []member.Member
 	for _, m := range p.table.All() {
--- a/edge/traffic.go
+++ b/edge/traffic.go
@@ -95,20 +95,20 @@
 
 // Reasons of calls to the source, as labels of their counts.
 const (
-	readFirst       = "first_list"   // the first list after start-up
-	readLeads       = "leads"        // this box leads, and others rely on its reads
-	readNotTold     = "not_told"     // the status of the followed box is missing or too old
-	readForgotten   = "forgotten"    // a list, since the source no longer has the change history
-	readAfterOutage = "after_outage" // a list, since endpoint registrations may have expired during an outage
+	reasonFirstList   = "first_list"   // the first list after start-up
+	reasonLeader      = "leads"        // this box leads, and others rely on its reads
+	reasonNoStatus    = "not_told"     // the status of the followed box is missing or too old
+	reasonHistoryLost = "forgotten"    // a list, since the source no longer has the change history
+	reasonAfterOutage = "after_outage" // a list, since endpoint registrations may have expired during an outage
 )
 
-// calls counts calls to the source by reason.
-type calls struct {
+// sourceCalls counts calls to the source by reason.
+type sourceCalls struct {
 	mu       sync.Mutex
 	byReason map[string]int64
 }
 
-func (c *calls) count(reason string) {
+func (c *sourceCalls) count(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.byReason == nil {
@@ -117,25 +117,25 @@
 	c.byReason[reason]++
 }
 
-func (c *calls) counts() map[string]int64 {
+func (c *sourceCalls) counts() map[string]int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.byReason)
 }
 
-// trafficPause is the interval of the log lines with message counts. It is short enough to show changes in the course of
+// trafficLogInterval is the interval of the log lines with message counts. It is short enough to show changes in the course of
 // a day, and a line of some 2 KB is negligible beside the traffic that it counts.
-const trafficPause = 10 * time.Second
+const trafficLogInterval = 10 * time.Second
 
 // logTraffic logs the cumulative counts of messages at debug level, until ctx ends.
 func (n *Node) logTraffic(ctx context.Context) error {
 	for {
-		sleep(ctx, trafficPause)
+		sleep(ctx, trafficLogInterval)
 		if ctx.Err() != nil {
 			return nil
 		}
 		n.Log.V(1).Info("Message counts", "messages", n.messages.Counts(),
-			"source_calls", n.calls.counts(), "processor_ms", processorTime().Milliseconds(), "leads", n.leads())
+			"source_calls", n.sourceCalls.counts(), "processor_ms", processorTime().Milliseconds(), "leads", n.leads())
 	}
 }
 
--- a/edge/usage.go
+++ b/edge/usage.go
@@ -119,17 +119,17 @@
 
 // run tells the leaders of changes soon, and of everything now and then, until ctx ends.
 func (u *usage) run(ctx context.Context) error {
-	whole := time.NewTicker(usePause)
+	whole := time.NewTicker(fullUsageInterval)
 	defer whole.Stop()
 	var soon <-chan time.Time // when what changed is told; nil: nothing has
-	look := time.NewTicker(lookPause)
+	look := time.NewTicker(leaderCheckInterval)
 	defer look.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-u.wake:
 			if soon == nil { // what changes later is told with what waits: set anew, the time would not run out on a busy box
-				soon = time.After(changePause)
+				soon = time.After(usageBatchDelay)
 			}
 		case <-soon:
 			soon = nil
@@ -244,10 +244,10 @@
 		return
 	}
 	if m.Name() == u.node.peers.box {
-		u.node.levels.hear(centre, u.node.use(q), clock.Now())
+		u.node.levels.hear(centre, u.node.recordUsage(q), clock.Now())
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, usePause)
+	call, cancel := context.WithTimeout(ctx, fullUsageInterval)
 	defer cancel()
 	a, err := wire.NewShareClient(u.node.peers.dialer.Conn(m.Address())).Use(call, q)
 	if err != nil {
