--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -18,8 +18,8 @@
 	// within a few seconds, and network partitions rarely last longer.
 	takeoverDelay = 20 * time.Second
 
-	// leaderCapacityDivisor limits leadership to boxes whose CPU capacity is at least the strongest one's divided by it,
-	// since a leader works for the whole data centre.
+	// leaderCapacityDivisor limits leadership to boxes whose CPU capacity is at least the strongest one's divided by
+	// it, since a leader works for the whole data centre.
 	leaderCapacityDivisor = 2
 
 	// maxFollowers is how many boxes of its data centre one box sends all facts to. The others follow those, so that
@@ -88,8 +88,8 @@
 	return v
 }
 
-// addDataCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the oldest
-// one anywhere if no box serves there. If one of them died recently, a network partition is more likely than a
+// addDataCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the
+// oldest one anywhere if no box serves there. If one of them died recently, a network partition is more likely than a
 // data centre without boxes, so no box elsewhere leads it until takeoverDelay has passed.
 func (v *clusterView) addDataCentre(centre string, list []member.Member, now time.Time) {
 	var lastDeath time.Time // when the last one of them died
@@ -145,8 +145,9 @@
 	return a.Name() < b.Name()
 }
 
-// chooseUpstream determines the box that this one follows. The boxes of a data centre form a tree below the leader, filled level
-// by level: boxes of higher capacity first, then older ones. A box that is missing from its own view follows the leader.
+// chooseUpstream determines the box that this one follows. The boxes of a data centre form a tree below the leader,
+// filled level by level: boxes of higher capacity first, then older ones. A box that is missing from its own view
+// follows the leader.
 //
 // A box that changes the one that it follows must fetch what it may have missed, so a box that starts or stops should
 // move few others. When the position in a sorted list decided, a restart moved 5.8 of 39 boxes on average; now it moves
@@ -176,8 +177,8 @@
 	v.upstream = upstreamOfLast(others[begin:i+1], others[candidatesFrom:begin])
 }
 
-// upstreamOfLast returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of the candidates, the
-// first one that has fewer than maxFollowers followers.
+// upstreamOfLast returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of
+// the candidates, the first one that has fewer than maxFollowers followers.
 func upstreamOfLast(boxes, candidates []member.Member) member.Member {
 	names := make([]string, len(candidates))
 	for i, m := range candidates {
--- a/edge/connections.go
+++ b/edge/connections.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// callerConnDivisor is the divisor that gives the share of the box's file descriptors that callers' connections may use before
-// the longest idle ones are closed. Callers keep idle connections for up to 90 s, and a box that has run out of
-// descriptors accepts no connection, though it reports that it is ready. The other half is for endpoints: a quarter for
-// the connections of requests in flight, and a quarter for idle ones.
+// callerConnDivisor is the divisor that gives the share of the box's file descriptors that callers' connections may
+// use before the longest idle ones are closed. Callers keep idle connections for up to 90 s, and a box that has run
+// out of descriptors accepts no connection, though it reports that it is ready. The other half is for endpoints: a
+// quarter for the connections of requests in flight, and a quarter for idle ones.
 const callerConnDivisor = 2
 
-// maxAuxiliaryConns is the connection limit of the readiness server and of the metrics server. A client that opens a new
-// connection for each request stays within it, since the oldest idle ones are closed.
+// maxAuxiliaryConns is the connection limit of the readiness server and of the metrics server. A client that opens a
+// new connection for each request stays within it, since the oldest idle ones are closed.
 const maxAuxiliaryConns = 64
 
 // idleCloser closes idle connections of one server while too many are open. It never rejects a new connection and
--- a/edge/connections_test.go
+++ b/edge/connections_test.go
@@ -43,8 +43,8 @@
 	return err
 }
 
-// Guards against running out of file descriptors: callers kept so many idle connections open that the box accepted no new
-// ones, though it reported that it was ready.
+// Guards against running out of file descriptors: callers kept so many idle connections open that the box accepted no
+// new ones, though it reported that it was ready.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	const most, more = 4, 3
 	c := quicktest.New(t)
--- a/edge/ended_test.go
+++ b/edge/ended_test.go
@@ -76,7 +76,8 @@
 	return topology.NewEndpoint(topology.EndpointSpec{ID: key, Service: "s", Address: string(value), DataCentre: "dc", Slots: 8}), nil
 }
 
-// crashingService is a service whose endpoints crash when they receive a fatal request, and the Source that publishes them.
+// crashingService is a service whose endpoints crash when they receive a fatal request, and the Source that publishes
+// them.
 type crashingService struct {
 	addresses []string
 	crashes   atomic.Int64
@@ -158,8 +159,8 @@
 // fleetStartTimeout is the timeout for boxes to find each other, which takes some three seconds.
 const fleetStartTimeout = time.Minute
 
-// startFleet starts boxes in front of a service, two in each data centre, and waits until they serve. The function end stops
-// a box before the test ends.
+// startFleet starts boxes in front of a service, two in each data centre, and waits until they serve. The function end
+// stops a box before the test ends.
 func startFleet(c *quicktest.C, s Source, d Decoder, boxes int) (nodes []*Node, end func(box int)) {
 	var seeds []string
 	stops := make(map[int]func() error)
@@ -196,11 +197,12 @@
 // retryPause is the time until a caller retries. Boxes notify each other in the meantime.
 const retryPause = 300 * time.Millisecond
 
-// Guards against a request that crashes one endpoint after the other: up to two a second ended, each with the requests of
-// other callers that ran there, and a tenth of all requests failed for fifteen seconds. The caller got an error and retried
-// the same content under a new ID at any box. No box recorded by content which requests had crashed endpoints, or notified
-// the others, so each sent it to the next endpoint. 20 to 24 endpoints ended by one request, 14 to 17 of them after the
-// third. The evidence was one path, of millions, in the errors of interrupted requests with 14 IDs at seven boxes.
+// Guards against a request that crashes one endpoint after the other: up to two a second ended, each with the requests
+// of other callers that ran there, and a tenth of all requests failed for fifteen seconds. The caller got an error and
+// retried the same content under a new ID at any box. No box recorded by content which requests had crashed endpoints,
+// or notified the others, so each sent it to the next endpoint. 20 to 24 endpoints ended by one request, 14 to 17 of
+// them after the third. The evidence was one path, of millions, in the errors of interrupted requests with 14 IDs at
+// seven boxes.
 func TestRequestThatCrashedThreeEndpointsReachesNoOther(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -16,8 +16,8 @@
 // serveHTTP serves until ctx ends, then shuts down gracefully: connections are closed once they are idle, the others
 // after the given time. Requests still in flight are cancelled with forward.ErrEnding shortly before that.
 func serveHTTP(ctx context.Context, s *http.Server, l net.Listener, timeout time.Duration) error {
-	base, endRequests := context.WithCancelCause(context.Background())
-	defer endRequests(nil)
+	base, cancelRequests := context.WithCancelCause(context.Background())
+	defer cancelRequests(nil)
 	s.BaseContext = func(net.Listener) context.Context { return base }
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(l) }()
@@ -26,11 +26,11 @@
 		return errors.Wrap(err, "edge: serve HTTP")
 	case <-ctx.Done():
 	}
-	end, cancel := context.WithTimeout(context.Background(), timeout)
+	shutdown, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	cancelTimer := time.AfterFunc(timeout-answerTime, func() { endRequests(forward.ErrEnding) })
+	cancelTimer := time.AfterFunc(timeout-answerTime, func() { cancelRequests(forward.ErrEnding) })
 	defer cancelTimer.Stop()
-	err := s.Shutdown(end)
+	err := s.Shutdown(shutdown)
 	<-served
 	if err != nil {
 		return errors.Wrap(s.Close(), "edge: close HTTP server")
--- a/edge/node_test.go
+++ b/edge/node_test.go
@@ -65,8 +65,8 @@
 	return 0, errors.New("no endpoints here")
 }
 
-// The port range of boxes in tests. It is below the ephemeral ports, of which one could be assigned to another connection
-// before the box listens on it.
+// The port range of boxes in tests. It is below the ephemeral ports, of which one could be assigned to another
+// connection before the box listens on it.
 const firstPort, lastPort = 10_000, 32_000
 
 // nextPort is the next port to try. It starts at a random one, since other test processes run at the same time.
--- a/edge/notice_test.go
+++ b/edge/notice_test.go
@@ -37,8 +37,8 @@
 	return count
 }
 
-// requestsDuringBackoff returns the highest number of requests that one box sent during one back-off of the given length. The endpoint
-// asks for a back-off in each response.
+// requestsDuringBackoff returns the highest number of requests that one box sent during one back-off of the given
+// length. The endpoint asks for a back-off in each response.
 func (e *needyEndpoint) requestsDuringBackoff(long time.Duration) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -55,11 +55,11 @@
 	return most
 }
 
-// Guards against requests to an endpoint more than two seconds after it announced draining. During an outage of the store an
-// endpoint began to drain and announced it in all its responses, but the store only got its entry 13 s later. Boxes learnt
-// of draining from the store alone and did not read it from responses, so until then they sent requests there, the leader
-// of the data centre ordered adapter loads, and no box logged that the endpoint was draining. Without the fix 55 requests
-// are late in this test.
+// Guards against requests to an endpoint more than two seconds after it announced draining. During an outage of the
+// store an endpoint began to drain and announced it in all its responses, but the store only got its entry 13 s later.
+// Boxes learnt of draining from the store alone and did not read it from responses, so until then they sent requests
+// there, the leader of the data centre ordered adapter loads, and no box logged that the endpoint was draining.
+// Without the fix 55 requests are late in this test.
 func TestEndpointThatAnnouncesDrainingGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
@@ -72,7 +72,8 @@
 	c.Check(got, quicktest.DeepEquals, map[int]int{http.StatusOK: 80 * 5})
 }
 
-// One box learns from a response that an endpoint is draining; all boxes must treat it as draining, also one that starts later.
+// One box learns from a response that an endpoint is draining; all boxes must treat it as draining, also one that
+// starts later.
 func TestAllBoxesLearnThatAnEndpointDrains(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
@@ -100,7 +101,8 @@
 	}
 }
 
-// A drain fact is removed with its endpoint, and stays so when a box that has not yet received the removal sends it again.
+// A drain fact is removed with its endpoint, and stays so when a box that has not yet received the removal sends it
+// again.
 func TestDrainFactsAreRemovedWithTheirEndpoints(t *testing.T) {
 	c := quicktest.New(t)
 	n := newNode(c, "box-1")
@@ -117,8 +119,8 @@
 	c.Check(n.items.Keys(), quicktest.HasLen, 0)
 }
 
-// An endpoint announced draining in a response. A later version of its entry in the store that still says that it serves
-// must not revert that.
+// An endpoint announced draining in a response. A later version of its entry in the store that still says that it
+// serves must not revert that.
 func TestTheSourceDoesNotRevertDraining(t *testing.T) {
 	c := quicktest.New(t)
 	n := newNode(c, "box-1")
@@ -133,12 +135,12 @@
 	c.Check(n.view.Endpoint("e/1").Draining(), quicktest.IsTrue)
 }
 
-// Guards against requests to an endpoint that asked for a back-off: one that had rejected a request of a box and asked for a
-// back-off of three seconds got 24 requests from that box in that time, and 29% of all requests were rejected while two
-// thirds of the endpoints served. Boxes did not read the back-off, and a rejection only kept that one request away. The
-// next ones went there as well, since an endpoint that runs no requests of the box looks the least loaded. Four such
-// endpoints got 14 to 59 requests a second each while they rejected all, after 6 to 20 before. Without the fix this test
-// sees 16 requests in one back-off, and 45 of 400 rejected.
+// Guards against requests to an endpoint that asked for a back-off: one that had rejected a request of a box and asked
+// for a back-off of three seconds got 24 requests from that box in that time, and 29% of all requests were rejected
+// while two thirds of the endpoints served. Boxes did not read the back-off, and a rejection only kept that one
+// request away. The next ones went there as well, since an endpoint that runs no requests of the box looks the least
+// loaded. Four such endpoints got 14 to 59 requests a second each while they rejected all, after 6 to 20 before.
+// Without the fix this test sees 16 requests in one back-off, and 45 of 400 rejected.
 func TestBackOffOfAnEndpointIsRespected(t *testing.T) {
 	t.Parallel()
 	c := quicktest.New(t)
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -20,7 +20,8 @@
 	// notifyMaxAge is how long a message is retried to leaders that do not answer. By then a leader that died has
 	// been replaced, and one behind a network partition receives the reports of its own data centre.
 	notifyMaxAge = 8 * time.Second
-	// maxPendingMessages bounds the pending messages and the entries of one request, since many endpoints may end together.
+	// maxPendingMessages bounds the pending messages and the entries of one request, since many endpoints may end
+	// together.
 	maxPendingMessages = 1024
 )
 
@@ -45,14 +46,14 @@
 func newOutbox(n *Node) *outbox { return &outbox{node: n, wake: make(chan struct{}, 1)} }
 
 // add queues a message for all leaders. It returns false if the queue is full.
-func (o *outbox) add(n *message, now time.Time) bool {
-	n.expires, n.delivered = now.Add(notifyMaxAge), make(map[string]bool)
+func (o *outbox) add(m *message, now time.Time) bool {
+	m.expires, m.delivered = now.Add(notifyMaxAge), make(map[string]bool)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.messages) >= maxPendingMessages {
 		return false
 	}
-	o.messages = append(o.messages, n)
+	o.messages = append(o.messages, m)
 	select {
 	case o.wake <- struct{}{}:
 	default: // a wake-up is already pending
@@ -82,10 +83,11 @@
 	messages []*message
 }
 
-// deliver sends each leader the messages that it has not received. It returns whether all messages are delivered or expired.
+// deliver sends each leader the messages that it has not received. It returns whether all messages are delivered or
+// expired.
 func (o *outbox) deliver(ctx context.Context, now time.Time) bool {
 	all, leaders := o.pending(), o.leaders()
-	answers := make(chan delivery, len(leaders))
+	deliveries := make(chan delivery, len(leaders))
 	calls := 0
 	for _, m := range leaders {
 		undelivered := slices.DeleteFunc(slices.Clone(all), func(n *message) bool { return n.delivered[m.Name()] })
@@ -93,12 +95,12 @@
 			continue
 		}
 		calls++
-		go func() { answers <- o.deliverTo(ctx, m, undelivered) }()
+		go func() { deliveries <- o.deliverTo(ctx, m, undelivered) }()
 	}
 	for range calls {
-		a := <-answers
-		for _, n := range a.messages {
-			n.delivered[a.leader] = true
+		d := <-deliveries
+		for _, n := range d.messages {
+			n.delivered[d.leader] = true
 		}
 	}
 	return o.removeDone(leaders, now)
@@ -148,7 +150,8 @@
 	return delivery{leader: m.Name(), messages: undelivered}
 }
 
-// removeDone removes messages that every leader has received and those that have expired. It returns whether none is left.
+// removeDone removes messages that every leader has received and those that have expired. It returns whether none is
+// left.
 func (o *outbox) removeDone(leaders []member.Member, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/edge/peers_test.go
+++ b/edge/peers_test.go
@@ -100,9 +100,10 @@
 	c.Assert(ok, quicktest.IsFalse)
 }
 
-// Guards against an endpoint that a box keeps for ever: the box lists the source, the endpoint is removed, and then its
-// leader lists the source for the first time, so the leader never sends the removal. The box relied on the leader's status
-// and stopped to read the source. The state model found this with boxes that start together and one that restarts.
+// Guards against an endpoint that a box keeps for ever: the box lists the source, the endpoint is removed, and then
+// its leader lists the source for the first time, so the leader never sends the removal. The box relied on the
+// leader's status and stopped to read the source. The state model found this with boxes that start together and one
+// that restarts.
 func TestStatusCountsOnceTheBoxItselfHasReadAsFar(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("b", "dc", 1, 400))
@@ -177,8 +178,8 @@
 	c.Assert(m.Name(), quicktest.Equals, "a")
 }
 
-// Guards against a takeover during a network partition: as soon as it healed, both sides claimed each other's endpoints,
-// and no adapters were loaded there until the leases had expired.
+// Guards against a takeover during a network partition: as soon as it healed, both sides claimed each other's
+// endpoints, and no adapters were loaded there until the leases had expired.
 func TestUnreachableDataCentreIsNotLedFromElsewhereAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	p := peersOf(box("a", "dc", 2, 400), box("f", "far", 1, 400))
@@ -247,10 +248,10 @@
 	}
 }
 
-// Guards against a takeover when a data centre is partitioned while one of its boxes is being replaced: a box shuts down,
-// and 2 s later the others become unreachable. Since not all were dead, the data centre counted as one whose boxes had
-// shut down. 140 boxes elsewhere chose another leader for it at once, as the "Data centre has a leader" lines of 151 boxes
-// showed, and its endpoints got no adapter loads until after the lease had expired.
+// Guards against a takeover when a data centre is partitioned while one of its boxes is being replaced: a box shuts
+// down, and 2 s later the others become unreachable. Since not all were dead, the data centre counted as one whose
+// boxes had shut down. 140 boxes elsewhere chose another leader for it at once, as the "Data centre has a leader"
+// lines of 151 boxes showed, and its endpoints got no adapter loads until after the lease had expired.
 func TestDataCentreThatIsPartitionedWhileABoxShutsDownIsNotLedFromElsewhere(t *testing.T) {
 	c := quicktest.New(t)
 	left := box("g", "far", 1, 400)
@@ -288,10 +289,11 @@
 	return by
 }
 
-// Guards against reads of the whole source by boxes that were not restarted, seen in a data centre of 39 boxes of which a
-// third was restarted one after the other. The position in the list by name decided which box a box followed, so all behind
-// a stopped one moved up: every sixth one then followed another box, or the box that it followed had itself moved. A box
-// that follows another one may have missed removals, so it reads the source. A restart moved 5.8 boxes on average.
+// Guards against reads of the whole source by boxes that were not restarted, seen in a data centre of 39 boxes of
+// which a third was restarted one after the other. The position in the list by name decided which box a box followed,
+// so all behind a stopped one moved up: every sixth one then followed another box, or the box that it followed had
+// itself moved. A box that follows another one may have missed removals, so it reads the source. A restart moved 5.8
+// boxes on average.
 func TestARestartMovesFewOtherBoxes(t *testing.T) {
 	c := quicktest.New(t)
 	const count = 39
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// grant handles a box's demand from one quota. A demand from an organisation without a limit in this box's configuration,
-// which may be another version than the caller's, is granted in full.
+// grant handles a box's demand from one quota. A demand from an organisation without a limit in this box's
+// configuration, which may be another version than the caller's, is granted in full.
 func (s *spending) grant(d *wire.Demand, share float64, now time.Time) *wire.Allowance {
 	o := s.node.view.Config().Callers().Named(d.GetOrganisation())
 	if o == nil || !o.Quota().Limits() {
@@ -182,7 +182,8 @@
 	return nil
 }
 
-// requestLoansOnce requests an equal part of the missing units from each other leader. It reports whether any were lent.
+// requestLoansOnce requests an equal part of the missing units from each other leader. It reports whether any were
+// lent.
 func (s *spending) requestLoansOnce(ctx context.Context) bool {
 	v := s.node.peers.clusterView()
 	var others []member.Member
@@ -215,7 +216,8 @@
 	return len(lent) > 0
 }
 
-// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent twice.
+// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent
+// twice.
 func (s *spending) requestLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
 	defer cancel()
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -30,8 +30,8 @@
 	c.Assert(n.trustsKeys(clock.Now()), quicktest.IsTrue)
 }
 
-// Endpoints drain while a box is suspended. The box must not send requests by its state from before, and must not report
-// to others that it reads the source.
+// Endpoints drain while a box is suspended. The box must not send requests by its state from before, and must not
+// report to others that it reads the source.
 func TestAfterASuspendTheSourceDoesNotCountAsRead(t *testing.T) {
 	c := quicktest.New(t)
 	n := &Node{Settings: Settings{Bounds: Bounds{Drain: 2 * time.Second, Apply: 2 * time.Second}}}
@@ -47,8 +47,8 @@
 	c.Assert(told.isFresh(clock.Now(), n.behind()), quicktest.IsFalse)
 }
 
-// After a suspend another box leads the data centre, so what leaders and boxes reported before must have expired. A pool
-// would otherwise hand out the units of the time in between.
+// After a suspend another box leads the data centre, so what leaders and boxes reported before must have expired. A
+// pool would otherwise hand out the units of the time in between.
 func TestAfterASuspendReportsOfLeadersAndBoxesHaveExpired(t *testing.T) {
 	c := quicktest.New(t)
 	var l levels
--- a/edge/traffic.go
+++ b/edge/traffic.go
@@ -123,8 +123,8 @@
 	return maps.Clone(c.byReason)
 }
 
-// trafficLogInterval is the interval of the log lines with message counts. It is short enough to show changes in the course of
-// a day, and a line of some 2 KB is negligible beside the traffic that it counts.
+// trafficLogInterval is the interval of the log lines with message counts. It is short enough to show changes in the
+// course of a day, and a line of some 2 KB is negligible beside the traffic that it counts.
 const trafficLogInterval = 10 * time.Second
 
 // logTraffic logs the cumulative counts of messages at debug level, until ctx ends.
--- a/edge/traffic_test.go
+++ b/edge/traffic_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// The first list after start-up has a reason of its own, whichever box leads. Later calls are counted by whether others rely
-// on them.
+// The first list after start-up has a reason of its own, whichever box leads. Later calls are counted by whether
+// others rely on them.
 func TestSourceCallsAreCountedByReason(t *testing.T) {
 	c := quicktest.New(t)
 	s := &script{
