--- a/edge/admission.go
+++ b/edge/admission.go
@@ -29,10 +29,10 @@
 
 // SpendAgain implements forward.Admission.
 func (a admission) SpendAgain(o *access.Organisation, units float64) {
-	a.node.spending.change(o.Name(), units)
+	a.node.spending.charge(o.Name(), units)
 }
 
 // Return implements forward.Admission.
 func (a admission) Return(o *access.Organisation, units float64) {
-	a.node.spending.change(o.Name(), -units)
+	a.node.spending.charge(o.Name(), -units)
 }
--- a/edge/ignored.go
+++ b/edge/ignored.go
@@ -25,9 +25,9 @@
 	return ignoredReport{Read: i.read.Load(), Received: i.received.Load()}
 }
 
-// noteIgnored counts facts that the table did not take. Those of other boxes arrive late on any day; one that the
+// countIgnored counts facts that the table did not take. Those of other boxes arrive late on any day; one that the
 // source itself gives is logged.
-func (n *Node) noteIgnored(items []*wire.Item, received bool) {
+func (n *Node) countIgnored(items []*wire.Item, received bool) {
 	if received {
 		n.ignored.received.Add(int64(len(items)))
 		return
--- a/edge/leave.go
+++ b/edge/leave.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	headerTime = 5 * time.Second         // for the head of a request
-	idleTime   = 90 * time.Second        // callers use connections again that rested for less
-	noticeFor  = 2800 * time.Millisecond // the balancer asks each second and believes the second miss
-	endMargin  = 300 * time.Millisecond  // of the grace that is kept for the end itself
-	leavePause = 100 * time.Millisecond  // between two looks whether noticeFor is over
-	// answerTime is the last of what the held requests have: those that are still held are
+	readHeaderTimeout = 5 * time.Second         // for the head of a request
+	idleTimeout       = 90 * time.Second        // callers use connections again that rested for less
+	leaveNoticeTime   = 2800 * time.Millisecond // the balancer asks each second and believes the second miss
+	shutdownMargin    = 300 * time.Millisecond  // of the grace that is kept for the end itself
+	leavePollInterval = 100 * time.Millisecond  // between two looks whether leaveNoticeTime is over
+	// finalAnswerTime is the last of what the held requests have: those that are still held are
 	// told then, and their answers written, in place of connections that are closed. An
 	// answer is a few hundred bytes to a caller some ms away, for up to a thousand of them.
-	answerTime = 300 * time.Millisecond
+	finalAnswerTime = 300 * time.Millisecond
 )
 
 // leave ends the box's work in order: the balancer and the boxes are told first,
@@ -31,8 +31,8 @@
 	n.gateway.Leave()
 	n.loader.Leave(begun) // before its own view says that another box leads
 	n.peers.table.Leave()
-	for clock.Since(begun) < noticeFor {
-		time.Sleep(leavePause)
+	for clock.Since(begun) < leaveNoticeTime {
+		time.Sleep(leavePollInterval)
 	}
 	n.Log.Info("Box has left", "held", n.gateway.Held(), "took_ms", clock.Since(begun).Milliseconds())
 }
@@ -42,7 +42,7 @@
 	return !n.leaving.Load() && n.view.Config() != nil && len(n.view.All()) > 0 && n.expectsKeys(clock.Now())
 }
 
-func (n *Node) readiness() http.Handler {
+func (n *Node) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !n.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -19,22 +19,22 @@
 const limitsPrefix = "limits/"
 
 const (
-	// takeCall is for a leader's answer, which takes a few milliseconds; a request waits for it.
-	takeCall = 100 * time.Millisecond
-	// takeAgain is how long an endpoint is passed over after its leader gave no answer: boxes agree
+	// takeTimeout is for a leader's answer, which takes a few milliseconds; a request waits for it.
+	takeTimeout = 100 * time.Millisecond
+	// noLeaderDenialTime is how long an endpoint is passed over after its leader gave no answer: boxes agree
 	// on another one within a second, and each request of the time would wait for takeCall.
-	takeAgain = 200 * time.Millisecond
-	// deniedMost is the longest that a box passes an endpoint over by one answer of its leader,
+	noLeaderDenialTime = 200 * time.Millisecond
+	// maxDenialTime is the longest that a box passes an endpoint over by one answer of its leader,
 	// which may be less than what that tells callers: other boxes may have left room since.
-	deniedMost = 100 * time.Millisecond
-	// spareAgain is between two questions of a box for what others leave of an endpoint's limit: it is of
+	maxDenialTime = 100 * time.Millisecond
+	// spareDenialTime is between two questions of a box for what others leave of an endpoint's limit: it is of
 	// little use, and 380 boxes ask one leader.
-	spareAgain = time.Second
-	// limitLine is between two lines about one endpoint's limit, and between two facts that tell all
+	spareDenialTime = time.Second
+	// limitUpdateInterval is between two lines about one endpoint's limit, and between two facts that tell all
 	// boxes a new value of it: it may change with each answer, and only who counts needs the value.
-	limitLine = time.Second
-	// limitPart is the part of a limit by which it must have changed for all boxes to be told.
-	limitPart = 0.25
+	limitUpdateInterval = time.Second
+	// limitChangeRatio is the part of a limit by which it must have changed for all boxes to be told.
+	limitChangeRatio = 0.25
 )
 
 // limits is the endpoints that name how many requests they take from all boxes together. The box that
@@ -45,28 +45,28 @@
 	counter ratelimit.Counter // for the endpoints of the data centres that this box leads
 	wake    chan struct{}     // holds one when a word is to be told
 
-	mu     sync.Mutex
-	known  map[string]*limited // by endpoint; mu is not held while facts are merged
-	unread time.Time           // when a line last told of a limit that can't be read
+	mu                 sync.Mutex
+	known              map[string]*limitState // by endpoint; mu is not held while facts are merged
+	unreadableLoggedAt time.Time              // when a line last told of a limit that can't be read
 }
 
-// limited is an endpoint that names a limit, or did.
-type limited struct {
-	word   ratelimit.Word  // the latest, by an answer or by a fact
-	untold bool            // its leader has not been told of word
-	line   time.Time       // when a line last told of it
-	fact   ratelimit.Limit // by the last fact
-	factAt time.Time
-	denied denial
-	counts LimitCounts
+// limitState is an endpoint that names a limit, or did.
+type limitState struct {
+	latest      ratelimit.Word  // the latest, by an answer or by a fact
+	unreported  bool            // its leader has not been told of word
+	loggedAt    time.Time       // when a line last told of it
+	published   ratelimit.Limit // by the last fact
+	publishedAt time.Time
+	denied      denial
+	counts      LimitCounts
 }
 
 // denial is a leader's answer that an endpoint takes no more, which stands for later requests of the
 // same kind, and for all that would get less.
 type denial struct {
-	until time.Time
-	back  time.Time // when callers are told to come back
-	want  ratelimit.Ask
+	until   time.Time
+	retryAt time.Time // when callers are told to come back
+	ask     ratelimit.Ask
 }
 
 // LimitCounts is what one box did with an endpoint that names a limit, since it named one first.
@@ -77,7 +77,7 @@
 }
 
 func newLimits(n *Node) *limits {
-	return &limits{node: n, wake: make(chan struct{}, 1), known: make(map[string]*limited)}
+	return &limits{node: n, wake: make(chan struct{}, 1), known: make(map[string]*limitState)}
 }
 
 // Limited implements forward.Limits.
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
-	return k != nil && k.word.Limit.Named()
+	return k != nil && k.latest.Limit.Named()
 }
 
 // Sent implements forward.Limits.
@@ -103,35 +103,35 @@
 	w := ratelimit.NewWord(l, sent, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.learnLocked(endpoint, w, now) {
+	if !s.updateLocked(endpoint, w, now) {
 		return
 	}
-	s.known[endpoint].untold = true
+	s.known[endpoint].unreported = true
 	select {
 	case s.wake <- struct{}{}:
 	default: // it will look anyway
 	}
 }
 
-// learnLocked takes in a word; it tells whether the limit is another one now.
-func (s *limits) learnLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
+// updateLocked takes in a word; it tells whether the limit is another one now.
+func (s *limits) updateLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
 	if s.known[endpoint] == nil && !w.Limit.Named() {
 		return false
 	}
 	k := s.entryLocked(endpoint)
-	if !w.At.After(k.word.At) {
+	if !w.At.After(k.latest.At) {
 		return false
 	}
-	before := k.word.Limit
-	k.word = w
+	before := k.latest.Limit
+	k.latest = w
 	if before == w.Limit {
 		return false
 	}
 	k.denied = denial{}
-	if before.Named() && w.Limit.Named() && now.Sub(k.line) < limitLine {
+	if before.Named() && w.Limit.Named() && now.Sub(k.loggedAt) < limitUpdateInterval {
 		return true
 	}
-	k.line = now
+	k.loggedAt = now
 	line := "Endpoint names a limit"
 	if !w.Limit.Named() {
 		line = "Endpoint names no limit any more"
@@ -145,17 +145,17 @@
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.unread.IsZero() && now.Sub(s.unread) < limitLine {
+	if !s.unreadableLoggedAt.IsZero() && now.Sub(s.unreadableLoggedAt) < limitUpdateInterval {
 		return
 	}
-	s.unread = now
+	s.unreadableLoggedAt = now
 	s.node.Log.Info("Endpoint's limit can't be read; what was known before stays", "endpoint", endpoint, "err", err.Error())
 }
 
 // Take implements forward.Limits.
 func (s *limits) Take(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.Taken {
 	now := clock.Now()
-	word, denied := s.look(e.ID(), want, now)
+	word, denied := s.cached(e.ID(), want, now)
 	if denied > 0 {
 		return forward.Taken{Wait: denied}
 	}
@@ -166,36 +166,36 @@
 		PatienceMicros: want.Patience.Microseconds(),
 		Spare:          want.Spare,
 	}
-	a := s.ask(ctx, e.DataCentre(), q)
-	return s.taken(e.ID(), word, a, want, clock.Now())
+	a := s.askLeader(ctx, e.DataCentre(), q)
+	return s.applyReply(e.ID(), word, a, want, clock.Now())
 }
 
-// look returns what is known of an endpoint's limit, and how long a request has to wait by what its
+// cached returns what is known of an endpoint's limit, and how long a request has to wait by what its
 // leader answered before; zero: the leader is asked.
-func (s *limits) look(endpoint string, want ratelimit.Ask, now time.Time) (w ratelimit.Word, denied time.Duration) {
+func (s *limits) cached(endpoint string, want ratelimit.Ask, now time.Time) (w ratelimit.Word, denied time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
 		return w, 0
 	}
-	if now.Before(k.denied.until) && !want.Before(k.denied.want) {
+	if now.Before(k.denied.until) && !want.Before(k.denied.ask) {
 		k.counts.Denied++
-		return k.word, max(k.denied.back.Sub(now), time.Millisecond)
+		return k.latest, max(k.denied.retryAt.Sub(now), time.Millisecond)
 	}
-	return k.word, 0
+	return k.latest, 0
 }
 
-// ask asks the leader of a data centre; one that gives no answer leads nothing.
-func (s *limits) ask(ctx context.Context, centre string, q *wire.TakeRequest) *wire.TakeReply {
+// askLeader asks the leader of a data centre; one that gives no answer leads nothing.
+func (s *limits) askLeader(ctx context.Context, centre string, q *wire.TakeRequest) *wire.TakeReply {
 	m, ok := s.node.peers.clusterView().leader(centre)
 	if !ok {
 		return &wire.TakeReply{}
 	}
 	if m.Name() == s.node.peers.box {
-		return s.answer(q, clock.Now())
+		return s.handleTake(q, clock.Now())
 	}
-	call, cancel := context.WithTimeout(ctx, takeCall)
+	call, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Take(call, q)
 	if err != nil {
@@ -205,9 +205,9 @@
 	return a
 }
 
-// taken notes what became of a request for an endpoint. Where nobody counts for the endpoint it gets none:
+// applyReply notes what became of a request for an endpoint. Where nobody counts for the endpoint it gets none:
 // each box alone can't know what the others send.
-func (s *limits) taken(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.Taken {
+func (s *limits) applyReply(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.Taken {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,11 +218,11 @@
 	switch {
 	case !a.GetLeads():
 		k.counts.Denied++
-		k.denied = denial{until: now.Add(takeAgain), back: now.Add(takeAgain)}
-		return forward.Taken{Wait: takeAgain}
+		k.denied = denial{until: now.Add(noLeaderDenialTime), retryAt: now.Add(noLeaderDenialTime)}
+		return forward.Taken{Wait: noLeaderDenialTime}
 	case !a.GetLimited():
-		if k.word == asked { // its leader knows better
-			k.word = ratelimit.Word{At: now}
+		if k.latest == asked { // its leader knows better
+			k.latest = ratelimit.Word{At: now}
 		}
 		return forward.Taken{OK: true}
 	case a.GetGranted():
@@ -230,11 +230,11 @@
 		return forward.Taken{OK: true, Wait: wait}
 	}
 	k.counts.Denied++
-	again := min(wait, deniedMost)
+	again := min(wait, maxDenialTime)
 	if want.Spare {
-		again = spareAgain
+		again = spareDenialTime
 	}
-	k.denied = denial{until: now.Add(again), back: now.Add(wait), want: want}
+	k.denied = denial{until: now.Add(again), retryAt: now.Add(wait), ask: want}
 	return forward.Taken{Wait: wait}
 }
 
@@ -250,14 +250,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.entryLocked(endpoint)
-	k.fact, k.factAt = limit, now
-	s.learnLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
+	k.published, k.publishedAt = limit, now
+	s.updateLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
 }
 
-func (s *limits) entryLocked(endpoint string) *limited {
+func (s *limits) entryLocked(endpoint string) *limitState {
 	k := s.known[endpoint]
 	if k == nil {
-		k = new(limited)
+		k = new(limitState)
 		s.known[endpoint] = k
 	}
 	return k
@@ -284,7 +284,7 @@
 	defer s.mu.Unlock()
 	list := make(map[string]limitReport, len(s.known))
 	for e, k := range s.known {
-		list[e] = limitReport{Named: k.word.Limit.Named(), Rate: k.word.Limit.Rate(), LimitCounts: k.counts}
+		list[e] = limitReport{Named: k.latest.Limit.Named(), Rate: k.latest.Limit.Rate(), LimitCounts: k.counts}
 	}
 	return list
 }
--- a/edge/limits_lead.go
+++ b/edge/limits_leader.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// answer answers a box that asks for one of the requests that an endpoint takes.
-func (s *limits) answer(q *wire.TakeRequest, now time.Time) *wire.TakeReply {
+// handleTake answers a box that asks for one of the requests that an endpoint takes.
+func (s *limits) handleTake(q *wire.TakeRequest, now time.Time) *wire.TakeReply {
 	id := q.GetWord().GetEndpoint()
 	if !s.leads(id, now) {
 		return &wire.TakeReply{}
 	}
-	s.hear(q.GetWord(), now)
+	s.receive(q.GetWord(), now)
 	g := s.counter.Take(id, ratelimit.Ask{
 		Rank:     int(q.GetRank()),
 		Patience: time.Duration(q.GetPatienceMicros()) * time.Microsecond,
@@ -36,35 +36,35 @@
 	return leads && !now.Before(from)
 }
 
-// hear takes in, as the box that counts for it, what an endpoint said, after what this box knew
+// receive takes in, as the box that counts for it, what an endpoint said, after what this box knew
 // itself: it may have begun to count just now. It tells all boxes of a limit that is another one.
-func (s *limits) hear(w *wire.LimitWord, now time.Time) {
+func (s *limits) receive(w *wire.LimitWord, now time.Time) {
 	id := w.GetEndpoint()
 	s.mu.Lock()
 	var own ratelimit.Word
 	if k := s.known[id]; k != nil {
-		own = k.word
+		own = k.latest
 	}
 	s.mu.Unlock()
 	s.counter.Hear(id, own, now)
 	s.counter.Hear(id, w.Word(now), now)
-	if l := s.counter.Limit(id); s.isNews(id, l, now) {
+	if l := s.counter.Limit(id); s.shouldPublish(id, l, now) {
 		s.publish(id, l)
 	}
 }
 
-// isNews tells whether all boxes must be told of a limit that is counted by.
-func (s *limits) isNews(endpoint string, l ratelimit.Limit, now time.Time) bool {
+// shouldPublish tells whether all boxes must be told of a limit that is counted by.
+func (s *limits) shouldPublish(endpoint string, l ratelimit.Limit, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
 		return l.Named()
 	}
-	if k.fact.Named() != l.Named() {
+	if k.published.Named() != l.Named() {
 		return true
 	}
-	return math.Abs(l.Rate()-k.fact.Rate()) > limitPart*k.fact.Rate() && now.Sub(k.factAt) >= limitLine
+	return math.Abs(l.Rate()-k.published.Rate()) > limitChangeRatio*k.published.Rate() && now.Sub(k.publishedAt) >= limitUpdateInterval
 }
 
 // publish tells all boxes the limit of an endpoint.
--- a/edge/limits_tell.go
+++ b/edge/limits_notify.go
@@ -12,13 +12,13 @@
 	"cairnwick.example/wire"
 )
 
-// mostWords bounds what one message may hold: endpoints that name limits.
-const mostWords = 4096
+// maxReportedLimits bounds what one message may hold: endpoints that name limits.
+const maxReportedLimits = 4096
 
 // run tells leaders what endpoints said of their limits, and forgets endpoints that are gone, until
 // ctx ends.
 func (s *limits) run(ctx context.Context) error {
-	return teller{Wake: s.wake, Tell: s.tell, Again: leaderAgain, Expire: s.forgetGone}.Run(ctx)
+	return teller{Wake: s.wake, Tell: s.notifyLeaders, Again: noLeaderInterval, Expire: s.forgetGone}.Run(ctx)
 }
 
 // forgetGone forgets endpoints that this box does not know: a box that had not heard of their end
@@ -37,18 +37,18 @@
 	}
 }
 
-// untoldWords is what one leader is to be told.
-type untoldWords struct {
+// limitsReport is what one leader is to be told.
+type limitsReport struct {
 	leader member.Member
-	words  map[string]ratelimit.Word // by endpoint
+	limits map[string]ratelimit.Word // by endpoint
 }
 
-// tell tells each leader what it has not been told. It returns whether all were.
-func (s *limits) tell(ctx context.Context) bool {
-	list, complete := s.untold()
+// notifyLeaders tells each leader what it has not been told. It returns whether all were.
+func (s *limits) notifyLeaders(ctx context.Context) bool {
+	list, complete := s.pendingReports()
 	answers := make(chan bool, len(list))
 	for _, u := range list {
-		go func() { answers <- s.tellOne(ctx, u) }()
+		go func() { answers <- s.notifyLeader(ctx, u) }()
 	}
 	for range list {
 		complete = <-answers && complete
@@ -56,16 +56,16 @@
 	return complete
 }
 
-// untold returns what leaders are to be told, by leader; complete is false where one is not known.
-func (s *limits) untold() (list map[string]untoldWords, complete bool) {
+// pendingReports returns what leaders are to be told, by leader; complete is false where one is not known.
+func (s *limits) pendingReports() (list map[string]limitsReport, complete bool) {
 	view := s.node.peers.clusterView()
-	list = make(map[string]untoldWords)
+	list = make(map[string]limitsReport)
 	complete = true
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, k := range s.known {
 		e := s.node.view.Endpoint(id)
-		if !k.untold || e == nil {
+		if !k.unreported || e == nil {
 			continue
 		}
 		m, ok := view.leader(e.DataCentre())
@@ -75,41 +75,41 @@
 		}
 		u, known := list[m.Name()]
 		if !known {
-			u = untoldWords{leader: m, words: make(map[string]ratelimit.Word)}
+			u = limitsReport{leader: m, limits: make(map[string]ratelimit.Word)}
 			list[m.Name()] = u
 		}
-		u.words[id] = k.word
+		u.limits[id] = k.latest
 	}
 	return list, complete
 }
 
-// tellOne tells one leader; it returns whether that one leads and has heard.
-func (s *limits) tellOne(ctx context.Context, u untoldWords) bool {
+// notifyLeader tells one leader; it returns whether that one leads and has heard.
+func (s *limits) notifyLeader(ctx context.Context, u limitsReport) bool {
 	now := clock.Now()
 	q := &wire.LimitsRequest{Box: s.node.peers.box}
-	for id, w := range u.words {
+	for id, w := range u.limits {
 		q.Words = append(q.Words, wire.NewLimitWord(id, w, now))
 	}
-	a := s.sendWords(ctx, u.leader, q, now)
+	a := s.sendReport(ctx, u.leader, q, now)
 	if !a.GetLeads() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for id, w := range u.words {
-		if k := s.known[id]; k != nil && k.word == w {
-			k.untold = false
+	for id, w := range u.limits {
+		if k := s.known[id]; k != nil && k.latest == w {
+			k.unreported = false
 		}
 	}
 	return true
 }
 
-// sendWords brings words to a leader, which may be this box; one that gives no answer leads nothing.
-func (s *limits) sendWords(ctx context.Context, m member.Member, q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
+// sendReport brings words to a leader, which may be this box; one that gives no answer leads nothing.
+func (s *limits) sendReport(ctx context.Context, m member.Member, q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
 	if m.Name() == s.node.peers.box {
-		return s.hearAll(q, now)
+		return s.handleReport(q, now)
 	}
-	call, cancel := context.WithTimeout(ctx, settleCall)
+	call, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Limits(call, q)
 	if err != nil {
@@ -119,15 +119,15 @@
 	return a
 }
 
-// hearAll takes in what a box tells of the endpoints for which this one counts.
-func (s *limits) hearAll(q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
+// handleReport takes in what a box tells of the endpoints for which this one counts.
+func (s *limits) handleReport(q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
 	a := &wire.LimitsReply{Leads: true}
-	for _, w := range q.GetWords()[:min(len(q.GetWords()), mostWords)] {
+	for _, w := range q.GetWords()[:min(len(q.GetWords()), maxReportedLimits)] {
 		if !s.leads(w.GetEndpoint(), now) {
 			a.Leads = false
 			continue
 		}
-		s.hear(w, now)
+		s.receive(w, now)
 	}
 	return a
 }
--- a/edge/listen.go
+++ b/edge/listen.go
@@ -28,7 +28,7 @@
 	}
 	end, cancel := context.WithTimeout(context.Background(), most)
 	defer cancel()
-	told := time.AfterFunc(most-answerTime, func() { endRequests(forward.ErrEnding) })
+	told := time.AfterFunc(most-finalAnswerTime, func() { endRequests(forward.ErrEnding) })
 	defer told.Stop()
 	err := s.Shutdown(end)
 	<-served
@@ -76,6 +76,6 @@
 
 // httpTask serves one handler; it closes connections that rest where more than so many are open.
 func httpTask(h http.Handler, l net.Listener, most time.Duration, open int) task {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, ConnState: newConnections(open).changed}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, ConnState: newConnections(open).changed}
 	return func(ctx context.Context) error { return serveHTTP(ctx, s, l, most) }
 }
--- a/edge/node.go
+++ b/edge/node.go
@@ -34,21 +34,21 @@
 	Lines    *logging.Bounded // what Log writes to
 	Profile  bool             // whether the metrics address serves profiles of the process
 
-	current  atomic.Pointer[Settings] // in force; replaced by Reload
-	view     *topology.View
-	items    *share.Table
-	state    *state
-	peers    *peers
-	shared   *share.Server
-	messages *daemon.Messages
-	gateway  *forward.Gateway
-	loader   *placement.Loader
-	usage    *usage
-	levels   levels
-	spending *spending
-	outbox   *outbox
-	kept     quarantined
-	limits   *limits
+	current    atomic.Pointer[Settings] // in force; replaced by Reload
+	view       *topology.View
+	items      *share.Table
+	state      *state
+	peers      *peers
+	shared     *share.Server
+	messages   *daemon.Messages
+	gateway    *forward.Gateway
+	loader     *placement.Loader
+	usage      *usage
+	loadCosts  loadCosts
+	spending   *spending
+	outbox     *outbox
+	quarantine requestQuarantine
+	limits     *limits
 
 	departures departures
 
@@ -78,14 +78,14 @@
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.items.Same, n.items.Outlives = n.isSame, n.outlives
-	n.items.OnIgnored = n.noteIgnored
+	n.items.OnIgnored = n.countIgnored
 	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.near(ip) }}
 	n.peers = n.buildPeers()
 	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
-	n.kept = quarantined{node: n}
+	n.quarantine = requestQuarantine{node: n}
 	n.departures = departures{node: n}
 	n.limits = newLimits(n)
 	n.state.limits = n.limits
@@ -114,10 +114,10 @@
 		Placer:     placer{node: n},
 		Observer:   n.usage,
 		Admission:  admission{node: n},
-		Quarantine: n.kept,
+		Quarantine: n.quarantine,
 		Limits:     n.limits,
 		Boxes:      func() int { return n.peers.budgetBoxes(clock.Now()) },
-		Level:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
+		Level:      func(centre string) (time.Duration, bool) { return n.loadCosts.get(centre, clock.Now()) },
 		Cut:        func(centre string) bool { return n.peers.clusterView().silent[centre] },
 		Budget:     func() forward.BudgetLimits { return n.current.Load().Budget },
 		Leaving:    n.departures.observe,
@@ -218,14 +218,14 @@
 	server := daemon.NewServer(insecure.NewCredentials(), n.messages)
 	wire.RegisterPeerServer(server, peerServer{node: n})
 	wire.RegisterShareServer(server, shareServer{node: n})
-	held := n.Settings.Bounds.Grace - noticeFor - endMargin // what is held when the end begins has so long
+	held := n.Settings.Bounds.Grace - leaveNoticeTime - shutdownMargin // what is held when the end begins has so long
 	tasks := []task{
 		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
 		n.spending.run, n.spending.borrow, n.outbox.run, n.limits.run,
 		n.reader(Settled).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
 		httpTask(n.gateway, listeners.callers, held, max(n.Settings.Limits.Descriptors/callerPart, mostAsking)),
-		httpTask(n.readiness(), listeners.ready, held, mostAsking),
+		httpTask(n.readinessHandler(), listeners.ready, held, mostAsking),
 		httpTask(n.metrics(), listeners.metrics, held, mostAsking),
 	}
 	err = n.runAll(ctx, inner, end, tasks)
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -72,7 +72,7 @@
 }
 
 func (o *outbox) expire() {
-	o.node.kept.expire(time.Now())
+	o.node.quarantine.expire(time.Now())
 	o.node.departures.forgetGone()
 }
 
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -213,7 +213,7 @@
 		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, lendRest)
 	}
 	if len(lent) > 0 {
-		s.hurry() // this box's own requests may wait for them
+		s.settleNow() // this box's own requests may wait for them
 	}
 	return len(lent) > 0
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -15,39 +15,39 @@
 // Such a fact's version is until when, in Unix microseconds.
 const quarantinePrefix = "quarantine/"
 
-// expirePause is between two looks for what is over: requests that need not be kept away any more, limits
+// expireInterval is between two looks for what is over: requests that need not be kept away any more, limits
 // of endpoints that are gone.
-const expirePause = 10 * time.Second
+const expireInterval = 10 * time.Second
 
-// quarantined is the requests that this box keeps from endpoints. Each box tells the leaders of all data
+// requestQuarantine is the requests that this box keeps from endpoints. Each box tells the leaders of all data
 // centres what ended under its requests; who has counted enough tells all boxes by a fact.
-type quarantined struct{ node *Node }
+type requestQuarantine struct{ node *Node }
 
 // Left implements forward.Quarantine.
-func (q quarantined) Left(c quarantine.Content, now time.Time) (time.Duration, bool) {
+func (q requestQuarantine) Left(c quarantine.Content, now time.Time) (time.Duration, bool) {
 	return q.node.state.tracker.Kept().Left(c, now)
 }
 
 // Ended implements forward.Quarantine.
-func (q quarantined) Ended(endpoint string, contents []quarantine.Content) {
+func (q requestQuarantine) Ended(endpoint string, contents []quarantine.Content) {
 	now := time.Now()
-	q.count(endpoint, contents, now)
+	q.record(endpoint, contents, now)
 	end := &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(contents)}
 	if !q.node.outbox.add(&message{end: end}, now) {
 		q.node.Log.Info("End of an endpoint is not told to others: too many wait", "endpoint", endpoint)
 	}
 }
 
-// hear takes in what another box saw.
-func (q quarantined) hear(m *wire.EndedRequest, now time.Time) {
+// receive takes in what another box saw.
+func (q requestQuarantine) receive(m *wire.EndedRequest, now time.Time) {
 	for _, e := range m.GetEnds()[:min(len(m.GetEnds()), mostMessages)] {
-		q.count(e.GetEndpoint(), quarantine.Decode(e.GetContents()), now)
+		q.record(e.GetEndpoint(), quarantine.Decode(e.GetContents()), now)
 	}
 }
 
-// count counts an end of an endpoint, and tells all boxes of the requests that it puts into
+// record counts an end of an endpoint, and tells all boxes of the requests that it puts into
 // quarantine. A leader brings nothing more to the endpoint until its entry has lapsed.
-func (q quarantined) count(endpoint string, contents []quarantine.Content, now time.Time) {
+func (q requestQuarantine) record(endpoint string, contents []quarantine.Content, now time.Time) {
 	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.Lapse))
 	for _, c := range q.node.state.tracker.Note(endpoint, contents, now) {
 		q.node.items.Merge(&wire.Item{
@@ -77,7 +77,7 @@
 }
 
 // expire forgets requests whose time is over.
-func (q quarantined) expire(now time.Time) {
+func (q requestQuarantine) expire(now time.Time) {
 	for _, c := range q.node.state.tracker.Kept().Expire(now) {
 		q.node.items.Forget(quarantinePrefix + c.String())
 		q.node.Log.Info("Request may reach endpoints again", "content", c.String())
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -29,7 +29,7 @@
 // Ended implements the Peer service.
 func (s peerServer) Ended(_ context.Context, q *wire.EndedRequest) (*wire.EndedReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	s.node.kept.hear(q, time.Now())
+	s.node.quarantine.receive(q, time.Now())
 	s.node.departures.receive(q)
 	return &wire.EndedReply{}, nil
 }
@@ -102,14 +102,14 @@
 func (s shareServer) Take(_ context.Context, q *wire.TakeRequest) (*wire.TakeReply, error) {
 	now := clock.Now()
 	s.node.peers.table.Seen(q.GetBox(), now)
-	return s.node.limits.answer(q, now), nil
+	return s.node.limits.handleTake(q, now), nil
 }
 
 // Limits implements the Share service.
 func (s shareServer) Limits(_ context.Context, q *wire.LimitsRequest) (*wire.LimitsReply, error) {
 	now := clock.Now()
 	s.node.peers.table.Seen(q.GetBox(), now)
-	return s.node.limits.hearAll(q, now), nil
+	return s.node.limits.handleReport(q, now), nil
 }
 
 // use counts what a box told, and answers what a load costs here.
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -22,22 +22,22 @@
 // nine of an endpoint were 260.
 const slotsPrefix = "slots/"
 
-// mostSlots is above the slots that any endpoint has: a wrong number must not cost memory.
-const mostSlots = 1 << 12
+// maxSlots is above the slots that any endpoint has: a wrong number must not cost memory.
+const maxSlots = 1 << 12
 
 // slots is what endpoints hold, as their owners tell, and what this box told as an owner.
 type slots struct {
-	mu    sync.Mutex
-	heard map[string]*ownersWord // by endpoint
-	told  map[string]*toldSlots  // by endpoint
+	mu        sync.Mutex
+	reports   map[string]*ownerReport    // by endpoint
+	published map[string]*publishedSlots // by endpoint
 }
 
-// ownersWord is what the latest owner of an endpoint told of it. What owners before it told of
+// ownerReport is what the latest owner of an endpoint told of it. What owners before it told of
 // other slots does not count.
-type ownersWord struct {
-	term uint64       // of its fence
-	held map[int]slot // by number; an empty slot is missing
-	most int          // the highest number of which anything was told
+type ownerReport struct {
+	term    uint64       // of its fence
+	held    map[int]slot // by number; an empty slot is missing
+	highest int          // the highest number of which anything was told
 }
 
 // slot is an adapter in a slot.
@@ -46,10 +46,10 @@
 	held    topology.Held
 }
 
-// toldSlots is what this box told of an endpoint under one fence.
-type toldSlots struct {
-	term    uint64
-	numbers []slot // by number; an adapter without a name: it is empty
+// publishedSlots is what this box told of an endpoint under one fence.
+type publishedSlots struct {
+	term  uint64
+	slots []slot // by number; an adapter without a name: it is empty
 }
 
 // applySlot takes in what an owner told of one slot, by the rest of its key. It returns the
@@ -61,7 +61,7 @@
 	if err == nil {
 		err = proto.Unmarshal(i.GetValue(), &w)
 	}
-	if err == nil && (cut < 0 || number < 0 || number >= mostSlots) {
+	if err == nil && (cut < 0 || number < 0 || number >= maxSlots) {
 		err = errors.New("edge: no number of a slot")
 	}
 	if err != nil {
@@ -72,19 +72,19 @@
 	s.fences.Hear(term)
 	s.slots.mu.Lock()
 	defer s.slots.mu.Unlock()
-	if s.slots.heard == nil {
-		s.slots.heard = make(map[string]*ownersWord)
+	if s.slots.reports == nil {
+		s.slots.reports = make(map[string]*ownerReport)
 	}
-	o := s.slots.heard[id]
+	o := s.slots.reports[id]
 	if o == nil || o.term < term {
 		most := -1
 		if o != nil {
-			most = o.most
+			most = o.highest
 		}
-		o = &ownersWord{term: term, held: make(map[int]slot), most: most}
-		s.slots.heard[id] = o
+		o = &ownerReport{term: term, held: make(map[int]slot), highest: most}
+		s.slots.reports[id] = o
 	}
-	o.most = max(o.most, number)
+	o.highest = max(o.highest, number)
 	switch {
 	case o.term > term: // of an owner before
 	case w.GetAdapter() == "":
@@ -95,12 +95,12 @@
 	return id
 }
 
-// showSlots brings what an endpoint's owner told into the view, if the endpoint is known; it
+// updateHeld brings what an endpoint's owner told into the view, if the endpoint is known; it
 // tells whether an owner told anything.
-func (s *state) showSlots(id string) bool {
+func (s *state) updateHeld(id string) bool {
 	s.slots.mu.Lock()
 	defer s.slots.mu.Unlock()
-	o := s.slots.heard[id]
+	o := s.slots.reports[id]
 	if o == nil {
 		return false
 	}
@@ -119,13 +119,13 @@
 func (s *state) forgetSlots(id string) {
 	s.slots.mu.Lock()
 	defer s.slots.mu.Unlock()
-	if o := s.slots.heard[id]; o != nil {
-		for number := range o.most + 1 {
+	if o := s.slots.reports[id]; o != nil {
+		for number := range o.highest + 1 {
 			s.table.Forget(slotKey(id, number))
 		}
 	}
-	delete(s.slots.heard, id)
-	delete(s.slots.told, id)
+	delete(s.slots.reports, id)
+	delete(s.slots.published, id)
 }
 
 func slotKey(endpoint string, number int) string {
@@ -136,7 +136,7 @@
 // under a new fence all of them.
 func (s *state) publish(centre, endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
 	var items []*wire.Item
-	for number, t := range s.slots.change(endpoint, placement.Term(version), held) {
+	for number, t := range s.slots.diff(endpoint, placement.Term(version), held) {
 		w := &wire.Slot{Version: t.held.Version, Ready: t.held.Ready}
 		if t.adapter.Name != "" {
 			w.Adapter = t.adapter.String()
@@ -151,43 +151,43 @@
 	s.table.Merge(items...)
 }
 
-// change notes what an endpoint holds now, and returns the slots of which that must be told, by
+// diff notes what an endpoint holds now, and returns the slots of which that must be told, by
 // number. An adapter keeps its slot.
-func (t *slots) change(endpoint string, term uint64, held map[topology.Adapter]topology.Held) map[int]slot {
+func (t *slots) diff(endpoint string, term uint64, held map[topology.Adapter]topology.Held) map[int]slot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.told == nil {
-		t.told = make(map[string]*toldSlots)
+	if t.published == nil {
+		t.published = make(map[string]*publishedSlots)
 	}
 	changed := make(map[int]slot)
-	k := t.told[endpoint]
+	k := t.published[endpoint]
 	if k == nil || k.term != term {
-		k = &toldSlots{term: term}
-		t.told[endpoint] = k
+		k = &publishedSlots{term: term}
+		t.published[endpoint] = k
 		changed[0] = slot{} // even where it holds nothing, the owner has told
 	}
 	rest := maps.Clone(held)
-	for n, was := range k.numbers {
+	for n, was := range k.slots {
 		now, stays := held[was.adapter]
 		switch {
 		case was.adapter.Name == "":
 		case !stays:
-			k.numbers[n] = slot{}
+			k.slots[n] = slot{}
 			changed[n] = slot{}
 		case now != was.held:
-			k.numbers[n].held = now
-			changed[n] = k.numbers[n]
+			k.slots[n].held = now
+			changed[n] = k.slots[n]
 		}
 		delete(rest, was.adapter)
 	}
 	for a, h := range rest {
-		n := slices.Index(k.numbers, slot{})
+		n := slices.Index(k.slots, slot{})
 		if n < 0 {
-			n = len(k.numbers)
-			k.numbers = append(k.numbers, slot{})
+			n = len(k.slots)
+			k.slots = append(k.slots, slot{})
 		}
-		k.numbers[n] = slot{adapter: a, held: h}
-		changed[n] = k.numbers[n]
+		k.slots[n] = slot{adapter: a, held: h}
+		changed[n] = k.slots[n]
 	}
 	return changed
 }
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -21,51 +21,51 @@
 	// settlePeriod is between two settlements of a box that nobody waits for. It is the time of
 	// an organisation's requests that the pools have not counted, and of the word on how recent
 	// the configuration is.
-	settlePeriod = 300 * time.Millisecond
-	settleCall   = 400 * time.Millisecond // for the answer: a leader in the same data centre takes a millisecond
-	settleAgain  = 20 * time.Millisecond  // between two settlements while requests wait: pools refill, other data centres lend
-	leaderAgain  = 100 * time.Millisecond // the same where no leader answers
-	// refusedFor is how long further requests of an organisation that was just refused are
+	settlePeriod        = 300 * time.Millisecond
+	settleTimeout       = 400 * time.Millisecond // for the answer: a leader in the same data centre takes a millisecond
+	settleRetryInterval = 20 * time.Millisecond  // between two settlements while requests wait: pools refill, other data centres lend
+	noLeaderInterval    = 100 * time.Millisecond // the same where no leader answers
+	// refusalTTL is how long further requests of an organisation that was just refused are
 	// refused without a question, so that a flood costs the leader no more than a trickle.
-	refusedFor = 30 * time.Millisecond
-	// askedMost is how many waiting requests of an organisation one settlement asks for.
-	askedMost = 32
-	// quotaRetry is when to come back where nobody counts the quota: boxes agree on a leader
+	refusalTTL = 30 * time.Millisecond
+	// maxAskedPerSettlement is how many waiting requests of an organisation one settlement asks for.
+	maxAskedPerSettlement = 32
+	// noLeaderRetryAfter is when to come back where nobody counts the quota: boxes agree on a leader
 	// within a second.
-	quotaRetry = 500 * time.Millisecond
+	noLeaderRetryAfter = 500 * time.Millisecond
 )
 
 // spending is what this box spends of the organisations' quotas, and, while it leads its data
 // centre, the pool that the boxes there draw from.
 type spending struct {
-	node   *Node
-	pool   access.Pool
-	drawn  drawn
-	opened atomic.Uint64 // the configuration for which the pool is filled; zero: this box does not lead
-	short  chan struct{} // holds one when the pool lacks units
-	urgent chan struct{} // holds one when a request waits
-	serves bool          // callers were served by their keys at the last look; of run alone
-
-	mu       sync.Mutex
-	accounts map[string]*account // by organisation
-	silent   bool                // the last settlement reached no leader
+	node       *Node
+	pool       access.Pool
+	drawn      drawn
+	opened     atomic.Uint64 // the configuration for which the pool is filled; zero: this box does not lead
+	short      chan struct{} // holds one when the pool lacks units
+	urgent     chan struct{} // holds one when a request waits
+	servesKeys bool          // callers were served by their keys at the last look; of run alone
+
+	mu         sync.Mutex
+	accounts   map[string]*account // by organisation
+	leaderless bool                // the last settlement reached no leader
 }
 
 // account is what this box spent of one quota, with the requests that wait for it.
 type account struct {
 	access.Account
 
-	waiting []*waiter
-	refused time.Time // until then requests that would wait are refused
-	back    time.Time // when those are told to come back
+	waiting     []*waiter
+	refuseUntil time.Time // until then requests that would wait are refused
+	retryAt     time.Time // when those are told to come back
 }
 
 // waiter is a request that waits for its units.
 type waiter struct {
-	units float64
-	over  time.Time // it waits until then for units that are known to come
-	asked bool      // a settlement asked for it
-	done  chan forward.Spent
+	units    float64
+	deadline time.Time // it waits until then for units that are known to come
+	asked    bool      // a settlement asked for it
+	done     chan forward.Spent
 }
 
 func newSpending(n *Node) *spending {
@@ -86,22 +86,22 @@
 	return a
 }
 
-// boxesAssumed is how many boxes share what is allowed beyond the quotas as long as a box that has just
+// assumedBoxes is how many boxes share what is allowed beyond the quotas as long as a box that has just
 // started does not know: a new account has spent nothing yet, and can spend a third of what others
 // can, so that this covers thrice as many.
-const boxesAssumed = 128
+const assumedBoxes = 128
 
-// float is how much of a quota this box may have spent and not drawn.
-func (s *spending) float(q access.Quota) float64 {
+// maxOwed is how much of a quota this box may have spent and not drawn.
+func (s *spending) maxOwed(q access.Quota) float64 {
 	boxes := s.node.peers.budgetBoxes(clock.Now())
 	if boxes == 0 {
-		boxes = boxesAssumed
+		boxes = assumedBoxes
 	}
 	return s.node.current.Load().Quota.Float(q, boxes)
 }
 
-// change adds to what this box spent, without asking.
-func (s *spending) change(organisation string, units float64) {
+// charge adds to what this box spent, without asking.
+func (s *spending) charge(organisation string, units float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.accountLocked(organisation).Spend(units)
@@ -113,18 +113,18 @@
 	now := clock.Now()
 	s.mu.Lock()
 	a := s.accountLocked(o.Name())
-	if len(a.waiting) == 0 && a.Admit(units, s.float(o.Quota()), rand.Float64()) {
+	if len(a.waiting) == 0 && a.Admit(units, s.maxOwed(o.Quota()), rand.Float64()) {
 		s.mu.Unlock()
 		return forward.Spent{OK: true}
 	}
-	if now.Before(a.refused) {
+	if now.Before(a.refuseUntil) {
 		defer s.mu.Unlock()
-		return forward.Spent{Over: true, Retry: a.back.Sub(now)}
+		return forward.Spent{Over: true, Retry: a.retryAt.Sub(now)}
 	}
-	w := &waiter{units: units, over: now.Add(p.Over), done: make(chan forward.Spent, 1)}
+	w := &waiter{units: units, deadline: now.Add(p.Over), done: make(chan forward.Spent, 1)}
 	a.waiting = append(a.waiting, w)
 	s.mu.Unlock()
-	s.hurry()
+	s.settleNow()
 	timeout := time.NewTimer(p.Unknown)
 	defer timeout.Stop()
 	select {
@@ -133,21 +133,21 @@
 	case <-ctx.Done():
 	case <-timeout.C:
 	}
-	return s.giveUp(a, w)
+	return s.abandon(a, w)
 }
 
-// giveUp takes a request that waits no longer out of the queue; it may have been granted just now.
-func (s *spending) giveUp(a *account, w *waiter) forward.Spent {
+// abandon takes a request that waits no longer out of the queue; it may have been granted just now.
+func (s *spending) abandon(a *account, w *waiter) forward.Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(a.waiting, w); i >= 0 {
 		a.waiting = slices.Delete(a.waiting, i, i+1)
-		return forward.Spent{Retry: quotaRetry}
+		return forward.Spent{Retry: noLeaderRetryAfter}
 	}
 	return <-w.done
 }
 
-func (s *spending) hurry() {
+func (s *spending) settleNow() {
 	select {
 	case s.urgent <- struct{}{}:
 	default:
@@ -177,23 +177,23 @@
 		return settlePeriod
 	}
 	waiting := s.settle(ctx)
-	s.noteKeys(clock.Now())
+	s.logKeyStatus(clock.Now())
 	switch {
 	case !waiting:
 		return settlePeriod
-	case s.isSilent():
-		return leaderAgain
+	case s.isLeaderless():
+		return noLeaderInterval
 	}
-	return settleAgain
+	return settleRetryInterval
 }
 
-// noteKeys logs when this box begins or ceases to serve callers by their keys.
-func (s *spending) noteKeys(now time.Time) {
+// logKeyStatus logs when this box begins or ceases to serve callers by their keys.
+func (s *spending) logKeyStatus(now time.Time) {
 	serves := s.node.trustsKeys(now)
-	if serves == s.serves {
+	if serves == s.servesKeys {
 		return
 	}
-	s.serves = serves
+	s.servesKeys = serves
 	ago, _ := s.node.vouched.ago(now)
 	if serves {
 		s.node.Log.Info("Callers are served by their keys", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
@@ -208,21 +208,21 @@
 	return c != nil && c.Callers() != nil
 }
 
-func (s *spending) isSilent() bool {
+func (s *spending) isLeaderless() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.silent
+	return s.leaderless
 }
 
 // settle draws what this box owes and what its requests wait for. It tells whether requests
 // still wait.
 func (s *spending) settle(ctx context.Context) bool {
 	q, asked := s.demand()
-	a, ok := s.ask(ctx, q)
+	a, ok := s.requestSettlement(ctx, q)
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = !ok
+	s.leaderless = !ok
 	waiting := false
 	answers := make(map[string]*wire.Allowance, len(a.GetAllowances()))
 	for _, w := range a.GetAllowances() {
@@ -230,9 +230,9 @@
 	}
 	for name, c := range s.accounts {
 		if !ok {
-			s.carryOn(name, c, now)
+			s.admitWithoutLeader(name, c, now)
 		} else {
-			c.take(answers[name], asked[name], now)
+			c.applyAllowance(answers[name], asked[name], now)
 		}
 		waiting = waiting || len(c.waiting) > 0
 	}
@@ -249,7 +249,7 @@
 	for name, a := range s.accounts {
 		owed, returned := a.Demand()
 		d := &wire.Demand{Organisation: name, Owed: int64(owed), Returned: int64(returned)}
-		for _, w := range a.waiting[:min(len(a.waiting), askedMost)] {
+		for _, w := range a.waiting[:min(len(a.waiting), maxAskedPerSettlement)] {
 			d.Wanted = append(d.Wanted, int64(math.Ceil(w.units)))
 			asked[name] = append(asked[name], w)
 			if w.asked {
@@ -264,13 +264,13 @@
 	return q, asked
 }
 
-// take notes a leader's answer for one organisation, nil where nothing was asked. Requests whose
+// applyAllowance notes a leader's answer for one organisation, nil where nothing was asked. Requests whose
 // units come too late for them are refused now.
-func (a *account) take(w *wire.Allowance, asked []*waiter, now time.Time) {
+func (a *account) applyAllowance(w *wire.Allowance, asked []*waiter, now time.Time) {
 	a.Settle(float64(w.GetPaid()))
 	a.Answered()
 	for _, r := range asked[:min(int(w.GetGranted()), len(asked))] {
-		if !a.finish(r, forward.Spent{OK: true}) {
+		if !a.resolve(r, forward.Spent{OK: true}) {
 			a.Return(r.units) // it did not wait so long
 		}
 	}
@@ -279,15 +279,15 @@
 	}
 	wait := time.Duration(w.GetWaitMicros()) * time.Microsecond
 	for _, r := range slices.Clone(a.waiting) {
-		if now.Add(wait).After(r.over) {
-			a.finish(r, forward.Spent{Over: true, Retry: wait})
-			a.refused, a.back = now.Add(refusedFor), now.Add(wait)
+		if now.Add(wait).After(r.deadline) {
+			a.resolve(r, forward.Spent{Over: true, Retry: wait})
+			a.refuseUntil, a.retryAt = now.Add(refusalTTL), now.Add(wait)
 		}
 	}
 }
 
-// finish tells a request what became of it, unless it waits no longer.
-func (a *account) finish(w *waiter, r forward.Spent) bool {
+// resolve tells a request what became of it, unless it waits no longer.
+func (a *account) resolve(w *waiter, r forward.Spent) bool {
 	i := slices.Index(a.waiting, w)
 	if i < 0 {
 		return false
@@ -297,30 +297,30 @@
 	return true
 }
 
-// carryOn goes on without a leader, with what the operator allows beyond a quota.
-func (s *spending) carryOn(name string, a *account, now time.Time) {
+// admitWithoutLeader goes on without a leader, with what the operator allows beyond a quota.
+func (s *spending) admitWithoutLeader(name string, a *account, now time.Time) {
 	o := s.node.view.Config().Callers().Named(name)
 	if o == nil {
 		return
 	}
-	float := s.float(o.Quota())
+	float := s.maxOwed(o.Quota())
 	a.Forgive(float, s.node.current.Load().Quota.Window, now)
 	for len(a.waiting) > 0 && a.Admit(a.waiting[0].units, float, 1) {
-		a.finish(a.waiting[0], forward.Spent{OK: true})
+		a.resolve(a.waiting[0], forward.Spent{OK: true})
 	}
 }
 
-// ask sends a settlement to the leader of this box's data centre; false where none answers.
-func (s *spending) ask(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
+// requestSettlement sends a settlement to the leader of this box's data centre; false where none answers.
+func (s *spending) requestSettlement(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
 	m, ok := s.node.peers.clusterView().leader(q.GetDataCentre())
 	if !ok {
 		return nil, false
 	}
 	if m.Name() == s.node.peers.box {
-		return s.askSelf(ctx, q)
+		return s.settleLocally(ctx, q)
 	}
 	s.close()
-	a, err := s.call(ctx, m.Address(), q)
+	a, err := s.callLeader(ctx, m.Address(), q)
 	if err != nil {
 		s.node.Log.V(1).Info("Leader does not answer a settlement", "leader", m.Name(), "err", err.Error())
 		return nil, false
@@ -328,18 +328,18 @@
 	return a, a.GetLeads()
 }
 
-// askSelf answers this box's own settlement, and makes up for a source that it does not hear.
-func (s *spending) askSelf(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
+// settleLocally answers this box's own settlement, and makes up for a source that it does not hear.
+func (s *spending) settleLocally(ctx context.Context, q *wire.SettleRequest) (*wire.SettleReply, bool) {
 	a := s.answer(q, clock.Now())
 	if ago, ok := s.node.vouched.ago(clock.Now()); !ok || ago > askOthersAfter {
-		s.askOthers(ctx)
+		s.askOtherLeaders(ctx)
 	}
 	return a, a.GetLeads()
 }
 
-// call sends a settlement to a box, and takes in what it says of the configuration.
-func (s *spending) call(ctx context.Context, address string, q *wire.SettleRequest) (*wire.SettleReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, settleCall)
+// callLeader sends a settlement to a box, and takes in what it says of the configuration.
+func (s *spending) callLeader(ctx context.Context, address string, q *wire.SettleRequest) (*wire.SettleReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	begun := clock.Now()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(address)).Settle(ctx, q)
@@ -352,9 +352,9 @@
 	return a, nil
 }
 
-// askOthers asks the leaders of the other data centres how recent the configuration is, for a
+// askOtherLeaders asks the leaders of the other data centres how recent the configuration is, for a
 // leader that does not hear the source.
-func (s *spending) askOthers(ctx context.Context) {
+func (s *spending) askOtherLeaders(ctx context.Context) {
 	v := s.node.peers.clusterView()
 	for _, c := range v.centres {
 		m, ok := v.leader(c)
@@ -362,7 +362,7 @@
 			continue
 		}
 		q := &wire.SettleRequest{Box: s.node.peers.box, DataCentre: s.node.peers.centre}
-		if _, err := s.call(ctx, m.Address(), q); err != nil {
+		if _, err := s.callLeader(ctx, m.Address(), q); err != nil {
 			s.node.Log.V(1).Info("Leader does not say how recent the configuration is", "leader", m.Name(), "err", err.Error())
 		}
 	}
--- a/edge/state.go
+++ b/edge/state.go
@@ -67,7 +67,7 @@
 		}
 	}
 	for id := range touched {
-		s.showSlots(id)
+		s.updateHeld(id)
 	}
 }
 
@@ -135,7 +135,7 @@
 		s.log.Info("Endpoint is known", "endpoint", id, "address", e.Address(), "endpoint_data_centre", e.DataCentre(),
 			"draining", known.Draining(), "revision", revisionOf(i).String())
 	}
-	if !s.showSlots(id) {
+	if !s.updateHeld(id) {
 		s.view.SetHeld(id, heldLongAgo(e)) // better than nothing until its owner publishes
 	}
 	return nil
--- a/edge/tell.go
+++ b/edge/tell.go
@@ -17,7 +17,7 @@
 
 // Run tells until ctx ends.
 func (t teller) Run(ctx context.Context) error {
-	expire := time.NewTicker(expirePause)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	var again <-chan time.Time // nil: all were told
 	for ctx.Err() == nil {
--- a/edge/usage.go
+++ b/edge/usage.go
@@ -14,8 +14,8 @@
 	"cairnwick.example/wire"
 )
 
-// useKey is an adapter at an endpoint.
-type useKey struct {
+// usageKey is an adapter at an endpoint.
+type usageKey struct {
 	endpoint string
 	centre   string
 	adapter  topology.Adapter
@@ -23,88 +23,88 @@
 
 // usage counts where adapters are used and tells the endpoints' leaders.
 type usage struct {
-	node *Node
-	wake chan struct{} // holds one when something changed
-	told chan string   // data centres whose leader was told
+	node     *Node
+	wake     chan struct{} // holds one when something changed
+	reported chan string   // data centres whose leader was told
 
-	mu      sync.Mutex
-	leaders map[string]string        // by data centre: who was its leader at the last look
-	counts  map[useKey]int           // requests begun since the last report
-	running map[useKey]underWay      // requests under way
-	changed map[useKey]bool          // what its leader has not been told
-	far     map[topology.Adapter]int // requests begun in other data centres, of which the own leader has not been told
-	telling map[string]bool          // data centres whose leader is being told
+	mu        sync.Mutex
+	leaders   map[string]string         // by data centre: who was its leader at the last look
+	counts    map[usageKey]int          // requests begun since the last report
+	inFlight  map[usageKey]inFlightLoad // requests under way
+	changed   map[usageKey]bool         // what its leader has not been told
+	remote    map[topology.Adapter]int  // requests begun in other data centres, of which the own leader has not been told
+	reporting map[string]bool           // data centres whose leader is being told
 }
 
-// underWay is the requests under way with an adapter at an endpoint.
-type underWay struct {
-	requests int
-	reading  int // tokens of prompts that the endpoint has not read
+// inFlightLoad is the requests under way with an adapter at an endpoint.
+type inFlightLoad struct {
+	requests     int
+	unreadTokens int // tokens of prompts that the endpoint has not read
 }
 
 func newUsage(n *Node) *usage {
 	return &usage{
-		node:    n,
-		wake:    make(chan struct{}, 1),
-		told:    make(chan string),
-		leaders: make(map[string]string),
-		counts:  make(map[useKey]int),
-		running: make(map[useKey]underWay),
-		changed: make(map[useKey]bool),
-		far:     make(map[topology.Adapter]int),
-		telling: make(map[string]bool),
+		node:      n,
+		wake:      make(chan struct{}, 1),
+		reported:  make(chan string),
+		leaders:   make(map[string]string),
+		counts:    make(map[usageKey]int),
+		inFlight:  make(map[usageKey]inFlightLoad),
+		changed:   make(map[usageKey]bool),
+		remote:    make(map[topology.Adapter]int),
+		reporting: make(map[string]bool),
 	}
 }
 
 // Begun implements forward.Observer.
 func (u *usage) Begun(e *topology.Endpoint, c forward.Call) forward.Run {
-	r := &run{usage: u, key: useKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, reading: c.TokensIn}
+	r := &callTracker{usage: u, key: usageKey{endpoint: e.ID(), centre: e.DataCentre(), adapter: c.Adapter}, unreadTokens: c.TokensIn}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.counts[r.key]++
 	if r.key.centre != u.node.peers.centre {
-		u.far[c.Adapter]++
+		u.remote[c.Adapter]++
 	}
-	u.changeLocked(r.key, 1, r.reading)
+	u.changeLocked(r.key, 1, r.unreadTokens)
 	return r
 }
 
-// run implements forward.Run. Guarded by usage.mu.
-type run struct {
-	usage   *usage
-	key     useKey
-	reading int // tokens of its prompt that the endpoint has not read
-	over    bool
+// callTracker implements forward.Run. Guarded by usage.mu.
+type callTracker struct {
+	usage        *usage
+	key          usageKey
+	unreadTokens int // tokens of its prompt that the endpoint has not read
+	ended        bool
 }
 
 // Read implements forward.Run.
-func (r *run) Read() {
+func (r *callTracker) Read() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
-	if r.reading > 0 {
-		r.usage.changeLocked(r.key, 0, -r.reading)
-		r.reading = 0
+	if r.unreadTokens > 0 {
+		r.usage.changeLocked(r.key, 0, -r.unreadTokens)
+		r.unreadTokens = 0
 	}
 }
 
 // Ended implements forward.Run.
-func (r *run) Ended() {
+func (r *callTracker) Ended() {
 	r.usage.mu.Lock()
 	defer r.usage.mu.Unlock()
-	if !r.over {
-		r.over = true
-		r.usage.changeLocked(r.key, -1, -r.reading)
+	if !r.ended {
+		r.ended = true
+		r.usage.changeLocked(r.key, -1, -r.unreadTokens)
 	}
 }
 
 // changeLocked counts requests and tokens; the endpoint's leader is told soon.
-func (u *usage) changeLocked(k useKey, requests, reading int) {
-	w := u.running[k]
+func (u *usage) changeLocked(k usageKey, requests, reading int) {
+	w := u.inFlight[k]
 	w.requests += requests
-	w.reading += reading
-	u.running[k] = w
+	w.unreadTokens += reading
+	u.inFlight[k] = w
 	if w.requests <= 0 {
-		delete(u.running, k)
+		delete(u.inFlight, k)
 	}
 	u.changed[k] = true
 	u.wakeUp()
@@ -133,28 +133,28 @@
 			}
 		case <-soon:
 			soon = nil
-			u.tell(ctx, false)
+			u.report(ctx, false)
 		case <-look.C:
-			u.follow(u.node.peers.clusterView())
+			u.detectNewLeaders(u.node.peers.clusterView())
 		case <-whole.C:
-			u.tell(ctx, true)
-		case c := <-u.told:
-			u.ended(c)
+			u.report(ctx, true)
+		case c := <-u.reported:
+			u.finishReport(c)
 		}
 	}
-	for range u.telling {
-		<-u.told
+	for range u.reporting {
+		<-u.reported
 	}
 	return nil
 }
 
-// follow has a data centre's new leader told of all that is under way there: it empties no
+// detectNewLeaders has a data centre's new leader told of all that is under way there: it empties no
 // slot before it knows what is in use.
-func (u *usage) follow(v *clusterView) {
+func (u *usage) detectNewLeaders(v *clusterView) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	moved := make(map[string]string)
-	for k := range u.running {
+	for k := range u.inFlight {
 		m, ok := v.leader(k.centre)
 		if ok && u.leaders[k.centre] != m.Name() {
 			moved[k.centre] = m.Name()
@@ -167,30 +167,30 @@
 	}
 }
 
-// ended notes that a data centre's leader was told. What changed meanwhile is told next.
-func (u *usage) ended(centre string) {
+// finishReport notes that a data centre's leader was told. What changed meanwhile is told next.
+func (u *usage) finishReport(centre string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	delete(u.telling, centre)
+	delete(u.reporting, centre)
 	if len(u.changed) > 0 {
 		u.wakeUp()
 	}
 }
 
-// tell sends each leader what changed at its endpoints, or, with whole, all that is under
+// report sends each leader what changed at its endpoints, or, with whole, all that is under
 // way there. A leader that is still being told is told later, so that its reports keep
 // their order; one that does not answer holds up no other.
-func (u *usage) tell(ctx context.Context, whole bool) {
+func (u *usage) report(ctx context.Context, whole bool) {
 	u.mu.Lock()
 	list := u.collectLocked(whole)
 	for c := range list {
-		u.telling[c] = true
+		u.reporting[c] = true
 	}
 	u.mu.Unlock()
 	for c, q := range list {
 		go func() {
-			u.tellOne(ctx, c, q)
-			u.told <- c
+			u.sendReport(ctx, c, q)
+			u.reported <- c
 		}()
 	}
 }
@@ -206,7 +206,7 @@
 	}
 	keys := maps.Clone(u.changed)
 	if whole {
-		for k := range u.running {
+		for k := range u.inFlight {
 			keys[k] = true
 		}
 		for k := range u.counts {
@@ -214,37 +214,37 @@
 		}
 	}
 	for k := range keys {
-		if u.telling[k.centre] {
+		if u.reporting[k.centre] {
 			continue
 		}
-		w := u.running[k]
+		w := u.inFlight[k]
 		add(k.centre, &wire.Usage{
 			Endpoint: k.endpoint,
 			Adapter:  k.adapter.String(),
 			Count:    int32(u.counts[k]),
 			Running:  int32(w.requests),
-			Reading:  int64(w.reading),
+			Reading:  int64(w.unreadTokens),
 		})
 		delete(u.changed, k)
 		delete(u.counts, k)
 	}
-	if own := u.node.peers.centre; whole && !u.telling[own] {
-		for a, n := range u.far {
+	if own := u.node.peers.centre; whole && !u.reporting[own] {
+		for a, n := range u.remote {
 			add(own, &wire.Usage{Adapter: a.String(), Far: int32(n)})
 		}
-		clear(u.far)
+		clear(u.remote)
 	}
 	return list
 }
 
-// tellOne tells one leader. What is lost is told with the next whole report.
-func (u *usage) tellOne(ctx context.Context, centre string, q *wire.UseRequest) {
+// sendReport tells one leader. What is lost is told with the next whole report.
+func (u *usage) sendReport(ctx context.Context, centre string, q *wire.UseRequest) {
 	m, ok := u.node.peers.clusterView().leader(centre)
 	if !ok {
 		return
 	}
 	if m.Name() == u.node.peers.box {
-		u.node.levels.hear(centre, u.node.use(q), clock.Now())
+		u.node.loadCosts.update(centre, u.node.use(q), clock.Now())
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, usePause)
@@ -254,5 +254,5 @@
 		u.node.Log.V(1).Info("Leader was not told of use", "leader", m.Name(), "err", err.Error())
 		return
 	}
-	u.node.levels.hear(centre, a, clock.Now())
+	u.node.loadCosts.update(centre, a, clock.Now())
 }
