--- a/edge/limits.go
+++ b/edge/limits.go
@@ -15,69 +15,69 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// limitsPrefix begins the keys of the limits that endpoints name; the endpoint's ID follows.
+// limitsPrefix is the key prefix of facts with rate limits that endpoints announce; the endpoint's ID follows.
 const limitsPrefix = "limits/"
 
 const (
-	// takeCall is for a leader's answer, which takes a few milliseconds; a request waits for it.
-	takeCall = 100 * time.Millisecond
-	// takeAgain is how long an endpoint is passed over after its leader gave no answer: boxes agree
-	// on another one within a second, and each request of the time would wait for takeCall.
-	takeAgain = 200 * time.Millisecond
-	// deniedMost is the longest that a box passes an endpoint over by one answer of its leader,
-	// which may be less than what that tells callers: other boxes may have left room since.
-	deniedMost = 100 * time.Millisecond
-	// spareAgain is between two questions of a box for what others leave of an endpoint's limit: it is of
-	// little use, and 380 boxes ask one leader.
-	spareAgain = time.Second
-	// limitLine is between two lines about one endpoint's limit, and between two facts that tell all
-	// boxes a new value of it: it may change with each answer, and only who counts needs the value.
-	limitLine = time.Second
-	// limitPart is the part of a limit by which it must have changed for all boxes to be told.
-	limitPart = 0.25
+	// takeTimeout is how long a request waits for the leader, which normally answers within a few milliseconds.
+	takeTimeout = 100 * time.Millisecond
+	// noLeaderDenialTime is how long an endpoint is skipped after its leader did not answer. Boxes agree on a new
+	// leader within a second; without the skip each request in that time would wait for takeTimeout.
+	noLeaderDenialTime = 200 * time.Millisecond
+	// maxDenialTime is the longest that one denial by the leader is reused for later requests. It may be shorter than
+	// the retry delay that callers are given, since other boxes may have left capacity unused in the meantime.
+	maxDenialTime = 100 * time.Millisecond
+	// spareDenialTime is how long a denial of spare capacity is reused. Spare capacity is of little use, and up to
+	// 380 boxes ask one leader for it.
+	spareDenialTime = time.Second
+	// limitUpdateInterval is the shortest time between two log lines, and between two published values, of one
+	// endpoint's limit: it may change with each response, and only the leader needs each exact value.
+	limitUpdateInterval = time.Second
+	// limitChangeRatio is the relative change of a limit from which on the new value is published to all boxes.
+	limitChangeRatio = 0.25
 )
 
-// limits is the endpoints that name how many requests they take from all boxes together. The box that
-// leads an endpoint's data centre counts for it; the others tell it what they hear, ask it before each
-// send, and know by a fact which endpoints to ask for.
+// limits enforces the rate limits that endpoints announce for all boxes together. The leader of an endpoint's data
+// centre counts the requests to it; the other boxes report announcements to the leader, ask it before each send, and
+// learn from a published fact which endpoints are limited.
 type limits struct {
 	node    *Node
-	counter ratelimit.Counter // for the endpoints of the data centres that this box leads
-	wake    chan struct{}     // holds one when a word is to be told
+	counter ratelimit.Counter // for endpoints in the data centres that this box leads
+	wake    chan struct{}     // signals that a limit has to be reported
 
-	mu     sync.Mutex
-	known  map[string]*limited // by endpoint; mu is not held while facts are merged
-	unread time.Time           // when a line last told of a limit that can't be read
+	mu                 sync.Mutex
+	known              map[string]*limitState // by endpoint; mu must not be held while facts are merged, since applyLimit locks it
+	unreadableLoggedAt time.Time              // when an unreadable limit was last logged
 }
 
-// limited is an endpoint that names a limit, or did.
-type limited struct {
-	word   ratelimit.Word  // the latest, by an answer or by a fact
-	untold bool            // its leader has not been told of word
-	line   time.Time       // when a line last told of it
-	fact   ratelimit.Limit // by the last fact
-	factAt time.Time
-	denied denial
-	counts LimitCounts
+// limitState is what this box knows of an endpoint that announces a limit or used to.
+type limitState struct {
+	latest      ratelimit.Word  // from a response or a published fact
+	unreported  bool            // latest has not been reported to the leader
+	loggedAt    time.Time       // when a change was last logged
+	published   ratelimit.Limit // value of the last published fact
+	publishedAt time.Time
+	denied      denial
+	counts      LimitCounts
 }
 
-// denial is a leader's answer that an endpoint takes no more, which stands for later requests of the
-// same kind, and for all that would get less.
+// denial is a leader's answer that an endpoint has no capacity left. It also applies to later requests that rank no
+// higher than the one that was denied.
 type denial struct {
-	until time.Time
-	back  time.Time // when callers are told to come back
-	want  ratelimit.Ask
+	until   time.Time
+	retryAt time.Time // when callers are told to retry
+	ask     ratelimit.Ask
 }
 
-// LimitCounts is what one box did with an endpoint that names a limit, since it named one first.
+// LimitCounts counts this box's requests for an endpoint since it first announced a limit.
 type LimitCounts struct {
-	Sent    int64 `json:"sent"`    // requests to it
-	Granted int64 `json:"granted"` // by the leader of its data centre
-	Denied  int64 `json:"denied"`  // that went elsewhere, or were refused
+	Sent    int64 `json:"sent"`    // requests sent to the endpoint
+	Granted int64 `json:"granted"` // requests granted by the leader of its data centre
+	Denied  int64 `json:"denied"`  // requests sent elsewhere or refused
 }
 
 func newLimits(n *Node) *limits {
-	return &limits{node: n, wake: make(chan struct{}, 1), known: make(map[string]*limited)}
+	return &limits{node: n, wake: make(chan struct{}, 1), known: make(map[string]*limitState)}
 }
 
 // HasLimit implements forward.Limits.
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
-	return k != nil && k.word.Limit.Named()
+	return k != nil && k.latest.Limit.Named()
 }
 
 // RequestSent implements forward.Limits.
@@ -103,40 +103,40 @@
 	w := ratelimit.NewWord(l, sent, now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.learnLocked(endpoint, w, now) {
+	if !s.updateLocked(endpoint, w, now) {
 		return
 	}
-	s.known[endpoint].untold = true
+	s.known[endpoint].unreported = true
 	select {
 	case s.wake <- struct{}{}:
-	default: // it will look anyway
+	default: // a wake-up is already pending
 	}
 }
 
-// learnLocked takes in a word; it tells whether the limit is another one now.
-func (s *limits) learnLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
+// updateLocked applies an announcement unless a newer one is known. It returns whether the limit changed.
+func (s *limits) updateLocked(endpoint string, w ratelimit.Word, now time.Time) bool {
 	if s.known[endpoint] == nil && !w.Limit.Named() {
 		return false
 	}
 	k := s.entryLocked(endpoint)
-	if !w.At.After(k.word.At) {
+	if !w.At.After(k.latest.At) {
 		return false
 	}
-	before := k.word.Limit
-	k.word = w
+	before := k.latest.Limit
+	k.latest = w
 	if before == w.Limit {
 		return false
 	}
 	k.denied = denial{}
-	if before.Named() && w.Limit.Named() && now.Sub(k.line) < limitLine {
+	if before.Named() && w.Limit.Named() && now.Sub(k.loggedAt) < limitUpdateInterval {
 		return true
 	}
-	k.line = now
-	line := "Endpoint names a limit"
+	k.loggedAt = now
+	message := "Endpoint announced a rate limit"
 	if !w.Limit.Named() {
-		line = "Endpoint names no limit any more"
+		message = "Endpoint no longer announces a rate limit"
 	}
-	s.node.Log.Info(line, "endpoint", endpoint, "a_second", w.Limit.Rate(), "sent", k.counts.Sent, "granted", k.counts.Granted, "denied", k.counts.Denied)
+	s.node.Log.Info(message, "endpoint", endpoint, "a_second", w.Limit.Rate(), "sent", k.counts.Sent, "granted", k.counts.Granted, "denied", k.counts.Denied)
 	return true
 }
 
@@ -145,84 +145,84 @@
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.unread.IsZero() && now.Sub(s.unread) < limitLine {
+	if !s.unreadableLoggedAt.IsZero() && now.Sub(s.unreadableLoggedAt) < limitUpdateInterval {
 		return
 	}
-	s.unread = now
-	s.node.Log.Info("Endpoint's limit can't be read; what was known before stays", "endpoint", endpoint, "err", err.Error())
+	s.unreadableLoggedAt = now
+	s.node.Log.Info("Can't parse the endpoint's rate limit; keeping the last known one", "endpoint", endpoint, "err", err.Error())
 }
 
 // Acquire implements forward.Limits.
 func (s *limits) Acquire(ctx context.Context, e *topology.Endpoint, want ratelimit.Ask) forward.AcquireResult {
 	now := clock.Now()
-	word, denied := s.look(e.ID(), want, now)
-	if denied > 0 {
-		return forward.AcquireResult{Wait: denied}
+	latest, wait := s.cached(e.ID(), want, now)
+	if wait > 0 {
+		return forward.AcquireResult{Wait: wait}
 	}
 	q := &wire.TakeRequest{
 		Box:            s.node.peers.box,
-		Word:           wire.NewLimitWord(e.ID(), word, now),
+		Word:           wire.NewLimitWord(e.ID(), latest, now),
 		Rank:           int32(want.Rank),
 		PatienceMicros: want.Patience.Microseconds(),
 		Spare:          want.Spare,
 	}
-	a := s.ask(ctx, e.DataCentre(), q)
-	return s.taken(e.ID(), word, a, want, clock.Now())
+	a := s.askLeader(ctx, e.DataCentre(), q)
+	return s.applyReply(e.ID(), latest, a, want, clock.Now())
 }
 
-// look returns what is known of an endpoint's limit, and how long a request has to wait by what its
-// leader answered before; zero: the leader is asked.
-func (s *limits) look(endpoint string, want ratelimit.Ask, now time.Time) (w ratelimit.Word, denied time.Duration) {
+// cached returns the latest known limit of an endpoint and, if an earlier denial applies to the request, how long it
+// has to wait. If that is zero the leader has to be asked.
+func (s *limits) cached(endpoint string, want ratelimit.Ask, now time.Time) (latest ratelimit.Word, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
-		return w, 0
+		return latest, 0
 	}
-	if now.Before(k.denied.until) && !want.Before(k.denied.want) {
+	if now.Before(k.denied.until) && !want.Before(k.denied.ask) {
 		k.counts.Denied++
-		return k.word, max(k.denied.back.Sub(now), time.Millisecond)
+		return k.latest, max(k.denied.retryAt.Sub(now), time.Millisecond)
 	}
-	return k.word, 0
+	return k.latest, 0
 }
 
-// ask asks the leader of a data centre; one that gives no answer leads nothing.
-func (s *limits) ask(ctx context.Context, centre string, q *wire.TakeRequest) *wire.TakeReply {
+// askLeader asks the leader of a data centre. If there is none or it does not answer, Leads is false in the reply.
+func (s *limits) askLeader(ctx context.Context, centre string, q *wire.TakeRequest) *wire.TakeReply {
 	m, ok := s.node.peers.clusterView().leader(centre)
 	if !ok {
 		return &wire.TakeReply{}
 	}
 	if m.Name() == s.node.peers.box {
-		return s.answer(q, clock.Now())
+		return s.handleTake(q, clock.Now())
 	}
-	call, cancel := context.WithTimeout(ctx, takeCall)
+	call, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Take(call, q)
 	if err != nil {
-		s.node.Log.V(1).Info("Leader does not answer for an endpoint that names a limit", "leader", m.Name(), "err", err.Error())
+		s.node.Log.V(1).Info("Leader did not answer a request for rate-limited capacity", "leader", m.Name(), "err", err.Error())
 		return &wire.TakeReply{}
 	}
 	return a
 }
 
-// taken notes what became of a request for an endpoint. Where nobody counts for the endpoint it gets none:
-// each box alone can't know what the others send.
-func (s *limits) taken(endpoint string, asked ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.AcquireResult {
+// applyReply records the leader's answer to a request. While an endpoint has no leader the request is denied, since
+// a single box does not know how many requests the others send.
+func (s *limits) applyReply(endpoint string, sent ratelimit.Word, a *wire.TakeReply, want ratelimit.Ask, now time.Time) forward.AcquireResult {
 	wait := time.Duration(a.GetWaitMicros()) * time.Microsecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
-	if k == nil { // it is gone meanwhile
+	if k == nil { // the endpoint was removed in the meantime
 		return forward.AcquireResult{OK: a.GetLeads() && (a.GetGranted() || !a.GetLimited()), Wait: wait}
 	}
 	switch {
 	case !a.GetLeads():
 		k.counts.Denied++
-		k.denied = denial{until: now.Add(takeAgain), back: now.Add(takeAgain)}
-		return forward.AcquireResult{Wait: takeAgain}
+		k.denied = denial{until: now.Add(noLeaderDenialTime), retryAt: now.Add(noLeaderDenialTime)}
+		return forward.AcquireResult{Wait: noLeaderDenialTime}
 	case !a.GetLimited():
-		if k.word == asked { // its leader knows better
-			k.word = ratelimit.Word{At: now}
+		if k.latest == sent { // the leader knows that the limit has ended
+			k.latest = ratelimit.Word{At: now}
 		}
 		return forward.AcquireResult{OK: true}
 	case a.GetGranted():
@@ -230,15 +230,15 @@
 		return forward.AcquireResult{OK: true, Wait: wait}
 	}
 	k.counts.Denied++
-	again := min(wait, deniedMost)
+	reuse := min(wait, maxDenialTime)
 	if want.Spare {
-		again = spareAgain
+		reuse = spareDenialTime
 	}
-	k.denied = denial{until: now.Add(again), back: now.Add(wait), want: want}
+	k.denied = denial{until: now.Add(reuse), retryAt: now.Add(wait), ask: want}
 	return forward.AcquireResult{Wait: wait}
 }
 
-// applyLimit takes in a fact that an endpoint names a limit, or none any more.
+// applyLimit applies a fact with the limit of an endpoint, or with none after the limit ended.
 func (s *limits) applyLimit(endpoint string, i *wire.Item) {
 	var l wire.RateLimit
 	if err := proto.Unmarshal(i.GetValue(), &l); err != nil {
@@ -250,20 +250,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.entryLocked(endpoint)
-	k.fact, k.factAt = limit, now
-	s.learnLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
+	k.published, k.publishedAt = limit, now
+	s.updateLocked(endpoint, ratelimit.Word{Limit: limit, At: now}, now)
 }
 
-func (s *limits) entryLocked(endpoint string) *limited {
+func (s *limits) entryLocked(endpoint string) *limitState {
 	k := s.known[endpoint]
 	if k == nil {
-		k = new(limited)
+		k = new(limitState)
 		s.known[endpoint] = k
 	}
 	return k
 }
 
-// forget drops what is known of an endpoint that is gone: each life names its own limit.
+// forget removes the state of an endpoint that is gone. A restarted endpoint has another ID and announces its own
+// limit.
 func (s *limits) forget(endpoint string) {
 	s.counter.Forget(endpoint)
 	s.node.items.Forget(limitsPrefix + endpoint)
@@ -272,7 +273,7 @@
 	delete(s.known, endpoint)
 }
 
-// limitReport is what the metrics tell of one endpoint that names a limit, or did.
+// limitReport is the entry of one endpoint in the metrics.
 type limitReport struct {
 	Named bool    `json:"named"`
 	Rate  float64 `json:"a_second"`
@@ -284,7 +285,7 @@
 	defer s.mu.Unlock()
 	list := make(map[string]limitReport, len(s.known))
 	for e, k := range s.known {
-		list[e] = limitReport{Named: k.word.Limit.Named(), Rate: k.word.Limit.Rate(), LimitCounts: k.counts}
+		list[e] = limitReport{Named: k.latest.Limit.Named(), Rate: k.latest.Limit.Rate(), LimitCounts: k.counts}
 	}
 	return list
 }
--- /dev/null
+++ b/edge/limits_notify.go
@@ -0,0 +1,134 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package edge
+
+import (
+	"context"
+	"time"
+
+	"cairnwick.example/clock"
+	"cairnwick.example/member"
+	"cairnwick.example/ratelimit"
+	"cairnwick.example/wire"
+)
+
+// maxReportedLimits bounds the number of limits that are accepted in one message.
+const maxReportedLimits = 4096
+
+// run reports announced limits to the leaders, and removes the state of endpoints that are gone, until ctx ends.
+func (s *limits) run(ctx context.Context) error {
+	return notifier{Wake: s.wake, Send: s.notifyLeaders, RetryDelay: noLeaderInterval, Expire: s.forgetGone}.Run(ctx)
+}
+
+// forgetGone removes the state of endpoints that are not in the view: a box that had not yet learned that an endpoint
+// ended may have published its limit afterwards.
+func (s *limits) forgetGone() {
+	s.mu.Lock()
+	var gone []string
+	for e := range s.known {
+		if s.node.view.Endpoint(e) == nil {
+			gone = append(gone, e)
+		}
+	}
+	s.mu.Unlock()
+	for _, e := range gone {
+		s.forget(e)
+	}
+}
+
+// limitsReport holds the limits that have to be reported to one leader.
+type limitsReport struct {
+	leader member.Member
+	limits map[string]ratelimit.Word // by endpoint
+}
+
+// notifyLeaders sends pending reports to the leaders. It returns whether all were delivered.
+func (s *limits) notifyLeaders(ctx context.Context) bool {
+	list, complete := s.pendingReports()
+	answers := make(chan bool, len(list))
+	for _, u := range list {
+		go func() { answers <- s.notifyLeader(ctx, u) }()
+	}
+	for range list {
+		complete = <-answers && complete
+	}
+	return complete
+}
+
+// pendingReports returns the pending reports by the leader's name. complete is false if a data centre has no known
+// leader.
+func (s *limits) pendingReports() (list map[string]limitsReport, complete bool) {
+	view := s.node.peers.clusterView()
+	list = make(map[string]limitsReport)
+	complete = true
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, k := range s.known {
+		e := s.node.view.Endpoint(id)
+		if !k.unreported || e == nil {
+			continue
+		}
+		m, ok := view.leader(e.DataCentre())
+		if !ok {
+			complete = false
+			continue
+		}
+		u, known := list[m.Name()]
+		if !known {
+			u = limitsReport{leader: m, limits: make(map[string]ratelimit.Word)}
+			list[m.Name()] = u
+		}
+		u.limits[id] = k.latest
+	}
+	return list, complete
+}
+
+// notifyLeader sends a report to one leader. It returns whether that box leads all the endpoints in it and accepted
+// it.
+func (s *limits) notifyLeader(ctx context.Context, u limitsReport) bool {
+	now := clock.Now()
+	q := &wire.LimitsRequest{Box: s.node.peers.box}
+	for id, w := range u.limits {
+		q.Words = append(q.Words, wire.NewLimitWord(id, w, now))
+	}
+	a := s.sendReport(ctx, u.leader, q, now)
+	if !a.GetLeads() {
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id, w := range u.limits {
+		if k := s.known[id]; k != nil && k.latest == w {
+			k.unreported = false
+		}
+	}
+	return true
+}
+
+// sendReport delivers a request to a leader, which may be this box. If the call fails, Leads is false in the reply.
+func (s *limits) sendReport(ctx context.Context, m member.Member, q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
+	if m.Name() == s.node.peers.box {
+		return s.handleReport(q, now)
+	}
+	call, cancel := context.WithTimeout(ctx, settleTimeout)
+	defer cancel()
+	a, err := wire.NewShareClient(s.node.peers.dialer.Conn(m.Address())).Limits(call, q)
+	if err != nil {
+		s.node.Log.Info("Reporting rate limits to the leader failed", "leader", m.Name(), "err", err.Error())
+		return &wire.LimitsReply{}
+	}
+	return a
+}
+
+// handleReport applies the limits that a box reports, for the endpoints that this box leads.
+func (s *limits) handleReport(q *wire.LimitsRequest, now time.Time) *wire.LimitsReply {
+	a := &wire.LimitsReply{Leads: true}
+	for _, w := range q.GetWords()[:min(len(q.GetWords()), maxReportedLimits)] {
+		if !s.leads(w.GetEndpoint(), now) {
+			a.Leads = false
+			continue
+		}
+		s.receive(w, now)
+	}
+	return a
+}
--- a/edge/notifier.go
+++ b/edge/notifier.go
@@ -17,7 +17,7 @@
 
 // Run sends updates until ctx ends.
 func (t notifier) Run(ctx context.Context) error {
-	expire := time.NewTicker(expirePause)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	var retry <-chan time.Time // nil: no retry is due
 	for ctx.Err() == nil {
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -211,7 +211,7 @@
 		s.pool.Borrowed(l.GetOrganisation(), float64(lent[l.GetOrganisation()]), now, loanBackoff)
 	}
 	if len(lent) > 0 {
-		s.hurry() // requests held by this box may wait for the units
+		s.settleNow() // requests held by this box may wait for the units
 	}
 	return len(lent) > 0
 }
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -11,43 +11,44 @@
 	"cairnwick.example/wire"
 )
 
-// quarantinePrefix begins the keys of the requests that are kept from endpoints; the content follows.
-// Such a fact's version is until when, in Unix microseconds.
+// quarantinePrefix is the key prefix of facts about quarantined requests; the request's content hash follows. The
+// version of such a fact is the time at which the quarantine ends, in Unix microseconds.
 const quarantinePrefix = "quarantine/"
 
-// expirePause is between two looks for what is over: requests that need not be kept away any more, limits
-// of endpoints that are gone.
-const expirePause = 10 * time.Second
+// expireInterval is the time between two removals of expired state: quarantines that are over, limits of endpoints
+// that are gone.
+const expireInterval = 10 * time.Second
 
-// quarantined is the requests that this box keeps from endpoints. Each box tells the leaders of all data
-// centres what ended under its requests; who has counted enough tells all boxes by a fact.
-type quarantined struct{ node *Node }
+// requestQuarantine keeps a request away from endpoints after several of them ended while they ran it. Each box
+// reports to the leaders of all data centres which endpoints ended under its requests; a leader that has counted
+// enough of them for a request publishes a fact to all boxes.
+type requestQuarantine struct{ node *Node }
 
 // Remaining implements forward.Quarantine.
-func (q quarantined) Remaining(c quarantine.Content, now time.Time) (time.Duration, bool) {
+func (q requestQuarantine) Remaining(c quarantine.Content, now time.Time) (time.Duration, bool) {
 	return q.node.state.tracker.Kept().Left(c, now)
 }
 
 // Ended implements forward.Quarantine.
-func (q quarantined) Ended(endpoint string, contents []quarantine.Content) {
+func (q requestQuarantine) Ended(endpoint string, contents []quarantine.Content) {
 	now := time.Now()
-	q.count(endpoint, contents, now)
+	q.record(endpoint, contents, now)
 	end := &wire.EndpointEnd{Endpoint: endpoint, Contents: quarantine.Encode(contents)}
 	if !q.node.outbox.add(&message{end: end}, now) {
-		q.node.Log.Info("End of an endpoint is not told to others: too many wait", "endpoint", endpoint)
+		q.node.Log.Info("Report of an endpoint's end dropped: too many messages pending", "endpoint", endpoint)
 	}
 }
 
-// hear takes in what another box saw.
-func (q quarantined) hear(m *wire.EndedRequest, now time.Time) {
+// receive applies the reports of another box.
+func (q requestQuarantine) receive(m *wire.EndedRequest, now time.Time) {
 	for _, e := range m.GetEnds()[:min(len(m.GetEnds()), maxPendingMessages)] {
-		q.count(e.GetEndpoint(), quarantine.Decode(e.GetContents()), now)
+		q.record(e.GetEndpoint(), quarantine.Decode(e.GetContents()), now)
 	}
 }
 
-// count counts an end of an endpoint, and tells all boxes of the requests that it puts into
-// quarantine. A leader brings nothing more to the endpoint until its entry has lapsed.
-func (q quarantined) count(endpoint string, contents []quarantine.Content, now time.Time) {
+// record counts the end of an endpoint against the requests that it ran, and publishes those that are quarantined
+// by it. The loader assigns the endpoint no more loads until its entry has lapsed.
+func (q requestQuarantine) record(endpoint string, contents []quarantine.Content, now time.Time) {
 	q.node.loader.Ended(endpoint, clock.Now().Add(q.node.current.Load().Bounds.RegistrationTTL))
 	for _, c := range q.node.state.tracker.Note(endpoint, contents, now) {
 		q.node.items.Merge(&wire.Item{
@@ -58,11 +59,11 @@
 	}
 }
 
-// applyQuarantine takes in a fact that a request is kept from endpoints, by the rest of its key.
+// applyQuarantine applies a fact about a quarantined request; rest is its key without the prefix.
 func (s *state) applyQuarantine(rest string, i *wire.Item) {
 	c, ok := quarantine.ParseContent(rest)
 	if !ok {
-		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", "no content")
+		s.log.Info("Fact can't be read; the last good one stays", "key", i.GetKey(), "version", i.GetVersion(), "err", "the key holds no content hash")
 		return
 	}
 	until := time.UnixMicro(int64(i.GetVersion()))
@@ -71,13 +72,13 @@
 	}
 }
 
-// isQuarantineOver tells of a fact that a request is kept from endpoints whether its time is over.
+// isQuarantineOver returns whether a fact is about a quarantine that has ended.
 func isQuarantineOver(i *wire.Item, now time.Time) bool {
 	return strings.HasPrefix(i.GetKey(), quarantinePrefix) && int64(i.GetVersion()) <= now.UnixMicro()
 }
 
-// expire forgets requests whose time is over.
-func (q quarantined) expire(now time.Time) {
+// expire removes quarantines that have ended.
+func (q requestQuarantine) expire(now time.Time) {
 	for _, c := range q.node.state.tracker.Kept().Expire(now) {
 		q.node.items.Forget(quarantinePrefix + c.String())
 		q.node.Log.Info("Request may reach endpoints again", "content", c.String())
