--- a/edge/clusterview.go
+++ b/edge/clusterview.go
@@ -14,87 +14,85 @@
 )
 
 const (
-	// takeoverAfter is how long a data centre's boxes must all be dead before a box
-	// elsewhere leads it: boxes start again in a few seconds, and what is cut off for
-	// longer than a link takes to be mended is rare.
-	takeoverAfter = 20 * time.Second
-
-	// leaderPart: a leader works for the whole data centre, so a box that may use less
-	// than this part of the strongest one's processor does not lead.
-	leaderPart = 2
-
-	// followersMost is how many boxes of its data centre one box tells everything: the
-	// others follow those, so that what a box sends does not grow with the data centre.
-	followersMost = 6
-
-	// clusterViewFor is how long a clusterView holds while no member changes: only takeovers
-	// depend on the time.
-	clusterViewFor = time.Second
+	// takeoverDelay is how long all boxes of a data centre must be dead before a box elsewhere leads it. Boxes restart
+	// within a few seconds, and network partitions rarely last longer.
+	takeoverDelay = 20 * time.Second
+
+	// leaderCapacityDivisor limits leadership to boxes whose CPU capacity is at least the strongest one's divided by
+	// it, since a leader works for the whole data centre.
+	leaderCapacityDivisor = 2
+
+	// maxFollowers is how many boxes of its data centre one box sends all facts to. The others follow those, so that
+	// the traffic of a box does not grow with the size of the data centre.
+	maxFollowers = 6
+
+	// clusterViewTTL is how long a clusterView is valid while no member changes. Only takeovers depend on the time.
+	clusterViewTTL = time.Second
 )
 
-// clusterView is what follows from one version of the view of members. It never changes.
+// clusterView is derived from one version of the member table: leaders, and the box to follow. It is immutable.
 type clusterView struct {
-	version uint64
-	until   time.Time
-	boxes   int                      // that are known: who fell silent may serve on the other side of a cut, who leaves still holds requests
-	centres []string                 // that have a serving box, sorted
-	silent  map[string]bool          // data centres without a serving box, of which some fell silent lately or all did
-	leaders map[string]member.Member // of the data centres that have a known box
-	other   member.Member            // the oldest strong box of all: leads where no box is known, and where all have left
-	found   bool                     // there is one
-	above   member.Member            // the box that this one follows
-	steps   int                      // from this box to the leader of its data centre; zero: it leads
+	version        uint64
+	validUntil     time.Time
+	boxes          int                      // known ones: an unreachable box may serve on the other side of a network partition, and one that shuts down still has requests in flight
+	centres        []string                 // data centres with a serving box, sorted
+	unreachable    map[string]bool          // data centres without a serving box, where one died less than takeoverDelay ago or all are dead
+	leaders        map[string]member.Member // by data centre with a known box; the zero Member: none
+	fallbackLeader member.Member            // the oldest box of sufficient capacity anywhere: leads data centres without a known box, and, in time, those without a serving box
+	hasFallback    bool                     // whether fallbackLeader is set
+	upstream       member.Member            // the box that this one follows
+	hops           int                      // from this box to the leader of its data centre; zero: it leads
 }
 
-// clusterViews keeps the clusterView of the present view.
+// clusterViews caches the latest clusterView.
 type clusterViews struct {
 	mu     sync.Mutex
 	latest *clusterView
 }
 
-// clusterView returns what follows from the members as they are seen now.
+// clusterView returns the clusterView of the current members.
 func (p *peers) clusterView() *clusterView {
 	now := clock.Now()
 	version := p.table.Version()
 	p.clusterViews.mu.Lock()
 	defer p.clusterViews.mu.Unlock()
-	if o := p.clusterViews.latest; o != nil && o.version == version && now.Before(o.until) {
-		return o
+	if latest := p.clusterViews.latest; latest != nil && latest.version == version && now.Before(latest.validUntil) {
+		return latest
 	}
-	o := newClusterView(p.box, p.centre, p.table.All(), now)
-	o.version, o.until = version, now.Add(clusterViewFor)
-	p.clusterViews.latest = o
-	return o
+	v := newClusterView(p.box, p.centre, p.table.All(), now)
+	v.version, v.validUntil = version, now.Add(clusterViewTTL)
+	p.clusterViews.latest = v
+	return v
 }
 
 func newClusterView(box, centre string, all []member.Member, now time.Time) *clusterView {
-	o := &clusterView{silent: make(map[string]bool), leaders: make(map[string]member.Member)}
+	v := &clusterView{unreachable: make(map[string]bool), leaders: make(map[string]member.Member)}
 	var serving []member.Member
 	byCentre := make(map[string][]member.Member)
 	for _, m := range all {
 		if m.Role() != roleBox {
 			continue
 		}
-		o.boxes++
+		v.boxes++
 		byCentre[m.DataCentre()] = append(byCentre[m.DataCentre()], m)
 		if m.Serving() {
 			serving = append(serving, m)
 		}
 	}
-	o.other, o.found = oldestStrong(serving)
+	v.fallbackLeader, v.hasFallback = oldestCapable(serving)
 	for c, list := range byCentre {
-		o.addCentre(c, list, now)
+		v.addDataCentre(c, list, now)
 	}
-	slices.Sort(o.centres)
-	o.follow(box, centre, serving)
-	return o
+	slices.Sort(v.centres)
+	v.chooseUpstream(box, centre, serving)
+	return v
 }
 
-// addCentre finds the leader of a data centre: the oldest of the strong boxes that serve
-// there, or, where all have left, of all boxes. Where some only fell silent lately the data
-// centre is more often cut off than without boxes, so others wait before they lead it.
-func (o *clusterView) addCentre(centre string, list []member.Member, now time.Time) {
-	var died time.Time // when the latest one of them did
+// addDataCentre determines the leader of a data centre: the oldest serving box of sufficient capacity there, or the
+// oldest one anywhere if no box serves there. If one of them died recently, a network partition is more likely than a
+// data centre without boxes, so no box elsewhere leads it until takeoverDelay has passed.
+func (v *clusterView) addDataCentre(centre string, list []member.Member, now time.Time) {
+	var lastDeath time.Time // when the last one of them died
 	dead := 0
 	var serving []member.Member
 	for _, m := range list {
@@ -105,35 +103,35 @@
 			continue
 		}
 		dead++
-		if m.Since().After(died) {
-			died = m.Since()
+		if m.Since().After(lastDeath) {
+			lastDeath = m.Since()
 		}
 	}
-	if leader, ok := oldestStrong(serving); ok {
-		o.centres = append(o.centres, centre)
-		o.leaders[centre] = leader
+	if leader, ok := oldestCapable(serving); ok {
+		v.centres = append(v.centres, centre)
+		v.leaders[centre] = leader
 		return
 	}
-	fellSilent := now.Sub(died) < takeoverAfter
-	if fellSilent || dead == len(list) {
-		o.silent[centre] = true
+	diedRecently := now.Sub(lastDeath) < takeoverDelay
+	if diedRecently || dead == len(list) {
+		v.unreachable[centre] = true
 	}
-	if o.found && !fellSilent {
-		o.leaders[centre] = o.other
+	if v.hasFallback && !diedRecently {
+		v.leaders[centre] = v.fallbackLeader
 		return
 	}
-	o.leaders[centre] = member.Member{} // nobody
+	v.leaders[centre] = member.Member{} // none
 }
 
-// oldestStrong returns the oldest of the boxes that have a good part of the strongest
-// one's processor.
-func oldestStrong(list []member.Member) (best member.Member, ok bool) {
+// oldestCapable returns the oldest box whose capacity is at least the strongest one's divided by
+// leaderCapacityDivisor.
+func oldestCapable(list []member.Member) (best member.Member, ok bool) {
 	most := 0
 	for _, m := range list {
 		most = max(most, m.Capacity())
 	}
 	for _, m := range list {
-		if leaderPart*m.Capacity() >= most && (!ok || older(m, best)) {
+		if leaderCapacityDivisor*m.Capacity() >= most && (!ok || older(m, best)) {
 			best, ok = m, true
 		}
 	}
@@ -147,15 +145,15 @@
 	return a.Name() < b.Name()
 }
 
-// follow finds the box that this one follows. The boxes of a data centre follow each other in
-// steps: the leader first, strong ones before weak ones, old ones before young ones. A box that
-// is not in its own view follows the leader.
+// chooseUpstream determines the box that this one follows. The boxes of a data centre form a tree below the leader,
+// filled level by level: boxes of higher capacity first, then older ones. A box that is missing from its own view
+// follows the leader.
 //
-// Who changes the box that it follows must learn what it may have missed, so few others may be
-// moved by one that comes or goes. When each took its place in a list of all, a restart moved
-// 5.8 of 39 boxes in the mean; now it moves 3.3, most of them where the leader restarts.
-func (o *clusterView) follow(box, centre string, serving []member.Member) {
-	leader, ok := o.leader(centre)
+// A box that changes the one that it follows must fetch what it may have missed, so a box that starts or stops should
+// move few others. When the position in a sorted list decided, a restart moved 5.8 of 39 boxes on average; now it moves
+// 3.3, most of them when the leader restarts.
+func (v *clusterView) chooseUpstream(box, centre string, serving []member.Member) {
+	leader, ok := v.leader(centre)
 	if !ok || leader.Name() == box {
 		return
 	}
@@ -165,49 +163,49 @@
 	slices.SortFunc(others, func(a, b member.Member) int {
 		return cmp.Or(cmp.Compare(b.Capacity(), a.Capacity()), cmp.Compare(a.Incarnation(), b.Incarnation()), cmp.Compare(a.Name(), b.Name()))
 	})
-	o.above, o.steps = leader, 1
+	v.upstream, v.hops = leader, 1
 	i := slices.IndexFunc(others, func(m member.Member) bool { return m.Name() == box })
-	if i < followersMost {
+	if i < maxFollowers {
 		return
 	}
-	begin, end := 0, followersMost // of the boxes that are so many steps from the leader
+	begin, end := 0, maxFollowers // range in others of the boxes that are this many hops from the leader
 	for i >= end {
-		o.steps++
-		begin, end = end, end+followersMost*(end-begin)
+		v.hops++
+		begin, end = end, end+maxFollowers*(end-begin)
 	}
-	aboveFrom := begin - (end-begin)/followersMost
-	o.above = followed(others[begin:i+1], others[aboveFrom:begin])
+	candidatesFrom := begin - (end-begin)/maxFollowers
+	v.upstream = upstreamOfLast(others[begin:i+1], others[candidatesFrom:begin])
 }
 
-// followed returns whom the last of the boxes follows. They choose in turn, each the first in
-// an order of its own that has not enough followers yet.
-func followed(boxes, above []member.Member) member.Member {
-	names := make([]string, len(above))
-	for i, m := range above {
+// upstreamOfLast returns the box that the last of boxes follows. The boxes choose in turn, each by its own ranking of
+// the candidates, the first one that has fewer than maxFollowers followers.
+func upstreamOfLast(boxes, candidates []member.Member) member.Member {
+	names := make([]string, len(candidates))
+	for i, m := range candidates {
 		names[i] = m.Name()
 	}
-	followers := make(map[string]int, len(above))
+	followers := make(map[string]int, len(candidates))
 	chosen := ""
 	for _, b := range boxes {
 		ranked := policy.Rank(b.Name(), names)
-		chosen = ranked[slices.IndexFunc(ranked, func(n string) bool { return followers[n] < followersMost })]
+		chosen = ranked[slices.IndexFunc(ranked, func(n string) bool { return followers[n] < maxFollowers })]
 		followers[chosen]++
 	}
-	return above[slices.Index(names, chosen)]
+	return candidates[slices.Index(names, chosen)]
 }
 
-// leader returns the box that leads a data centre; false for none.
-func (o *clusterView) leader(centre string) (member.Member, bool) {
-	if m, known := o.leaders[centre]; known {
+// leader returns the box that leads a data centre; false if there is none.
+func (v *clusterView) leader(centre string) (member.Member, bool) {
+	if m, known := v.leaders[centre]; known {
 		return m, m.Name() != ""
 	}
-	return o.other, o.found
+	return v.fallbackLeader, v.hasFallback
 }
 
-// ledBy returns the data centres with a known box that a box leads, sorted.
-func (o *clusterView) ledBy(box string) []string {
+// dataCentresLedBy returns the data centres that a box leads, sorted; only those with a known box.
+func (v *clusterView) dataCentresLedBy(box string) []string {
 	var list []string
-	for c, m := range o.leaders {
+	for c, m := range v.leaders {
 		if m.Name() == box {
 			list = append(list, c)
 		}
@@ -216,8 +214,7 @@
 	return list
 }
 
-// parent returns the box that this one follows and how many steps the leader is away;
-// false where this box leads.
-func (o *clusterView) parent() (m member.Member, steps int, ok bool) {
-	return o.above, o.steps, o.steps > 0
+// parent returns the box that this one follows, and the number of hops to the leader; false if this box leads.
+func (v *clusterView) parent() (m member.Member, steps int, ok bool) {
+	return v.upstream, v.hops, v.hops > 0
 }
--- a/edge/limits_lead.go
+++ b/edge/limits_leader.go
@@ -11,13 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// answer answers a box that asks for one of the requests that an endpoint takes.
-func (s *limits) answer(q *wire.TakeRequest, now time.Time) *wire.TakeReply {
+// handleTake answers a box that asks to send a request to a rate-limited endpoint.
+func (s *limits) handleTake(q *wire.TakeRequest, now time.Time) *wire.TakeReply {
 	id := q.GetWord().GetEndpoint()
 	if !s.leads(id, now) {
 		return &wire.TakeReply{}
 	}
-	s.hear(q.GetWord(), now)
+	s.receive(q.GetWord(), now)
 	g := s.counter.Take(id, ratelimit.Ask{
 		Rank:     int(q.GetRank()),
 		Patience: time.Duration(q.GetPatienceMicros()) * time.Microsecond,
@@ -26,7 +26,8 @@
 	return &wire.TakeReply{Leads: true, Limited: g.Limited, Granted: g.OK, WaitMicros: g.Wait.Microseconds()}
 }
 
-// leads tells whether this box counts for an endpoint.
+// leads returns whether this box enforces the limit of an endpoint: it owns the endpoint, and its ownership has
+// begun.
 func (s *limits) leads(endpoint string, now time.Time) bool {
 	e := s.node.view.Endpoint(endpoint)
 	if e == nil {
@@ -36,58 +37,58 @@
 	return leads && !now.Before(from)
 }
 
-// hear takes in, as the box that counts for it, what an endpoint said, after what this box knew
-// itself: it may have begun to count just now. It tells all boxes of a limit that is another one.
-func (s *limits) hear(w *wire.LimitWord, now time.Time) {
+// receive applies an announcement as the leader, and publishes the limit if it changed enough. This box's own latest
+// announcement is applied first, since it may have become the leader just now with an empty counter.
+func (s *limits) receive(w *wire.LimitWord, now time.Time) {
 	id := w.GetEndpoint()
 	s.mu.Lock()
 	var own ratelimit.Word
 	if k := s.known[id]; k != nil {
-		own = k.word
+		own = k.latest
 	}
 	s.mu.Unlock()
 	s.counter.Hear(id, own, now)
 	s.counter.Hear(id, w.Word(now), now)
-	if l := s.counter.Limit(id); s.isNews(id, l, now) {
+	if l := s.counter.Limit(id); s.shouldPublish(id, l, now) {
 		s.publish(id, l)
 	}
 }
 
-// isNews tells whether all boxes must be told of a limit that is counted by.
-func (s *limits) isNews(endpoint string, l ratelimit.Limit, now time.Time) bool {
+// shouldPublish returns whether all boxes have to learn the limit that is enforced.
+func (s *limits) shouldPublish(endpoint string, l ratelimit.Limit, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.known[endpoint]
 	if k == nil {
 		return l.Named()
 	}
-	if k.fact.Named() != l.Named() {
+	if k.published.Named() != l.Named() {
 		return true
 	}
-	return math.Abs(l.Rate()-k.fact.Rate()) > limitPart*k.fact.Rate() && now.Sub(k.factAt) >= limitLine
+	return math.Abs(l.Rate()-k.published.Rate()) > limitChangeRatio*k.published.Rate() && now.Sub(k.publishedAt) >= limitUpdateInterval
 }
 
-// publish tells all boxes the limit of an endpoint.
+// publish publishes the limit of an endpoint to all boxes.
 func (s *limits) publish(endpoint string, l ratelimit.Limit) {
 	raw, err := proto.Marshal(wire.NewRateLimit(l))
 	if err != nil {
-		s.node.Log.Error(err, "Limit can't be encoded", "endpoint", endpoint)
+		s.node.Log.Error(err, "Can't encode a rate limit", "endpoint", endpoint)
 		return
 	}
 	key := limitsPrefix + endpoint
 	s.node.items.Merge(&wire.Item{
 		Key: key,
-		// Above the version before also where the time of day went back.
+		// Higher than the previous version even if the wall clock was set back.
 		Version:    max(uint64(time.Now().UnixMicro()), s.node.items.Version(key)+1),
 		Value:      raw,
 		DataCentre: s.node.Settings.DataCentre,
 	})
 }
 
-// room returns what an endpoint takes, for the one that decides where adapters are loaded.
+// room returns the remaining capacity of an endpoint, for placement decisions.
 func (s *limits) room(endpoint string, now time.Time) ratelimit.Room {
 	r := s.counter.Room(endpoint, now)
-	if !r.Limited && s.Limited(endpoint) { // nobody has asked this box for it yet
+	if !r.Limited && s.HasLimit(endpoint) { // the counter does not know the limit until a box asks for the endpoint
 		return ratelimit.Room{Limited: true}
 	}
 	return r
--- a/edge/node.go
+++ b/edge/node.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// Node is one box. Set the exported fields before Run.
+// Node is the gateway process of one box. Set the exported fields before Run.
 type Node struct {
 	Settings Settings
 	Source   Source
@@ -31,43 +31,43 @@
 	Protocol forward.Protocol
 	Control  placement.Control
 	Log      logr.Logger
-	Lines    *logging.Bounded // what Log writes to
-	Profile  bool             // whether the metrics address serves profiles of the process
+	Lines    *logging.Bounded // the output of Log
+	Profile  bool             // whether the metrics address also serves pprof profiles
 
-	current  atomic.Pointer[Settings] // in force; replaced by Reload
-	view     *topology.View
-	items    *share.Table
-	state    *state
-	peers    *peers
-	shared   *share.Server
-	messages *daemon.Messages
-	gateway  *forward.Gateway
-	loader   *placement.Loader
-	usage    *usage
-	levels   levels
-	spending *spending
-	outbox   *outbox
-	kept     quarantined
-	limits   *limits
+	current    atomic.Pointer[Settings] // replaced by Reload
+	view       *topology.View
+	items      *share.Table
+	state      *state
+	peers      *peers
+	shared     *share.Server
+	messages   *daemon.Messages
+	gateway    *forward.Gateway
+	loader     *placement.Loader
+	usage      *usage
+	loadCosts  loadCosts
+	spending   *spending
+	outbox     *outbox
+	quarantine requestQuarantine
+	limits     *limits
 
 	departures departures
 
-	vouched     vouched
-	leaving     atomic.Bool
-	fresh       freshness
-	calls       calls
-	ignored     ignored
-	checkpoints checkpoints
-	away        atomic.Bool   // whether the source does not answer
-	listed      atomic.Uint64 // the Revision of the last list of endpoints
+	vouched           vouched
+	leaving           atomic.Bool
+	fresh             freshness
+	sourceCalls       sourceCalls
+	ignored           ignored
+	checkpoints       checkpoints
+	sourceUnavailable atomic.Bool
+	listedRevision    atomic.Uint64 // the Revision of the last list of endpoints
 }
 
 const (
-	memoryPart = 0.7 // of the box's memory that the garbage collector aims below
-	heldPart   = 4   // descriptors for one held request: its caller's, the endpoint's, spare
+	memoryLimitFraction   = 0.7 // fraction of the box's memory that is the garbage collector's soft limit
+	descriptorsPerRequest = 4   // file descriptors per request in flight: the caller's, the endpoint's, and spare ones
 )
 
-// build makes the parts and ties them together.
+// build creates the components and connects them.
 func (n *Node) build() {
 	s := n.Settings
 	n.current.Store(&n.Settings)
@@ -78,14 +78,14 @@
 	n.items.OnChange = n.state.apply
 	n.items.HasEnded, n.items.IsSuperseded = n.hasEnded, n.isSuperseded
 	n.items.Same, n.items.Outlives = n.isSame, n.outlives
-	n.items.OnIgnored = n.noteIgnored
-	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.near(ip) }}
+	n.items.OnIgnored = n.countIgnored
+	n.messages = &daemon.Messages{Kind: n.messageKind, Near: func(ip string) (bool, bool) { return n.peers.isNear(ip) }}
 	n.peers = n.buildPeers()
 	n.shared = &share.Server{Table: n.items, DataCentre: s.DataCentre, Reading: n.status}
 	n.usage = newUsage(n)
 	n.spending = newSpending(n)
 	n.outbox = newOutbox(n)
-	n.kept = quarantined{node: n}
+	n.quarantine = requestQuarantine{node: n}
 	n.departures = departures{node: n}
 	n.limits = newLimits(n)
 	n.state.limits = n.limits
@@ -100,76 +100,76 @@
 		Leaders:     func() int { return len(n.peers.clusterView().centres) },
 		Owns:        n.owns,
 		AskToResign: n.peers.takeOver,
-		Room:        n.room,
-		Reads:       func(tokens int) time.Duration { return n.gateway.Reads(tokens) },
+		Headroom:    n.room,
+		PrefillTime: func(tokens int) time.Duration { return n.gateway.PromptReadTime(tokens) },
 		Publish: func(endpoint string, version uint64, held map[topology.Adapter]topology.Held) {
 			n.state.publish(s.DataCentre, endpoint, version, held)
 		},
 	}
 	n.loader.Init()
 	n.gateway = &forward.Gateway{
-		DataCentre: s.DataCentre,
-		View:       n.view,
-		Protocol:   n.Protocol,
-		Placer:     placer{node: n},
-		Observer:   n.usage,
-		Admission:  admission{node: n},
-		Quarantine: n.kept,
-		Limits:     n.limits,
-		Boxes:      func() int { return n.peers.budgetBoxes(clock.Now()) },
-		Level:      func(centre string) (time.Duration, bool) { return n.levels.of(centre, clock.Now()) },
-		Cut:        func(centre string) bool { return n.peers.clusterView().silent[centre] },
-		Budget:     func() forward.BudgetLimits { return n.current.Load().Budget },
-		Leaving:    n.departures.observe,
-		MostHeld:   max(s.Limits.Descriptors, heldPart*64) / heldPart,
-		Log:        n.Log,
-		Pressed:    n.Lines.Pressed,
-		Stats:      forward.NewStats(),
+		DataCentre:    s.DataCentre,
+		View:          n.view,
+		Protocol:      n.Protocol,
+		Placer:        placer{node: n},
+		Observer:      n.usage,
+		Admission:     admission{node: n},
+		Quarantine:    n.quarantine,
+		Limits:        n.limits,
+		Boxes:         func() int { return n.peers.budgetBoxes(clock.Now()) },
+		LoadCost:      func(centre string) (time.Duration, bool) { return n.loadCosts.get(centre, clock.Now()) },
+		Unreachable:   func(centre string) bool { return n.peers.clusterView().unreachable[centre] },
+		RetryLimits:   func() forward.RetryLimits { return n.current.Load().Budget },
+		OnDraining:    n.departures.observe,
+		MaxInFlight:   max(s.Limits.Descriptors, descriptorsPerRequest*64) / descriptorsPerRequest,
+		Log:           n.Log,
+		LogBacklogged: n.Lines.Pressed,
+		Stats:         forward.NewStats(),
 	}
 }
 
-// Reload brings new settings into force: seeds, bounds and limits. The name and the
-// addresses of a box stay those that it started with.
+// Reload applies new settings: seeds, bounds and limits. The box keeps the name and the addresses that it started
+// with.
 func (n *Node) Reload(s Settings) {
 	n.current.Store(&s)
-	n.Log.Info("Settings are in force", "seeds", len(s.Seeds))
+	n.Log.Info("Settings reloaded", "seeds", len(s.Seeds))
 }
 
 func (n *Node) buildPeers() *peers {
 	s := n.Settings
-	d := &net.Dialer{Timeout: peerDial, KeepAlive: -1}
+	d := &net.Dialer{Timeout: peerDialTimeout, KeepAlive: -1}
 	p := &peers{
-		box:     s.Box,
-		centre:  s.DataCentre,
-		dialer:  &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilentFor: silentFor, Messages: n.messages},
-		items:   n.items,
-		log:     n.Log,
-		started: clock.Now(),
-		reads:   n.reads,
-		seeds:   func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
-		behind:  n.behind,
-		known:   &n.checkpoints,
+		box:          s.Box,
+		centre:       s.DataCentre,
+		dialer:       &daemon.Dialer{Credentials: insecure.NewCredentials(), Dial: d.DialContext, SilentFor: connSilenceLimit, Messages: n.messages},
+		items:        n.items,
+		log:          n.Log,
+		started:      clock.Now(),
+		readsSource:  n.reads,
+		seeds:        func() []string { return otherSeeds(n.current.Load().Seeds, s.Peers) },
+		maxStaleness: n.behind,
+		checkpoints:  &n.checkpoints,
 	}
 	self := member.New(s.Box, s.Peers, roleBox, s.DataCentre, uint64(time.Now().UnixMicro())).
 		WithCapacity(int(s.Limits.Cores * 1000))
-	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectFor, ForgetDead: forgetDead, Fresh: freshFor, Wide: true})
+	p.table = member.NewTable(self, member.Limits{SuspectFor: suspectTimeout, ForgetDead: deadRetention, Fresh: exchangeFreshness, Wide: true})
 	p.loop = &member.Loop{
 		Table:      p.table,
 		Dial:       p.dialer.Peer,
 		Seeds:      p.seeds,
 		Bridges:    func() bool { return true },
-		Remote:     p.lost,
+		Remote:     p.deadAddresses,
 		Extras:     noExtras{},
 		Log:        n.Log,
-		Interval:   heartbeat,
-		Timeout:    heartbeat,
-		PauseLimit: pauseLimit,
-		Neighbours: neighbours,
+		Interval:   heartbeatInterval,
+		Timeout:    heartbeatInterval,
+		PauseLimit: maxHeartbeatGap,
+		Neighbours: heartbeatNeighbours,
 	}
 	return p
 }
 
-// noExtras adds nothing to heartbeats: facts travel by streams.
+// noExtras adds nothing to heartbeats: facts are sent over streams.
 type noExtras struct{}
 
 // Fill implements member.Extras.
@@ -178,32 +178,34 @@
 // Heard implements member.Extras.
 func (noExtras) Heard(*wire.Heartbeat, string) {}
 
-// owns reports whether this box gives orders to an endpoint.
+// owns reports whether this box is the one that issues commands to an endpoint, and from when on.
 func (n *Node) owns(e *topology.Endpoint, now time.Time) (bool, time.Time) {
 	return n.peers.leads(e.DataCentre(), n.current.Load().Bounds.Lease, now)
 }
 
-// HearNotice takes in what an endpoint says of itself in an answer to an order or a report. Call it only
-// while Run serves.
-func (n *Node) HearNotice(endpoint string, said forward.Notice) { n.gateway.HearNotice(endpoint, said) }
+// HandleNotice processes what an endpoint announces about itself, draining or a back-off, in the response to a command
+// or a status query. Call it only while Run serves.
+func (n *Node) HandleNotice(endpoint string, said forward.Notice) {
+	n.gateway.ObserveNotice(endpoint, said)
+}
 
-// room returns what an endpoint takes, for the one that decides where adapters are loaded. One that asked this
-// box for a back-off is as good as one that gets all that it takes: what it asks of one box it likely asks of
-// others, and a request that needs an adapter there would be turned away.
+// room returns an endpoint's remaining rate limit, which the loader uses to decide where to load adapters. An endpoint
+// that asked this box for a back-off counts as saturated: it likely asks other boxes for one too, and would reject
+// requests for the adapter.
 func (n *Node) room(endpoint string, now time.Time) ratelimit.Room {
 	r := n.limits.room(endpoint, now)
-	if !r.Limited && n.gateway.BackoffLeft(endpoint, now) > 0 {
+	if !r.Limited && n.gateway.BackoffRemaining(endpoint, now) > 0 {
 		return ratelimit.Room{Limited: true}
 	}
 	return r
 }
 
-// task is something that runs until its context ends.
+// task runs until its context ends.
 type task func(context.Context) error
 
-// Run serves until ctx ends, then leaves in order.
+// Run serves until ctx ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(float64(n.Settings.Limits.MemoryMB) * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(float64(n.Settings.Limits.MemoryMB) * memoryLimitFraction * (1 << 20)))
 	n.build()
 	listeners, err := n.listen()
 	if err != nil {
@@ -218,19 +220,19 @@
 	server := daemon.NewServer(insecure.NewCredentials(), n.messages)
 	wire.RegisterPeerServer(server, peerServer{node: n})
 	wire.RegisterShareServer(server, shareServer{node: n})
-	held := n.Settings.Bounds.Grace - noticeFor - endMargin // what is held when the end begins has so long
+	drainTime := n.Settings.Bounds.Grace - leaveNoticeTime - shutdownMargin // how long requests in flight have to finish during shutdown
 	tasks := []task{
 		n.peers.loop.Run, n.peers.followAll, n.usage.run, n.loader.Run, n.watchLead, n.gateway.Run, n.logTraffic,
-		n.spending.run, n.spending.borrow, n.outbox.run, n.limits.run,
+		n.spending.run, n.spending.requestLoans, n.outbox.run, n.limits.run,
 		n.reader(Settled).run, n.reader(Endpoints).run,
 		func(ctx context.Context) error { return servePeers(ctx, server, listeners.peers) },
-		httpTask(n.gateway, listeners.callers, held, max(n.Settings.Limits.Descriptors/callerPart, mostAsking)),
-		httpTask(n.readiness(), listeners.ready, held, mostAsking),
-		httpTask(n.metrics(), listeners.metrics, held, mostAsking),
+		httpTask(n.gateway, listeners.callers, drainTime, max(n.Settings.Limits.Descriptors/callerConnDivisor, maxAuxiliaryConns)),
+		httpTask(n.readinessHandler(), listeners.ready, drainTime, maxAuxiliaryConns),
+		httpTask(n.metrics(), listeners.metrics, drainTime, maxAuxiliaryConns),
 	}
 	err = n.runAll(ctx, inner, end, tasks)
 	n.peers.dialer.Close()
-	n.Log.Info("Box ends")
+	n.Log.Info("Box stopped")
 	return err
 }
 
@@ -265,15 +267,15 @@
 		table:      n.items,
 		wanted:     func() bool { return n.mustRead(c) },
 		checkpoint: func() checkpoint { return n.checkpoints.of(c) },
-		leads:      func() bool { return n.peers.clusterView().steps == 0 && clock.Since(n.peers.started) > settleFor },
+		leads:      func() bool { return n.peers.clusterView().hops == 0 && clock.Since(n.peers.started) > initialViewDelay },
 		log:        n.Log,
 		ages:       n.sourceAges,
 		behind:     n.behind,
-		away:       &n.away,
-		lapse:      func() time.Duration { return n.current.Load().Bounds.Lapse },
+		away:       &n.sourceUnavailable,
+		lapse:      func() time.Duration { return n.current.Load().Bounds.RegistrationTTL },
 		report:     func(w readOutcome) { n.noteRead(c, w) },
 		listed:     func(revision Revision) { n.noteListed(c, revision) },
-		counted:    n.calls.count,
+		counted:    n.sourceCalls.count,
 		restored:   func() { n.ignored.restores.Add(1) },
 	}
 }
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -15,103 +15,105 @@
 )
 
 const (
-	tellCall  = 400 * time.Millisecond // for a leader's answer, which takes a millisecond in a data centre
-	tellAgain = 100 * time.Millisecond // between two tries to tell a leader
-	// tellFor is how long a leader that does not answer is told anew: one that died has a successor
-	// by then, and one that is cut off hears what its own data centre sees.
-	tellFor = 8 * time.Second
-	// mostMessages bounds what waits to be told, and what one message may hold: endpoints that end together.
-	mostMessages = 1024
+	notifyTimeout    = 400 * time.Millisecond // a leader in the same data centre answers within a millisecond
+	notifyRetryDelay = 100 * time.Millisecond // between two attempts to notify a leader
+	// notifyMaxAge is how long a message is retried to leaders that do not answer. By then a leader that died has
+	// been replaced, and one behind a network partition receives the reports of its own data centre.
+	notifyMaxAge = 8 * time.Second
+	// maxPendingMessages bounds the pending messages and the entries of one request, since many endpoints may end
+	// together.
+	maxPendingMessages = 1024
 )
 
-// outbox is what the leaders of all data centres must hear of endpoints from this box: each leader
-// decides by it, and tells its data centre by a fact, so what one leader knew is lost with it alone.
+// outbox holds this box's observations of endpoints until the leaders of all data centres have received them. Each
+// leader acts on them and publishes a fact in its own data centre, so no observation is lost when one leader crashes.
 type outbox struct {
 	node *Node
-	wake chan struct{} // holds one when there is something to tell
+	wake chan struct{} // signals that a message is pending
 
 	mu       sync.Mutex
-	messages []*message // that some leaders have not been told
+	messages []*message // not yet delivered to every leader
 }
 
-// message is one thing that this box saw of an endpoint.
+// message is one observation of an endpoint by this box.
 type message struct {
-	end     *wire.EndpointEnd // it ended under requests; nil: it did not
-	leaving string            // it said that it leaves; empty: it did not
-	until   time.Time         // it is told as long
-	told    map[string]bool   // boxes that were told; of run alone
+	end       *wire.EndpointEnd // the endpoint ended while it ran requests; nil: it did not
+	leaving   string            // ID of an endpoint that announced draining; empty: none did
+	expires   time.Time         // when retries stop
+	delivered map[string]bool   // by box, whether it received the message; only used by run
 }
 
 func newOutbox(n *Node) *outbox { return &outbox{node: n, wake: make(chan struct{}, 1)} }
 
-// add has leaders told something; it tells whether there was room for it.
-func (o *outbox) add(n *message, now time.Time) bool {
-	n.until, n.told = now.Add(tellFor), make(map[string]bool)
+// add queues a message for all leaders. It returns false if the queue is full.
+func (o *outbox) add(m *message, now time.Time) bool {
+	m.expires, m.delivered = now.Add(notifyMaxAge), make(map[string]bool)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.messages) >= mostMessages {
+	if len(o.messages) >= maxPendingMessages {
 		return false
 	}
-	o.messages = append(o.messages, n)
+	o.messages = append(o.messages, m)
 	select {
 	case o.wake <- struct{}{}:
-	default: // it will tell anyway
+	default: // a wake-up is already pending
 	}
 	return true
 }
 
-// run tells leaders, and has what is over forgotten, until ctx ends.
+// run delivers messages and removes expired state until ctx ends.
 func (o *outbox) run(ctx context.Context) error {
-	t := teller{
-		Wake:   o.wake,
-		Tell:   func(ctx context.Context) bool { return o.tell(ctx, time.Now()) },
-		Again:  tellAgain,
-		Expire: o.expire,
+	t := notifier{
+		Wake:       o.wake,
+		Send:       func(ctx context.Context) bool { return o.deliver(ctx, time.Now()) },
+		RetryDelay: notifyRetryDelay,
+		Expire:     o.expire,
 	}
 	return t.Run(ctx)
 }
 
 func (o *outbox) expire() {
-	o.node.kept.expire(time.Now())
+	o.node.quarantine.expire(time.Now())
 	o.node.departures.forgetGone()
 }
 
-// toldMessages is what a leader was told; nothing where it did not answer.
-type toldMessages struct {
+// delivery lists the messages that a leader received; none if it did not answer.
+type delivery struct {
 	leader   string
 	messages []*message
 }
 
-// tell tells each leader what it has not been told. It returns whether all were.
-func (o *outbox) tell(ctx context.Context, now time.Time) bool {
-	all, leaders := o.waiting(), o.leaders()
-	answers := make(chan toldMessages, len(leaders))
+// deliver sends each leader the messages that it has not received. It returns whether all messages are delivered or
+// expired.
+func (o *outbox) deliver(ctx context.Context, now time.Time) bool {
+	all, leaders := o.pending(), o.leaders()
+	deliveries := make(chan delivery, len(leaders))
 	calls := 0
 	for _, m := range leaders {
-		untold := slices.DeleteFunc(slices.Clone(all), func(n *message) bool { return n.told[m.Name()] })
-		if len(untold) == 0 {
+		undelivered := slices.DeleteFunc(slices.Clone(all), func(n *message) bool { return n.delivered[m.Name()] })
+		if len(undelivered) == 0 {
 			continue
 		}
 		calls++
-		go func() { answers <- o.tellOne(ctx, m, untold) }()
+		go func() { deliveries <- o.deliverTo(ctx, m, undelivered) }()
 	}
 	for range calls {
-		a := <-answers
-		for _, n := range a.messages {
-			n.told[a.leader] = true
+		d := <-deliveries
+		for _, n := range d.messages {
+			n.delivered[d.leader] = true
 		}
 	}
-	return o.drop(leaders, now)
+	return o.removeDone(leaders, now)
 }
 
-// waiting returns what some leaders have not been told.
-func (o *outbox) waiting() []*message {
+// pending returns the messages that some leaders have not received.
+func (o *outbox) pending() []*message {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.messages)
 }
 
-// leaders returns the boxes that lead data centres, but for this one.
+// leaders returns the leaders of all data centres, without this box.
 func (o *outbox) leaders() []member.Member {
 	var list []member.Member
 	seen := map[string]bool{"": true, o.node.peers.box: true}
@@ -124,12 +126,12 @@
 	return list
 }
 
-// tellOne tells one leader.
-func (o *outbox) tellOne(ctx context.Context, m member.Member, untold []*message) toldMessages {
-	call, cancel := context.WithTimeout(ctx, tellCall)
+// deliverTo sends messages to one leader.
+func (o *outbox) deliverTo(ctx context.Context, m member.Member, undelivered []*message) delivery {
+	call, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	r := &wire.EndedRequest{Box: o.node.peers.box}
-	for _, n := range untold {
+	for _, n := range undelivered {
 		if n.end != nil {
 			r.Ends = append(r.Ends, n.end)
 		}
@@ -139,22 +141,23 @@
 	}
 	_, err := wire.NewPeerClient(o.node.peers.dialer.Conn(m.Address())).Ended(call, r)
 	if status.Code(err) == codes.Unimplemented {
-		return toldMessages{leader: m.Name(), messages: untold} // of an older version: it hears of no endpoints
+		return delivery{leader: m.Name(), messages: undelivered} // an older version without this method: it can't be notified
 	}
 	if err != nil {
-		o.node.Log.Info("Leader was not told of endpoints that ended or leave", "leader", m.Name(), "err", err.Error())
-		return toldMessages{}
+		o.node.Log.Info("Failed to notify leader of endpoints that ended or are draining", "leader", m.Name(), "err", err.Error())
+		return delivery{}
 	}
-	return toldMessages{leader: m.Name(), messages: untold}
+	return delivery{leader: m.Name(), messages: undelivered}
 }
 
-// drop forgets what every leader was told, or what is too old. It returns whether nothing is left.
-func (o *outbox) drop(leaders []member.Member, now time.Time) bool {
+// removeDone removes messages that every leader has received and those that have expired. It returns whether none is
+// left.
+func (o *outbox) removeDone(leaders []member.Member, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.messages = slices.DeleteFunc(o.messages, func(n *message) bool {
-		untold := func(m member.Member) bool { return !n.told[m.Name()] }
-		return !now.Before(n.until) || !slices.ContainsFunc(leaders, untold)
+		isMissing := func(m member.Member) bool { return !n.delivered[m.Name()] }
+		return !now.Before(n.expires) || !slices.ContainsFunc(leaders, isMissing)
 	})
 	return len(o.messages) == 0
 }
--- a/edge/serve.go
+++ b/edge/serve.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// peerServer answers the heartbeats of other boxes.
+// peerServer implements the Peer service: heartbeats and notifications from other boxes.
 type peerServer struct {
 	wire.UnimplementedPeerServer
 
@@ -29,12 +29,12 @@
 // Ended implements the Peer service.
 func (s peerServer) Ended(_ context.Context, q *wire.EndedRequest) (*wire.EndedReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	s.node.kept.hear(q, time.Now())
+	s.node.quarantine.receive(q, time.Now())
 	s.node.departures.receive(q)
 	return &wire.EndedReply{}, nil
 }
 
-// shareServer answers what other boxes ask of a leader.
+// shareServer implements the Share service: streams of facts, and the calls of other boxes to a leader.
 type shareServer struct {
 	wire.UnimplementedShareServer
 
@@ -50,28 +50,28 @@
 func (s shareServer) Ask(ctx context.Context, q *wire.AskRequest) (*wire.AskReply, error) {
 	e := s.node.view.Endpoint(q.GetEndpoint())
 	if e == nil {
-		return nil, status.Error(codes.NotFound, "edge: the endpoint is not known here")
+		return nil, status.Error(codes.NotFound, "edge: unknown endpoint")
 	}
-	p, err := s.node.loader.Want(ctx, wanted(q, e))
+	p, err := s.node.loader.Place(ctx, wantedFromRequest(q, e))
 	if err != nil {
 		return nil, status.FromContextError(err).Err()
 	}
 	return &wire.AskReply{
 		Ready:       p.Ready,
-		Settling:    p.Settling,
+		Settling:    p.OwnerChanging,
 		Endpoint:    p.Endpoint,
 		Version:     p.Version,
-		RetryMicros: p.Retry.Microseconds(),
+		RetryMicros: p.RetryAfter.Microseconds(),
 		Reason:      p.Reason,
 
-		QueuedMicros: p.Queued.Microseconds(),
+		QueuedMicros: p.QueueTime.Microseconds(),
 	}, nil
 }
 
 // Use implements the Share service.
 func (s shareServer) Use(_ context.Context, q *wire.UseRequest) (*wire.UseReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	return s.node.use(q), nil
+	return s.node.recordUsage(q), nil
 }
 
 // Resign implements the Share service.
@@ -90,47 +90,47 @@
 // Settle implements the Share service.
 func (s shareServer) Settle(_ context.Context, q *wire.SettleRequest) (*wire.SettleReply, error) {
 	s.node.peers.table.Seen(q.GetBox(), clock.Now())
-	return s.node.spending.answer(q, clock.Now()), nil
+	return s.node.spending.handleSettle(q, clock.Now()), nil
 }
 
 // Lend implements the Share service.
 func (s shareServer) Lend(_ context.Context, q *wire.LendRequest) (*wire.LendReply, error) {
-	return s.node.spending.lend(q, clock.Now()), nil
+	return s.node.spending.handleLend(q, clock.Now()), nil
 }
 
 // Take implements the Share service.
 func (s shareServer) Take(_ context.Context, q *wire.TakeRequest) (*wire.TakeReply, error) {
 	now := clock.Now()
 	s.node.peers.table.Seen(q.GetBox(), now)
-	return s.node.limits.answer(q, now), nil
+	return s.node.limits.handleTake(q, now), nil
 }
 
 // Limits implements the Share service.
 func (s shareServer) Limits(_ context.Context, q *wire.LimitsRequest) (*wire.LimitsReply, error) {
 	now := clock.Now()
 	s.node.peers.table.Seen(q.GetBox(), now)
-	return s.node.limits.hearAll(q, now), nil
+	return s.node.limits.handleReport(q, now), nil
 }
 
-// use counts what a box told, and answers what a load costs here.
-func (n *Node) use(q *wire.UseRequest) *wire.UseReply {
+// recordUsage records the usage that a box reported, and returns the current cost of a load.
+func (n *Node) recordUsage(q *wire.UseRequest) *wire.UseReply {
 	now := clock.Now()
 	var uses []placement.Use
 	for _, u := range q.GetUsage() {
 		a := topology.ParseAdapter(u.GetAdapter())
 		if u.GetFar() > 0 {
-			n.loader.Far(n.Settings.DataCentre, a, int(u.GetFar()), now)
+			n.loader.RecordRemoteRequests(n.Settings.DataCentre, a, int(u.GetFar()), now)
 			continue
 		}
 		uses = append(uses, placement.Use{
-			Endpoint: u.GetEndpoint(),
-			Adapter:  a,
-			Begun:    int(u.GetCount()),
-			Running:  int(u.GetRunning()),
-			Reading:  int(u.GetReading()),
+			Endpoint:      u.GetEndpoint(),
+			Adapter:       a,
+			Started:       int(u.GetCount()),
+			Running:       int(u.GetRunning()),
+			PrefillTokens: int(u.GetReading()),
 		})
 	}
-	n.loader.Used(q.GetBox(), uses, q.GetPart(), now)
-	cost, known := n.loader.Level(now)
+	n.loader.RecordUsage(q.GetBox(), uses, q.GetPart(), now)
+	cost, known := n.loader.MinLoadCost(now)
 	return &wire.UseReply{LevelMicros: cost.Microseconds(), LevelKnown: known}
 }
--- a/edge/takeover.go
+++ b/edge/takeover.go
@@ -32,9 +32,9 @@
 	var before []string
 	for ctx.Err() == nil {
 		changed := n.peers.table.Changed()
-		if led := n.peers.clusterView().ledBy(n.peers.box); !slices.Equal(led, before) {
+		if led := n.peers.clusterView().dataCentresLedBy(n.peers.box); !slices.Equal(led, before) {
 			before = led
-			n.loader.Look()
+			n.loader.RefreshOwnership()
 		}
 		select {
 		case <-ctx.Done():
@@ -61,7 +61,7 @@
 			handed = r.handover
 		}
 		if r.failed {
-			wait = max(wait, clock.Until(r.box.Since().Add(placement.KeepMost+keepMargin)))
+			wait = max(wait, clock.Until(r.box.Since().Add(placement.HandoverTimeout+keepMargin)))
 		}
 	}
 	return handed, wait
@@ -70,12 +70,12 @@
 // leaversOf returns the boxes that may still give orders in a data centre though they leave.
 func (p *peers) leaversOf(centre string, now time.Time) []member.Member {
 	p.mu.Lock()
-	before := p.leaders[centre].before
+	before := p.leaders[centre].previous
 	p.mu.Unlock()
 	var list []member.Member
 	for _, m := range p.table.All() {
 		gives := m.DataCentre() == centre || m.Name() == before
-		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.KeepMost+keepMargin {
+		if gives && m.State() == member.Leaving && m.Name() != p.box && now.Sub(m.Since()) < placement.HandoverTimeout+keepMargin {
 			list = append(list, m)
 		}
 	}
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -7,64 +7,64 @@
 	"time"
 )
 
-// BudgetLimits is what all boxes together may send again to one service.
-type BudgetLimits struct {
-	Ratio  float64       // of the first attempts
-	Extra  float64       // besides, in each window
-	Window time.Duration // over which both are counted
+// RetryLimits bounds the retries of all boxes together to one service.
+type RetryLimits struct {
+	Ratio  float64       // retries per first attempt
+	Extra  float64       // additional retries per window
+	Window time.Duration // over which first attempts and retries are counted
 }
 
-// How a box's share is used. What it saves and what it earns in a window may fall into one
+// Use of a box's share. A burst of saved retries and the retries earned in a window may fall into the same
 // window, so both together stay below the share.
 const (
-	ratioPart = 0.7  // of the retries that first attempts earn: requests are counted elsewhere too
-	ratioKept = 0.25 // of the same, by the first attempts of the last window: so much may be saved, and both together stay below what either window allows
-	sharePart = 0.95 // of its share of the extra retries; the rest is for boxes that are still unknown
-	savedPart = 0.35 // of that share may be saved and spent at once
-	mostSaved = 10.0 // retries of the share, so that few boxes spread theirs as well
+	earnedFactor      = 0.7  // of the retries that first attempts earn: requests are counted elsewhere too
+	earnedBurstFactor = 0.25 // of the same, by the first attempts of the last window, may be saved for a burst; both together stay below what either window allows
+	shareFactor       = 0.95 // of the share of the extra retries; the rest is for boxes not yet known
+	shareBurstFactor  = 0.35 // of that share may be saved for a burst
+	maxShareBurst     = 10.0 // retries of the share in a burst, so that a few boxes spread theirs too
 )
 
-// Budget is one box's share of the retries to one service. A box with many callers earns more
-// by their requests than its share of the extra ones, and needs them together: an endpoint that
-// refuses one of its requests refuses the next ones too. Where each of many boxes could save one retry
-// alone, most of what all may send again would lie unused while requests are given up.
-type Budget struct {
-	Limits func() BudgetLimits
-
-	mu     sync.Mutex
-	tokens float64
-	saved  float64 // of its share of the extra ones, that tokens may rise to, as of the last retry; zero: one
-	recent recent  // first attempts
-	at     time.Time
-	counts RetryCounts
+// RetryBudget is a token bucket that holds one box's share of the retries to one service. A box with many
+// callers earns more by their first attempts than by its share of the extra retries, and needs them in a
+// burst: an endpoint that rejects one request rejects the next ones too. If each of many boxes could only
+// save up a single retry, most of what the limits allow would stay unused while requests fail.
+type RetryBudget struct {
+	Limits func() RetryLimits
+
+	mu         sync.Mutex
+	tokens     float64
+	shareBurst float64       // burst from the share of the extra retries, as of the last retry; zero: one
+	firsts     windowCounter // first attempts
+	refilledAt time.Time
+	counts     RetryCounts
 }
 
-// RetryCounts is what one box did with its share of the retries to one service.
+// RetryCounts counts the retries of one box to one service.
 type RetryCounts struct {
-	Made     int64   `json:"made"`     // out of the budget
-	Withheld int64   `json:"withheld"` // since the budget was used up
-	Unsent   int64   `json:"unsent"`   // outside it: the attempt before had reached nobody
-	Left     float64 `json:"left"`     // that may be made now
-	Boxes    int     `json:"boxes"`    // that share the budget, as of the last retry
+	Made      int64   `json:"made"`     // from the budget
+	Withheld  int64   `json:"withheld"` // denied by the budget
+	Unsent    int64   `json:"unsent"`   // outside the budget: nothing of the attempt before was sent
+	Remaining float64 `json:"left"`     // retries available now
+	Boxes     int     `json:"boxes"`    // that share the budget, as of the last retry
 }
 
-// First notes the first attempt of a request at now.
-func (b *Budget) First(now time.Time) {
+// RecordFirst adds the first attempt of a request.
+func (b *RetryBudget) RecordFirst(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := b.Limits()
-	b.recent.add(now, limits.Window)
-	b.tokens = min(b.tokens+limits.Ratio*ratioPart, b.mostLocked(now, limits))
+	b.firsts.add(now, limits.Window)
+	b.tokens = min(b.tokens+limits.Ratio*earnedFactor, b.maxTokensLocked(now, limits))
 }
 
-// mostLocked is how many retries may be saved at now.
-func (b *Budget) mostLocked(now time.Time, limits BudgetLimits) float64 {
-	return max(b.saved, 1) + limits.Ratio*ratioKept*float64(b.recent.count(now, limits.Window))
+// maxTokensLocked returns the size of the bucket.
+func (b *RetryBudget) maxTokensLocked(now time.Time, limits RetryLimits) float64 {
+	return max(b.shareBurst, 1) + limits.Ratio*earnedBurstFactor*float64(b.firsts.count(now, limits.Window))
 }
 
-// Take tells whether one more attempt may be made at now by one of so many boxes. Where it
-// is not known how many there are, zero, only first attempts earn retries.
-func (b *Budget) Take(now time.Time, boxes int) bool {
+// TryRetry takes one retry from the budget, if it has one. boxes is the number of boxes that share the
+// limits; if it is zero, for unknown, only first attempts earn retries.
+func (b *RetryBudget) TryRetry(now time.Time, boxes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := b.Limits()
@@ -72,13 +72,13 @@
 	if boxes > 0 {
 		share = limits.Extra / float64(boxes)
 	}
-	b.saved = max(min(share*savedPart, mostSaved), 1)
-	earned := max(share*sharePart-b.saved, 0) // in a window
-	if !b.at.IsZero() {
-		b.tokens += earned * now.Sub(b.at).Seconds() / limits.Window.Seconds()
+	b.shareBurst = max(min(share*shareBurstFactor, maxShareBurst), 1)
+	earned := max(share*shareFactor-b.shareBurst, 0) // per window
+	if !b.refilledAt.IsZero() {
+		b.tokens += earned * now.Sub(b.refilledAt).Seconds() / limits.Window.Seconds()
 	}
-	b.tokens = min(b.tokens, b.mostLocked(now, limits))
-	b.at = now
+	b.tokens = min(b.tokens, b.maxTokensLocked(now, limits))
+	b.refilledAt = now
 	b.counts.Boxes = boxes
 	if b.tokens < 1 {
 		b.counts.Withheld++
@@ -89,57 +89,57 @@
 	return true
 }
 
-// Unsent notes an attempt that is made anew since the one before reached nobody.
-func (b *Budget) Unsent() {
+// RecordUnsent counts a retry of an attempt of which nothing was sent.
+func (b *RetryBudget) RecordUnsent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Unsent++
 }
 
-// Counts returns what was done so far.
-func (b *Budget) Counts() RetryCounts {
+// Counts returns the counts since the start.
+func (b *RetryBudget) Counts() RetryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts
-	c.Left = b.tokens
+	c.Remaining = b.tokens
 	return c
 }
 
-// recentParts is into how many parts a window is divided to count what lies in the last one.
-const recentParts = 10
+// windowBuckets is the number of buckets in a window.
+const windowBuckets = 10
 
-// recent counts what happened within the last window, by parts of it; the part that has begun
-// and the oldest one that is not whole any more do not count. The zero value has counted nothing.
-type recent struct {
-	parts [recentParts + 1]int
-	begun time.Time // when the first part began; the steady clock goes on from it
-	last  int64     // number of the latest part
+// windowCounter counts events in a sliding window, by buckets. The current bucket and the oldest, partly
+// expired one do not count. The zero value is empty.
+type windowCounter struct {
+	buckets   [windowBuckets + 1]int
+	startedAt time.Time // start of the first bucket, on the monotonic clock
+	latest    int64     // number of the latest bucket
 }
 
-// add counts one at now.
-func (r *recent) add(now time.Time, window time.Duration) {
-	r.turn(now, window)
-	r.parts[r.last%int64(len(r.parts))]++
+// add counts one event.
+func (r *windowCounter) add(now time.Time, window time.Duration) {
+	r.advance(now, window)
+	r.buckets[r.latest%int64(len(r.buckets))]++
 }
 
-// count returns how many lie within the whole parts of the last window.
-func (r *recent) count(now time.Time, window time.Duration) int {
-	r.turn(now, window)
+// count returns the events in the complete buckets of the window.
+func (r *windowCounter) count(now time.Time, window time.Duration) int {
+	r.advance(now, window)
 	n := 0
-	for _, p := range r.parts {
+	for _, p := range r.buckets {
 		n += p
 	}
-	return n - r.parts[r.last%int64(len(r.parts))] - r.parts[(r.last+1)%int64(len(r.parts))]
+	return n - r.buckets[r.latest%int64(len(r.buckets))] - r.buckets[(r.latest+1)%int64(len(r.buckets))]
 }
 
-// turn begins the part of now and empties those that have passed since.
-func (r *recent) turn(now time.Time, window time.Duration) {
-	if r.begun.IsZero() {
-		r.begun = now
+// advance moves to the bucket of now and clears the expired ones.
+func (r *windowCounter) advance(now time.Time, window time.Duration) {
+	if r.startedAt.IsZero() {
+		r.startedAt = now
 	}
-	part := max(int64(now.Sub(r.begun)), 0) / max(int64(window)/recentParts, 1)
-	for i := max(r.last+1, part-recentParts); i <= part; i++ {
-		r.parts[i%int64(len(r.parts))] = 0
+	part := max(int64(now.Sub(r.startedAt)), 0) / max(int64(window)/windowBuckets, 1)
+	for i := max(r.latest+1, part-windowBuckets); i <= part; i++ {
+		r.buckets[i%int64(len(r.buckets))] = 0
 	}
-	r.last = max(r.last, part)
+	r.latest = max(r.latest, part)
 }
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -12,136 +12,136 @@
 )
 
 const (
-	// roomPart is the part of a route's target that a request waits for room at an endpoint that names
-	// a limit, where all others that it could go to name one too. It is less than a load elsewhere takes,
-	// and leaves the rest for the answer.
-	roomPart = 0.125
-	// fullMost is how many endpoints without room a request asks: each is a call to another box, and
-	// where so many are in need the rest are.
-	fullMost = 4
+	// limitWaitFraction is the part of a route's target latency that a request waits for capacity at an
+	// endpoint with a rate limit, if all its alternatives have one too. It is less than a load elsewhere
+	// takes, and leaves the rest for the response.
+	limitWaitFraction = 0.125
+	// maxLimitDenials is how many endpoints may deny capacity before a request gives up on those with a rate
+	// limit. Each is a call to another box, and where so many are at their limits the rest are.
+	maxLimitDenials = 4
 )
 
-// hearLimit takes in what the head of an answer says of the endpoint's limit. Any answer of the
-// endpoint may name one; that there is none only its own answer to this request tells.
-func (g *Gateway) hearLimit(q *request, t target, v Answer) {
+// observeLimit records the rate limit that a response announces. Any response of the endpoint may announce
+// one, but only a signed one to this request shows that there is none.
+func (g *Gateway) observeLimit(q *request, t target, head Response) {
 	switch {
-	case v.LimitUnread != nil:
-		g.Limits.Unread(t.endpoint.ID(), v.LimitUnread)
-	case v.Limit.Named() || (v.Own && v.Signed):
-		g.Limits.Said(t.endpoint.ID(), v.Limit, q.sentAt)
+	case head.LimitErr != nil:
+		g.Limits.InvalidLimit(t.endpoint.ID(), head.LimitErr)
+	case head.Limit.Named() || (head.MatchesCall && head.Signed):
+		g.Limits.ObserveLimit(t.endpoint.ID(), head.Limit, q.sentAt)
 	}
 }
 
-// find finds the endpoint for the next attempt. Each send, a first one, a retry or one by which a stream
-// goes on, passes here: of an endpoint that names a limit it takes one of the requests that all
-// boxes together may send there, or else goes to another one.
-func (g *Gateway) find(ctx context.Context, q *request) (target, *Refusal) {
+// nextTarget selects the endpoint for the next attempt. Every attempt passes here: first attempts, retries
+// and resumed streams. At an endpoint with a rate limit, which all boxes share, it reserves one request, or
+// else selects another endpoint.
+func (g *Gateway) nextTarget(ctx context.Context, q *request) (target, *Refusal) {
 	for {
-		t, f := g.place(ctx, q)
+		t, f := g.selectEndpoint(ctx, q)
 		if f != nil {
 			return t, f
 		}
-		if g.wasFull(q, t.endpoint) { // who decides for the endpoints knows no other one
-			return t, q.noRoom()
+		if g.wasDenied(q, t.endpoint) { // the owner chose it again, though it has no capacity
+			return t, q.limitRefusal()
 		}
-		hasRoom := !g.Limits.Limited(t.endpoint.ID()) || g.hasRoom(ctx, q, t.endpoint)
-		if now := clock.Now(); hasRoom && g.takes(t.endpoint.ID(), now) { // it may have said else while the request waited for its turn
+		acquired := !g.Limits.HasLimit(t.endpoint.ID()) || g.acquireCapacity(ctx, q, t.endpoint)
+		if now := clock.Now(); acquired && g.accepts(t.endpoint.ID(), now) { // it may have changed while the request waited
 			return t, g.maySend(q, now)
 		}
 		if ctx.Err() != nil {
-			return t, q.noRoom()
+			return t, q.limitRefusal()
 		}
 	}
 }
 
-// hasRoom takes one of the requests that an endpoint takes which names a limit, and waits for its time.
-// Where there is none the request goes there no more, unless it gets on by nothing else.
-func (g *Gateway) hasRoom(ctx context.Context, q *request, e *topology.Endpoint) bool {
-	a := g.askFor(q, e)
-	r := g.Limits.Take(ctx, e, a)
-	if !r.OK {
-		if q.full == nil {
-			q.full = make(map[string]noRoom)
+// acquireCapacity reserves one request of an endpoint's rate limit, and waits for its turn. If that is
+// denied the request does not go to the endpoint again, unless limitRequest asks for more.
+func (g *Gateway) acquireCapacity(ctx context.Context, q *request, e *topology.Endpoint) bool {
+	ask := g.limitRequest(q, e)
+	result := g.Limits.Acquire(ctx, e, ask)
+	if !result.OK {
+		if q.limitDenials == nil {
+			q.limitDenials = make(map[string]limitDenial)
 		}
-		q.full[e.ID()] = noRoom{ask: a, wait: r.Wait}
+		q.limitDenials[e.ID()] = limitDenial{request: ask, wait: result.Wait}
 		return false
 	}
-	if r.Wait > 0 {
+	if result.Wait > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(r.Wait):
+		case <-time.After(result.Wait):
 		}
 	}
 	return true
 }
 
-// noRoom is the answer that an endpoint which names a limit takes no more.
-type noRoom struct {
-	ask  ratelimit.Ask
-	wait time.Duration // until it likely takes such a request
+// limitDenial records that an endpoint had no capacity left in its rate limit.
+type limitDenial struct {
+	request ratelimit.Ask
+	wait    time.Duration // until such a request is likely granted
 }
 
-// wasFull tells whether an endpoint had no room for the request, which would get none by asking again:
-// only where the others have failed meanwhile it asks for more than they leave.
-func (g *Gateway) wasFull(q *request, e *topology.Endpoint) bool {
-	n, asked := q.full[e.ID()]
-	return asked && !g.askFor(q, e).Before(n.ask)
+// wasDenied reports whether an endpoint denied the request, and would deny it again. A request asks for more
+// than before, not only for spare capacity, once its alternatives have failed.
+func (g *Gateway) wasDenied(q *request, e *topology.Endpoint) bool {
+	denial, denied := q.limitDenials[e.ID()]
+	return denied && !g.limitRequest(q, e).Before(denial.request)
 }
 
-// askFor returns what the request asks of an endpoint that names a limit: what others leave, where another
-// one without a limit has what it needs; else it waits a little.
-func (g *Gateway) askFor(q *request, e *topology.Endpoint) ratelimit.Ask {
-	a := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
+// limitRequest returns what the request asks of an endpoint with a rate limit: spare capacity if an endpoint
+// without a limit could serve it, or else any capacity after a short wait.
+func (g *Gateway) limitRequest(q *request, e *topology.Endpoint) ratelimit.Ask {
+	ask := ratelimit.Ask{Rank: q.config.Rank(q.route, q.organisation)}
 	others := g.View.Endpoints(q.service.Name())
 	if q.call.Adapter.Name != "" && q.service.Engine() != nil {
-		others = among(g.View.Holders(q.call.Adapter), others)
+		others = intersect(g.View.Holders(q.call.Adapter), others)
 	}
-	for _, o := range g.untried(others, q.tried, clock.Now()) {
-		if o.ID() != e.ID() && !g.Limits.Limited(o.ID()) {
-			a.Spare = true
-			return a
+	for _, other := range g.untried(others, q.tried, clock.Now()) {
+		if other.ID() != e.ID() && !g.Limits.HasLimit(other.ID()) {
+			ask.Spare = true
+			return ask
 		}
 	}
-	a.Patience = time.Duration(roomPart * float64(q.route.Target()))
-	return a
+	ask.Patience = time.Duration(limitWaitFraction * float64(q.route.Target()))
+	return ask
 }
 
-// withRoom returns those that had room for the request, as far as they were asked.
-func (g *Gateway) withRoom(q *request, list []*topology.Endpoint) []*topology.Endpoint {
-	if len(q.full) == 0 {
+// withCapacity returns the endpoints that have not denied the request.
+func (g *Gateway) withCapacity(q *request, list []*topology.Endpoint) []*topology.Endpoint {
+	if len(q.limitDenials) == 0 {
 		return list
 	}
-	var some []*topology.Endpoint
+	var filtered []*topology.Endpoint
 	for _, e := range list {
-		if g.wasFull(q, e) {
+		if g.wasDenied(q, e) {
 			continue
 		}
-		if len(q.full) < fullMost || !g.Limits.Limited(e.ID()) {
-			some = append(some, e)
+		if len(q.limitDenials) < maxLimitDenials || !g.Limits.HasLimit(e.ID()) {
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
-// unlimited returns those that name no limit.
-func (g *Gateway) unlimited(list []*topology.Endpoint) []*topology.Endpoint {
-	var some []*topology.Endpoint
+// withoutLimit returns the endpoints without a rate limit.
+func (g *Gateway) withoutLimit(list []*topology.Endpoint) []*topology.Endpoint {
+	var filtered []*topology.Endpoint
 	for _, e := range list {
-		if !g.Limits.Limited(e.ID()) {
-			some = append(some, e)
+		if !g.Limits.HasLimit(e.ID()) {
+			filtered = append(filtered, e)
 		}
 	}
-	return some
+	return filtered
 }
 
-// noRoom refuses a request for which no endpoint has room: its caller may come back when the first of
-// those that were asked has.
-func (q *request) noRoom() *Refusal {
-	var back time.Duration
-	for _, n := range q.full {
-		if back == 0 || n.wait < back {
-			back = n.wait
+// limitRefusal refuses a request that all endpoints denied. Its caller may come back when the first of them
+// has capacity.
+func (q *request) limitRefusal() *Refusal {
+	var retryAfter time.Duration
+	for _, n := range q.limitDenials {
+		if retryAfter == 0 || n.wait < retryAfter {
+			retryAfter = n.wait
 		}
 	}
-	return &Refusal{Code: CodeEndpointLimit, Retry: back, Detail: "the endpoints that could serve it take no more requests"}
+	return &Refusal{Code: CodeEndpointLimit, RetryAfter: retryAfter, Detail: "the endpoints that could serve the request have reached their rate limits"}
 }
--- a/forward/notice.go
+++ b/forward/notice.go
@@ -12,170 +12,171 @@
 	"cairnwick.example/topology"
 )
 
-// Notice is what an endpoint says of itself in the head of an answer, besides answering. Nobody but the
-// box that asked hears it.
+// Notice is what an endpoint announces of itself in the head of a response, besides the response. Only the
+// box that sent the request receives it.
 type Notice struct {
-	IdleTimeout time.Duration   // after which it closes an unused connection; zero: not said
-	Limit       ratelimit.Limit // the requests a second that it takes from all boxes together
-	LimitUnread error           // it names a limit that can't be read; Limit says nothing then
-	Leaving     bool            // this life of it ends soon
-	// Backoff is for how long it wants nothing from this box; zero: it does not ask for that. Only an
-	// answer that turns the request away asks.
-	Backoff       time.Duration
-	BackoffUnread error // it asks for a time that can't be read; Backoff is zero then
-}
-
-// takeNotice takes in what the head of an answer says of the endpoint. What another endpoint at the
-// address says is none of it.
-func (g *Gateway) takeNotice(q *request, u *upstream, t target, v Answer) {
-	u.heardIdle(v.IdleTimeout)
-	if v.Elsewhere {
+	IdleTimeout time.Duration   // after which it closes an idle connection; zero: not announced
+	Limit       ratelimit.Limit // requests a second that it accepts from all boxes together
+	LimitErr    error           // the announced limit can't be parsed; Limit is zero then
+	Draining    bool            // this incarnation shuts down soon
+	// Backoff is how long this box should send it no requests; zero: not announced. Only a rejection
+	// announces one.
+	Backoff    time.Duration
+	BackoffErr error // the announced back-off can't be parsed; Backoff is zero then
+}
+
+// observeResponse applies what the head of a response announces of the endpoint. It ignores a response of
+// another endpoint at the address.
+func (g *Gateway) observeResponse(q *request, u *upstream, t target, head Response) {
+	u.setIdleTimeout(head.IdleTimeout)
+	if head.WrongEndpoint {
 		return
 	}
-	g.hearLimit(q, t, v)
-	n := v.Notice
-	n.Leaving = n.Leaving && v.Own // it ends all use of this life, so only an answer to this very request says so
-	g.HearNotice(t.endpoint.ID(), n)
+	g.observeLimit(q, t, head)
+	n := head.Notice
+	n.Draining = n.Draining && head.MatchesCall // draining is final for this incarnation, so only a response to this very request may announce it
+	g.ObserveNotice(t.endpoint.ID(), n)
 }
 
-// HearNotice takes in what an answer of an endpoint says of leaving and of back-offs: to a request, or to
-// another call that the box made.
-func (g *Gateway) HearNotice(endpoint string, n Notice) {
-	if n.Leaving {
-		g.hearLeaving(endpoint)
+// ObserveNotice applies the draining and back-off of a notice, from the response to a request or to
+// another call of this box.
+func (g *Gateway) ObserveNotice(endpoint string, n Notice) {
+	if n.Draining {
+		g.observeDraining(endpoint)
 	}
-	if n.BackoffUnread != nil && g.notices.mayLogUnread(endpoint, clock.Now()) {
-		g.Log.Info("Endpoint's back-off can't be read", "endpoint", endpoint, "err", n.BackoffUnread.Error())
+	if n.BackoffErr != nil && g.notices.mayLogInvalid(endpoint, clock.Now()) {
+		g.Log.Info("Endpoint's back-off can't be parsed", "endpoint", endpoint, "err", n.BackoffErr.Error())
 	}
-	if n.Backoff > 0 && g.notices.asks(endpoint, n.Backoff, clock.Now()) {
+	if n.Backoff > 0 && g.notices.setBackoff(endpoint, n.Backoff, clock.Now()) {
 		g.Log.Info("Endpoint asks for a back-off", "endpoint", endpoint, "backoff_ms", n.Backoff.Milliseconds())
 	}
 }
 
-// hearLeaving takes in that an endpoint says that it leaves. Its entry at the source may say so much later,
-// or never.
-func (g *Gateway) hearLeaving(endpoint string) {
-	if !g.notices.leaves(endpoint) {
+// observeDraining records that an endpoint announced draining. Its entry in the source may follow much
+// later, or never.
+func (g *Gateway) observeDraining(endpoint string) {
+	if !g.notices.setDraining(endpoint) {
 		return
 	}
 	g.Log.Info("Endpoint announced draining", "endpoint", endpoint)
-	if g.View.Leave(endpoint) && g.Leaving != nil {
-		g.Leaving(endpoint)
+	if g.View.Leave(endpoint) && g.OnDraining != nil {
+		g.OnDraining(endpoint)
 	}
 }
 
-// takes tells whether an endpoint may be sent new requests from this box: it is known, does not leave, and
-// asked for no back-off.
-func (g *Gateway) takes(id string, now time.Time) bool {
+// accepts reports whether this box may send new requests to an endpoint: it is known, not draining, and not in
+// a back-off.
+func (g *Gateway) accepts(id string, now time.Time) bool {
 	e := g.View.Endpoint(id)
-	return e != nil && g.isOpen(e, now)
+	return e != nil && g.isAvailable(e, now)
 }
 
-// isOpen is takes for an endpoint that is known.
-func (g *Gateway) isOpen(e *topology.Endpoint, now time.Time) bool {
-	return !e.Draining() && g.BackoffLeft(e.ID(), now) == 0
+// isAvailable is accepts for a known endpoint.
+func (g *Gateway) isAvailable(e *topology.Endpoint, now time.Time) bool {
+	return !e.Draining() && g.BackoffRemaining(e.ID(), now) == 0
 }
 
-// BackoffLeft returns for how long an endpoint wants nothing more from this box; zero: it may be used. One
-// that turns requests away runs nothing of this box, so without it the endpoint would look the emptiest
-// and be asked first.
-func (g *Gateway) BackoffLeft(endpoint string, now time.Time) time.Duration {
+// BackoffRemaining returns how long an endpoint stays in a back-off for this box; zero: it may be used. An
+// endpoint that rejects requests has none of this box in flight, so without the back-off it would look the
+// least loaded and be preferred.
+func (g *Gateway) BackoffRemaining(endpoint string, now time.Time) time.Duration {
 	return g.notices.backoffs.Left(endpoint, now)
 }
 
-// soonest returns when the first of the endpoints takes requests from this box again, as a caller is told;
-// known is false where none is there that does not leave.
-func (g *Gateway) soonest(list []*topology.Endpoint, now time.Time) (after time.Duration, known bool) {
+// earliestAvailable returns the Retry-After for callers until the first of the endpoints may be used again;
+// known is false if all of them are draining.
+func (g *Gateway) earliestAvailable(list []*topology.Endpoint, now time.Time) (after time.Duration, known bool) {
 	for _, e := range list {
 		if e.Draining() {
 			continue
 		}
-		if left := g.BackoffLeft(e.ID(), now); !known || left < after {
+		if left := g.BackoffRemaining(e.ID(), now); !known || left < after {
 			after, known = left, true
 		}
 	}
 	return backoff.ComeBack(after), known
 }
 
-// notices is what endpoints told this box of leaving and of back-offs. Its lock is taken before that of
-// the back-offs.
-type notices struct {
+// noticeTable holds the announcements of endpoints to this box. Its lock is taken before that of
+// backoffs.
+type noticeTable struct {
 	backoffs backoff.Table
 
 	mu         sync.Mutex
-	byEndpoint map[string]*notice
+	byEndpoint map[string]*endpointNotice
 }
 
-// notice is what one life of an endpoint told this box.
-type notice struct {
-	leaving  bool
-	unread   time.Time // when a line last told that what it asks for can't be read
-	backoffs int64
-	ignored  int64 // requests sent since it said that it leaves, or before a back-off was over
+// endpointNotice holds the announcements of one incarnation of an endpoint.
+type endpointNotice struct {
+	draining        bool
+	invalidLoggedAt time.Time // when an invalid back-off was last logged
+	backoffs        int64
+	ignored         int64 // requests sent after it announced draining, or during a back-off
 }
 
-// NoticeCounts is what an endpoint told this box of leaving and of back-offs, for the metrics.
+// NoticeCounts counts the announcements of an endpoint to this box, for the metrics.
 type NoticeCounts struct {
-	Leaving     bool  `json:"leaving"`
-	Backoffs    int64 `json:"backoffs"`        // answers that asked for one
-	BackoffLeft int64 `json:"backoff_left_ms"` // of the latest one
-	Ignored     int64 `json:"ignored"`         // requests sent all the same
+	Draining         bool  `json:"leaving"`
+	Backoffs         int64 `json:"backoffs"`        // responses that asked for one
+	BackoffRemaining int64 `json:"backoff_left_ms"` // of the current one
+	Ignored          int64 `json:"ignored"`         // requests sent nevertheless
 }
 
-func (n *notices) ofLocked(endpoint string) *notice {
+func (n *noticeTable) entryLocked(endpoint string) *endpointNotice {
 	if n.byEndpoint == nil {
-		n.byEndpoint = make(map[string]*notice)
+		n.byEndpoint = make(map[string]*endpointNotice)
 	}
 	if n.byEndpoint[endpoint] == nil {
-		n.byEndpoint[endpoint] = new(notice)
+		n.byEndpoint[endpoint] = new(endpointNotice)
 	}
 	return n.byEndpoint[endpoint]
 }
 
-// leaves notes that an endpoint says that it leaves; it tells whether that is news.
-func (n *notices) leaves(endpoint string) bool {
+// setDraining records that an endpoint announced draining; it reports whether that is new.
+func (n *noticeTable) setDraining(endpoint string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.ofLocked(endpoint)
-	news := !k.leaving
-	k.leaving = true
-	return news
+	entry := n.entryLocked(endpoint)
+	isNew := !entry.draining
+	entry.draining = true
+	return isNew
 }
 
-// asks notes that an endpoint asks for a back-off; it tells whether the endpoint was used until now.
-func (n *notices) asks(endpoint string, d time.Duration, now time.Time) bool {
+// setBackoff records a back-off; it reports whether the endpoint was in use before.
+func (n *noticeTable) setBackoff(endpoint string, d time.Duration, now time.Time) bool {
 	n.mu.Lock()
-	n.ofLocked(endpoint).backoffs++
+	n.entryLocked(endpoint).backoffs++
 	n.mu.Unlock()
 	return n.backoffs.Ask(endpoint, d, now)
 }
 
-// unreadLine is between two lines that what one endpoint asks for can't be read: each answer may ask.
-const unreadLine = time.Second
+// invalidLogInterval is the minimum time between two log lines about invalid back-offs of one endpoint: every
+// response may have one.
+const invalidLogInterval = time.Second
 
-// mayLogUnread tells whether a line may tell that what an endpoint asks for can't be read.
-func (n *notices) mayLogUnread(endpoint string, now time.Time) bool {
+// mayLogInvalid reports whether an invalid back-off of the endpoint may be logged now.
+func (n *noticeTable) mayLogInvalid(endpoint string, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.ofLocked(endpoint)
-	if !k.unread.IsZero() && now.Sub(k.unread) < unreadLine {
+	entry := n.entryLocked(endpoint)
+	if !entry.invalidLoggedAt.IsZero() && now.Sub(entry.invalidLoggedAt) < invalidLogInterval {
 		return false
 	}
-	k.unread = now
+	entry.invalidLoggedAt = now
 	return true
 }
 
-// sent notes a request to an endpoint.
-func (n *notices) sent(endpoint string, now time.Time) {
+// recordSent records a request to an endpoint.
+func (n *noticeTable) recordSent(endpoint string, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if k := n.byEndpoint[endpoint]; k != nil && (k.leaving || n.backoffs.Left(endpoint, now) > 0) {
-		k.ignored++
+	if entry := n.byEndpoint[endpoint]; entry != nil && (entry.draining || n.backoffs.Left(endpoint, now) > 0) {
+		entry.ignored++
 	}
 }
 
-// keep forgets what endpoints that are gone said. Back-offs stay: an entry may lapse and come back.
-func (n *notices) keep(known func(id string) bool) {
+// prune drops removed endpoints. Back-offs stay, since an entry may expire and come back.
+func (n *noticeTable) prune(known func(id string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for id := range n.byEndpoint {
@@ -185,18 +186,18 @@
 	}
 }
 
-// Notices returns what endpoints told this box, by endpoint.
+// Notices returns counts of the endpoints' announcements to this box, by endpoint.
 func (g *Gateway) Notices() map[string]NoticeCounts {
 	now := clock.Now()
 	g.notices.mu.Lock()
 	defer g.notices.mu.Unlock()
 	list := make(map[string]NoticeCounts, len(g.notices.byEndpoint))
-	for id, k := range g.notices.byEndpoint {
+	for id, entry := range g.notices.byEndpoint {
 		list[id] = NoticeCounts{
-			Leaving:     k.leaving,
-			Backoffs:    k.backoffs,
-			BackoffLeft: g.BackoffLeft(id, now).Milliseconds(),
-			Ignored:     k.ignored,
+			Draining:         entry.draining,
+			Backoffs:         entry.backoffs,
+			BackoffRemaining: g.BackoffRemaining(id, now).Milliseconds(),
+			Ignored:          entry.ignored,
 		}
 	}
 	return list
--- /dev/null
+++ b/placement/inflight.go
@@ -0,0 +1,104 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package placement
+
+import (
+	"time"
+
+	"cairnwick.example/topology"
+)
+
+// inFlightTable counts the requests in progress at endpoints, as reported by the boxes. Totals
+// are maintained incrementally, so the cost of a report does not grow with the number of boxes.
+type inFlightTable struct {
+	boxes     map[string]boxUsage
+	endpoints map[string]workload
+	adapters  map[placementKey]workload // per endpoint and adapter
+}
+
+// workload is a number of requests in progress.
+type workload struct {
+	requests      int
+	prefillTokens int // tokens of their prompts that the endpoint has not processed
+}
+
+// boxUsage is the latest usage reported by a box.
+type boxUsage struct {
+	receivedAt time.Time
+	adapters   map[placementKey]workload
+}
+
+func newInFlightTable() inFlightTable {
+	return inFlightTable{boxes: make(map[string]boxUsage), endpoints: make(map[string]workload), adapters: make(map[placementKey]workload)}
+}
+
+// endpointRequests returns how many requests of all boxes are in progress at an endpoint.
+func (r *inFlightTable) endpointRequests(endpoint string) int { return r.endpoints[endpoint].requests }
+
+// prefillTokens returns how many tokens of their prompts an endpoint has not processed.
+func (r *inFlightTable) prefillTokens(endpoint string) int {
+	return r.endpoints[endpoint].prefillTokens
+}
+
+// adapterRequests returns how many of them use an adapter.
+func (r *inFlightTable) adapterRequests(endpoint string, a topology.Adapter) int {
+	return r.adapters[placementKey{endpoint: endpoint, adapter: a}].requests
+}
+
+// update records a report; a partial one leaves the box's other entries unchanged. It returns
+// how many adapters became idle at their endpoints.
+func (r *inFlightTable) update(box string, uses []Use, partial bool, now time.Time) (idled int) {
+	b, known := r.boxes[box]
+	if !partial || !known {
+		r.removeBox(box)
+		b.adapters = make(map[placementKey]workload)
+	}
+	b.receivedAt = now
+	for _, u := range uses {
+		k := placementKey{endpoint: u.Endpoint, adapter: u.Adapter}
+		w := workload{requests: u.Running, prefillTokens: u.PrefillTokens}
+		ran := r.adapters[k].requests > 0 || b.adapters[k].requests > 0
+		r.add(k, w.minus(b.adapters[k]))
+		b.adapters[k] = w
+		if ran && r.adapters[k].requests == 0 {
+			idled++
+		}
+	}
+	r.boxes[box] = b
+	return idled
+}
+
+// expire drops the entries of boxes that have not reported for usageReportExpiry.
+func (r *inFlightTable) expire(now time.Time) {
+	for box, b := range r.boxes {
+		if now.Sub(b.receivedAt) >= usageReportExpiry {
+			r.removeBox(box)
+		}
+	}
+}
+
+func (r *inFlightTable) removeBox(box string) {
+	for k, n := range r.boxes[box].adapters {
+		r.add(k, workload{}.minus(n))
+	}
+	delete(r.boxes, box)
+}
+
+func (r *inFlightTable) add(k placementKey, more workload) {
+	a := r.adapters[k].plus(more)
+	if r.adapters[k] = a; a == (workload{}) {
+		delete(r.adapters, k)
+	}
+	e := r.endpoints[k.endpoint].plus(more)
+	if r.endpoints[k.endpoint] = e; e == (workload{}) {
+		delete(r.endpoints, k.endpoint)
+	}
+}
+
+func (a workload) plus(b workload) workload {
+	return workload{requests: a.requests + b.requests, prefillTokens: a.prefillTokens + b.prefillTokens}
+}
+
+func (a workload) minus(b workload) workload {
+	return workload{requests: a.requests - b.requests, prefillTokens: a.prefillTokens - b.prefillTokens}
+}
--- a/placement/loader.go
+++ b/placement/loader.go
@@ -15,88 +15,89 @@
 	"github.com/go-logr/logr"
 )
 
-// Loader decides for the endpoints that it owns. Set the exported fields before
+// Loader places adapters on the endpoints that it owns. Set the exported fields before
 // Run.
 type Loader struct {
 	Box     string
 	View    *topology.View
 	Control Control
-	Limits  func() RateLimits // of the weight store, by the settings in force
+	Limits  func() RateLimits // of the weight store, by the current settings
 	Log     logr.Logger
 
-	// Publish tells all boxes what an endpoint holds. Versions rise over all owners.
+	// Publish announces to all boxes what an endpoint holds. Versions increase across owners.
 	Publish func(endpoint string, version uint64, held map[topology.Adapter]topology.Held)
-	// Fences makes this box's fences.
+	// Fences generates this box's fences.
 	Fences *Fences
-	// Owns tells whether this box gives orders to the endpoint by its view of now, and
-	// from when on it may.
+	// Owns reports whether this box owns the endpoint by its cluster view at now, and from
+	// when on it may claim it.
 	Owns func(e *topology.Endpoint, now time.Time) (bool, time.Time)
-	// Leaders returns how many boxes give orders.
+	// Leaders returns the number of boxes that lead a data centre.
 	Leaders func() int
-	// Reads returns how long an endpoint takes to read so many tokens of prompts, as it
-	// was seen lately.
-	Reads func(tokens int) time.Duration
-	// AskToResign asks the boxes that leave and may have given an endpoint its orders to resign
-	// from it. Where none did and one did not answer, that one may give orders for so long.
-	// Nobody leaves: nothing, at once.
+	// PrefillTime returns how long an endpoint takes to prefill a number of prompt tokens, as
+	// measured recently.
+	PrefillTime func(tokens int) time.Duration
+	// AskToResign asks the leaving boxes that may own an endpoint to resign from it. When none
+	// did and one did not answer, that box may give orders for the returned duration. Without
+	// leaving boxes it returns zero values at once.
 	AskToResign func(ctx context.Context, e *topology.Endpoint) (Handover, time.Duration)
-	// Room returns what an endpoint takes that may name a limit; nil: none does.
-	Room func(endpoint string, now time.Time) ratelimit.Room
-	// Lease is how long two boxes that both think that they own an endpoint must not take
-	// turns; a refused one keeps away for somewhat longer.
+	// Headroom returns the remaining capacity of an endpoint that announces a rate limit; nil: no
+	// endpoint does.
+	Headroom func(endpoint string, now time.Time) ratelimit.Room
+	// Lease is the ownership lease. A box whose claim was refused retries after somewhat longer,
+	// so that two boxes that both consider themselves owner do not alternate.
 	Lease func() time.Duration
 
-	mu         sync.Mutex
-	owned      map[string]*owned // by endpoint
-	wants      map[wantKey]*want
-	rates      map[topology.Adapter]*policy.Popularity
-	bucket     bucket            // of loads of base models
-	pace       pace              // of loads of adapters
-	runs       runs              // requests under way, as boxes tell
-	rests      policy.Popularity // adapters that came to rest
-	worth      map[int]float64   // by priority, smoothed over the requests that asked
-	cold       time.Duration     // smoothed time of a load from the store
-	warm       time.Duration     // smoothed time of a load from an endpoint's memory
-	memory     int               // adapters that an endpoint's memory keeps, as learnt from loads
-	level      time.Duration     // what a load costs here at least, as of levelAt
-	levelKnown bool
-	levelAt    time.Time
-	looked     time.Time // when what is owned was last looked at
-	due        time.Time // when the first of the endpoints that wait may be claimed; zero: none waits
-	queue      []rank    // of the loads from the store that are wanted, the first one first, as of the last look
-	wake       chan struct{}
-	begun      time.Time // when this box began to look at what it owns
-	left       time.Time // when this box began to leave; zero: it has not
-	init       sync.Once
+	mu                 sync.Mutex
+	owned              map[string]*ownedEndpoint // by endpoint
+	pendingLoads       map[placementKey]*pendingLoad
+	requestRates       map[topology.Adapter]*policy.Popularity
+	modelLoadBucket    tokenBucket       // limits loads of base models
+	loadLimiter        loadLimiter       // limits loads of adapters
+	inFlight           inFlightTable     // requests in progress, as reported by the boxes
+	idleTransitions    policy.Popularity // adapters that became idle
+	meanWorth          map[int]float64   // by priority, smoothed over recent requests
+	coldLoadTime       time.Duration     // smoothed time of a load from the store
+	warmLoadTime       time.Duration     // smoothed time of a load from an endpoint's host memory
+	cacheSize          int               // estimated number of adapters that an endpoint's host memory caches
+	minLoadCost        time.Duration     // cost of a load at the cheapest endpoint, as of minLoadCostAt
+	minLoadCostKnown   bool
+	minLoadCostAt      time.Time
+	ownershipCheckedAt time.Time
+	nextClaimAt        time.Time // when the next endpoint may be claimed; zero: no claim is scheduled
+	queue              []rank    // ranks of the pending loads from the store, highest first, as of the last ranking
+	wake               chan struct{}
+	startedAt          time.Time // time of the first ownership check
+	leavingSince       time.Time // zero: not leaving
+	initOnce           sync.Once
 }
 
-// Init makes the loader ready for calls before Run.
+// Init prepares the loader for calls before Run.
 func (l *Loader) Init() {
-	l.init.Do(func() {
-		l.owned = make(map[string]*owned)
-		l.wants = make(map[wantKey]*want)
-		l.rates = make(map[topology.Adapter]*policy.Popularity)
-		l.bucket = bucket{limits: l.Limits()}
-		l.cold, l.warm = coldLoad, warmLoad
-		l.memory = memoryFirst
-		l.pace = newPace()
-		l.worth = make(map[int]float64)
-		l.runs = newRuns()
+	l.initOnce.Do(func() {
+		l.owned = make(map[string]*ownedEndpoint)
+		l.pendingLoads = make(map[placementKey]*pendingLoad)
+		l.requestRates = make(map[topology.Adapter]*policy.Popularity)
+		l.modelLoadBucket = tokenBucket{limits: l.Limits()}
+		l.coldLoadTime, l.warmLoadTime = initialColdLoadTime, initialWarmLoadTime
+		l.cacheSize = initialCacheSize
+		l.loadLimiter = newLoadLimiter()
+		l.meanWorth = make(map[int]float64)
+		l.inFlight = newInFlightTable()
 		l.wake = make(chan struct{}, 1)
-		if l.Room == nil {
-			l.Room = noLimits
+		if l.Headroom == nil {
+			l.Headroom = noLimits
 		}
 	})
 }
 
 const (
-	ownPause   = 100 * time.Millisecond // between two looks at what is owned
-	queuePause = 25 * time.Millisecond  // between two looks at the queue while it is not empty
-	stepPause  = 5 * time.Millisecond   // at least between two steps: what comes meanwhile is looked at together
-	stepPart   = 10                     // times as long as a step took is the next one's pause: a long queue must not take the whole processor
+	ownershipInterval = 100 * time.Millisecond // between ownership checks
+	queueInterval     = 25 * time.Millisecond  // between steps while loads are queued
+	minStepInterval   = 5 * time.Millisecond   // between steps, so that events in between are handled together
+	stepPauseFactor   = 10                     // pause after a step, in multiples of its duration: a long queue must not take the whole processor
 )
 
-// Run claims and drops endpoints as the view changes and starts loads, until ctx
+// Run claims and drops endpoints as the cluster view changes and starts loads, until ctx
 // ends.
 func (l *Loader) Run(ctx context.Context) error {
 	l.Init()
@@ -109,8 +110,8 @@
 			ended <- struct{}{}
 		}()
 	}
-	var nextStep time.Time // not before it
-	next := time.NewTimer(ownPause)
+	var nextStep time.Time // earliest time of the next step
+	next := time.NewTimer(ownershipInterval)
 	defer next.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -121,12 +122,12 @@
 		case <-next.C:
 		}
 		sleep(ctx, clock.Until(nextStep))
-		begun := clock.Now()
-		for _, task := range l.step(begun) {
+		started := clock.Now()
+		for _, task := range l.step(started) {
 			spawn(task)
 		}
-		nextStep = clock.Now().Add(max(stepPause, stepPart*clock.Since(begun)))
-		next.Reset(l.pause())
+		nextStep = clock.Now().Add(max(minStepInterval, stepPauseFactor*clock.Since(started)))
+		next.Reset(l.nextStepDelay())
 	}
 	for range running {
 		<-ended
@@ -134,58 +135,58 @@
 	return nil
 }
 
-// Look makes Run look soon at what this box owns.
-func (l *Loader) Look() {
+// RefreshOwnership makes Run check soon which endpoints this box owns.
+func (l *Loader) RefreshOwnership() {
 	l.Init()
 	l.mu.Lock()
-	l.looked = time.Time{}
+	l.ownershipCheckedAt = time.Time{}
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeUp()
 }
 
-// nudge makes Run look at the queue soon.
-func (l *Loader) nudge() {
+// wakeUp makes Run start a step soon.
+func (l *Loader) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it will look anyway
+	default: // a wake-up is pending already
 	}
 }
 
-func (l *Loader) pause() time.Duration {
+func (l *Loader) nextStepDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pause := ownPause
+	pause := ownershipInterval
 	if len(l.queue) > 0 {
-		pause = queuePause
+		pause = queueInterval
 	}
-	if !l.due.IsZero() {
-		pause = min(pause, max(clock.Until(l.due), 0))
+	if !l.nextClaimAt.IsZero() {
+		pause = min(pause, max(clock.Until(l.nextClaimAt), 0))
 	}
 	return pause
 }
 
-// step returns what is to be done now.
+// step updates the state and returns the tasks to start.
 func (l *Loader) step(now time.Time) []func(context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var tasks []func(context.Context)
-	if now.Sub(l.looked) >= ownPause || (!l.due.IsZero() && !now.Before(l.due)) {
-		l.looked = now
-		l.runs.forget(now)
-		if l.left.IsZero() {
-			tasks = l.ownLocked(now)
+	if now.Sub(l.ownershipCheckedAt) >= ownershipInterval || (!l.nextClaimAt.IsZero() && !now.Before(l.nextClaimAt)) {
+		l.ownershipCheckedAt = now
+		l.inFlight.expire(now)
+		if l.leavingSince.IsZero() {
+			tasks = l.updateOwnershipLocked(now)
 		} else {
-			l.keepLocked(now)
+			l.pruneWhileLeavingLocked(now)
 		}
-		l.shareLocked()
+		l.updateRateShareLocked()
 	}
-	tasks = append(tasks, l.reclaimLocked()...)
-	tasks = append(tasks, l.modelsLocked(now)...)
+	tasks = append(tasks, l.startReclaimsLocked()...)
+	tasks = append(tasks, l.startModelLoadsLocked(now)...)
 	return append(tasks, l.startLoadsLocked(now)...)
 }
 
-// engine returns what an endpoint's service can do; nil when it runs no models.
-func (l *Loader) engine(e *topology.Endpoint) *topology.EngineSpec {
+// engineSpec returns the engine of an endpoint's service; nil when it runs no models.
+func (l *Loader) engineSpec(e *topology.Endpoint) *topology.EngineSpec {
 	c := l.View.Config()
 	if c == nil {
 		return nil
@@ -197,52 +198,54 @@
 	return s.Engine()
 }
 
-// shareLocked sets this box's share of the store's rate by the endpoints owned.
-func (l *Loader) shareLocked() {
-	all, mine, whole := 0, 0, 0.0
+// updateRateShareLocked sets this box's share of the store's load rate in proportion to the
+// endpoints that it owns.
+func (l *Loader) updateRateShareLocked() {
+	total, owned, storeRate := 0, 0, 0.0
 	for _, e := range l.View.All() {
-		g := l.engine(e)
+		g := l.engineSpec(e)
 		if g == nil {
 			continue
 		}
-		whole = max(whole, g.LoadsPerSec)
-		all++
+		storeRate = max(storeRate, g.LoadsPerSec)
+		total++
 		if o := l.owned[e.ID()]; o != nil && o.phase == owning {
-			mine++
+			owned++
 		}
 	}
-	l.bucket.limits = l.Limits()
-	l.bucket.share(whole, float64(mine)/float64(max(all, 1)), l.Leaders())
+	l.modelLoadBucket.limits = l.Limits()
+	l.modelLoadBucket.setShare(storeRate, float64(owned)/float64(max(total, 1)), l.Leaders())
 }
 
-func (l *Loader) countLocked(a topology.Adapter, n float64, now time.Time) {
-	r := l.rates[a]
+func (l *Loader) countRequestsLocked(a topology.Adapter, n float64, now time.Time) {
+	r := l.requestRates[a]
 	if r == nil {
 		r = &policy.Popularity{}
-		l.rates[a] = r
+		l.requestRates[a] = r
 	}
-	r.Add(n, now, halfLife)
+	r.Add(n, now, requestRateHalfLife)
 }
 
-// rateLocked returns requests a second for an adapter.
-func (l *Loader) rateLocked(a topology.Adapter, now time.Time) float64 {
-	r := l.rates[a]
+// requestRateLocked returns requests per second for an adapter.
+func (l *Loader) requestRateLocked(a topology.Adapter, now time.Time) float64 {
+	r := l.requestRates[a]
 	if r == nil {
 		return 0
 	}
-	return r.Rate(now, halfLife)
+	return r.Rate(now, requestRateHalfLife)
 }
 
-// publishLocked tells all boxes what an endpoint holds.
-func (l *Loader) publishLocked(o *owned) {
+// publishLocked announces to all boxes what an endpoint holds; adapters being evicted are
+// left out.
+func (l *Loader) publishLocked(o *ownedEndpoint) {
 	held := make(map[topology.Adapter]topology.Held, len(o.slots))
 	for a, s := range o.slots {
-		if !s.leaving {
+		if !s.evicting {
 			held[a] = topology.Held{Version: s.version, Ready: s.ready}
 		}
 	}
-	o.published++
-	l.Publish(o.endpoint.ID(), term(o.fence)<<publishedBits|o.published, held)
+	o.publications++
+	l.Publish(o.endpoint.ID(), term(o.fence)<<publicationBits|o.publications, held)
 }
 
 var _ forward.Placer = (*Loader)(nil)
--- a/placement/rank.go
+++ b/placement/rank.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ranked is a load that is wanted, with its rank now.
-type ranked struct {
-	key  wantKey
-	want *want
+// rankedLoad is a pending load with its current rank.
+type rankedLoad struct {
+	key  placementKey
+	load *pendingLoad
 	rank rank
 }
 
-// rank orders the loads that are wanted.
+// rank orders pending loads.
 type rank struct {
-	timely bool // begun now, it ends in time for somebody who waits: what is late already waits for those
+	timely bool // begun now, it completes in time for a waiting request; loads that are too late anyway rank lower
 	score  float64
 }
 
-// before tells whether a load goes before one of another rank.
+// before reports whether a load of this rank goes before one of rank o.
 func (r rank) before(o rank) bool {
 	if r.timely != o.timely {
 		return r.timely
@@ -29,47 +29,47 @@
 	return r.score > o.score
 }
 
-// rankLocked returns the rank of a load that is wanted at an endpoint.
-func (l *Loader) rankLocked(k wantKey, w *want, now time.Time) rank {
-	load := l.cold
+// rankLocked returns the rank of a pending load at an endpoint.
+func (l *Loader) rankLocked(k placementKey, w *pendingLoad, now time.Time) rank {
+	load := l.coldLoadTime
 	if l.isWarmLocked(l.owned[k.endpoint], k.adapter) {
-		load = l.warm
+		load = l.warmLoadTime
 	}
-	return rank{timely: w.waiting > 0 && !now.Add(load).After(w.inTime), score: w.score(now)}
+	return rank{timely: w.waiting > 0 && !now.Add(load).After(w.deadline), score: w.score(now)}
 }
 
-// rankedLocked returns the loads that are wanted now, the most wanted first, and
-// forgets those that nobody asked for in a long time. Scores fade with time, and
-// thousands of loads may be remembered, so each is ranked once.
-func (l *Loader) rankedLocked(now time.Time) []ranked {
-	var list []ranked
-	for k, w := range l.wants {
-		if w.worthwhile(now) {
-			list = append(list, ranked{key: k, want: w, rank: l.rankLocked(k, w, now)})
-		} else if now.Sub(w.last) > demandLife {
-			delete(l.wants, k)
-			w.end()
+// rankPendingLocked returns the worthwhile pending loads by descending rank, and drops those
+// that were not requested for demandRetention. Scores decay with time and there may be thousands
+// of pending loads, so each is ranked only once per call.
+func (l *Loader) rankPendingLocked(now time.Time) []rankedLoad {
+	var list []rankedLoad
+	for k, w := range l.pendingLoads {
+		if w.isWorthwhile(now) {
+			list = append(list, rankedLoad{key: k, load: w, rank: l.rankLocked(k, w, now)})
+		} else if now.Sub(w.lastRequested) > demandRetention {
+			delete(l.pendingLoads, k)
+			w.notifyWaiters()
 		}
 	}
-	slices.SortFunc(list, func(a, b ranked) int {
+	slices.SortFunc(list, func(a, b rankedLoad) int {
 		switch {
 		case a.rank.before(b.rank):
 			return -1
 		case b.rank.before(a.rank):
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.want.far, a.want.far), b.want.last.Compare(a.want.last))
+		return cmp.Or(cmp.Compare(b.load.remoteRequests, a.load.remoteRequests), b.load.lastRequested.Compare(a.load.lastRequested))
 	})
 	l.queue = l.queue[:0]
 	for _, o := range l.owned {
-		o.queued = 0
+		o.queuedLoads = 0
 	}
 	for _, r := range list {
-		if o := l.owned[r.key.endpoint]; o != nil && !r.want.spare(now) {
-			r.want.before = o.queued
-			o.queued++
+		if o := l.owned[r.key.endpoint]; o != nil && !r.load.isCopyOnly(now) {
+			r.load.queuedAhead = o.queuedLoads
+			o.queuedLoads++
 		}
-		if !r.want.spare(now) && !l.isWarmLocked(l.owned[r.key.endpoint], r.key.adapter) {
+		if !r.load.isCopyOnly(now) && !l.isWarmLocked(l.owned[r.key.endpoint], r.key.adapter) {
 			l.queue = append(l.queue, r.rank)
 		}
 	}
