--- a/access/access.go
+++ b/access/access.go
@@ -3,7 +3,7 @@
 // Package access authenticates callers by their API keys and enforces the quotas of organisations, which
 // hold over all boxes together.
 //
-// A quota is tracked at two levels. A Pool, on the box that leads a data centre, hands out the units
+// A quota is tracked at two levels. A Pool, on the box that leads a data centre, grants the units
 // of that data centre. An Account, on each box, tracks what the box has spent and not yet drawn from
 // the pool, so that most requests need not wait for another box.
 //
--- a/access/pool.go
+++ b/access/pool.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Pool hands out the units that a data centre may spend of the organisations' quotas. Units are moved, never
+// Pool grants the units that a data centre may spend of the organisations' quotas. Units are moved, never
 // copied: the pool no longer has what it gives to a box or lends to another data centre's pool. So all pools
 // together spend at most the rates and bursts in any window, if the shares of all pools add up to at most
 // one. It is safe for concurrent use. The zero value is empty.
@@ -45,7 +45,7 @@
 }
 
 // refill adds the units that accrued until now. A new bucket starts empty, since the previous leader may
-// have handed out all units.
+// have granted all units.
 func (b *bucket) refill(l Limit, now time.Time) {
 	if !b.refilledAt.IsZero() {
 		b.level += l.Rate * max(now.Sub(b.refilledAt).Seconds(), 0)
@@ -117,7 +117,7 @@
 	return a
 }
 
-// recordShortfall records the units that Draw could not hand out.
+// recordShortfall records the units that Draw could not grant.
 func (b *bucket) recordShortfall(d Demand, a Allowance, now time.Time) {
 	b.shortfall = max(d.Owed-a.Paid, 0)
 	for i, w := range d.Wanted[a.Granted:] {
@@ -147,7 +147,7 @@
 // local requests need not wait.
 const reservedFraction = 0.5
 
-// Lend removes up to that many units for another data centre's pool, and returns how many.
+// Lend removes up to the given units for another data centre's pool, and returns how many.
 func (p *Pool) Lend(organisation string, units float64, l Limit, now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/access/quota.go
+++ b/access/quota.go
@@ -96,7 +96,7 @@
 	reserveFraction = 0.2
 )
 
-// rate returns the units per second that are handed out of a quota.
+// rate returns the units per second that are granted from a quota.
 func (b Bounds) rate(q Quota) float64 {
 	if b.Window <= 0 {
 		return q.Rate
@@ -129,8 +129,8 @@
 	return l
 }
 
-// CreditLimit returns the units that one of so many boxes may have spent of a quota and not drawn; zero if the
-// number of boxes is not known.
+// CreditLimit returns the units that one of the given number of boxes may have spent of a quota and not drawn; zero
+// if the number is not known.
 func (b Bounds) CreditLimit(q Quota, boxes int) float64 {
 	if boxes <= 0 || b.Window <= 0 {
 		return 0
@@ -138,7 +138,7 @@
 	return creditFraction * b.internalExcess(q) / float64(boxes)
 }
 
-// Share returns the fraction of each quota that a leader hands out for its data centre: the equal share of a data
+// Share returns the fraction of each quota that a leader grants in its data centre: the equal share of a data
 // centre, times the fraction of its known boxes that draw from this leader. A box draws from one leader at
 // a time, so the shares add up to at most one on all sides of a network partition and with several leaders,
 // if known includes boxes that are no longer reachable.
@@ -146,8 +146,8 @@
 	return min(float64(drawing)/float64(max(known, 1)), 1) / float64(max(centres, 1))
 }
 
-// waitFor returns the time until so many units accrue at a rate, at most a minute: longer waits need not be
-// distinguished.
+// waitFor returns the time until the given units accrue at a rate, at most a minute: longer waits need
+// not be distinguished.
 func waitFor(units, rate float64) time.Duration {
 	if units <= 0 {
 		return 0
--- a/catalog/build.go
+++ b/catalog/build.go
@@ -59,7 +59,7 @@
 	b.problems = append(b.problems, Problem{Document: b.document, Field: field, Value: value, Fix: fix})
 }
 
-// checkName tells whether a name is valid and not taken, and reports a problem
+// checkName reports whether a name is valid and not taken, and records a problem
 // otherwise.
 func (b *builder) checkName(list, name string, taken bool) bool {
 	if name == "" || strings.ContainsAny(name, Separator+" /") {
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -20,7 +20,7 @@
 // Separator separates an adapter's name from its version or alias.
 const Separator = "@"
 
-// State tells whether an endpoint or a data centre accepts new requests.
+// State is whether an endpoint or a data centre accepts new requests.
 type State string
 
 // The states of endpoints and data centres.
@@ -121,15 +121,15 @@
 // MaxRunning returns the maximum number of requests in the endpoint's batch.
 func (e Endpoint) MaxRunning() int { return e.maxRunning }
 
-// ChecksFences tells whether the endpoint rejects orders whose fencing token is
+// ChecksFences reports whether the endpoint rejects orders whose fencing token is
 // lower than the highest that it has seen.
 func (e Endpoint) ChecksFences() bool { return e.checksFences }
 
 // ReportLag returns the maximum age of the endpoint's reports.
 func (e Endpoint) ReportLag() time.Duration { return e.reportLag }
 
-// State tells whether the endpoint accepts new requests. Endpoints in a draining
-// data centre are draining too.
+// State returns the state of the endpoint. Endpoints in a draining data centre are
+// draining too.
 func (e Endpoint) State() State { return e.state }
 
 // Service is a plain service, which runs no models.
@@ -146,7 +146,7 @@
 // the slice.
 func (s Service) Addresses() []string { return s.addresses }
 
-// IsNonIdempotent tells whether the call is listed as non-idempotent, so that it must not be retried.
+// IsNonIdempotent reports whether the call is listed as non-idempotent, so that it must not be retried.
 func (s Service) IsNonIdempotent(method, path string) bool {
 	for _, c := range s.nonIdempotent {
 		if c == method+" "+path {
--- a/catalog/head.go
+++ b/catalog/head.go
@@ -94,7 +94,7 @@
 // ShardDigest returns the digest of a shard's text.
 func (h Head) ShardDigest(name string) string { return h.shards[name] }
 
-// DescendsFrom tells whether this head was derived from old, directly or through
+// DescendsFrom reports whether this head was derived from old, directly or through
 // other heads. The list of ancestors is truncated to MaxAncestors, so an older
 // ancestor cannot be told from an unrelated head: if old's revision is that far back,
 // it counts as an ancestor.
--- a/catalog/shard.go
+++ b/catalog/shard.go
@@ -97,7 +97,7 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// hasOnlyAdapters tells whether the shard contains adapters and nothing else.
+// hasOnlyAdapters reports whether the shard contains adapters and nothing else.
 func (s Shard) hasOnlyAdapters() bool {
 	others := len(s.Bases) + len(s.Classes) + len(s.Callers) + len(s.DataCentres) + len(s.Endpoints) + len(s.Services)
 	return others == 0 && len(s.Adapters) > 0
--- a/edge/keys_test.go
+++ b/edge/keys_test.go
@@ -102,7 +102,7 @@
 	return n
 }
 
-// keyStatus returns whether a box serves callers with keys, and whether it is ready.
+// keyStatus reports whether a box serves callers with keys, and whether it is ready.
 func keyStatus(c *quicktest.C, n *Node) (keys, ready bool) {
 	var r keysReport
 	c.Assert(json.Unmarshal(variablesOf(c, n)["edge_keys"], &r), quicktest.IsNil)
@@ -189,9 +189,9 @@
 	return n
 }
 
-// Guards against counting the age of a confirmation from its arrival: sent 200 ms after the source was heard, it
-// may take 4 s because a network partition delays it or the receiving process is suspended, and is then 4.2 s old
-// instead of 0.2 s.
+// Guards against counting the age of a confirmation from its arrival: sent 200 ms after the source's last
+// response, it may take 4 s because a network partition delays it or the receiving process is suspended, and is then
+// 4.2 s old instead of 0.2 s.
 func TestConfirmationAgeCountsFromTheRequest(t *testing.T) {
 	c := quicktest.New(t)
 	n := strictNode(c)
--- a/edge/leave.go
+++ b/edge/leave.go
@@ -37,7 +37,7 @@
 	n.Log.Info("Shutdown notice period over", "held", n.gateway.InFlight(), "took_ms", clock.Since(begun).Milliseconds())
 }
 
-// isReady returns whether the box can serve callers.
+// isReady reports whether the box can serve callers.
 func (n *Node) isReady() bool {
 	return !n.leaving.Load() && n.view.Config() != nil && len(n.view.All()) > 0 && n.keysStayCurrent(clock.Now())
 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// updateLocked applies an announcement unless a newer one is known. It returns whether the limit changed.
+// updateLocked applies an announcement unless a newer one is known. It reports whether the limit changed.
 func (s *limits) updateLocked(endpoint string, w ratelimit.Observation, now time.Time) bool {
 	if s.known[endpoint] == nil && !w.Limit.IsSet() {
 		return false
--- a/edge/limits_leader.go
+++ b/edge/limits_leader.go
@@ -26,7 +26,7 @@
 	return &wire.TakeReply{Leads: true, Limited: g.Limited, Granted: g.OK, WaitMicros: g.Wait.Microseconds()}
 }
 
-// leads returns whether this box enforces the limit of an endpoint: it owns the endpoint, and its ownership has
+// leads reports whether this box enforces the limit of an endpoint: it owns the endpoint, and its ownership has
 // begun.
 func (s *limits) leads(endpoint string, now time.Time) bool {
 	e := s.node.view.Endpoint(endpoint)
@@ -54,7 +54,7 @@
 	}
 }
 
-// shouldPublish returns whether all boxes have to learn the limit that is enforced.
+// shouldPublish reports whether all boxes have to learn the limit that is enforced.
 func (s *limits) shouldPublish(endpoint string, l ratelimit.Limit, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/edge/limits_notify.go
+++ b/edge/limits_notify.go
@@ -42,7 +42,7 @@
 	limits map[string]ratelimit.Observation // by endpoint
 }
 
-// notifyLeaders sends pending reports to the leaders. It returns whether all were delivered.
+// notifyLeaders sends pending reports to the leaders. It reports whether all were delivered.
 func (s *limits) notifyLeaders(ctx context.Context) bool {
 	list, complete := s.pendingReports()
 	answers := make(chan bool, len(list))
@@ -83,8 +83,8 @@
 	return list, complete
 }
 
-// notifyLeader sends a report to one leader. It returns whether that box leads all the endpoints in it and accepted
-// it.
+// notifyLeader sends a report to one leader. It reports whether that box leads all the endpoints in it and
+// accepted it.
 func (s *limits) notifyLeader(ctx context.Context, u limitsReport) bool {
 	now := clock.Now()
 	q := &wire.LimitsRequest{Box: s.node.peers.box}
--- a/edge/model_explore_test.go
+++ b/edge/model_explore_test.go
@@ -161,7 +161,7 @@
 }
 
 // isOfCopy reports whether a fact was published before one that a box knew and has a higher revision
-// only because of a restore. After box restarts nobody may have known the earlier fact.
+// only because of a restore. After box restarts it may be that no box knew the earlier fact.
 func (s *modelState) isOfCopy(before, now Revision) bool {
 	r := int(now.Number()) - 1
 	return s.left.restarts == 0 && now.Epoch() > before.Epoch() && !now.IsConfirmed() && s.changes[r].epoch <= before.Epoch()
--- a/edge/outbox.go
+++ b/edge/outbox.go
@@ -83,7 +83,7 @@
 	messages []*message
 }
 
-// deliver sends each leader the messages that it has not received. It returns whether all messages are delivered or
+// deliver sends each leader the messages that it has not received. It reports whether all messages are delivered or
 // expired.
 func (o *outbox) deliver(ctx context.Context, now time.Time) bool {
 	all, leaders := o.pending(), o.leaders()
@@ -150,7 +150,7 @@
 	return delivery{leader: m.Name(), messages: undelivered}
 }
 
-// removeDone removes messages that every leader has received and those that have expired. It returns whether none is
+// removeDone removes messages that every leader has received and those that have expired. It reports whether none is
 // left.
 func (o *outbox) removeDone(leaders []member.Member, now time.Time) bool {
 	o.mu.Lock()
--- a/edge/pool.go
+++ b/edge/pool.go
@@ -56,7 +56,7 @@
 	return len(d.lastDraw)
 }
 
-// share returns the fraction of each quota that this box hands out, given how many boxes draw from it. Unreachable
+// share returns the fraction of each quota that this box grants, given how many boxes draw from it. Unreachable
 // boxes count as known ones of the data centre, since they may draw from another pool.
 func (s *spending) share(boxes int, now time.Time) float64 {
 	centres := s.node.current.Load().DataCentres
@@ -119,7 +119,7 @@
 }
 
 // newFleetAge is the age of a leader below which all boxes of its data centre have just started, since the oldest
-// leads. No other box has handed out units since this one started, so the pool fills from that time.
+// leads. No other box has granted units since this one started, so the pool fills from that time.
 const newFleetAge = 3 * time.Second
 
 // closePool discards the pool after another box has become the leader.
@@ -183,7 +183,7 @@
 }
 
 // requestLoansOnce requests an equal part of the missing units from each other leader. It reports whether any were
-// lent.
+// granted.
 func (s *spending) requestLoansOnce(ctx context.Context) bool {
 	v := s.node.peers.clusterView()
 	var others []member.Member
@@ -216,7 +216,7 @@
 	return len(lent) > 0
 }
 
-// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it lent: no unit is spent
+// requestLoan requests a loan from one leader. If the reply is lost, so are the units that it granted: no unit is spent
 // twice.
 func (s *spending) requestLoan(ctx context.Context, m member.Member, q *wire.LendRequest) *wire.LendReply {
 	ctx, cancel := context.WithTimeout(ctx, loanTimeout)
--- a/edge/quarantine.go
+++ b/edge/quarantine.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// isQuarantineOver returns whether a fact is about a quarantine that has ended.
+// isQuarantineOver reports whether a fact is about a quarantine that has ended.
 func isQuarantineOver(i *wire.Item, now time.Time) bool {
 	return strings.HasPrefix(i.GetKey(), quarantinePrefix) && int64(i.GetVersion()) <= now.UnixMicro()
 }
--- a/edge/slots.go
+++ b/edge/slots.go
@@ -95,7 +95,7 @@
 	return id
 }
 
-// updateHeld copies the slots that the owner published into the view, if the endpoint is in it. It returns whether an
+// updateHeld copies the slots that the owner published into the view, if the endpoint is in it. It reports whether an
 // owner published anything.
 func (s *state) updateHeld(id string) bool {
 	s.slots.mu.Lock()
--- a/edge/spending.go
+++ b/edge/spending.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// settlePeriod is the time between two settlements of a box on which no request waits. For so long the pools
-	// may not have counted an organisation's latest requests, and the box may not have heard how recent its
-	// configuration is.
+	// settlePeriod is the time between two settlements of a box on which no request waits. For that time the pools
+	// may not have counted an organisation's latest requests, and the box may not know how recent its configuration
+	// is.
 	settlePeriod        = 300 * time.Millisecond
 	settleTimeout       = 400 * time.Millisecond // a leader in the same data centre answers within a millisecond
 	settleRetryInterval = 20 * time.Millisecond  // while requests wait: pools refill, and other data centres lend units
@@ -201,7 +201,7 @@
 	s.node.Log.Info("Callers with keys are refused: a newer configuration may have revoked keys", "config", s.node.configVersion(), "age_ms", ago.Milliseconds())
 }
 
-// countsCallers returns whether there are organisations, whose requests are counted and whose keys are checked.
+// countsCallers reports whether there are organisations, whose requests are counted and whose keys are checked.
 func (n *Node) countsCallers() bool {
 	c := n.view.Config()
 	return c != nil && c.Callers() != nil
@@ -213,7 +213,7 @@
 	return s.leaderless
 }
 
-// settle draws the units that this box owes and those that its requests wait for. It returns whether requests still
+// settle draws the units that this box owes and those that its requests wait for. It reports whether requests still
 // wait.
 func (s *spending) settle(ctx context.Context) bool {
 	q, asked := s.demand()
@@ -284,7 +284,7 @@
 	}
 }
 
-// resolve passes a request its result. It returns false if the request no longer waits.
+// resolve passes a request its result. It reports whether the request was still waiting.
 func (a *account) resolve(w *waiter, r forward.ChargeResult) bool {
 	i := slices.Index(a.waiting, w)
 	if i < 0 {
--- a/edge/suspend_test.go
+++ b/edge/suspend_test.go
@@ -48,7 +48,7 @@
 }
 
 // After a suspend another box leads the data centre, so what leaders and boxes reported before must have expired. A
-// pool would otherwise hand out the units of the time in between.
+// pool would otherwise grant the units of the time in between.
 func TestAfterASuspendReportsOfLeadersAndBoxesHaveExpired(t *testing.T) {
 	c := quicktest.New(t)
 	var l loadCosts
--- a/edge/usage_test.go
+++ b/edge/usage_test.go
@@ -117,7 +117,7 @@
 }
 
 // Guards against a report timer that each change restarts: on busy boxes changes came faster than it expires, so that
-// leaders heard from them only with the full reports twice a second.
+// leaders got only their full reports, twice a second.
 func TestContinuousChangesAreReportedPromptly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quicktest.New(t)
--- a/forward/data_centres.go
+++ b/forward/data_centres.go
@@ -10,8 +10,8 @@
 const (
 	avoidDuration    = time.Second            // how long a data centre that did not respond is avoided
 	failureThreshold = 3                      // unreachable endpoints of one data centre
-	failureWindow    = 700 * time.Millisecond // within so long indicate that the network to it is cut
-	silenceTimeout   = 350 * time.Millisecond // a request without a response for so long, while no other data came from its data centre, counts as a failure: a first event takes some 50 ms
+	failureWindow    = 700 * time.Millisecond // failureThreshold failures within it indicate that the network to the data centre is cut
+	silenceTimeout   = 350 * time.Millisecond // a request without a response for this time, while no other data came from its data centre, counts as a failure: a first event takes some 50 ms
 )
 
 // dataCentres tracks which data centres failed recently, as seen by this box, and are avoided. Those that
--- a/forward/dispatch.go
+++ b/forward/dispatch.go
@@ -73,13 +73,13 @@
 	g.firstToken.Observe(tokens, took)
 }
 
-// PromptReadTime predicts how long an endpoint takes to read a prompt of so many tokens, from the
+// PromptReadTime predicts how long an endpoint takes to read a prompt of the given length, from the
 // responses that this box received.
 func (g *Gateway) PromptReadTime(tokens int) time.Duration {
 	return g.predictFirstToken(tokens) - g.predictFirstToken(0)
 }
 
-// predictFirstToken predicts the time to the first token while so many prompt tokens are unread.
+// predictFirstToken predicts the time to the first token while the given number of prompt tokens are unread.
 func (g *Gateway) predictFirstToken(tokens int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -17,7 +17,7 @@
 	// takes, and leaves the rest for the response.
 	limitWaitFraction = 0.125
 	// maxLimitDenials is how many endpoints may deny capacity before a request gives up on those with a rate
-	// limit. Each is a call to another box, and where so many are at their limits the rest are.
+	// limit. Each is a call to another box, and where that many are at their limits the rest are too.
 	maxLimitDenials = 4
 )
 
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -55,7 +55,7 @@
 	l.observed = append(l.observed, s)
 }
 
-// allow lets an endpoint take so many more requests.
+// allow lets an endpoint take the given number of further requests.
 func (l *fakeLimits) allow(endpoint string, requests int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/forward/select.go
+++ b/forward/select.go
@@ -13,9 +13,9 @@
 const (
 	remotePenalty     = 0.5                    // how much more load an endpoint of the own data centre may have than a remote one
 	failurePenalty    = 2.0                    // additional load that an endpoint that always fails counts for
-	failureRateMargin = 0.25                   // an endpoint whose failure rate is so much above the lowest is avoided
+	failureRateMargin = 0.25                   // an endpoint whose failure rate exceeds the lowest by this much is avoided
 	silentThreshold   = 2                      // silent requests from which on an endpoint is avoided
-	silentAfter       = 700 * time.Millisecond // a request without a response for so long is silent: a first event takes some 50 ms
+	silentAfter       = 700 * time.Millisecond // a request without a response for this time is silent: a first event takes some 50 ms
 )
 
 // usable returns the endpoints of the list that are candidates for the next attempt. Those that refused
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -103,8 +103,7 @@
 }
 
 // copy relays complete events until the end of the stream, for which it returns nil. It drops an event
-// that was cut off, and calls heard for each
-// complete one.
+// that was cut off, and calls heard for each complete one.
 func (s *eventRelay) copy(resp *http.Response, heard func()) error {
 	in := bufio.NewReaderSize(resp.Body, 4<<10)
 	var event []byte
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -17,7 +17,7 @@
 
 const (
 	dialTimeout = 300 * time.Millisecond // endpoints are a few ms away
-	// tcpUserTimeout closes a connection on which sent data stays unacknowledged for so long, so
+	// tcpUserTimeout closes a connection on which sent data stays unacknowledged for that time, so
 	// that a dead one takes no more of its callers' time. It leaves room for three retransmissions,
 	// 0.2, 0.6 and 1.4 s after the first transmission at the kernel's minimum timeout, and for two
 	// keep-alive probes, 1 and 2 s after the last byte.
@@ -132,7 +132,7 @@
 	return u.unreadTokens
 }
 
-// promptRead records that the endpoint has read a prompt of so many tokens, or won't read it.
+// promptRead records that the endpoint has read a prompt of the given length, or won't read it.
 func (u *upstream) promptRead(tokens int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -21,7 +21,7 @@
 }
 
 // observe records the limit that a response announced, or that it announced none. sentAt is when its request was
-// sent; enforced says whether the endpoint's owner enforces a limit. It reports whether the limit changed.
+// sent; enforced is whether the endpoint's owner enforces a limit. It reports whether the limit changed.
 //
 // An endpoint that announces no limit gets an entry only if its owner enforces one, which the owner learnt from
 // another gateway: the owner has to be told that it is over.
--- a/keeper/syncer.go
+++ b/keeper/syncer.go
@@ -44,7 +44,7 @@
 // Attach implements member.PayloadHandler.
 func (s *Syncer) Attach(h *wire.Heartbeat) { s.Keeper.Attach(h) }
 
-// Receive implements member.Extras. It queues unknown heads for Run to fetch.
+// Receive implements member.PayloadHandler. It queues unknown heads for Run to fetch.
 func (s *Syncer) Receive(h *wire.Heartbeat, address string) {
 	for prefix := range s.Keeper.unknownHeads(h) {
 		select {
--- a/measure/fault_injection.go
+++ b/measure/fault_injection.go
@@ -166,8 +166,8 @@
 	return r.controlEngines(ctx, 1, fmt.Sprintf("limit?a_second=%v", r.Limit))
 }
 
-// countOverLimits prints the counters of the engines that announce rate limits, and returns the number of requests beyond
-// the limits.
+// countOverLimits prints the counters of the engines that announce rate limits, and returns the number of requests
+// beyond the limits.
 func (r *faultRun) countOverLimits(ctx context.Context, w io.Writer) (over int, err error) {
 	if r.Limit <= 0 {
 		return 0, nil
--- a/measure/placement_simulation.go
+++ b/measure/placement_simulation.go
@@ -16,7 +16,7 @@
 
 // PlacementSimulation simulates endpoints with few adapter slots and long prompts, and compares two placement
 // policies for adapter loads: a fixed endpoint for each adapter, and the endpoint with the lowest
-// cost according to policy.SiteFacts. Both get the same requests. Time is simulated, so the
+// cost according to policy.LoadTarget. Both get the same requests. Time is simulated, so the
 // result depends only on the seed.
 type PlacementSimulation struct {
 	Seed uint64
@@ -167,7 +167,7 @@
 // fixedEndpoint places an adapter by hash, always at the same endpoint.
 func fixedEndpoint(_ *simulation, adapter int) int { return adapter * 7919 % simEndpoints }
 
-// cheapestEndpoint places an adapter where the cost by policy.SiteFacts is lowest.
+// cheapestEndpoint places an adapter where the cost by policy.LoadTarget is lowest.
 func cheapestEndpoint(s *simulation, adapter int) int {
 	best, least := 0, time.Duration(0)
 	for i, e := range s.endpoints {
--- a/measure/store_restores.go
+++ b/measure/store_restores.go
@@ -16,9 +16,10 @@
 	"github.com/pkg/errors"
 )
 
-// StoreRestores repeatedly restores the key-value store of the users' platform from older backups, on a fixed seed, while
-// boxes are killed, frozen and started and configurations are published. It checks by the boxes' own metrics that no box
-// reverts to an older configuration and that each newer one takes effect everywhere. Set the fields before Run.
+// StoreRestores repeatedly restores the key-value store of the users' platform from older backups, on a fixed seed,
+// while boxes are killed, frozen and started and configurations are published. It checks by the boxes' own metrics
+// that no box reverts to an older configuration and that each newer one takes effect everywhere. Set the fields before
+// Run.
 type StoreRestores struct {
 	Bin  string
 	Dir  string
@@ -160,8 +161,8 @@
 	return r.publishVersion(ctx, r.newestVersion)
 }
 
-// restoreStore restores the store from its backup, once or twice, and then republishes the configuration that the backup
-// lacks. meanwhile, if not nil, runs in between.
+// restoreStore restores the store from its backup, once or twice, and then republishes the configuration that the
+// backup lacks. meanwhile, if not nil, runs in between.
 func (r *restoreRun) restoreStore(ctx context.Context, meanwhile func() error) error {
 	for range 1 + r.rand.IntN(2) {
 		r.steps = append(r.steps, fmt.Sprintf("restore %d of %d", r.backupVersion, r.newestVersion))
@@ -212,8 +213,8 @@
 	return r.waitUntil(ctx, func() string { return r.outdated(b, want) })
 }
 
-// newestAtPeers returns the newest configuration version in force at the other running boxes of b's data centre. They send
-// it to a starting box even if the store holds an older one.
+// newestAtPeers returns the newest configuration version in force at the other running boxes of b's data centre. They
+// send it to a starting box even if the store holds an older one.
 func (r *restoreRun) newestAtPeers(b *watchedBox) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -269,7 +270,8 @@
 	return fmt.Sprintf("%s has configuration %d in force, want at least %d", fleet.DaemonName(b.dataCentre, b.box, "edge"), b.version, version)
 }
 
-// waitUntil waits until check returns an empty message. A message still returned after the timeout is recorded as a violation.
+// waitUntil waits until check returns an empty message. A message still returned after the timeout is
+// recorded as a violation.
 func (r *restoreRun) waitUntil(ctx context.Context, check func() string) error {
 	for start := time.Now(); ; {
 		message := check()
@@ -304,8 +306,9 @@
 	}
 }
 
-// poll reads which configuration a box has in force and records a violation if it is older than before. A box that does not
-// answer is skipped, and so is an answer from before a restart, since a restarted box has no configuration yet.
+// poll reads which configuration a box has in force and records a violation if it is older than before. A box that
+// does not answer is skipped, and so is an answer from before a restart, since a restarted box has no configuration
+// yet.
 func (r *restoreRun) poll(ctx context.Context, b *watchedBox) {
 	r.mu.Lock()
 	down, starts := b.down, b.starts
--- a/placement/fence.go
+++ b/placement/fence.go
@@ -35,7 +35,7 @@
 }
 
 // Observe records the term of another box's fence. Terms that no box generates are ignored:
-// after the highest possible term nobody could raise a fence any more.
+// after the highest possible term no box could raise a fence any more.
 func (f *Fences) Observe(observed uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 }
 
 // Next returns a fence above every known one. It is above previous, the last fence that this box
-// used at the endpoint (zero: none), which was refused so many times in a row.
+// used at the endpoint (zero: none), which was refused the given number of times in a row.
 func (f *Fences) Next(now time.Time, previous uint64, refusals int) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/placement/loader_test.go
+++ b/placement/loader_test.go
@@ -288,7 +288,7 @@
 }
 
 // After a restart of all boxes the endpoints remembered the fence of a box whose clock had been
-// ahead. The new owner backed off for the lease, although nobody owned them.
+// ahead. The new owner backed off for the lease, although no box owned them.
 func TestAnEndpointThatRefusesTheFirstFenceIsClaimedAgainAtOnce(t *testing.T) {
 	c := quicktest.New(t)
 	ahead := (&Fences{Box: 2}).Next(time.Now().Add(30*time.Second), 0, 0)
--- a/placement/ownership.go
+++ b/placement/ownership.go
@@ -40,7 +40,7 @@
 	claims          int                    // completed claims; tasks of earlier ones stop
 	handedOver      bool                   // the last claim used a handover from the previous owner, without a report
 	ordersInFlight  int                    // orders without a response yet
-	ordersDone      chan struct{}          // closed when ordersInFlight reaches zero; nil: nobody waits
+	ordersDone      chan struct{}          // closed when ordersInFlight reaches zero; nil: no goroutine waits
 	endedUntil      time.Time              // a box observed that the endpoint ended; it is not used until then, when its entry has expired
 	stateUncertain  bool                   // since the last claim an order got no response or another owner was noticed
 }
--- a/placement/usage.go
+++ b/placement/usage.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	usageReportExpiry  = 2 * time.Second // the reported requests of a box without a newer report for so long are dropped
+	usageReportExpiry  = 2 * time.Second // the reported requests of a box without a newer report for this time are dropped
 	fullThreshold      = 0.6             // requests in progress per request slot from which an endpoint is full: above it batches become slow, and the next burst queues
 	fullEndpointDemand = 1.0             // unserved requests that each complete usage report of a full endpoint counts as for its busiest adapter
 )
--- a/scheduler/keys.go
+++ b/scheduler/keys.go
@@ -21,8 +21,9 @@
 }
 
 // KeyLedger records the idempotency keys of non-repeatable requests. Each key has a home, the one
-// scheduler that records it. The ledger is held in memory only. After a restart or a change of home, keys created before the current term are
-// refused, because an earlier home may have let their requests run.
+// scheduler that records it. The ledger is held in memory only. After a
+// restart or a change of home, keys created before the current term are refused, because an
+// earlier home may have let their requests run.
 type KeyLedger struct {
 	timing     KeyTiming
 	maxEntries int
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -43,7 +43,7 @@
 	s.serveWaitersLocked(e, clock.Now())
 }
 
-// rateLimitWait returns how long a request behind so many others waits for the endpoint's rate limit.
+// rateLimitWait returns how long a request behind the given number of others waits for the endpoint's rate limit.
 func (s *Scheduler) rateLimitWait(e *endpoint, ahead int, now time.Time) time.Duration {
 	return s.rateLimits.Headroom(e.name, now).Wait + s.rateLimits.TimeFor(e.name, ahead)
 }
